--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -232,7 +232,7 @@
 // health and limits.
 func (s *service) hasActiveTarget(c *call) bool {
 	for _, t := range s.targets {
-		if t.isActive() && c.mayUse(t) {
+		if t.isEligible() && c.mayUse(t) {
 			return true
 		}
 	}
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -26,24 +26,24 @@
 	}
 	a.permit = r.usePermit(t)
 	a.limitVersion = t.limitWord().Version
-	if !t.ownRoom() {
+	if !t.hasOwnFreeSlot() {
 		a.loan = t.freeLoan(r.now)
 		if a.loan != nil {
 			a.loan.inUse = true
 		}
 	}
 	r.expect(c.route, a)
-	t.link(a)
-	t.noteSend()
+	t.addAttempt(a)
+	t.countSend()
 	t.sends++
-	t.sentSince++
+	t.sentSinceReport++
 	if t.row.MaxRate > 0 {
-		t.rate.take(r.now, t.rateShare.value, rateBurst)
+		t.callBucket.take(r.now, t.rateShare.value, rateBurst)
 	}
 	t.noteColdSend(r.now)
 	e.add(Effect{
 		Kind: Send, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint,
-		Deadline: c.deadline, NotAfter: r.notAfterOf(t), Connections: t.connections, Once: c.route.work == table.Once,
+		Deadline: c.deadline, NotAfter: r.notAfterOf(t), Connections: t.maxConnections, Once: c.route.work == table.Once,
 		PermitUntil: a.permit, Purpose: why, Evidence: evidence, Aim: c.route.aim, LargeAnswer: c.route.largeAnswers,
 		Workspace: c.workspaceName(),
 	})
@@ -71,7 +71,7 @@
 // release ends an attempt's claim on its target.
 func (r *Router) release(c *call, a *attempt, e *Effects) {
 	t := a.target
-	t.unlink(a)
+	t.removeAttempt(a)
 	r.attemptOver(a)
 	if a.loan != nil {
 		r.endLoanUse(a.loan, e)
@@ -89,8 +89,8 @@
 func (r *Router) cancel(id CallID, c *call, a *attempt, e *Effects) {
 	t := a.target
 	e.add(Effect{Kind: Cancel, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint})
-	if t.share.value < unlimited && a.loan == nil {
-		t.cooling++
+	if t.inFlightShare.value < unlimited && a.loan == nil {
+		t.cancelingSlots++
 		r.timers.Push(timer{at: r.now.Add(cancelTime), kind: coolTimer, target: t})
 	}
 	if a.loan != nil {
@@ -235,7 +235,7 @@
 		t.service.noteReport(v.Reading)
 		t.latency.add(took)
 		t.service.latency.add(took)
-		t.grow()
+		t.growWindow()
 		turned = t.health.succeeded(r.now)
 	case Failed, Broken:
 		t.failures++
@@ -256,8 +256,8 @@
 			break
 		}
 		t.reading.contradicted()
-		t.shrink()
-		t.notBefore = max(t.notBefore, r.now.Add(t.latency.mean()/2))
+		t.shrinkWindow()
+		t.backoffUntil = max(t.backoffUntil, r.now.Add(t.latency.mean()/2))
 	}
 	if turned {
 		r.healthTurned(t, e)
--- a/pkg/core/routing/borrowing.go
+++ b/pkg/core/routing/borrowing.go
@@ -97,7 +97,7 @@
 	r.loans.borrowedTotal++
 	r.sweepBy(s, r.now.Add(sweepPeriod))
 	r.loans.borrowed = append(r.loans.borrowed, l)
-	t.borrowed = append(t.borrowed, l)
+	t.borrowedSlots = append(t.borrowedSlots, l)
 	r.serveHeld(s, e)
 }
 
@@ -122,7 +122,7 @@
 
 func (r *Router) forgetLoan(l *loan) {
 	r.loans.borrowed = slices.DeleteFunc(r.loans.borrowed, func(o *loan) bool { return o == l })
-	l.target.borrowed = slices.DeleteFunc(l.target.borrowed, func(o *loan) bool { return o == l })
+	l.target.borrowedSlots = slices.DeleteFunc(l.target.borrowedSlots, func(o *loan) bool { return o == l })
 }
 
 func (r *Router) extendLoans(from units.BoxID, m LoanMessage) {
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -250,7 +250,7 @@
 		r.timers.Pop()
 		switch t.kind {
 		case coolTimer:
-			t.target.cooling--
+			t.target.cancelingSlots--
 			r.freed = append(r.freed, t.target.service)
 			continue
 		case crashTimer:
--- a/pkg/core/routing/closed.go
+++ b/pkg/core/routing/closed.go
@@ -45,7 +45,7 @@
 func (s *service) opensAt(c *call, now units.Instant) (units.Instant, bool) {
 	var first units.Instant
 	for _, t := range s.targets {
-		if !t.isActive() || !c.mayUse(t) {
+		if !t.isEligible() || !c.mayUse(t) {
 			continue
 		}
 		if !t.isClosed(now) {
@@ -64,7 +64,7 @@
 		return false
 	}
 	for _, t := range s.targets {
-		if t.isActive() && c.mayUse(t) && !t.notice.limited() {
+		if t.isEligible() && c.mayUse(t) && !t.notice.limited() {
 			return false
 		}
 	}
@@ -81,7 +81,7 @@
 // only lacks a permit.
 func (s *service) closedReason(c *call, now units.Instant) Reason {
 	for _, t := range s.targets {
-		if t.isActive() && c.mayUse(t) && !t.notice.rests(now) && t.lacksPermit(now) {
+		if t.isEligible() && c.mayUse(t) && !t.notice.rests(now) && t.lacksPermit(now) {
 			return TargetsLimited
 		}
 	}
@@ -132,7 +132,7 @@
 	left := first.Sub(now)
 	drawn, n := left, 0
 	for _, t := range s.targets {
-		if !t.isActive() || !c.mayUse(t) || t.notice.restUntil.Sub(now) > 2*left {
+		if !t.isEligible() || !c.mayUse(t) || t.notice.restUntil.Sub(now) > 2*left {
 			continue
 		}
 		n++
--- a/pkg/core/routing/crash.go
+++ b/pkg/core/routing/crash.go
@@ -47,7 +47,7 @@
 // are left out: what breaks off there says nothing of the call.
 func (r *Router) noteBroken(c *call, a *attempt, e *Effects) {
 	t := a.target
-	if !r.on(CrashSuspects) || c.identity == nil || !t.inTable() || t.notice.isLeaving() {
+	if !r.on(CrashSuspects) || c.identity == nil || !t.isActiveInTable() || t.notice.isLeaving() {
 		return
 	}
 	w := &t.crash
@@ -83,7 +83,7 @@
 	}
 	t.service.probeBudget.owe(1)
 	e.add(Effect{
-		Kind: Probe, PermitUntil: r.usePermit(t), Attempt: crashCheck, Endpoint: t.endpoint, NotAfter: r.notAfterOf(t), Connections: t.connections,
+		Kind: Probe, PermitUntil: r.usePermit(t), Attempt: crashCheck, Endpoint: t.endpoint, NotAfter: r.notAfterOf(t), Connections: t.maxConnections,
 		ProbePath: t.service.row.ProbePath,
 	})
 }
@@ -95,7 +95,7 @@
 // crashTimePassed checks a target again, unless it is known by now what became of it.
 func (r *Router) crashTimePassed(t *target, e *Effects) {
 	t.crash.dropOld(r.now)
-	if len(t.crash.broken) == 0 || t.gone {
+	if len(t.crash.broken) == 0 || t.removed {
 		t.crash = crashWatch{}
 		return
 	}
@@ -135,7 +135,7 @@
 func (r *Router) noteCrash(t *target, e *Effects) {
 	broken := t.crash.broken
 	t.crash = crashWatch{}
-	if !t.inTable() {
+	if !t.isActiveInTable() {
 		return
 	}
 	n := crash.Note{Service: t.row.Service, Target: t.row.Target, At: broken[0].at}
--- a/pkg/core/routing/distance.go
+++ b/pkg/core/routing/distance.go
@@ -102,19 +102,19 @@
 // noteProbeSent notes that a probe is on its way to the target.
 func (t *target) noteProbeSent(now units.Instant) {
 	t.probesSent++
-	t.probedAt = now
-	if t.probesOut == 0 {
-		t.probeOutSince = now
+	t.lastProbedAt = now
+	if t.probesInFlight == 0 {
+		t.probesInFlightSince = now
 	}
-	t.probesOut++
+	t.probesInFlight++
 }
 
 // noteProbeTime takes the time that a probe for a call took. Where several were out, the time
 // since the first is no less than what the one that was answered took.
 func (t *target) noteProbeTime(now units.Instant, healthy bool) {
-	t.probesOut = max(0, t.probesOut-1)
+	t.probesInFlight = max(0, t.probesInFlight-1)
 	if healthy && t.distance != nil {
-		t.distance.note(now, now.Sub(t.probeOutSince))
+		t.distance.note(now, now.Sub(t.probesInFlightSince))
 	}
 }
 
--- a/pkg/core/routing/evacuation.go
+++ b/pkg/core/routing/evacuation.go
@@ -47,7 +47,7 @@
 	if s.hasActiveTarget(c) {
 		return s.closedReason(c, now)
 	}
-	if slices.ContainsFunc(s.targets, func(t *target) bool { return t.evacuated && t.inTable() && c.mayUse(t) }) {
+	if slices.ContainsFunc(s.targets, func(t *target) bool { return t.evacuated && t.isActiveInTable() && c.mayUse(t) }) {
 		return Evacuated
 	}
 	if s.hasOtherVersions() {
@@ -97,7 +97,7 @@
 // hasOpenTarget tells whether a target may take calls, but for its health and limits of the table, and
 // isn't closed.
 func (s *service) hasOpenTarget(now units.Instant) bool {
-	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.isActive() && !t.isClosed(now) })
+	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.isEligible() && !t.isClosed(now) })
 }
 
 // refuseWaiting refuses a call that still waits for a target of the service and isn't under
--- a/pkg/core/routing/expectation.go
+++ b/pkg/core/routing/expectation.go
@@ -44,7 +44,7 @@
 		time += (load - slots) / slots * usualPace * nearlyFullPace
 	}
 	time += t.awayCost(x)
-	if !t.near && !t.takesColdCalls(now) {
+	if !t.inSubset && !t.takesColdCalls(now) {
 		time += outsideCost
 	}
 	return time * t.doubt(now)
@@ -160,9 +160,9 @@
 func (t *target) currentSlowdown(now units.Instant) float64 {
 	slowdown := 1.0
 	if t.slowdown > 1 {
-		slowdown += (t.slowdown - 1) * freshness(now.Sub(t.slowdownAt), slowdownMemory)
+		slowdown += (t.slowdown - 1) * hyperbolicDecay(now.Sub(t.slowdownAt), slowdownMemory)
 	}
-	if a := t.oldest; a != nil && a.typical > 0 {
+	if a := t.oldestAttempt; a != nil && a.typical > 0 {
 		slowdown = max(slowdown, float64(now.Sub(a.sent))/a.typical/oldestPatience)
 	}
 	return slowdown
--- a/pkg/core/routing/expectation_test.go
+++ b/pkg/core/routing/expectation_test.go
@@ -105,7 +105,7 @@
 			for _, slowdown := range s.slowdowns {
 				x := newTarget(v, table.Row{Registered: true})
 				x.row = table.Row{Registered: true, State: table.Active, Weight: 1, Slots: 3}
-				x.share.fix(unlimited)
+				x.inFlightShare.fix(unlimited)
 				x.slowdown, x.slowdownAt = slowdown, testNow
 				x.takeReading(testNow, Reading{Known: true, Slots: 3, Pace: 1})
 				v.targets = append(v.targets, x)
--- a/pkg/core/routing/health.go
+++ b/pkg/core/routing/health.go
@@ -46,13 +46,13 @@
 
 // noteFailure takes how a call ended: 1 for a failure, 0 for an answer.
 func (t *target) noteFailure(now units.Instant, x float64) {
-	t.failing += failureGain * (x - t.failing)
-	t.failingAt = now
+	t.failureRate += failureGain * (x - t.failureRate)
+	t.failureRateAt = now
 }
 
 // failingPart is the part of calls that are expected to fail at the target.
 func (t *target) failingPart(now units.Instant) float64 {
-	return t.failing * freshness(now.Sub(t.failingAt), failureMemory)
+	return t.failureRate * hyperbolicDecay(now.Sub(t.failureRateAt), failureMemory)
 }
 
 // knownRoom tells whether the target is known to have had a slot free a moment ago.
--- a/pkg/core/routing/lending.go
+++ b/pkg/core/routing/lending.go
@@ -28,7 +28,7 @@
 	n := -s.held.length
 	for _, t := range s.targets {
 		if t.mayLend(now) {
-			n += t.limit() - t.lent - t.cooling - (t.inFlight - t.loansInUse())
+			n += t.concurrencyLimit() - t.lentSlots - t.cancelingSlots - (t.inFlight - t.loansInUse())
 		}
 	}
 	return n
@@ -66,7 +66,7 @@
 	}
 	r.loans.nextID++
 	r.loans.lentTotal++
-	t.lent++
+	t.lentSlots++
 	r.sweepBy(s, r.now.Add(sweepPeriod))
 	r.loans.lent = append(r.loans.lent, &lentSlot{
 		id: r.loans.nextID, borrower: w.box, target: t, heard: r.now, offered: r.now,
@@ -104,7 +104,7 @@
 
 // mayLend tells whether the target has a slot of this box's own that is free.
 func (t *target) mayLend(now units.Instant) bool {
-	return t.share.value < unlimited && t.ownRoom() && t.takesIfPermitted(now, false)
+	return t.inFlightShare.value < unlimited && t.hasOwnFreeSlot() && t.takesIfPermitted(now, false)
 }
 
 // lendFreed lends a slot that has just become free, if nobody here wants it.
@@ -128,7 +128,7 @@
 }
 
 func (r *Router) reclaim(l *lentSlot) {
-	l.target.lent--
+	l.target.lentSlots--
 	r.loans.lent = slices.DeleteFunc(r.loans.lent, func(o *lentSlot) bool { return o == l })
 	r.freed = append(r.freed, l.target.service)
 }
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -83,7 +83,7 @@
 
 // takesIfPermitted tells whether a new call might go to the target now, were it permitted.
 func (t *target) takesIfPermitted(now units.Instant, anyHealth bool) bool {
-	return t.coldAdmits(now) && t.takesWhenWarm(now, anyHealth)
+	return t.coldAdmits(now) && t.isAvailableWhenWarm(now, anyHealth)
 }
 
 // usePermit takes the permit that a call or probe of a target needs, and returns until when it may be
@@ -132,7 +132,7 @@
 		return
 	}
 	s.scoutAt = r.now.Add(scoutPause)
-	r.askSome(s, c, 1, func(t *target) bool { return t.near }, e)
+	r.askSome(s, c, 1, func(t *target) bool { return t.inSubset }, e)
 }
 
 // askSome asks for permits of some of the limited targets that a call might go to and that fit, and returns of
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -125,7 +125,7 @@
 	t.noteProbeSent(r.now)
 	e.add(Effect{
 		Kind: Probe, PermitUntil: r.usePermit(t), Call: id, Owner: c.owner, Attempt: number, Endpoint: t.endpoint, NotAfter: r.notAfterOf(t),
-		Connections: t.connections, ProbePath: c.service.row.ProbePath,
+		Connections: t.maxConnections, ProbePath: c.service.row.ProbePath,
 	})
 }
 
@@ -168,10 +168,10 @@
 		if t.notice.limited() || !set.Available(i) && !set.onlyInDoubt(i) || t.isFresh(r.now) || t.awaitsProbe(r.now) {
 			continue
 		}
-		if t.probedAt != 0 && r.now.Sub(t.probedAt) < t.probeLimit() {
+		if t.lastProbedAt != 0 && r.now.Sub(t.lastProbedAt) < t.probeLimit() {
 			continue
 		}
-		t.probeOrder = t.cost(r.now, c.route)
+		t.rankingCost = t.cost(r.now, c.route)
 		r.best = insertByCost(r.best, t, n)
 	}
 	return r.best
@@ -180,7 +180,7 @@
 // insertByCost keeps the n targets of the least cost, in order.
 func insertByCost(best []*target, t *target, n int) []*target {
 	i := len(best)
-	for i > 0 && t.probeOrder < best[i-1].probeOrder {
+	for i > 0 && t.rankingCost < best[i-1].rankingCost {
 		i--
 	}
 	if i >= n {
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -30,7 +30,7 @@
 // probeIfDue probes a target that is out of the common path. Calls are the
 // first measurement; a target that has them needs no probe.
 func (r *Router) probeIfDue(s *service, t *target, e *Effects) {
-	if !t.wantsProbe(r.now) || t.evacuated || t.side > onTrial || t.probing || r.now.Sub(t.lastHeard) < probeAfter || !r.leased() {
+	if !t.wantsProbe(r.now) || t.evacuated || t.side > onTrial || t.healthProbeInFlight || r.now.Sub(t.lastHeard) < probeAfter || !r.leased() {
 		return
 	}
 	if t.lacksPermit(r.now) {
@@ -39,12 +39,12 @@
 		}
 		return
 	}
-	if !t.probes.take(r.now, r.probeRate(s, t), probeBurst) {
+	if !t.probeBucket.take(r.now, r.probeRate(s, t), probeBurst) {
 		return
 	}
-	t.probing = true
+	t.healthProbeInFlight = true
 	t.probesSent++
-	e.add(Effect{Kind: Probe, PermitUntil: r.usePermit(t), Endpoint: t.endpoint, NotAfter: r.notAfter(), Connections: t.connections})
+	e.add(Effect{Kind: Probe, PermitUntil: r.usePermit(t), Endpoint: t.endpoint, NotAfter: r.notAfter(), Connections: t.maxConnections})
 }
 
 func (r *Router) probeEnded(v *ProbeEnded, e *Effects) {
@@ -65,7 +65,7 @@
 	if t == nil {
 		return
 	}
-	t.probing = false
+	t.healthProbeInFlight = false
 	t.lastHeard = r.now
 	r.noteSuccessor(t, v, e)
 	t.takeReading(r.now, v.Reading)
@@ -90,7 +90,7 @@
 	}
 	t.noteProbeTime(r.now, v.Healthy)
 	t.takeReading(r.now, v.Reading)
-	t.noteMissing(r.now, v.Reading, t.probedAt)
+	t.noteMissing(r.now, v.Reading, t.lastProbedAt)
 	if v.Healthy {
 		t.service.noteReport(v.Reading)
 		r.noteWarmth(t, v.Reading.Cold)
@@ -114,7 +114,7 @@
 // awaitsProbe tells whether a probe of this box is on its way to the target. Another one
 // would wait behind it, and cost the target as much as the first.
 func (t *target) awaitsProbe(now units.Instant) bool {
-	return t.probesOut > 0 && now.Sub(t.probedAt) < probeBound
+	return t.probesInFlight > 0 && now.Sub(t.lastProbedAt) < probeBound
 }
 
 // shareAnswer lets the calls that wait use an answer that the call which asked no longer
--- a/pkg/core/routing/reading.go
+++ b/pkg/core/routing/reading.go
@@ -34,7 +34,7 @@
 // takeReading takes a target's load report.
 func (t *target) takeReading(now units.Instant, x Reading) {
 	if x.Known {
-		t.sentSince = 0
+		t.sentSinceReport = 0
 	}
 	t.reading.take(now, x)
 }
@@ -47,5 +47,5 @@
 	if !r.Known {
 		return 0
 	}
-	return max(0, r.InFlight-float64(own)) * freshness(now.Sub(r.at), readingAge) * r.trust
+	return max(0, r.InFlight-float64(own)) * hyperbolicDecay(now.Sub(r.at), readingAge) * r.trust
 }
--- a/pkg/core/routing/residency.go
+++ b/pkg/core/routing/residency.go
@@ -115,7 +115,7 @@
 	}
 	barred := false
 	for _, t := range s.targets {
-		if !t.inTable() {
+		if !t.isActiveInTable() {
 			continue
 		}
 		if c.mayUse(t) {
@@ -142,7 +142,7 @@
 	}
 	active, ejected := 0, 0
 	for _, t := range s.targets {
-		if !t.isActive() || !c.mayUse(t) {
+		if !t.isEligible() || !c.mayUse(t) {
 			continue
 		}
 		active++
@@ -194,7 +194,7 @@
 	n := 0
 	for _, p := range x.parts {
 		for _, t := range p.service.targets {
-			if t.isActive() && c.mayUse(t) {
+			if t.isEligible() && c.mayUse(t) {
 				n++
 			}
 		}
--- a/pkg/core/routing/rollout.go
+++ b/pkg/core/routing/rollout.go
@@ -152,5 +152,5 @@
 
 // hasOtherVersions tells whether targets of the service take no calls for their version alone.
 func (s *service) hasOtherVersions() bool {
-	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.inTable() && !t.evacuated && t.side != inForce })
+	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.isActiveInTable() && !t.evacuated && t.side != inForce })
 }
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -101,7 +101,7 @@
 	targets := make([]*target, 0, entry.Rows.Len())
 	for row := range entry.Rows.All() {
 		t := known[row.Target]
-		if t == nil || t.row.Address != row.Address || t.startedAgain(*row) {
+		if t == nil || t.row.Address != row.Address || t.isRestartedIn(*row) {
 			t = newTarget(s, *row)
 			if !isNew {
 				// A target that joins a running service may be cold.
@@ -112,10 +112,10 @@
 		targets = append(targets, t)
 	}
 	for _, t := range s.targets {
-		t.gone = true
+		t.removed = true
 	}
 	for _, t := range targets {
-		t.gone = false
+		t.removed = false
 	}
 	s.targets = targets
 }
@@ -133,7 +133,7 @@
 		}
 		sum += t.weight
 		s.sums = append(s.sums, sum)
-		if !t.isActive() {
+		if !t.isEligible() {
 			continue
 		}
 		active++
@@ -203,13 +203,13 @@
 
 func (c *candidates) Available(i int) bool {
 	t := c.service.targets[i]
-	return t.side == c.side && t.takesWork(c.now, c.anyHealth) && !c.excluded(t)
+	return t.side == c.side && t.isAvailable(c.now, c.anyHealth) && !c.excluded(t)
 }
 
 // onlyInDoubt tells whether a target would be available if a probe showed it warm.
 func (c *candidates) onlyInDoubt(i int) bool {
 	t := c.service.targets[i]
-	return t.side == c.side && t.inDoubt(c.now) && !t.lacksPermit(c.now) && t.takesWhenWarm(c.now, c.anyHealth) && !c.excluded(t)
+	return t.side == c.side && t.inDoubt(c.now) && !t.lacksPermit(c.now) && t.isAvailableWhenWarm(c.now, c.anyHealth) && !c.excluded(t)
 }
 
 // excluded tells whether the call itself rules a target out. A call that is under way isn't sent to a
--- a/pkg/core/routing/share_test.go
+++ b/pkg/core/routing/share_test.go
@@ -74,7 +74,7 @@
 	sum := 0
 	for _, r := range routers {
 		if s := r.services["s"]; s != nil {
-			sum += int(s.targets[0].share.value)
+			sum += int(s.targets[0].inFlightShare.value)
 		}
 	}
 	return sum
@@ -85,7 +85,7 @@
 func lostBoxKeeps(routers []*Router, next *table.Table) bool {
 	for _, r := range routers {
 		rank := rankOf(r.settings.Box, next.Boxes)
-		if s := r.services["s"]; !rank.listed && s != nil && s.targets[0].share.value > 0 {
+		if s := r.services["s"]; !rank.listed && s != nil && s.targets[0].inFlightShare.value > 0 {
 			return true
 		}
 	}
--- a/pkg/core/routing/silence.go
+++ b/pkg/core/routing/silence.go
@@ -59,7 +59,7 @@
 
 // weight is how many of the last unanswered calls count now.
 func (x *silence) weight(now units.Instant) float64 {
-	return x.recent * freshness(now.Sub(x.at), silenceMemory)
+	return x.recent * hyperbolicDecay(now.Sub(x.at), silenceMemory)
 }
 
 // hangs tells whether the service's targets are known not to answer what they can't queue.
@@ -120,7 +120,7 @@
 
 // noteOvertaken notes that the target has answered an attempt before older ones.
 func (t *target) noteOvertaken(answered *attempt) {
-	for a := t.oldest; a != nil && a != answered; a = a.next {
+	for a := t.oldestAttempt; a != nil && a != answered; a = a.next {
 		a.overtaken++
 	}
 }
@@ -132,10 +132,10 @@
 		return
 	}
 	left := -int(x.InFlight)
-	for a := t.oldest; a != nil && a.sent < asked; a = a.next {
+	for a := t.oldestAttempt; a != nil && a.sent < asked; a = a.next {
 		left++
 	}
-	for a := t.oldest; a != nil && left > 0; a = a.next {
+	for a := t.oldestAttempt; a != nil && left > 0; a = a.next {
 		a.missing = a.missing || now.Sub(a.sent) >= a.patience
 		left--
 	}
@@ -218,7 +218,7 @@
 // still serves others.
 func (r *Router) probeSilent(id CallID, c *call, a *attempt, e *Effects) {
 	t := a.target
-	if t.gone || !c.mayUse(t) || t.notice.forbids(r.now) || !c.service.probesTargets() || t.awaitsProbe(r.now) || t.lacksPermit(r.now) || !r.spendProbes(c.service, 1) {
+	if t.removed || !c.mayUse(t) || t.notice.forbids(r.now) || !c.service.probesTargets() || t.awaitsProbe(r.now) || t.lacksPermit(r.now) || !r.spendProbes(c.service, 1) {
 		return
 	}
 	r.probe(id, c, t, silenceProbe, e)
@@ -265,7 +265,7 @@
 	t.reading.contradicted()
 	// The call itself still counts, but takes nothing of what the target can do.
 	t.window = min(t.window, max(minWindow, float64(t.inFlight))+1)
-	t.notBefore = max(t.notBefore, r.now.Add(t.latency.mean()/2))
+	t.backoffUntil = max(t.backoffUntil, r.now.Add(t.latency.mean()/2))
 	n := 0.0
 	if a.ahead+1 > t.knownSlots() {
 		n = max(leastHanging, a.ahead+1)
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -217,13 +217,13 @@
 }
 
 func (r *Router) targetStatus(t *target, now units.Instant) TargetStatus {
-	share := int(t.share.value)
+	share := int(t.inFlightShare.value)
 	if share >= unlimited {
 		share = -1
 	}
 	status := TargetStatus{
 		Target: t.row.Target, Address: t.row.Address, Region: t.region, State: t.row.State.String(), Weight: t.row.Weight,
-		InFlight: t.inFlight, Share: share, Lent: t.lent, Borrowed: len(t.borrowed),
+		InFlight: t.inFlight, Share: share, Lent: t.lentSlots, Borrowed: len(t.borrowedSlots),
 		Ejected: t.health.ejected, Ramp: t.health.ramp(now), Latency: t.latency.mean(),
 		Sends: t.sends, Answers: t.answers, Failures: t.failures, Sheds: t.sheds, Unanswered: t.unansweredCalls, Probes: t.probesSent,
 		Measured: time.Duration(t.probesSent) * r.settings.ProbeCost, ProbeRate: r.probeRate(t.service, t), Bound: t.bound(now),
@@ -260,15 +260,15 @@
 		return "weight"
 	case t.health.ejected:
 		return "health"
-	case now < t.notBefore:
+	case now < t.backoffUntil:
 		return "shed"
 	case t.mayHang(now):
 		return "may-hang"
 	case !t.coldAdmits(now):
 		return "cold"
-	case t.share.value <= 0:
+	case t.inFlightShare.value <= 0:
 		return "share"
-	case !t.hasRoom(now):
+	case !t.hasFreeSlot(now):
 		return "limit"
 	}
 	return ""
--- a/pkg/core/routing/subset.go
+++ b/pkg/core/routing/subset.go
@@ -28,7 +28,7 @@
 func (r *Router) chooseSubset(s *service) {
 	own := r.ownTargets(s)
 	for _, t := range s.targets {
-		t.near = true
+		t.inSubset = true
 	}
 	if !r.on(Subsetting) || len(own) <= subsetSize {
 		return
@@ -40,12 +40,12 @@
 	}
 	for _, t := range s.targets {
 		// All boxes send calls to the few targets of a trial.
-		t.near = t.side == onTrial
+		t.inSubset = t.side == onTrial
 	}
 	slices.SortFunc(own, func(a, b *target) int { return compareHashes(s.row.Name, a.row.Target, b.row.Target) })
 	first := place * len(own) / len(boxes)
 	for i := range subsetSize {
-		own[(first+i)%len(own)].near = true
+		own[(first+i)%len(own)].inSubset = true
 	}
 }
 
--- a/pkg/core/routing/subset_test.go
+++ b/pkg/core/routing/subset_test.go
@@ -36,7 +36,7 @@
 	r.Reduce(units.Instant(time.Second), &TableChanged{Table: x}, &Effects{})
 	near := map[units.TargetID]bool{}
 	for _, v := range r.services["s"].targets {
-		if v.near {
+		if v.inSubset {
 			near[v.row.Target] = true
 		}
 	}
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -156,10 +156,10 @@
 		return
 	}
 	r.placeTarget(t)
-	limit := r.rank.wholeShare(t.row.MaxInFlight, t.place)
-	connections := r.rank.wholeShare(t.row.MaxConnections, t.place)
-	t.connections = connections
-	r.want(&t.share, float64(min(limit, connections)))
+	limit := r.rank.wholeShare(t.row.MaxInFlight, t.rank)
+	connections := r.rank.wholeShare(t.row.MaxConnections, t.rank)
+	t.maxConnections = connections
+	r.want(&t.inFlightShare, float64(min(limit, connections)))
 	r.want(&t.rateShare, r.rank.rateShare(t.row.MaxRate))
 	r.want(&t.probeShare, r.rank.rateShare(1))
 }
@@ -168,15 +168,15 @@
 // holds at once: the bound is the target's own, which sheds what is too much.
 func (r *Router) shareRegistered(t *target) {
 	sharers := r.sharersOf(t)
-	t.connections = 0
+	t.maxConnections = 0
 	if t.row.MaxConnections > 0 {
-		t.connections = max(1, t.row.MaxConnections/sharers)
+		t.maxConnections = max(1, t.row.MaxConnections/sharers)
 	}
 	limit := float64(unlimited)
 	if t.row.MaxInFlight > 0 {
 		limit = max(1, float64(t.row.MaxInFlight)/float64(sharers))
 	}
-	t.share.fix(limit)
+	t.inFlightShare.fix(limit)
 	t.rateShare.fix(unlimited)
 	t.probeShare.fix(1 / float64(sharers))
 }
@@ -202,12 +202,12 @@
 // placeTarget works out how many boxes come before this one for a target, from the
 // boxes that came and went where the others have been counted already.
 func (r *Router) placeTarget(t *target) {
-	if !t.placed {
-		t.placed = true
-		t.place = r.rank.countBefore(t.row.Target, r.rank.boxes)
+	if !t.ranked {
+		t.ranked = true
+		t.rank = r.rank.countBefore(t.row.Target, r.rank.boxes)
 		return
 	}
-	t.place += r.rank.countBefore(t.row.Target, r.moves.came) - r.rank.countBefore(t.row.Target, r.moves.went)
+	t.rank += r.rank.countBefore(t.row.Target, r.moves.came) - r.rank.countBefore(t.row.Target, r.moves.went)
 }
 
 func (r *Router) want(s *settledValue, value float64) {
@@ -222,7 +222,7 @@
 // tells whether any of them has still to wait.
 func (r *Router) settleShare(t *target) bool {
 	unsettled := false
-	for _, s := range []*settledValue{&t.share, &t.rateShare, &t.probeShare} {
+	for _, s := range []*settledValue{&t.inFlightShare, &t.rateShare, &t.probeShare} {
 		if s.settle(r.now, r.settings.ShareDelay) != 0 {
 			unsettled = true
 		}
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -18,40 +18,40 @@
 	region units.Region
 	// distance is what is known of the round trip to the target's failure domain.
 	distance *domainDistance
-	// probesOut counts the probes for calls that are under way, the first since probeOutSince.
-	probesOut     int
-	probeOutSince units.Instant
-	// sentSince counts the sends since the target's last load report.
-	sentSince int
+	// probesInFlight counts the probes for calls that are under way, the first since probeOutSince.
+	probesInFlight      int
+	probesInFlightSince units.Instant
+	// sentSinceReport counts the sends since the target's last load report.
+	sentSinceReport int
 	// slowdown is how much longer than elsewhere calls take here, as last learnt at slowdownAt.
 	slowdown   float64
 	slowdownAt units.Instant
-	// failing is the part of the last calls that failed here, as of failingAt.
-	failing   float64
-	failingAt units.Instant
-	// near is set where the target belongs to the box's subset of the service's targets.
-	near       bool
-	probeOrder float64
-	// probedAt is when a call last probed the target; zero for never.
-	probedAt units.Instant
-	// gone is set when the table no longer has the row.
-	gone     bool
+	// failureRate is the part of the last calls that failed here, as of failingAt.
+	failureRate   float64
+	failureRateAt units.Instant
+	// inSubset is set where the target belongs to the box's subset of the service's targets.
+	inSubset    bool
+	rankingCost float64
+	// lastProbedAt is when a call last probed the target; zero for never.
+	lastProbedAt units.Instant
+	// removed is set when the table no longer has the row.
+	removed  bool
 	inFlight int
-	// oldest and newest are the ends of the list of attempts under way.
-	oldest *attempt
-	newest *attempt
-
-	share       settledValue
-	rateShare   settledValue
-	probeShare  settledValue
-	connections int
-	// place is how many boxes come before this one for the target, once placed.
-	place     int
-	placed    bool
-	rate      rateLimit
-	probes    rateLimit
-	probing   bool
-	lastHeard units.Instant
+	// oldestAttempt and newest are the ends of the list of attempts under way.
+	oldestAttempt *attempt
+	newestAttempt *attempt
+
+	inFlightShare  settledValue
+	rateShare      settledValue
+	probeShare     settledValue
+	maxConnections int
+	// rank is how many boxes come before this one for the target, once placed.
+	rank                int
+	ranked              bool
+	callBucket          rateLimit
+	probeBucket         rateLimit
+	healthProbeInFlight bool
+	lastHeard           units.Instant
 
 	health  health
 	latency latencyEstimate
@@ -59,16 +59,16 @@
 	// window is how many calls at a time this box thinks the target can take; it
 	// falls when the target sheds and rises while it answers.
 	window float64
-	// notBefore is when a target that shed may be tried again.
-	notBefore units.Instant
-	// cooling counts the slots whose canceled calls the target may still have.
-	cooling int
+	// backoffUntil is when a target that shed may be tried again.
+	backoffUntil units.Instant
+	// cancelingSlots counts the slots whose canceled calls the target may still have.
+	cancelingSlots int
 	// weight is what counts of the row's weight now.
 	weight float64
-	// recent counts the last sends.
-	recent   float64
-	lent     int
-	borrowed []*loan
+	// recentSends counts the last sends.
+	recentSends   float64
+	lentSlots     int
+	borrowedSlots []*loan
 	// evacuated is set while the target's failure domain is evacuated.
 	evacuated bool
 	side      side
@@ -94,9 +94,9 @@
 
 func newTarget(s *service, row table.Row) *target {
 	return &target{
-		service: s,
-		near:    true,
-		window:  maxWindow,
+		service:  s,
+		inSubset: true,
+		window:   maxWindow,
 		endpoint: &Endpoint{
 			Service: row.Service, Target: row.Target, Address: row.Address, Domain: row.Domain,
 			Registered: row.Registered, Born: row.Born,
@@ -104,9 +104,9 @@
 	}
 }
 
-// startedAgain tells whether a row is of a later start of the target, which knows nothing of the
+// isRestartedIn tells whether a row is of a later start of the target, which knows nothing of the
 // calls, connections and faults of the one before.
-func (t *target) startedAgain(row table.Row) bool {
+func (t *target) isRestartedIn(row table.Row) bool {
 	return t.row.Born != 0 && row.Born != 0 && t.row.Born != row.Born
 }
 
@@ -120,7 +120,7 @@
 	}
 	t.row = row
 	t.remote = !t.service.off[OwnDomain] && row.Domain != "" && t.service.domain != "" && row.Domain != t.service.domain
-	t.gone = false
+	t.removed = false
 }
 
 // effectiveWeight is the weight that draws calls now.
@@ -134,34 +134,34 @@
 	return float64(t.row.Weight) * t.health.ramp(now)
 }
 
-// limit is how many calls this box may have at the target now.
-func (t *target) limit() int {
-	return int(min(t.share.value, t.window))
+// concurrencyLimit is how many calls this box may have at the target now.
+func (t *target) concurrencyLimit() int {
+	return int(min(t.inFlightShare.value, t.window))
 }
 
 // capacity is how many calls this box can count on at the target now.
 func (t *target) capacity(now units.Instant) int {
-	if !t.isActive() || t.isClosed(now) {
+	if !t.isEligible() || t.isClosed(now) {
 		return 0
 	}
-	return max(0, t.limit()-t.lent) + len(t.borrowed)
+	return max(0, t.concurrencyLimit()-t.lentSlots) + len(t.borrowedSlots)
 }
 
-// hasRoom tells whether one more call fits, on an own slot or a borrowed one.
-func (t *target) hasRoom(now units.Instant) bool {
-	return t.ownRoom() || t.freeLoan(now) != nil
+// hasFreeSlot tells whether one more call fits, on an own slot or a borrowed one.
+func (t *target) hasFreeSlot(now units.Instant) bool {
+	return t.hasOwnFreeSlot() || t.freeLoan(now) != nil
 }
 
-// ownRoom tells whether one more call fits on this box's own share. Calls on
+// hasOwnFreeSlot tells whether one more call fits on this box's own share. Calls on
 // borrowed slots don't count against it.
-func (t *target) ownRoom() bool {
+func (t *target) hasOwnFreeSlot() bool {
 	own := t.inFlight - t.loansInUse()
-	return own+t.cooling+t.lent < t.limit()
+	return own+t.cancelingSlots+t.lentSlots < t.concurrencyLimit()
 }
 
 func (t *target) loansInUse() int {
 	n := 0
-	for _, l := range t.borrowed {
+	for _, l := range t.borrowedSlots {
 		if l.inUse {
 			n++
 		}
@@ -170,7 +170,7 @@
 }
 
 func (t *target) freeLoan(now units.Instant) *loan {
-	for _, l := range t.borrowed {
+	for _, l := range t.borrowedSlots {
 		if !l.inUse && !l.recalled && now < l.validUntil && now >= l.coolUntil {
 			return l
 		}
@@ -178,38 +178,38 @@
 	return nil
 }
 
-// inTable tells whether the table has the target take calls.
-func (t *target) inTable() bool {
-	return !t.gone && t.row.State == table.Active && t.row.Weight > 0
+// isActiveInTable tells whether the table has the target take calls.
+func (t *target) isActiveInTable() bool {
+	return !t.removed && t.row.State == table.Active && t.row.Weight > 0
 }
 
-// isActive tells whether the target may take the service's calls, but for its health, its limits
+// isEligible tells whether the target may take the service's calls, but for its health, its limits
 // and a rest.
-func (t *target) isActive() bool {
-	return t.inTable() && !t.evacuated && t.side == inForce && !t.notice.isLeaving()
+func (t *target) isEligible() bool {
+	return t.isActiveInTable() && !t.evacuated && t.side == inForce && !t.notice.isLeaving()
 }
 
-// takesWork tells whether a new call may go to the target now.
-func (t *target) takesWork(now units.Instant, anyHealth bool) bool {
+// isAvailable tells whether a new call may go to the target now.
+func (t *target) isAvailable(now units.Instant, anyHealth bool) bool {
 	return !t.lacksPermit(now) && t.takesIfPermitted(now, anyHealth)
 }
 
-// takesWhenWarm tells whether a new call might go to the target now, were it warm.
-func (t *target) takesWhenWarm(now units.Instant, anyHealth bool) bool {
-	if !t.inTable() || t.evacuated || t.side == closed || t.notice.forbids(now) || now < t.notBefore || t.mayHang(now) {
+// isAvailableWhenWarm tells whether a new call might go to the target now, were it warm.
+func (t *target) isAvailableWhenWarm(now units.Instant, anyHealth bool) bool {
+	if !t.isActiveInTable() || t.evacuated || t.side == closed || t.notice.forbids(now) || now < t.backoffUntil || t.mayHang(now) {
 		return false
 	}
 	if !anyHealth && !t.service.off[Ejection] && (!t.health.admits(now, t.inFlight) || t.health.ejected && t.row.Silent) {
 		return false
 	}
-	if !t.hasRoom(now) {
+	if !t.hasFreeSlot(now) {
 		return false
 	}
 	if t.row.MaxRate <= 0 {
 		return true
 	}
-	t.rate.refill(now, t.rateShare.value, rateBurst)
-	return t.rate.tokens >= 1
+	t.callBucket.refill(now, t.rateShare.value, rateBurst)
+	return t.callBucket.tokens >= 1
 }
 
 // rateBurst is how many calls of a box may come at once under a rate limit.
@@ -224,107 +224,107 @@
 		return t.expectedTime(now, x)
 	}
 	queue := float64(t.inFlight) + t.reading.estimate(now, t.inFlight)
-	return (queue+1)*t.slowness(now) + surplusCost*t.surplus()
+	return (queue+1)*t.relativeLatency(now) + excessShareCost*t.excessShare()
 }
 
-// surplusCost is how many calls in the queue a target is worth that has had twice
+// excessShareCost is how many calls in the queue a target is worth that has had twice
 // its part.
-const surplusCost = 1
+const excessShareCost = 1
 
-// slowness is what a call is expected to take at the target, over what it takes
+// relativeLatency is what a call is expected to take at the target, over what it takes
 // at the service: by its last answers, which count less and less as they age, or
 // by how long its oldest call has waited.
-func (t *target) slowness(now units.Instant) float64 {
+func (t *target) relativeLatency(now units.Instant) float64 {
 	usual := float64(t.service.latency.mean())
 	expected := usual
 	if t.latency.count > 0 {
-		expected += (float64(t.latency.mean()) - usual) * freshness(now.Sub(t.lastHeard), latencyAge)
+		expected += (float64(t.latency.mean()) - usual) * hyperbolicDecay(now.Sub(t.lastHeard), latencyHalfLife)
 	}
-	if t.oldest != nil {
-		expected = max(expected, float64(now.Sub(t.oldest.sent)))
+	if t.oldestAttempt != nil {
+		expected = max(expected, float64(now.Sub(t.oldestAttempt.sent)))
 	}
 	return (expected + float64(costFloor)) / (usual + float64(costFloor))
 }
 
-// freshness is the part that something counts at an age: all at first, a half at
+// hyperbolicDecay is the part that something counts at an age: all at first, a half at
 // the half-age, and ever less.
-func freshness(age, half time.Duration) float64 {
+func hyperbolicDecay(age, half time.Duration) float64 {
 	return float64(half) / float64(half+age)
 }
 
-// latencyAge is the age at which a target's last answers count for a half, so
+// latencyHalfLife is the age at which a target's last answers count for a half, so
 // that one which was slow is tried again.
-const latencyAge = 500 * time.Millisecond
+const latencyHalfLife = 500 * time.Millisecond
 
-// surplus is by how much the target's part of the last calls is above its part of
+// excessShare is by how much the target's part of the last calls is above its part of
 // the weights, as a part of the latter; it is at least -1.
-func (t *target) surplus() float64 {
+func (t *target) excessShare() float64 {
 	s := t.service
 	if s.weight <= 0 {
 		return 0
 	}
 	want := s.recent * t.weight / s.weight
-	return (t.recent - want) / (want + 1)
+	return (t.recentSends - want) / (want + 1)
 }
 
 // costFloor keeps very quick answers from counting as free; a target that
 // fails fast would otherwise draw all calls.
 const costFloor = 500 * time.Microsecond
 
-// noteSend counts a send for the parts of the weights.
-func (t *target) noteSend() {
+// countSend counts a send for the parts of the weights.
+func (t *target) countSend() {
 	s := t.service
-	t.recent++
+	t.recentSends++
 	s.recent++
-	if s.recent < recentCalls*float64(len(s.targets)) {
+	if s.recent < maxRecentSendsPerTarget*float64(len(s.targets)) {
 		return
 	}
 	s.recent /= 2
 	for _, o := range s.targets {
-		o.recent /= 2
+		o.recentSends /= 2
 	}
 }
 
-// recentCalls is how many calls a target the parts are taken over, at the most.
-const recentCalls = 32
+// maxRecentSendsPerTarget is how many calls a target the parts are taken over, at the most.
+const maxRecentSendsPerTarget = 32
 
-func (t *target) link(a *attempt) {
-	a.previous = t.newest
+func (t *target) addAttempt(a *attempt) {
+	a.previous = t.newestAttempt
 	a.next = nil
-	if t.newest != nil {
-		t.newest.next = a
+	if t.newestAttempt != nil {
+		t.newestAttempt.next = a
 	} else {
-		t.oldest = a
+		t.oldestAttempt = a
 	}
-	t.newest = a
+	t.newestAttempt = a
 	t.inFlight++
 }
 
-func (t *target) unlink(a *attempt) {
+func (t *target) removeAttempt(a *attempt) {
 	if a.previous != nil {
 		a.previous.next = a.next
 	} else {
-		t.oldest = a.next
+		t.oldestAttempt = a.next
 	}
 	if a.next != nil {
 		a.next.previous = a.previous
 	} else {
-		t.newest = a.previous
+		t.newestAttempt = a.previous
 	}
 	a.previous, a.next = nil, nil
 	t.inFlight--
 }
 
-// shrink lowers the window after the target has shed a call.
-func (t *target) shrink() {
-	t.window = max(minWindow, min(t.window, float64(t.inFlight+1))*shedShrink)
+// shrinkWindow lowers the window after the target has shed a call.
+func (t *target) shrinkWindow() {
+	t.window = max(minWindow, min(t.window, float64(t.inFlight+1))*windowShrinkFactor)
 }
 
-// shedShrink is by how much a shed call lowers the window.
-const shedShrink = 0.8
+// windowShrinkFactor is by how much a shed call lowers the window.
+const windowShrinkFactor = 0.8
 
-// grow raises the window by one for each window's worth of answers.
-func (t *target) grow() {
+// growWindow raises the window by one for each window's worth of answers.
+func (t *target) growWindow() {
 	if t.window < maxWindow {
 		t.window = min(maxWindow, t.window+1/t.window)
 	}
--- a/pkg/core/routing/underway.go
+++ b/pkg/core/routing/underway.go
@@ -16,5 +16,5 @@
 		return 0
 	}
 	left := remaining(now.Sub(t.reading.at), loadMemory)
-	return (t.reading.InFlight + float64(t.sentSince)) * left
+	return (t.reading.InFlight + float64(t.sentSinceReport)) * left
 }
