--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -208,7 +208,7 @@
 		wait = max(wait, r.frontAge(s))
 	}
 	room := time.Duration(holdMargin * float64(until.Sub(r.now)))
-	if wait > room || r.now.Add(wait+s.latency.steadyMean()) > c.deadline {
+	if wait > room || r.now.Add(wait+s.latency.longTermMean()) > c.deadline {
 		return WaitTooLong
 	}
 	return 0
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -19,7 +19,7 @@
 	c.onTrial = false
 	*a = attempt{
 		number: c.sends, target: t, sent: r.now, hedge: hedge, typical: c.route.sureTime(),
-		atPace: t.reading.Pace > 0 && t.expectedPace(r.now) < goodPace,
+		atPace: t.report.Pace > 0 && t.expectedPace(r.now) < goodPace,
 		full:   t.load(r.now)+1 >= nearlyFull*t.slots(),
 		cold:   t.isCold(r.now),
 		ahead:  t.load(r.now), patience: c.patience(t, r.now), longPatience: c.longPatience(t, r.now),
@@ -62,8 +62,8 @@
 		Load: t.load(r.now), Pace: t.expectedPace(r.now), Slowdown: t.currentSlowdown(r.now), ReadingAge: -1,
 		Revision: r.table.Revision,
 	}
-	if t.reading.Known {
-		x.ReadingAge = r.now.Sub(t.reading.at)
+	if t.report.Known {
+		x.ReadingAge = r.now.Sub(t.report.receivedAt)
 	}
 	return x
 }
@@ -120,7 +120,7 @@
 	c.identity = nil
 	r.endLimit(a, v.Reading.Limit, e)
 	r.answerBegins(c, a, v.Coming)
-	a.target.takeReading(r.now, v.Reading)
+	a.target.recordReport(r.now, v.Reading)
 	e.add(Effect{Kind: Deliver, Call: v.Call, Owner: c.owner, Attempt: v.Attempt, Endpoint: a.target.endpoint})
 	r.cancelOthers(v.Call, c, a, e)
 	c.endProbing()
@@ -221,7 +221,7 @@
 	if v.Result == Withheld {
 		return
 	}
-	t.takeReading(r.now, v.Reading)
+	t.recordReport(r.now, v.Reading)
 	if v.Reading.Cold > 0 {
 		r.turnCold(t, v.Reading.Cold)
 	}
@@ -255,7 +255,7 @@
 			t.noteFailure(r.now, 1)
 			break
 		}
-		t.reading.contradicted()
+		t.report.reduceTrust()
 		t.shrinkWindow()
 		t.backoffUntil = max(t.backoffUntil, r.now.Add(t.latency.mean()/2))
 	}
--- a/pkg/core/routing/expectation.go
+++ b/pkg/core/routing/expectation.go
@@ -176,8 +176,8 @@
 // slots is how many calls the target works on at a time.
 func (t *target) slots() float64 {
 	switch {
-	case t.reading.Slots > 0:
-		return t.reading.Slots
+	case t.report.Slots > 0:
+		return t.report.Slots
 	case t.row.Slots > 0:
 		return float64(t.row.Slots)
 	}
@@ -186,11 +186,11 @@
 
 // expectedPace is how long work is expected to take there, over the usual.
 func (t *target) expectedPace(now units.Instant) float64 {
-	if !t.reading.Known || t.reading.Pace == 0 {
+	if !t.report.Known || t.report.Pace == 0 {
 		return usualPace
 	}
-	left := remaining(now.Sub(t.reading.at), paceMemory)
-	return usualPace + (t.reading.Pace-usualPace)*left
+	left := remaining(now.Sub(t.report.receivedAt), paceMemory)
+	return usualPace + (t.report.Pace-usualPace)*left
 }
 
 // remaining is the part of its weight that something keeps at an age, which falls evenly
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -68,7 +68,7 @@
 	t.healthProbeInFlight = false
 	t.lastHeard = r.now
 	r.noteSuccessor(t, v, e)
-	t.takeReading(r.now, v.Reading)
+	t.recordReport(r.now, v.Reading)
 	if v.Healthy {
 		r.noteWarmth(t, v.Reading.Cold)
 	}
@@ -89,7 +89,7 @@
 		return
 	}
 	t.noteProbeTime(r.now, v.Healthy)
-	t.takeReading(r.now, v.Reading)
+	t.recordReport(r.now, v.Reading)
 	t.noteMissing(r.now, v.Reading, t.lastProbedAt)
 	if v.Healthy {
 		t.service.noteReport(v.Reading)
--- a/pkg/core/routing/reading.go
+++ b/pkg/core/routing/reading.go
@@ -6,46 +6,46 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// reading is the last load that a target reported, with its age and the trust
+// loadReport is the last load that a target reported, with its age and the trust
 // that it has earned.
-type reading struct {
+type loadReport struct {
 	Reading
-	at units.Instant
+	receivedAt units.Instant
 	// trust falls when the target sheds while it claims to be idle.
 	trust float64
 }
 
 const (
-	// readingAge is the age at which a reading counts for a half.
-	readingAge = 20 * time.Millisecond
-	trustGain  = 0.05
-	trustLoss  = 0.5
+	// reportHalfLife is the age at which a reading counts for a half.
+	reportHalfLife  = 20 * time.Millisecond
+	trustGain       = 0.05
+	trustLossFactor = 0.5
 )
 
-func (r *reading) take(now units.Instant, x Reading) {
+func (r *loadReport) update(now units.Instant, x Reading) {
 	if !x.Known {
 		return
 	}
 	r.Reading = x
-	r.at = now
+	r.receivedAt = now
 	r.trust = min(1, r.trust+trustGain)
 }
 
-// takeReading takes a target's load report.
-func (t *target) takeReading(now units.Instant, x Reading) {
+// recordReport takes a target's load report.
+func (t *target) recordReport(now units.Instant, x Reading) {
 	if x.Known {
 		t.sentSinceReport = 0
 	}
-	t.reading.take(now, x)
+	t.report.update(now, x)
 }
 
-// contradicted notes that the target shed a call.
-func (r *reading) contradicted() { r.trust *= trustLoss }
+// reduceTrust notes that the target shed a call.
+func (r *loadReport) reduceTrust() { r.trust *= trustLossFactor }
 
-// estimate returns how many calls of other boxes the target seems to have.
-func (r *reading) estimate(now units.Instant, own int) float64 {
+// callsOfOtherBoxes returns how many calls of other boxes the target seems to have.
+func (r *loadReport) callsOfOtherBoxes(now units.Instant, own int) float64 {
 	if !r.Known {
 		return 0
 	}
-	return max(0, r.InFlight-float64(own)) * hyperbolicDecay(now.Sub(r.at), readingAge) * r.trust
+	return max(0, r.InFlight-float64(own)) * hyperbolicDecay(now.Sub(r.receivedAt), reportHalfLife) * r.trust
 }
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -174,7 +174,7 @@
 		return 0
 	}
 	waves := float64(s.held.length+1) / float64(capacity)
-	return time.Duration(waves * float64(s.latency.steadyMean()))
+	return time.Duration(waves * float64(s.latency.longTermMean()))
 }
 
 // candidates is a service's targets as a policy sees them.
@@ -195,7 +195,7 @@
 func (c *candidates) At(i int) *target             { return c.service.targets[i] }
 func (c *candidates) Sample(random *rand.Rand) int { return sampleByWeight(c.service.sums, random) }
 func (c *candidates) InFlight(i int) int           { return c.service.targets[i].inFlight }
-func (c *candidates) Reported(i int) float64       { return c.service.targets[i].reading.InFlight }
+func (c *candidates) Reported(i int) float64       { return c.service.targets[i].report.InFlight }
 
 func (c *candidates) Cost(i int) float64 {
 	return c.service.targets[i].cost(c.now, c.call.route)
--- a/pkg/core/routing/silence.go
+++ b/pkg/core/routing/silence.go
@@ -262,7 +262,7 @@
 	t := a.target
 	t.unansweredCalls++
 	t.noteFailure(r.now, 1)
-	t.reading.contradicted()
+	t.report.reduceTrust()
 	// The call itself still counts, but takes nothing of what the target can do.
 	t.window = min(t.window, max(minWindow, float64(t.inFlight))+1)
 	t.backoffUntil = max(t.backoffUntil, r.now.Add(t.latency.mean()/2))
@@ -284,8 +284,8 @@
 // knownSlots is how many calls the target is known to work on at a time; zero where neither
 // it nor the table says so.
 func (t *target) knownSlots() float64 {
-	if t.reading.Slots > 0 {
-		return t.reading.Slots
+	if t.report.Slots > 0 {
+		return t.report.Slots
 	}
 	return float64(t.row.Slots)
 }
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -55,7 +55,7 @@
 
 	health  health
 	latency latencyEstimate
-	reading reading
+	report  loadReport
 	// window is how many calls at a time this box thinks the target can take; it
 	// falls when the target sheds and rises while it answers.
 	window float64
@@ -223,7 +223,7 @@
 	if t.row.Registered && t.service.unreported < unreportedLimit {
 		return t.expectedTime(now, x)
 	}
-	queue := float64(t.inFlight) + t.reading.estimate(now, t.inFlight)
+	queue := float64(t.inFlight) + t.report.callsOfOtherBoxes(now, t.inFlight)
 	return (queue+1)*t.relativeLatency(now) + excessShareCost*t.excessShare()
 }
 
--- a/pkg/core/routing/underway.go
+++ b/pkg/core/routing/underway.go
@@ -12,9 +12,9 @@
 
 // reportedLoad is the part that rests on the target's reports.
 func (t *target) reportedLoad(now units.Instant) float64 {
-	if !t.reading.Known {
+	if !t.report.Known {
 		return 0
 	}
-	left := remaining(now.Sub(t.reading.at), loadMemory)
-	return (t.reading.InFlight + float64(t.sentSinceReport)) * left
+	left := remaining(now.Sub(t.report.receivedAt), loadMemory)
+	return (t.report.InFlight + float64(t.sentSinceReport)) * left
 }
