--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -231,28 +231,28 @@
 	case Answered:
 		t.noteTrial(r.now, true)
 		t.answers++
-		t.noteFailure(r.now, 0)
+		t.updateFailureRate(r.now, 0)
 		t.service.noteReport(v.Reading)
 		t.latency.add(took)
 		t.service.latency.add(took)
 		t.growWindow()
-		turned = t.health.succeeded(r.now)
+		turned = t.health.recordSuccess(r.now)
 	case Failed, Broken:
 		t.failures++
-		t.noteFailure(r.now, 1)
-		turned = t.health.failed(r.now)
+		t.updateFailureRate(r.now, 1)
+		turned = t.health.recordFailure(r.now)
 	case NotSent:
 		t.noteTrial(r.now, false)
 		t.failures++
-		turned = t.health.unreachable(r.now)
+		turned = t.health.recordUnreachable(r.now)
 	case Misdirected:
 		t.sheds++
-		turned = t.health.misdirected(r.now)
+		turned = t.health.recordMisdirected(r.now)
 	case Shed:
 		t.sheds++
-		if t.row.Registered && r.on(FailingTargets) && t.knownRoom(r.now) {
+		if t.row.Registered && r.on(FailingTargets) && t.hasReportedFreeSlot(r.now) {
 			// It isn't full, so that leaving it alone for longer than it asks for would help nobody.
-			t.noteFailure(r.now, 1)
+			t.updateFailureRate(r.now, 1)
 			break
 		}
 		t.report.reduceTrust()
@@ -268,7 +268,7 @@
 func (r *Router) healthTurned(t *target, e *Effects) {
 	t.service.weigh(r.now)
 	r.sweepBy(t.service, r.now)
-	e.add(Effect{Kind: TargetTurned, Endpoint: t.endpoint, Ejected: t.health.ejected, Failures: t.health.failures})
+	e.add(Effect{Kind: TargetTurned, Endpoint: t.endpoint, Ejected: t.health.ejected, Failures: t.health.consecutiveFailures})
 }
 
 func (r *Router) streamEnded(v *AttemptEnded, c *call) {
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -299,7 +299,7 @@
 		if r.saysNothing(a) || r.wentUnanswered(c, a, e) {
 			continue
 		}
-		if a.target.health.failed(r.now) {
+		if a.target.health.recordFailure(r.now) {
 			r.healthTurned(a.target, e)
 		}
 	}
--- a/pkg/core/routing/expectation.go
+++ b/pkg/core/routing/expectation.go
@@ -38,7 +38,7 @@
 		time *= t.service.whenCold.value()
 	}
 	if !t.service.off[FailingTargets] {
-		time *= 1 + failureCost*t.failingPart(now)
+		time *= 1 + failureCost*t.expectedFailureRate(now)
 	}
 	if load > slots {
 		time += (load - slots) / slots * usualPace * nearlyFullPace
--- a/pkg/core/routing/health.go
+++ b/pkg/core/routing/health.go
@@ -10,23 +10,23 @@
 // several calls in a row is ejected for a while, then tried with one call at a
 // time, and comes back with a growing weight.
 type health struct {
-	failures int
-	ejected  bool
+	consecutiveFailures int
+	ejected             bool
 	// retryAt is when an ejected target may be tried.
-	retryAt units.Instant
-	times   int
-	// rampFrom is when the target began to take work again.
-	rampFrom units.Instant
+	retryAt   units.Instant
+	ejections int
+	// rampStart is when the target began to take work again.
+	rampStart units.Instant
 }
 
 const (
-	// maxFailures is how many failures in a row eject a target.
-	maxFailures = 5
-	// firstEjection doubles with each ejection up to maxEjection.
-	firstEjection = 250 * time.Millisecond
-	maxEjection   = time.Second
-	// maxEjections is after how many ejections in a row the wait grows no longer.
-	maxEjections = 4
+	// failuresToEject is how many failures in a row eject a target.
+	failuresToEject = 5
+	// minEjection doubles with each ejection up to maxEjection.
+	minEjection = 250 * time.Millisecond
+	maxEjection = time.Second
+	// maxEjectionDoublings is after how many ejections in a row the wait grows no longer.
+	maxEjectionDoublings = 4
 	// rampTime is how long a target takes to reach its full weight.
 	rampTime = time.Second
 	// rampFloor is the part of the weight that a target starts with.
@@ -37,37 +37,37 @@
 	// failureGain is the weight of the newest call in a target's part of failures: two
 	// failures in a row weigh as much as a usual slow moment.
 	failureGain = 0.15
-	// failureMemory is the age at which that part counts for a half.
-	failureMemory = 2 * time.Second
+	// failureHalfLife is the age at which that part counts for a half.
+	failureHalfLife = 2 * time.Second
 	// failureCost is what a call that fails costs, in calls: it is sent again where that
 	// is allowed, and lost where it isn't.
 	failureCost = 3
 )
 
-// noteFailure takes how a call ended: 1 for a failure, 0 for an answer.
-func (t *target) noteFailure(now units.Instant, x float64) {
+// updateFailureRate takes how a call ended: 1 for a failure, 0 for an answer.
+func (t *target) updateFailureRate(now units.Instant, x float64) {
 	t.failureRate += failureGain * (x - t.failureRate)
 	t.failureRateAt = now
 }
 
-// failingPart is the part of calls that are expected to fail at the target.
-func (t *target) failingPart(now units.Instant) float64 {
-	return t.failureRate * hyperbolicDecay(now.Sub(t.failureRateAt), failureMemory)
+// expectedFailureRate is the part of calls that are expected to fail at the target.
+func (t *target) expectedFailureRate(now units.Instant) float64 {
+	return t.failureRate * hyperbolicDecay(now.Sub(t.failureRateAt), failureHalfLife)
 }
 
-// knownRoom tells whether the target is known to have had a slot free a moment ago.
-func (t *target) knownRoom(now units.Instant) bool {
+// hasReportedFreeSlot tells whether the target is known to have had a slot free a moment ago.
+func (t *target) hasReportedFreeSlot(now units.Instant) bool {
 	return t.report.Known && now.Sub(t.report.receivedAt) < loadMemory && t.load(now) < t.slots()
 }
 
-// failed notes a failed call; it returns true when the target was ejected by it.
-func (h *health) failed(now units.Instant) bool {
-	h.failures++
+// recordFailure notes a recordFailure call; it returns true when the target was ejected by it.
+func (h *health) recordFailure(now units.Instant) bool {
+	h.consecutiveFailures++
 	if h.ejected {
 		h.eject(now)
 		return false
 	}
-	if h.failures < maxFailures {
+	if h.consecutiveFailures < failuresToEject {
 		return false
 	}
 	h.ejected = true
@@ -75,40 +75,40 @@
 	return true
 }
 
-// unreachable notes that no connection could be made, which says more than a
+// recordUnreachable notes that no connection could be made, which says more than a
 // failed call.
-func (h *health) unreachable(now units.Instant) bool {
-	h.failures = max(h.failures, maxFailures-2)
-	return h.failed(now)
+func (h *health) recordUnreachable(now units.Instant) bool {
+	h.consecutiveFailures = max(h.consecutiveFailures, failuresToEject-2)
+	return h.recordFailure(now)
 }
 
-// misdirected notes that another target answers at the address; it returns true when
+// recordMisdirected notes that another target answers at the address; it returns true when
 // the target was ejected by that. Only the table will bring it back soon.
-func (h *health) misdirected(now units.Instant) bool {
+func (h *health) recordMisdirected(now units.Instant) bool {
 	turned := !h.ejected
 	h.ejected = true
-	h.times = max(h.times, maxEjections)
+	h.ejections = max(h.ejections, maxEjectionDoublings)
 	h.eject(now)
 	return turned
 }
 
 func (h *health) eject(now units.Instant) {
-	wait := min(maxEjection, firstEjection<<min(h.times, maxEjections))
-	h.times++
+	wait := min(maxEjection, minEjection<<min(h.ejections, maxEjectionDoublings))
+	h.ejections++
 	h.retryAt = now.Add(wait)
 }
 
-// succeeded notes a good answer; it returns true when it ended an ejection.
-func (h *health) succeeded(now units.Instant) bool {
-	h.failures = 0
+// recordSuccess notes a good answer; it returns true when it ended an ejection.
+func (h *health) recordSuccess(now units.Instant) bool {
+	h.consecutiveFailures = 0
 	if !h.ejected {
-		if h.times > 0 && now.Sub(h.rampFrom) > rampTime {
-			h.times = 0
+		if h.ejections > 0 && now.Sub(h.rampStart) > rampTime {
+			h.ejections = 0
 		}
 		return false
 	}
 	h.ejected = false
-	h.rampFrom = now
+	h.rampStart = now
 	return true
 }
 
@@ -121,19 +121,19 @@
 	return now >= h.retryAt && inFlight == 0
 }
 
-// ramp is the part of its weight that counts.
-func (h *health) ramp(now units.Instant) float64 {
+// rampFactor is the part of its weight that counts.
+func (h *health) rampFactor(now units.Instant) float64 {
 	if h.ejected {
 		return 0
 	}
-	if h.rampFrom == 0 {
+	if h.rampStart == 0 {
 		return 1
 	}
-	grown := float64(now.Sub(h.rampFrom)) / float64(rampTime)
+	grown := float64(now.Sub(h.rampStart)) / float64(rampTime)
 	return min(1, rampFloor+(1-rampFloor)*grown)
 }
 
-// ramping tells whether the weight is still growing.
-func (h *health) ramping(now units.Instant) bool {
-	return !h.ejected && h.rampFrom != 0 && now.Sub(h.rampFrom) <= rampTime+sweepPeriod
+// isRamping tells whether the weight is still growing.
+func (h *health) isRamping(now units.Instant) bool {
+	return !h.ejected && h.rampStart != 0 && now.Sub(h.rampStart) <= rampTime+sweepPeriod
 }
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -73,10 +73,10 @@
 		r.noteWarmth(t, v.Reading.Cold)
 	}
 	if !v.Healthy {
-		t.health.failed(r.now)
+		t.health.recordFailure(r.now)
 		return
 	}
-	if t.health.succeeded(r.now) {
+	if t.health.recordSuccess(r.now) {
 		r.healthTurned(t, e)
 		r.freed = append(r.freed, t.service)
 	}
@@ -98,10 +98,10 @@
 	if v.Healthy || v.Unreachable {
 		t.noteTrial(r.now, v.Healthy)
 	}
-	if v.Unreachable && t.health.unreachable(r.now) {
+	if v.Unreachable && t.health.recordUnreachable(r.now) {
 		r.healthTurned(t, e)
 	}
-	if v.Misdirected && t.health.misdirected(r.now) {
+	if v.Misdirected && t.health.recordMisdirected(r.now) {
 		r.healthTurned(t, e)
 	}
 }
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -277,7 +277,7 @@
 	}
 	s.sweepAt = r.now.Add(calmSweepPeriod)
 	for _, t := range s.targets {
-		if r.settleShare(t) || t.health.ejected || t.health.ramping(r.now) {
+		if r.settleShare(t) || t.health.ejected || t.health.isRamping(r.now) {
 			s.sweepAt = r.now.Add(sweepPeriod)
 		}
 		r.probeIfDue(s, t, e)
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -105,7 +105,7 @@
 			t = newTarget(s, *row)
 			if !isNew {
 				// A target that joins a running service may be cold.
-				t.health.rampFrom = now
+				t.health.rampStart = now
 			}
 		}
 		t.update(*row)
--- a/pkg/core/routing/silence.go
+++ b/pkg/core/routing/silence.go
@@ -261,7 +261,7 @@
 	c.mayHaveRun = true
 	t := a.target
 	t.unansweredCalls++
-	t.noteFailure(r.now, 1)
+	t.updateFailureRate(r.now, 1)
 	t.report.reduceTrust()
 	// The call itself still counts, but takes nothing of what the target can do.
 	t.window = min(t.window, max(minWindow, float64(t.inFlight))+1)
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -224,7 +224,7 @@
 	status := TargetStatus{
 		Target: t.row.Target, Address: t.row.Address, Region: t.region, State: t.row.State.String(), Weight: t.row.Weight,
 		InFlight: t.inFlight, Share: share, Lent: t.lentSlots, Borrowed: len(t.borrowedSlots),
-		Ejected: t.health.ejected, Ramp: t.health.ramp(now), Latency: t.latency.mean(),
+		Ejected: t.health.ejected, Ramp: t.health.rampFactor(now), Latency: t.latency.mean(),
 		Sends: t.sends, Answers: t.answers, Failures: t.failures, Sheds: t.sheds, Unanswered: t.unansweredCalls, Probes: t.probesSent,
 		Measured: time.Duration(t.probesSent) * r.settings.ProbeCost, ProbeRate: r.probeRate(t.service, t), Bound: t.bound(now),
 		SaysLeaving: t.notice.isLeaving(),
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -131,7 +131,7 @@
 	if t.service.off[Ramping] {
 		return float64(t.row.Weight)
 	}
-	return float64(t.row.Weight) * t.health.ramp(now)
+	return float64(t.row.Weight) * t.health.rampFactor(now)
 }
 
 // concurrencyLimit is how many calls this box may have at the target now.
