--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -229,7 +229,7 @@
 	turned := false
 	switch v.Result {
 	case Answered:
-		t.noteTrial(r.now, true)
+		t.recordReachability(r.now, true)
 		t.answers++
 		t.updateFailureRate(r.now, 0)
 		t.service.noteReport(v.Reading)
@@ -242,7 +242,7 @@
 		t.updateFailureRate(r.now, 1)
 		turned = t.health.recordFailure(r.now)
 	case NotSent:
-		t.noteTrial(r.now, false)
+		t.recordReachability(r.now, false)
 		t.failures++
 		turned = t.health.recordUnreachable(r.now)
 	case Misdirected:
--- a/pkg/core/routing/evacuation.go
+++ b/pkg/core/routing/evacuation.go
@@ -28,8 +28,8 @@
 func (r *Router) markEvacuated(s *service) {
 	for _, t := range s.targets {
 		t.evacuated = r.table.Evacuated(t.row.Domain)
-		if t.outlook == nil && t.row.Domain != "" && r.on(Outlook) {
-			t.outlook = r.outlookOf(t.row.Domain)
+		if t.availability == nil && t.row.Domain != "" && r.on(Outlook) {
+			t.availability = r.availabilityOf(t.row.Domain)
 		}
 		if r.wasRestored(t.row.Domain) {
 			r.doubtWarmth(t)
--- a/pkg/core/routing/expectation.go
+++ b/pkg/core/routing/expectation.go
@@ -47,7 +47,7 @@
 	if !t.inSubset && !t.takesColdCalls(now) {
 		time += outsideCost
 	}
-	return time * t.doubt(now)
+	return time * t.availabilityCostFactor(now)
 }
 
 const (
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -96,7 +96,7 @@
 		r.noteWarmth(t, v.Reading.Cold)
 	}
 	if v.Healthy || v.Unreachable {
-		t.noteTrial(r.now, v.Healthy)
+		t.recordReachability(r.now, v.Healthy)
 	}
 	if v.Unreachable && t.health.recordUnreachable(r.now) {
 		r.healthTurned(t, e)
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -99,7 +99,7 @@
 	timers      *container.Heap[timer]
 	loans       loanBook
 	// outlooks tell how many of each failure domain's targets could be used lately.
-	outlooks map[units.Domain]*outlook
+	outlooks map[units.Domain]*domainAvailability
 	// startedAt is when the router began; early are the calls that came before its first
 	// table.
 	startedAt units.Instant
@@ -162,7 +162,7 @@
 		calls:       container.NewSlab[call](),
 		timers:      container.NewHeap(timerBefore),
 		loans:       newLoanBook(),
-		outlooks:    map[units.Domain]*outlook{},
+		outlooks:    map[units.Domain]*domainAvailability{},
 		boxLists:    1,
 		neverListed: true,
 		beside:      map[units.Domain][]table.Box{},
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -78,9 +78,9 @@
 	coordination coordination
 	// notice is what the target's start has told this box; nil for nothing that is in force.
 	notice *notice
-	// outlook tells how many targets of the same failure domain could be used lately; nil where
+	// availability tells how many targets of the same failure domain could be used lately; nil where
 	// that isn't looked at.
-	outlook *outlook
+	availability *domainAvailability
 
 	sends, answers, failures, sheds, probesSent, unansweredCalls uint64
 }
