--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -18,9 +18,9 @@
 	// What the new version fails goes to the old one.
 	c.onTrial = false
 	*a = attempt{
-		number: c.sends, target: t, sent: r.now, hedge: hedge, typical: c.route.sureTime(),
+		number: c.sends, target: t, sent: r.now, hedge: hedge, typical: c.route.knownTypicalTime(),
 		atPace: t.report.Pace > 0 && t.expectedPace(r.now) < goodPace,
-		full:   t.load(r.now)+1 >= nearlyFull*t.slots(),
+		full:   t.load(r.now)+1 >= nearlyFullUtilization*t.slots(),
 		cold:   t.isCold(r.now),
 		ahead:  t.load(r.now), patience: c.patience(t, r.now), longPatience: c.longPatience(t, r.now),
 	}
@@ -166,7 +166,7 @@
 		c.route.noteShort(a)
 	}
 	if a.atPace && v.Result == Answered {
-		t.noteTime(r.now, c.route, took, a)
+		t.recordAnswerTime(r.now, c.route, took, a)
 	}
 	if v.Result == Answered {
 		r.endLimit(a, v.Reading.Limit, e)
--- a/pkg/core/routing/concurrency_test.go
+++ b/pkg/core/routing/concurrency_test.go
@@ -21,7 +21,7 @@
 		{"twelve slots that slow down", 12, 1.7, 40, 9},
 		{"six slots that don't", 6, 1, 40, 6},
 		{"a loss that is worth it", 6, 1.3, 40, 6},
-		{"too few answers to tell", 6, 1.7, sureAnswers - 1, 6},
+		{"too few answers to tell", 6, 1.7, minTimeSamples - 1, 6},
 		{"a single slot", 1, 1.7, 40, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -29,7 +29,7 @@
 			v := newTarget(s, table.Row{})
 			v.update(table.Row{Registered: true, Slots: c.slots})
 			for range c.answers {
-				s.whenFull.learn(c.ratio)
+				s.whenFull.add(c.ratio)
 			}
 			if got := v.bestConcurrency(); got != c.want {
 				t.Errorf("%.0f calls at a time, not %.0f", got, c.want)
--- a/pkg/core/routing/distance.go
+++ b/pkg/core/routing/distance.go
@@ -124,8 +124,8 @@
 		return 0
 	}
 	work := float64(assumedWork)
-	if x != nil && x.sureTime() > 0 {
-		work = x.sureTime()
+	if x != nil && x.knownTypicalTime() > 0 {
+		work = x.knownTypicalTime()
 	}
 	return float64(t.distance.extraRoundTrip())/work + awayPart
 }
--- a/pkg/core/routing/expectation.go
+++ b/pkg/core/routing/expectation.go
@@ -13,16 +13,16 @@
 // down when nearly full.
 
 const (
-	// paceMemory is the age at which a reading of a target's pace counts for nothing:
+	// paceLifetime is the age at which a reading of a target's pace counts for nothing:
 	// neighbours' load on its machine comes and goes in about this time.
-	paceMemory = 150 * time.Millisecond
-	// usualPace is the pace of a target that nothing is known of.
-	usualPace = 1.6
-	// loadMemory is the age at which a reading of a target's load counts for nothing.
-	loadMemory = 400 * time.Millisecond
-	// nearlyFull is the part of the slots from which on work takes nearlyFullPace.
-	nearlyFull     = 0.8
-	nearlyFullPace = 1.6
+	paceLifetime = 150 * time.Millisecond
+	// defaultPace is the pace of a target that nothing is known of.
+	defaultPace = 1.6
+	// loadLifetime is the age at which a reading of a target's load counts for nothing.
+	loadLifetime = 400 * time.Millisecond
+	// nearlyFullUtilization is the part of the slots from which on work takes nearlyFullPace.
+	nearlyFullUtilization = 0.8
+	nearlyFullSlowdown    = 1.6
 )
 
 // expectedTime is the time that a call of a route sent now would take at the target, over
@@ -31,8 +31,8 @@
 	slots := t.slots()
 	load := t.load(now) + 1
 	time := t.expectedPace(now) * t.currentSlowdown(now)
-	if load >= nearlyFull*slots {
-		time *= nearlyFullPace
+	if load >= nearlyFullUtilization*slots {
+		time *= nearlyFullSlowdown
 	}
 	if t.isCold(now) {
 		time *= t.service.whenCold.value()
@@ -41,7 +41,7 @@
 		time *= 1 + failureCost*t.expectedFailureRate(now)
 	}
 	if load > slots {
-		time += (load - slots) / slots * usualPace * nearlyFullPace
+		time += (load - slots) / slots * defaultPace * nearlyFullSlowdown
 	}
 	time += t.awayCost(x)
 	if !t.inSubset && !t.takesColdCalls(now) {
@@ -54,18 +54,18 @@
 	// slowdownGain is the weight of the newest answer in a target's slowdown: one slow
 	// answer in five may be the neighbours' doing, two in a row are the target's.
 	slowdownGain = 0.3
-	// slowdownMemory is the age at which a target's slowdown counts for a half.
-	slowdownMemory = 3 * time.Second
-	// heavySlowdown is the slowdown from which on a target is avoided.
-	heavySlowdown = 2.5
-	// slowAlike is how many times as slow as the best target others may be and still
+	// slowdownHalfLife is the age at which a target's slowdown counts for a half.
+	slowdownHalfLife = 3 * time.Second
+	// slowTargetThreshold is the slowdown from which on a target is avoided.
+	slowTargetThreshold = 2.5
+	// similarSlowdownFactor is how many times as slow as the best target others may be and still
 	// count as alike.
-	slowAlike = 1.25
-	// typicalStep is how far a route's typical time moves with each answer. Before
+	similarSlowdownFactor = 1.25
+	// typicalTimeStep is how far a route's typical time moves with each answer. Before
 	// sureAnswers of them it is no measure for a target.
-	typicalStep      = 0.05
-	sureAnswers      = 8
-	greatestSlowdown = 10
+	typicalTimeStep = 0.05
+	minTimeSamples  = 8
+	maxSlowdown     = 10
 )
 
 // bestConcurrency is how many calls at a time the target does most with: all of its
@@ -73,83 +73,83 @@
 // bring.
 func (t *target) bestConcurrency() float64 {
 	slots := t.slots()
-	below := math.Ceil(nearlyFull*slots) - 1
+	below := math.Ceil(nearlyFullUtilization*slots) - 1
 	if below >= 1 && t.service.whenFull.value()*below > slots {
 		return below
 	}
 	return slots
 }
 
-// learntSlowdown is how much longer calls take at a service's targets in some state than
+// slowdownEstimate is how much longer calls take at a service's targets in some state than
 // they do elsewhere, learnt from answers.
-type learntSlowdown struct {
+type slowdownEstimate struct {
 	mean    float64
-	answers int
+	samples int
 }
 
 // value is the slowdown; 1 until enough calls have shown it.
-func (l *learntSlowdown) value() float64 {
-	if l.answers < sureAnswers {
+func (l *slowdownEstimate) value() float64 {
+	if l.samples < minTimeSamples {
 		return 1
 	}
 	return l.mean
 }
 
-// learntGain is the least weight of the newest answer in a learnt slowdown: a mean of about
+// minSlowdownGain is the least weight of the newest answer in a learnt slowdown: a mean of about
 // 30 calls, since one in four meets a slow moment.
-const learntGain = 0.03
+const minSlowdownGain = 0.03
 
-// learn takes how long a call took at a target in that state, over what it takes elsewhere.
-func (l *learntSlowdown) learn(ratio float64) {
-	l.answers++
-	l.mean += max(learntGain, 1/float64(l.answers)) * (min(greatestSlowdown, ratio) - l.mean)
+// add takes how long a call took at a target in that state, over what it takes elsewhere.
+func (l *slowdownEstimate) add(ratio float64) {
+	l.samples++
+	l.mean += max(minSlowdownGain, 1/float64(l.samples)) * (min(maxSlowdown, ratio) - l.mean)
 }
 
-// noteTime takes how long an answer took at a target whose pace was known to be usual
+// recordAnswerTime takes how long an answer took at a target whose pace was known to be usual
 // when the call was sent: what it took beyond the route's typical time is the target's
 // own slowdown.
-func (t *target) noteTime(now units.Instant, x *route, took time.Duration, a *attempt) {
-	if x.answers < sureAnswers {
+func (t *target) recordAnswerTime(now units.Instant, x *route, took time.Duration, a *attempt) {
+	if x.answers < minTimeSamples {
 		if !a.full && !a.cold {
-			x.learnTime(float64(took))
+			x.updateTypicalTime(float64(took))
 		}
 		return
 	}
-	ratio := min(float64(took)/x.typical, greatestSlowdown)
+	ratio := min(float64(took)/x.typical, maxSlowdown)
 	switch {
 	case a.cold:
-		t.service.whenCold.learn(ratio)
+		t.service.whenCold.add(ratio)
 	case a.full:
-		t.service.whenFull.learn(ratio)
+		t.service.whenFull.add(ratio)
 	default:
 		t.slowdown = t.currentSlowdown(now) + slowdownGain*(ratio-t.currentSlowdown(now))
 		t.slowdownAt = now
-		x.learnTime(float64(took))
+		x.updateTypicalTime(float64(took))
 	}
 }
 
-// learnTime moves the typical time, which is the median of the first answers and follows
+// updateTypicalTime moves the typical time, which is the median of the first answers and follows
 // that of the later ones in small steps.
-func (x *route) learnTime(took float64) {
-	if x.answers < sureAnswers {
+func (x *route) updateTypicalTime(took float64) {
+	if x.answers < minTimeSamples {
 		x.first[x.answers] = took
 		x.answers++
-		if x.answers == sureAnswers {
+		if x.answers == minTimeSamples {
 			slices.Sort(x.first[:])
-			x.typical = x.first[sureAnswers/2]
+			x.typical = x.first[minTimeSamples/2]
 		}
 		return
 	}
 	if took > x.typical {
-		x.typical *= 1 + typicalStep
+		x.typical *= 1 + typicalTimeStep
 	} else {
-		x.typical *= 1 - typicalStep
+		x.typical *= 1 - typicalTimeStep
 	}
 }
 
-// sureTime is the route's typical time once it is a measure, else zero.
-func (x *route) sureTime() float64 {
-	if x.answers < sureAnswers {
+// knownTypicalTime is the route's typical time once it is a measure, else zero.
+func (x *route) knownTypicalTime() float64 {
+	if x.answers < minTimeSamples {
 		return 0
 	}
 	return x.typical
@@ -160,18 +160,18 @@
 func (t *target) currentSlowdown(now units.Instant) float64 {
 	slowdown := 1.0
 	if t.slowdown > 1 {
-		slowdown += (t.slowdown - 1) * hyperbolicDecay(now.Sub(t.slowdownAt), slowdownMemory)
+		slowdown += (t.slowdown - 1) * hyperbolicDecay(now.Sub(t.slowdownAt), slowdownHalfLife)
 	}
 	if a := t.oldestAttempt; a != nil && a.typical > 0 {
-		slowdown = max(slowdown, float64(now.Sub(a.sent))/a.typical/oldestPatience)
+		slowdown = max(slowdown, float64(now.Sub(a.sent))/a.typical/oldestAttemptTolerance)
 	}
 	return slowdown
 }
 
-// oldestPatience is how many times its typical time a call may be out before that says
+// oldestAttemptTolerance is how many times its typical time a call may be out before that says
 // something about its target: half of the calls take longer than the typical time, and
 // one in four meets a slow moment.
-const oldestPatience = 2.5
+const oldestAttemptTolerance = 2.5
 
 // slots is how many calls the target works on at a time.
 func (t *target) slots() float64 {
@@ -187,14 +187,14 @@
 // expectedPace is how long work is expected to take there, over the usual.
 func (t *target) expectedPace(now units.Instant) float64 {
 	if !t.report.Known || t.report.Pace == 0 {
-		return usualPace
+		return defaultPace
 	}
-	left := remaining(now.Sub(t.report.receivedAt), paceMemory)
-	return usualPace + (t.report.Pace-usualPace)*left
+	left := linearDecay(now.Sub(t.report.receivedAt), paceLifetime)
+	return defaultPace + (t.report.Pace-defaultPace)*left
 }
 
-// remaining is the part of its weight that something keeps at an age, which falls evenly
+// linearDecay is the part of its weight that something keeps at an age, which falls evenly
 // to nothing.
-func remaining(age, memory time.Duration) float64 {
+func linearDecay(age, memory time.Duration) float64 {
 	return max(0, 1-float64(age)/float64(memory))
 }
--- a/pkg/core/routing/expectation_test.go
+++ b/pkg/core/routing/expectation_test.go
@@ -18,11 +18,11 @@
 func newLearningRoute(first time.Duration) *route {
 	x := &route{}
 	other := newTarget(newService(table.Service{}), table.Row{Registered: true})
-	other.noteTime(testNow, x, first, &attempt{})
+	other.recordAnswerTime(testNow, x, first, &attempt{})
 	for i := range 40 {
 		// Half of the answers take a little longer, half a little less.
 		took := usualTime + time.Duration(i%2*40-20)*time.Millisecond
-		other.noteTime(testNow, x, took, &attempt{})
+		other.recordAnswerTime(testNow, x, took, &attempt{})
 	}
 	return x
 }
@@ -39,15 +39,15 @@
 func TestOneSlowAnswerDoesNotMakeATargetSlow(t *testing.T) {
 	x := newLearningRoute(usualTime)
 	v := newTarget(newService(table.Service{}), table.Row{Registered: true})
-	v.noteTime(testNow, x, 5*usualTime, &attempt{})
-	if s := v.currentSlowdown(testNow); s >= heavySlowdown {
+	v.recordAnswerTime(testNow, x, 5*usualTime, &attempt{})
+	if s := v.currentSlowdown(testNow); s >= slowTargetThreshold {
 		t.Fatalf("one slow answer gives a slowdown of %.2f", s)
 	}
-	v.noteTime(testNow, x, 5*usualTime, &attempt{})
-	if s := v.currentSlowdown(testNow); s < heavySlowdown {
+	v.recordAnswerTime(testNow, x, 5*usualTime, &attempt{})
+	if s := v.currentSlowdown(testNow); s < slowTargetThreshold {
 		t.Fatalf("two slow answers in a row give a slowdown of %.2f only", s)
 	}
-	if s := v.currentSlowdown(testNow.Add(10 * time.Second)); s >= heavySlowdown {
+	if s := v.currentSlowdown(testNow.Add(10 * time.Second)); s >= slowTargetThreshold {
 		t.Fatalf("after ten seconds the slowdown is still %.2f", s)
 	}
 }
@@ -55,9 +55,9 @@
 func TestAYoungRouteIsNoMeasure(t *testing.T) {
 	x := &route{}
 	v := newTarget(newService(table.Service{}), table.Row{Registered: true})
-	v.noteTime(testNow, x, usualTime, &attempt{})
+	v.recordAnswerTime(testNow, x, usualTime, &attempt{})
 	for range 3 {
-		v.noteTime(testNow, x, 8*usualTime, &attempt{})
+		v.recordAnswerTime(testNow, x, 8*usualTime, &attempt{})
 	}
 	if s := v.currentSlowdown(testNow); s > 1 {
 		t.Fatalf("four answers of the route give a slowdown of %.2f", s)
@@ -70,14 +70,14 @@
 	if p := v.expectedPace(testNow); p != 5 {
 		t.Errorf("a new reading of 5 gives the pace %.2f", p)
 	}
-	if p := v.expectedPace(testNow.Add(paceMemory)); p != usualPace {
+	if p := v.expectedPace(testNow.Add(paceLifetime)); p != defaultPace {
 		t.Errorf("an old reading gives the pace %.2f, not that of a target that nothing is known of", p)
 	}
-	if n := v.load(testNow.Add(loadMemory)); n != 0 {
+	if n := v.load(testNow.Add(loadLifetime)); n != 0 {
 		t.Errorf("an old reading gives the load %.2f", n)
 	}
 	v.inFlight = 2
-	if n := v.load(testNow.Add(loadMemory)); n != 2 {
+	if n := v.load(testNow.Add(loadLifetime)); n != 2 {
 		t.Errorf("the box's own calls give the load %.2f, not 2", n)
 	}
 }
--- a/pkg/core/routing/health.go
+++ b/pkg/core/routing/health.go
@@ -57,7 +57,7 @@
 
 // hasReportedFreeSlot tells whether the target is known to have had a slot free a moment ago.
 func (t *target) hasReportedFreeSlot(now units.Instant) bool {
-	return t.report.Known && now.Sub(t.report.receivedAt) < loadMemory && t.load(now) < t.slots()
+	return t.report.Known && now.Sub(t.report.receivedAt) < loadLifetime && t.load(now) < t.slots()
 }
 
 // recordFailure notes a recordFailure call; it returns true when the target was ejected by it.
--- a/pkg/core/routing/outlook.go
+++ b/pkg/core/routing/outlook.go
@@ -77,7 +77,7 @@
 // availabilityCostFactor is by how much the cost of a target rises that nothing recent is known of, for what
 // its failure domain's other targets were like.
 func (t *target) availabilityCostFactor(now units.Instant) float64 {
-	if t.availability == nil || t.report.Known && now.Sub(t.report.receivedAt) < loadMemory {
+	if t.availability == nil || t.report.Known && now.Sub(t.report.receivedAt) < loadLifetime {
 		return 1
 	}
 	return 1 / t.availability.usableFraction(now)
--- a/pkg/core/routing/returning.go
+++ b/pkg/core/routing/returning.go
@@ -88,5 +88,5 @@
 		return false
 	}
 	spent := x.asked.spent(asked)
-	return spent > 0 && spent+time.Duration(x.sureTime()) > x.aim
+	return spent > 0 && spent+time.Duration(x.knownTypicalTime()) > x.aim
 }
--- a/pkg/core/routing/routes.go
+++ b/pkg/core/routing/routes.go
@@ -45,7 +45,7 @@
 	// answers counts the answers that the typical time was learnt from.
 	answers int
 	// first are the first answers' times, which the typical time starts from.
-	first [sureAnswers]float64
+	first [minTimeSamples]float64
 	// asked is what the route's callers begin with.
 	asked usualDeadline
 	parts []routePart
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -16,8 +16,8 @@
 	targets []*target
 	// whenFull and whenCold are how much longer calls took at targets that were nearly full,
 	// or cold.
-	whenFull learntSlowdown
-	whenCold learntSlowdown
+	whenFull slowdownEstimate
+	whenCold slowdownEstimate
 	// silence is what is known of calls that were never answered.
 	silence silence
 	// off are the mechanisms that aren't used.
--- a/pkg/core/routing/silence.go
+++ b/pkg/core/routing/silence.go
@@ -91,10 +91,10 @@
 // patience is how long a call may be out before its answer is missed: all of its time where
 // it isn't known how long its like take.
 func (c *call) patience(t *target, now units.Instant) time.Duration {
-	switch usual := time.Duration(c.route.sureTime()); {
+	switch usual := time.Duration(c.route.knownTypicalTime()); {
 	case usual > 0:
 		return max(leastPatience, silentPatience*usual)
-	case c.service.latency.count >= sureAnswers && t.latency.count >= sureAnswers:
+	case c.service.latency.count >= minTimeSamples && t.latency.count >= minTimeSamples:
 		return c.longPatience(t, now)
 	case c.route.aim > 0:
 		return max(leastPatience, silentPatience*c.route.aim)
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -29,7 +29,7 @@
 // help nobody.
 func (r *Router) isTooSlow(c *call, t *target) bool {
 	slowdown := t.currentSlowdown(r.now)
-	if !r.on(SlowTargets) || slowdown < heavySlowdown {
+	if !r.on(SlowTargets) || slowdown < slowTargetThreshold {
 		return false
 	}
 	least := slowdown
@@ -38,7 +38,7 @@
 			least = min(least, o.currentSlowdown(r.now))
 		}
 	}
-	return slowdown > slowAlike*least
+	return slowdown > similarSlowdownFactor*least
 }
 
 // acceptsUnsuitable tells whether a call that can't wait any longer may go to a target that
