--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -40,7 +40,7 @@
 	if t.row.MaxRate > 0 {
 		t.callBucket.take(r.now, t.rateShare.value, rateBurst)
 	}
-	t.noteColdSend(r.now)
+	t.countColdSend(r.now)
 	e.add(Effect{
 		Kind: Send, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint,
 		Deadline: c.deadline, NotAfter: r.notAfterOf(t), Connections: t.maxConnections, Once: c.route.work == table.Once,
@@ -223,7 +223,7 @@
 	}
 	t.recordReport(r.now, v.Reading)
 	if v.Reading.Cold > 0 {
-		r.turnCold(t, v.Reading.Cold)
+		r.markCold(t, v.Reading.Cold)
 	}
 	t.lastHeard = r.now
 	turned := false
--- a/pkg/core/routing/coordinator.go
+++ b/pkg/core/routing/coordinator.go
@@ -77,7 +77,7 @@
 		return "", false
 	}
 	if t.coordination.listed != r.boxLists {
-		t.coordination = coordination{box: firstFor(t.row.Target, r.boxesBeside(t)), listed: r.boxLists}
+		t.coordination = coordination{box: firstFor(t.row.Target, r.boxesInDomainOf(t)), listed: r.boxLists}
 	}
 	return t.coordination.box, t.coordination.box != ""
 }
@@ -168,7 +168,7 @@
 	from := r.servesFrom
 	x := t.notice.limit
 	for _, p := range r.pastBoxes {
-		switch box := firstFor(t.row.Target, besideIn(p.boxes, t.row.Domain)); {
+		switch box := firstFor(t.row.Target, boxesInDomain(p.boxes, t.row.Domain)); {
 		case box == r.settings.Box:
 		case !r.rank.lists(box):
 			from = max(from, p.until)
--- a/pkg/core/routing/evacuation.go
+++ b/pkg/core/routing/evacuation.go
@@ -32,7 +32,7 @@
 			t.availability = r.availabilityOf(t.row.Domain)
 		}
 		if r.wasRestored(t.row.Domain) {
-			r.doubtWarmth(t)
+			r.markPossiblyCold(t)
 		}
 	}
 }
--- a/pkg/core/routing/expectation.go
+++ b/pkg/core/routing/expectation.go
@@ -44,7 +44,7 @@
 		time += (load - slots) / slots * defaultPace * nearlyFullSlowdown
 	}
 	time += t.awayCost(x)
-	if !t.inSubset && !t.takesColdCalls(now) {
+	if !t.inSubset && !t.acceptsColdCalls(now) {
 		time += outsideCost
 	}
 	return time * t.availabilityCostFactor(now)
--- a/pkg/core/routing/outlook.go
+++ b/pkg/core/routing/outlook.go
@@ -70,7 +70,7 @@
 // recordReachability takes what a probe or a send says about the target's failure domain.
 func (t *target) recordReachability(now units.Instant, reached bool) {
 	if t.availability != nil {
-		t.availability.record(now, reached && t.coldAdmits(now))
+		t.availability.record(now, reached && t.coldRateAdmits(now))
 	}
 }
 
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -83,7 +83,7 @@
 
 // takesIfPermitted tells whether a new call might go to the target now, were it permitted.
 func (t *target) takesIfPermitted(now units.Instant, anyHealth bool) bool {
-	return t.coldAdmits(now) && t.isAvailableWhenWarm(now, anyHealth)
+	return t.coldRateAdmits(now) && t.isAvailableWhenWarm(now, anyHealth)
 }
 
 // usePermit takes the permit that a call or probe of a target needs, and returns until when it may be
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -70,7 +70,7 @@
 	r.noteSuccessor(t, v, e)
 	t.recordReport(r.now, v.Reading)
 	if v.Healthy {
-		r.noteWarmth(t, v.Reading.Cold)
+		r.updateColdState(t, v.Reading.Cold)
 	}
 	if !v.Healthy {
 		t.health.recordFailure(r.now)
@@ -93,7 +93,7 @@
 	t.noteMissing(r.now, v.Reading, t.lastProbedAt)
 	if v.Healthy {
 		t.service.noteReport(v.Reading)
-		r.noteWarmth(t, v.Reading.Cold)
+		r.updateColdState(t, v.Reading.Cold)
 	}
 	if v.Healthy || v.Unreachable {
 		t.recordReachability(r.now, v.Healthy)
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -209,7 +209,7 @@
 // onlyInDoubt tells whether a target would be available if a probe showed it warm.
 func (c *candidates) onlyInDoubt(i int) bool {
 	t := c.service.targets[i]
-	return t.side == c.side && t.inDoubt(c.now) && !t.lacksPermit(c.now) && t.isAvailableWhenWarm(c.now, c.anyHealth) && !c.excluded(t)
+	return t.side == c.side && t.isPossiblyCold(c.now) && !t.lacksPermit(c.now) && t.isAvailableWhenWarm(c.now, c.anyHealth) && !c.excluded(t)
 }
 
 // excluded tells whether the call itself rules a target out. A call that is under way isn't sent to a
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -264,7 +264,7 @@
 		return "shed"
 	case t.mayHang(now):
 		return "may-hang"
-	case !t.coldAdmits(now):
+	case !t.coldRateAdmits(now):
 		return "cold"
 	case t.inFlightShare.value <= 0:
 		return "share"
--- a/pkg/core/routing/subset.go
+++ b/pkg/core/routing/subset.go
@@ -72,7 +72,7 @@
 // ids.
 func (r *Router) ownBoxes() []units.BoxID {
 	var boxes []units.BoxID
-	for _, b := range staying(r.rank.boxes) {
+	for _, b := range withoutLeaving(r.rank.boxes) {
 		if b.Domain == r.settings.Domain {
 			boxes = append(boxes, b.ID)
 		}
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -120,7 +120,7 @@
 	if s.entry != entry {
 		s.update(entry, r.now)
 		r.findNotices(s)
-		r.takeColdRows(s)
+		r.applyColdRows(s)
 	}
 	r.markRegions(s, e)
 	r.markEvacuated(s)
@@ -149,7 +149,7 @@
 
 func (r *Router) wantShare(t *target) {
 	if t.isCold(r.now) {
-		r.shareCold(t)
+		r.updateColdShare(t)
 	}
 	if t.row.Registered {
 		r.shareRegistered(t)
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -72,7 +72,7 @@
 	// evacuated is set while the target's failure domain is evacuated.
 	evacuated bool
 	side      side
-	cold      coldness
+	cold      coldState
 	crash     crashWatch
 	// coordination says which box permits calls to the target while it names a limit.
 	coordination coordination
@@ -116,7 +116,7 @@
 		t.health.retryAt = 0
 	}
 	if row.Cold != t.row.Cold {
-		t.cold.reported = row.Cold
+		t.cold.rowRemaining = row.Cold
 	}
 	t.row = row
 	t.remote = !t.service.off[OwnDomain] && row.Domain != "" && t.service.domain != "" && row.Domain != t.service.domain
