--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -22,7 +22,7 @@
 		atPace: t.report.Pace > 0 && t.expectedPace(r.now) < goodPace,
 		full:   t.load(r.now)+1 >= nearlyFullUtilization*t.slots(),
 		cold:   t.isCold(r.now),
-		ahead:  t.load(r.now), patience: c.patience(t, r.now), longPatience: c.longPatience(t, r.now),
+		ahead:  t.load(r.now), patience: c.answerTimeout(t, r.now), longPatience: c.overtakenTimeout(t, r.now),
 	}
 	a.permit = r.usePermit(t)
 	a.limitVersion = t.limitWord().Version
@@ -52,7 +52,7 @@
 		r.timers.Push(timer{at: r.now.Add(c.hedgeDelay()), call: id, kind: hedgeTimer})
 	}
 	if !hedged || a.patience < c.hedgeDelay() {
-		r.watch(id, c, a)
+		r.scheduleOverdueCheck(id, c, a)
 	}
 }
 
@@ -148,7 +148,7 @@
 		}
 		// A loser that is overdue says something about its target.
 		a.target.latency.add(r.timeAtTarget(c, a))
-		r.wentUnanswered(c, a, e)
+		r.recordIfUnanswered(c, a, e)
 		r.cancel(id, c, a, e)
 	}
 }
@@ -175,7 +175,7 @@
 		r.unusePermit(t, a.permit, e)
 	}
 	wasEjected := t.health.ejected
-	if v.Result == Broken && r.wentUnanswered(c, a, e) {
+	if v.Result == Broken && r.recordIfUnanswered(c, a, e) {
 		t.lastHeard = r.now
 	} else {
 		r.learn(t, v, took, e)
@@ -191,7 +191,7 @@
 		r.clearAnswered(c, e)
 	}
 	if v.Result == Answered || v.Result == Failed || v.Result == Shed {
-		t.noteAnswer(r.now, a)
+		t.recordAnswer(r.now, a)
 		t.noteAlive(r.now)
 	}
 	r.release(c, a, e)
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -276,7 +276,7 @@
 	case linkTimer:
 		r.linkTimePassed(t.call, c, e)
 	case silenceTimer:
-		r.checkSilence(t.call, c, e)
+		r.checkOverdue(t.call, c, e)
 	case canaryTimer:
 		r.canaryTimePassed(t.call, c, e)
 	case earlyTimer:
@@ -296,7 +296,7 @@
 			continue
 		}
 		r.noteVersionSilent(c, a, e)
-		if r.saysNothing(a) || r.wentUnanswered(c, a, e) {
+		if r.saysNothing(a) || r.recordIfUnanswered(c, a, e) {
 			continue
 		}
 		if a.target.health.recordFailure(r.now) {
--- a/pkg/core/routing/hedging.go
+++ b/pkg/core/routing/hedging.go
@@ -35,7 +35,7 @@
 // gone silent would keep the call until its deadline.
 func (r *Router) hedge(id CallID, c *call, e *Effects) {
 	for i := range c.attempts {
-		r.watch(id, c, &c.attempts[i])
+		r.scheduleOverdueCheck(id, c, &c.attempts[i])
 	}
 	if c.mayHedge() && !r.tryHedge(id, c, e) {
 		r.hedgeLater(id, c)
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -65,7 +65,7 @@
 	c.probeRound.waiting = false
 	r.dropServed(c.service)
 	if len(c.service.waiting) >= maxProbing || !r.sendProbes(id, c, e) {
-		if !c.service.isBusy(r.now) && !best.isFresh(r.now) && !r.mustBeSure(c) {
+		if !c.service.isBusy(r.now) && !best.isFresh(r.now) && !r.requiresKnownFreeSlot(c) {
 			r.send(id, c, best, why, e)
 			return
 		}
@@ -200,8 +200,8 @@
 	c := r.calls.Get(v.Call)
 	if c == nil || !c.probeRound.open || c.probeRound.number != v.Attempt {
 		r.shareAnswer(t)
-		if c != nil && v.Attempt == silenceProbe {
-			r.judgeSilence(v.Call, c, e)
+		if c != nil && v.Attempt == overdueProbe {
+			r.abandonUnanswered(v.Call, c, e)
 		}
 		return
 	}
@@ -236,7 +236,7 @@
 		r.send(id, c, t, c.probeRound.purpose, e)
 		return
 	}
-	if !late || r.missesAnswer(c) {
+	if !late || r.isOverdue(c) {
 		r.waitForTarget(id, c)
 		r.seekPermits(c.service, c, 1, e)
 		return
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -90,7 +90,7 @@
 	}
 	t.noteProbeTime(r.now, v.Healthy)
 	t.recordReport(r.now, v.Reading)
-	t.noteMissing(r.now, v.Reading, t.lastProbedAt)
+	t.markMissing(r.now, v.Reading, t.lastProbedAt)
 	if v.Healthy {
 		t.service.noteReport(v.Reading)
 		r.updateColdState(t, v.Reading.Cold)
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -19,7 +19,7 @@
 	whenFull slowdownEstimate
 	whenCold slowdownEstimate
 	// silence is what is known of calls that were never answered.
-	silence silence
+	silence unansweredStats
 	// off are the mechanisms that aren't used.
 	off mechanismSet
 	// domain is the box's own failure domain.
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -180,7 +180,7 @@
 	status := ServiceStatus{
 		Service: s.row.Name, Version: s.entry.Version, Calls: s.calls, Refused: s.refused, Held: s.held.length,
 		Retries: s.retries.spent, Hedges: s.hedges.spent, Latency: s.latency.mean(), HedgeDelay: s.hedgeDelay(),
-		Crashes: s.crashes, Rests: s.rests, Unanswered: s.silence.calls, Hangs: s.silence.hangs(now), HangsFrom: s.silence.from,
+		Crashes: s.crashes, Rests: s.rests, Unanswered: s.silence.total, Hangs: s.silence.hangs(now), HangsFrom: s.silence.hangLoad,
 	}
 	if s.rollout != nil {
 		status.Rollout = s.rollout.status(now)
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -9,7 +9,7 @@
 		// A target that names a limit has room for what it permits.
 		return true
 	}
-	return r.suits(c, t) && (t.isFresh(r.now) || !r.mustBeSure(c))
+	return r.suits(c, t) && (t.isFresh(r.now) || !r.requiresKnownFreeSlot(c))
 }
 
 // suits tells whether a target that has just been probed suits a call; nil stands for a call that
@@ -46,7 +46,7 @@
 // target could be probed although the service isn't busy. While it is busy such a call would
 // meet others at a target that nothing is known of, and both would be late.
 func (r *Router) acceptsUnsuitable(c *call) bool {
-	if c.probeRound.purpose == HedgeSend || r.mustBeSure(c) {
+	if c.probeRound.purpose == HedgeSend || r.requiresKnownFreeSlot(c) {
 		return false
 	}
 	return c.mayHaveRun || c.probeRound.rounds == 0 && !c.service.isBusy(r.now)
--- a/pkg/core/routing/waiting.go
+++ b/pkg/core/routing/waiting.go
@@ -115,7 +115,7 @@
 	c.onTrial = false
 	c.probeRound.pending = 0
 	c.probeRound.number++
-	missed := r.missesAnswer(c)
+	missed := r.isOverdue(c)
 	if !c.probeRound.waiting {
 		c.probeRound.waiting = true
 		w := waitingCall{id: id, urgency: c.urgency()}
@@ -127,7 +127,7 @@
 	}
 	pause := probePause
 	if missed {
-		pause = silencePause
+		pause = overdueCheckInterval
 	}
 	r.timers.Push(timer{at: r.now.Add(pause), call: id, kind: probeTimer, probeRound: c.probeRound.number})
 }
