--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -111,7 +111,7 @@
 // attemptStarted passes on an answer whose first bytes have come, and ends the call's other attempts.
 func (r *Router) attemptStarted(v *AttemptStarted, e *Effects) {
 	c, a := r.attemptOf(v.Call, v.Attempt)
-	r.hear(v.Endpoint, v.Reading, false, a.limitBase(), e)
+	r.handleNotice(v.Endpoint, v.Reading, false, a.limitBase(), e)
 	if a == nil || c.streaming {
 		return
 	}
@@ -156,7 +156,7 @@
 // attemptEnded learns from how an attempt ended, then delivers its answer or goes on with the call.
 func (r *Router) attemptEnded(v *AttemptEnded, e *Effects) {
 	c, a := r.attemptOf(v.Call, v.Attempt)
-	r.hear(v.Endpoint, v.Reading, v.Result == Misdirected, a.limitBase(), e)
+	r.handleNotice(v.Endpoint, v.Reading, v.Result == Misdirected, a.limitBase(), e)
 	if a == nil {
 		return
 	}
--- a/pkg/core/routing/closed.go
+++ b/pkg/core/routing/closed.go
@@ -29,7 +29,9 @@
 )
 
 // isClosed tells whether the target takes no calls for the time being, by its own word.
-func (t *target) isClosed(now units.Instant) bool { return t.notice.rests(now) || t.lacksPermit(now) }
+func (t *target) isClosed(now units.Instant) bool {
+	return t.notice.isResting(now) || t.lacksPermit(now)
+}
 
 // opensAt is when a target that is closed may take calls again, as far as this box knows.
 func (t *target) opensAt(now units.Instant) units.Instant {
@@ -81,7 +83,7 @@
 // only lacks a permit.
 func (s *service) closedReason(c *call, now units.Instant) Reason {
 	for _, t := range s.targets {
-		if t.isEligible() && c.mayUse(t) && !t.notice.rests(now) && t.lacksPermit(now) {
+		if t.isEligible() && c.mayUse(t) && !t.notice.isResting(now) && t.lacksPermit(now) {
 			return TargetsLimited
 		}
 	}
--- a/pkg/core/routing/namedlimit.go
+++ b/pkg/core/routing/namedlimit.go
@@ -86,7 +86,7 @@
 		return
 	}
 	if t.notice == nil {
-		t.notice = r.noticeOf(originOfRow(&t.row))
+		t.notice = r.ensureNotice(incarnationOfRow(&t.row))
 	}
 	t.notice.openLimit()
 	r.changeLimit(t.notice, t.endpoint, w, e)
@@ -109,10 +109,10 @@
 		return
 	}
 	x.toldAt = r.now
-	news := n.forShell(r.now)
+	news := n.toEffect(r.now)
 	news.LimitBegins, news.LimitEnds = w.Limited, ends
 	e.add(Effect{Kind: TargetNotice, Endpoint: endpoint, Notice: news})
-	for _, s := range r.bindEverywhere(n, endpoint, e) {
+	for _, s := range r.applyToServices(n, endpoint, e) {
 		if ends {
 			r.freed = append(r.freed, s)
 		}
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -16,99 +16,101 @@
 // matter: one that reports free slots may turn calls away all the same.
 
 const (
-	// noticeMemory is for how long a notice is kept of a start that no row names: a late report
+	// noticeRetention is for how long a notice is kept of a start that no row names: a late report
 	// brings a row back within seconds.
-	noticeMemory = time.Minute
-	// toldStep is how much longer than last told the shell a rest must have become for it to be
+	noticeRetention = time.Minute
+	// minRestExtension is how much longer than last told the shell a rest must have become for it to be
 	// told again: each call that a target turns away makes its rest a little longer.
-	toldStep = 100 * time.Millisecond
+	minRestExtension = 100 * time.Millisecond
 )
 
-// origin tells starts of targets apart as far as they can be: by id and birth where a registered
+// incarnation tells starts of targets apart as far as they can be: by id and birth where a registered
 // target tells its birth, by id and address where it doesn't, and by address where operators
 // entered it.
-type origin struct {
+type incarnation struct {
 	target  units.TargetID
 	address string
 	born    units.WallTime
 }
 
-func newOrigin(registered bool, id units.TargetID, address string, born units.WallTime) origin {
+func newIncarnation(registered bool, id units.TargetID, address string, born units.WallTime) incarnation {
 	switch {
 	case registered && born != 0:
-		return origin{target: id, born: born}
+		return incarnation{target: id, born: born}
 	case registered:
-		return origin{target: id, address: address}
+		return incarnation{target: id, address: address}
 	}
-	return origin{address: address}
+	return incarnation{address: address}
 }
 
-func originOfRow(row *table.Row) origin {
-	return newOrigin(row.Registered, row.Target, row.Address, row.Born)
+func incarnationOfRow(row *table.Row) incarnation {
+	return newIncarnation(row.Registered, row.Target, row.Address, row.Born)
 }
 
-func (x *Endpoint) origin() origin { return newOrigin(x.Registered, x.Target, x.Address, x.Born) }
+func (x *Endpoint) incarnation() incarnation {
+	return newIncarnation(x.Registered, x.Target, x.Address, x.Born)
+}
 
 // notice is what a start of a target has told this box.
 type notice struct {
-	origin origin
+	incarnation incarnation
 	// restUntil is when the last of the rests that it asked for ends; a later, shorter one
 	// doesn't end it sooner.
 	restUntil units.Instant
 	// leaving is set once the target has said that it is about to end.
 	leaving bool
-	// told is the end that the shell was last told of.
-	told units.Instant
+	// reportedRestUntil is the end that the shell was last reportedRestUntil of.
+	reportedRestUntil units.Instant
 	// limit is what is known of the limit that it names; nil where it never named one.
 	limit *namedLimit
-	// listedAt is when a row last named the start.
-	listedAt units.Instant
+	// lastListedAt is when a row last named the start.
+	lastListedAt units.Instant
 }
 
-// noticeBook holds the notices in force: one at the most for each start that a row names or has named
+// noticeMap holds the notices in force: one at the most for each start that a row names or has named
 // within noticeMemory.
-type noticeBook map[origin]*notice
+type noticeMap map[incarnation]*notice
 
-// rests tells whether the target wants nothing for the time being.
-func (n *notice) rests(now units.Instant) bool { return n != nil && now < n.restUntil }
+// isResting tells whether the target wants nothing for the time being.
+func (n *notice) isResting(now units.Instant) bool { return n != nil && now < n.restUntil }
 
 // isLeaving tells whether the target has said that it is about to end.
 func (n *notice) isLeaving() bool { return n != nil && n.leaving }
 
-// forbids tells whether nothing may be sent to the target now.
-func (n *notice) forbids(now units.Instant) bool {
+// forbidsSending tells whether nothing may be sent to the target now.
+func (n *notice) forbidsSending(now units.Instant) bool {
 	return n != nil && (n.leaving || now < n.restUntil)
 }
 
-// isOver tells whether nothing of a notice is worth keeping.
-func (n *notice) isOver(now units.Instant) bool {
-	return !n.forbids(now) && !n.limited() && (n.limit == nil || now.Sub(n.limit.changedAt) > limitMemory)
+// isExpired tells whether nothing of a notice is worth keeping.
+func (n *notice) isExpired(now units.Instant) bool {
+	return !n.forbidsSending(now) && !n.limited() && (n.limit == nil || now.Sub(n.limit.changedAt) > limitMemory)
 }
 
-// hear takes what a target said of itself in an answer, whatever became of the call or probe. A
+// handleNotice takes what a target said of itself in an answer, whatever became of the call or probe. A
 // misdirected answer comes from another target at the address. base is which word on the target's limit was
 // known as the call was sent.
-func (r *Router) hear(x *Endpoint, said Reading, misdirected bool, base uint64, e *Effects) {
+func (r *Router) handleNotice(x *Endpoint, said Reading, misdirected bool, base uint64, e *Effects) {
 	if x == nil || said.Rest <= 0 && !said.Leaving && !said.Limit.Named {
 		return
 	}
-	o := x.origin()
+	o := x.incarnation()
 	if misdirected {
-		other := r.onlyOther(x)
+		other := r.onlyOtherAtAddress(x)
 		if other == nil {
 			return
 		}
-		o, x, base = originOfRow(&other.row), other.endpoint, noBase
+		o, x, base = incarnationOfRow(&other.row), other.endpoint, noBase
 	} else if t := r.findTarget(x); t != nil {
 		// Its birth may have become known since the endpoint was made.
-		o = originOfRow(&t.row)
+		o = incarnationOfRow(&t.row)
 	}
-	r.takeNotice(o, x, said, base, e)
+	r.updateNotice(o, x, said, base, e)
 }
 
-// onlyOther returns the only other target that is listed at an endpoint's address; nil for none,
+// onlyOtherAtAddress returns the only other target that is listed at an endpoint's address; nil for none,
 // and for several.
-func (r *Router) onlyOther(x *Endpoint) *target {
+func (r *Router) onlyOtherAtAddress(x *Endpoint) *target {
 	var other *target
 	for _, s := range r.order {
 		for _, t := range s.targets {
@@ -124,44 +126,44 @@
 	return other
 }
 
-// takeNotice keeps what a start of a target said, and has it bind all targets that are this start.
-func (r *Router) takeNotice(o origin, x *Endpoint, said Reading, base uint64, e *Effects) {
-	n := r.noticeOf(o)
+// updateNotice keeps what a start of a target said, and has it bind all targets that are this start.
+func (r *Router) updateNotice(o incarnation, x *Endpoint, said Reading, base uint64, e *Effects) {
+	n := r.ensureNotice(o)
 	if said.Limit.Named {
 		r.nameLimit(n, x, said.Limit.Rate, base, e)
 	}
-	restBegins := said.Rest > 0 && !n.rests(r.now)
+	restBegins := said.Rest > 0 && !n.isResting(r.now)
 	leaveBegins := said.Leaving && !n.leaving
 	if said.Rest > 0 {
 		n.restUntil = max(n.restUntil, r.now.Add(said.Rest))
 	}
 	n.leaving = n.leaving || said.Leaving
-	if !restBegins && !leaveBegins && n.restUntil.Sub(n.told) < toldStep {
+	if !restBegins && !leaveBegins && n.restUntil.Sub(n.reportedRestUntil) < minRestExtension {
 		return
 	}
-	n.told = n.restUntil
-	news := n.forShell(r.now)
+	n.reportedRestUntil = n.restUntil
+	news := n.toEffect(r.now)
 	news.RestBegins, news.LeaveBegins = restBegins, leaveBegins
 	e.add(Effect{Kind: TargetNotice, Endpoint: x, Notice: news})
-	for _, s := range r.bindEverywhere(n, x, e) {
+	for _, s := range r.applyToServices(n, x, e) {
 		if restBegins {
 			s.rests++
 		}
 	}
 }
 
-// noticeOf returns what is kept of a start of a target; empty where that is nothing.
-func (r *Router) noticeOf(o origin) *notice {
+// ensureNotice returns what is kept of a start of a target; empty where that is nothing.
+func (r *Router) ensureNotice(o incarnation) *notice {
 	n := r.notices[o]
 	if n == nil {
-		n = &notice{origin: o, listedAt: r.now}
+		n = &notice{incarnation: o, lastListedAt: r.now}
 		r.notices[o] = n
 	}
 	return n
 }
 
-// forShell is what the shell has to know of a notice to keep calls from the target.
-func (n *notice) forShell(now units.Instant) *Notice {
+// toEffect is what the shell has to know of a notice to keep calls from the target.
+func (n *notice) toEffect(now units.Instant) *Notice {
 	x := &Notice{RestUntil: n.restUntil, Leaving: n.leaving}
 	if n.limited() {
 		x.Limited, x.Rate = true, n.limit.word.Rate
@@ -169,71 +171,71 @@
 	return x
 }
 
-// bindEverywhere has a notice that has changed bind all targets that are its start, and returns their
+// applyToServices has a notice that has changed bind all targets that are its start, and returns their
 // services.
-func (r *Router) bindEverywhere(n *notice, x *Endpoint, e *Effects) []*service {
+func (r *Router) applyToServices(n *notice, x *Endpoint, e *Effects) []*service {
 	var bound []*service
 	for _, s := range r.order {
 		// A target that registers belongs to one service; a process that operators entered may serve
 		// several.
-		if (!x.Registered || s.row.Name == x.Service) && r.bindNotice(s, n, x, e) {
+		if (!x.Registered || s.row.Name == x.Service) && r.applyToService(s, n, x, e) {
 			bound = append(bound, s)
 		}
 	}
 	for _, s := range bound {
-		r.settleNotice(s, e)
+		r.updateAfterNotice(s, e)
 	}
 	return bound
 }
 
-// bindNotice gives a notice to a service's targets that are its start, and tells whether there
+// applyToService gives a notice to a service's targets that are its start, and tells whether there
 // are any.
-func (r *Router) bindNotice(s *service, n *notice, x *Endpoint, e *Effects) bool {
+func (r *Router) applyToService(s *service, n *notice, x *Endpoint, e *Effects) bool {
 	found := false
 	for _, t := range s.targets {
-		if originOfRow(&t.row) != n.origin {
+		if incarnationOfRow(&t.row) != n.incarnation {
 			continue
 		}
 		found = true
 		t.notice = n
 		if t.endpoint != x {
-			e.add(Effect{Kind: TargetNotice, Endpoint: t.endpoint, Notice: n.forShell(r.now)})
+			e.add(Effect{Kind: TargetNotice, Endpoint: t.endpoint, Notice: n.toEffect(r.now)})
 		}
 	}
 	return found
 }
 
-// settleNotice does what follows for a service when one of its targets rests, leaves, or names or no
+// updateAfterNotice does what follows for a service when one of its targets rests, leaves, or names or no
 // longer names a limit.
-func (r *Router) settleNotice(s *service, e *Effects) {
+func (r *Router) updateAfterNotice(s *service, e *Effects) {
 	s.weigh(r.now)
 	r.sweepBy(s, r.now)
 	r.refuseUnservable(s, e)
 }
 
-// findNotices gives the targets of a service that is put in force the notices of their starts.
-func (r *Router) findNotices(s *service) {
+// attachNotices gives the targets of a service that is put in force the notices of their starts.
+func (r *Router) attachNotices(s *service) {
 	if len(r.notices) == 0 {
 		return
 	}
 	for _, t := range s.targets {
-		o := originOfRow(&t.row)
-		if t.notice != nil && t.notice.origin != o {
+		o := incarnationOfRow(&t.row)
+		if t.notice != nil && t.notice.incarnation != o {
 			// The start's birth has become known.
-			delete(r.notices, t.notice.origin)
-			t.notice.origin = o
+			delete(r.notices, t.notice.incarnation)
+			t.notice.incarnation = o
 			r.notices[o] = t.notice
 		}
 		if n := r.notices[o]; n != nil {
 			t.notice = n
-			n.listedAt = r.now
+			n.lastListedAt = r.now
 		}
 	}
 }
 
-// ageNotices forgets the notices whose time is over, and those of starts that were no longer
+// expireNotices forgets the notices whose time is over, and those of starts that were no longer
 // named for a while.
-func (r *Router) ageNotices() {
+func (r *Router) expireNotices() {
 	if len(r.notices) == 0 {
 		return
 	}
@@ -242,20 +244,20 @@
 			if t.notice == nil {
 				continue
 			}
-			t.notice.listedAt = r.now
-			if t.notice.isOver(r.now) {
+			t.notice.lastListedAt = r.now
+			if t.notice.isExpired(r.now) {
 				t.notice = nil
 			}
 		}
 	}
-	maps.DeleteFunc(r.notices, func(_ origin, n *notice) bool {
-		return n.isOver(r.now) || r.now.Sub(n.listedAt) > noticeMemory
+	maps.DeleteFunc(r.notices, func(_ incarnation, n *notice) bool {
+		return n.isExpired(r.now) || r.now.Sub(n.lastListedAt) > noticeRetention
 	})
 }
 
-// dropNotice ends a notice before its time.
-func (r *Router) dropNotice(n *notice) {
-	delete(r.notices, n.origin)
+// removeNotice ends a notice before its time.
+func (r *Router) removeNotice(n *notice) {
+	delete(r.notices, n.incarnation)
 	for _, s := range r.order {
 		for _, t := range s.targets {
 			if t.notice == n {
@@ -265,29 +267,29 @@
 	}
 }
 
-// startUnknown tells whether nothing but the target's own answers can show that it has started
+// lacksStartTime tells whether nothing but the target's own answers can show that it has started
 // again: its rows tell no birth.
-func (t *target) startUnknown() bool { return t.row.Born == 0 }
+func (t *target) lacksStartTime() bool { return t.row.Born == 0 }
 
-// wantsProbe tells whether a target that gets no calls is worth a probe: one that is ejected, and one
+// needsHealthProbe tells whether a target that gets no calls is worth a probe: one that is ejected, and one
 // that said it leaves where a probe alone shows whether a new start has taken its place.
-func (t *target) wantsProbe(now units.Instant) bool {
+func (t *target) needsHealthProbe(now units.Instant) bool {
 	switch {
-	case t.notice.rests(now):
+	case t.notice.isResting(now):
 		return false
 	case t.notice.isLeaving():
-		return t.startUnknown()
+		return t.lacksStartTime()
 	}
 	return t.health.ejected
 }
 
-// noteSuccessor takes the end of a probe of a target that said it leaves. One that leaves says so in all
+// detectSuccessor takes the end of a probe of a target that said it leaves. One that leaves says so in all
 // its answers; one that answers without, or no longer listens, isn't the one that left.
-func (r *Router) noteSuccessor(t *target, v *ProbeEnded, e *Effects) {
-	if !t.notice.isLeaving() || !t.startUnknown() || v.Reading.Leaving || !v.Refused && (!v.Answered || v.Misdirected) {
+func (r *Router) detectSuccessor(t *target, v *ProbeEnded, e *Effects) {
+	if !t.notice.isLeaving() || !t.lacksStartTime() || v.Reading.Leaving || !v.Refused && (!v.Answered || v.Misdirected) {
 		return
 	}
-	r.dropNotice(t.notice)
+	r.removeNotice(t.notice)
 	t.service.weigh(r.now)
 	r.freed = append(r.freed, t.service)
 	e.add(Effect{Kind: TargetNotice, Endpoint: t.endpoint, Notice: &Notice{}})
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -30,7 +30,7 @@
 // probeIfDue probes a target that is out of the common path. Calls are the
 // first measurement; a target that has them needs no probe.
 func (r *Router) probeIfDue(s *service, t *target, e *Effects) {
-	if !t.wantsProbe(r.now) || t.evacuated || t.side > onTrial || t.healthProbeInFlight || r.now.Sub(t.lastHeard) < probeAfter || !r.leased() {
+	if !t.needsHealthProbe(r.now) || t.evacuated || t.side > onTrial || t.healthProbeInFlight || r.now.Sub(t.lastHeard) < probeAfter || !r.leased() {
 		return
 	}
 	if t.lacksPermit(r.now) {
@@ -48,7 +48,7 @@
 }
 
 func (r *Router) probeEnded(v *ProbeEnded, e *Effects) {
-	r.hear(v.Target, v.Reading, v.Misdirected, noBase, e)
+	r.handleNotice(v.Target, v.Reading, v.Misdirected, noBase, e)
 	t := r.findTarget(v.Target)
 	if t != nil && v.Refused {
 		r.noteConnectionRefused(t, e)
@@ -67,7 +67,7 @@
 	}
 	t.healthProbeInFlight = false
 	t.lastHeard = r.now
-	r.noteSuccessor(t, v, e)
+	r.detectSuccessor(t, v, e)
 	t.recordReport(r.now, v.Reading)
 	if v.Healthy {
 		r.updateColdState(t, v.Reading.Cold)
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -129,7 +129,7 @@
 	// evidenceDue is set when evidence is to be sent at once.
 	evidenceDue bool
 	crashes     crashBook
-	notices     noticeBook
+	notices     noticeMap
 	permits     PermitStatus
 	quotas      quotaBook
 	// declined are the services for which a coordinator had no permit during this event.
@@ -174,7 +174,7 @@
 		off:         off,
 		sweepAt:     now,
 		crashes:     newCrashBook(),
-		notices:     noticeBook{},
+		notices:     noticeMap{},
 		quotas:      newQuotaBook(),
 	}, nil
 }
@@ -254,7 +254,7 @@
 	}
 	r.sweepLoans(e)
 	r.ageQuarantines(e)
-	r.ageNotices()
+	r.expireNotices()
 	if r.quotas.any() {
 		r.sweepQuotas(e)
 		r.sweepAt = min(r.sweepAt, r.quotas.sweepAt)
--- a/pkg/core/routing/silence.go
+++ b/pkg/core/routing/silence.go
@@ -218,7 +218,7 @@
 // still serves others.
 func (r *Router) probeOverdue(id CallID, c *call, a *attempt, e *Effects) {
 	t := a.target
-	if t.removed || !c.mayUse(t) || t.notice.forbids(r.now) || !c.service.probesTargets() || t.awaitsProbe(r.now) || t.lacksPermit(r.now) || !r.spendProbes(c.service, 1) {
+	if t.removed || !c.mayUse(t) || t.notice.forbidsSending(r.now) || !c.service.probesTargets() || t.awaitsProbe(r.now) || t.lacksPermit(r.now) || !r.spendProbes(c.service, 1) {
 		return
 	}
 	r.probe(id, c, t, overdueProbe, e)
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -187,7 +187,7 @@
 	}
 	for _, t := range s.targets {
 		status.Targets = append(status.Targets, r.targetStatus(t, now))
-		if t.notice.rests(now) {
+		if t.notice.isResting(now) {
 			status.Resting++
 		}
 		if t.notice.isLeaving() {
@@ -229,7 +229,7 @@
 		Measured: time.Duration(t.probesSent) * r.settings.ProbeCost, ProbeRate: r.probeRate(t.service, t), Bound: t.bound(now),
 		SaysLeaving: t.notice.isLeaving(),
 	}
-	if t.notice.rests(now) {
+	if t.notice.isResting(now) {
 		status.RestLeftMs = t.notice.restUntil.Sub(now).Milliseconds()
 	}
 	if t.notice.limited() {
@@ -248,7 +248,7 @@
 		return "leaving"
 	case t.notice.isLeaving():
 		return "says-leaving"
-	case t.notice.rests(now):
+	case t.notice.isResting(now):
 		return "rest"
 	case t.lacksPermit(now):
 		return "named-limit"
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -119,7 +119,7 @@
 	}
 	if s.entry != entry {
 		s.update(entry, r.now)
-		r.findNotices(s)
+		r.attachNotices(s)
 		r.applyColdRows(s)
 	}
 	r.markRegions(s, e)
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -196,7 +196,7 @@
 
 // isAvailableWhenWarm tells whether a new call might go to the target now, were it warm.
 func (t *target) isAvailableWhenWarm(now units.Instant, anyHealth bool) bool {
-	if !t.isActiveInTable() || t.evacuated || t.side == closed || t.notice.forbids(now) || now < t.backoffUntil || t.mayHang(now) {
+	if !t.isActiveInTable() || t.evacuated || t.side == closed || t.notice.forbidsSending(now) || now < t.backoffUntil || t.mayHang(now) {
 		return false
 	}
 	if !anyHealth && !t.service.off[Ejection] && (!t.health.admits(now, t.inFlight) || t.health.ejected && t.row.Silent) {
