--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -118,7 +118,7 @@
 	c.streaming = true
 	// The shell may no longer hold the request once its answer is passed on.
 	c.identity = nil
-	r.endLimit(a, v.Reading.Limit, e)
+	r.recordNoLimit(a, v.Reading.Limit, e)
 	r.answerBegins(c, a, v.Coming)
 	a.target.recordReport(r.now, v.Reading)
 	e.add(Effect{Kind: Deliver, Call: v.Call, Owner: c.owner, Attempt: v.Attempt, Endpoint: a.target.endpoint})
@@ -169,7 +169,7 @@
 		t.recordAnswerTime(r.now, c.route, took, a)
 	}
 	if v.Result == Answered {
-		r.endLimit(a, v.Reading.Limit, e)
+		r.recordNoLimit(a, v.Reading.Limit, e)
 	}
 	if v.Result == NotSent || v.Result == Withheld {
 		r.unusePermit(t, a.permit, e)
--- a/pkg/core/routing/closed.go
+++ b/pkg/core/routing/closed.go
@@ -66,7 +66,7 @@
 		return false
 	}
 	for _, t := range s.targets {
-		if t.isEligible() && c.mayUse(t) && !t.notice.limited() {
+		if t.isEligible() && c.mayUse(t) && !t.notice.isLimited() {
 			return false
 		}
 	}
--- a/pkg/core/routing/coordinator.go
+++ b/pkg/core/routing/coordinator.go
@@ -110,7 +110,7 @@
 	if t.notice == nil || t.notice.limit == nil {
 		return limit.Word{}
 	}
-	return t.notice.limit.word
+	return t.notice.limit.current
 }
 
 // receiveLimit takes a message. One on another start of the target than the one that this box knows says
@@ -120,7 +120,7 @@
 	if t == nil || t.row.Born != m.Born {
 		return
 	}
-	r.learnLimit(t, m.Word, e)
+	r.updateLimitFromPeer(t, m.Word, e)
 	switch m.Kind {
 	case AskPermits:
 		r.meetAsk(from, t, &m, e)
@@ -131,8 +131,8 @@
 			x.Return(r.now, min(m.Count, mostPermits))
 		}
 	case HandOver:
-		if t.notice.limited() {
-			t.notice.limit.handedBy, t.notice.limit.handedAt = from, r.now
+		if t.notice.isLimited() {
+			t.notice.limit.handedOverBy, t.notice.limit.handedOverAt = from, r.now
 			r.reviewAccount(t)
 		}
 	}
@@ -140,7 +140,7 @@
 
 // account is what this box may permit of the target; nil where it was never asked.
 func (t *target) account() *limit.Account {
-	if !t.notice.limited() {
+	if !t.notice.isLimited() {
 		return nil
 	}
 	return t.notice.limit.account
@@ -149,10 +149,10 @@
 // meetAsk answers a request for permits. A limit that is over permits nothing, and the answer says so.
 func (r *Router) meetAsk(from units.BoxID, t *target, m *LimitMessage, e *Effects) {
 	answer := LimitMessage{Kind: GrantPermits, Nonce: m.Nonce, Again: askPause}
-	if box, _ := r.coordinatorOf(t); box == r.settings.Box && t.notice.limited() && r.leased() {
+	if box, _ := r.coordinatorOf(t); box == r.settings.Box && t.notice.isLimited() && r.leased() {
 		x := t.notice.limit
 		if x.account == nil {
-			x.account = limit.NewAccount(x.word.Rate, x.changedAt, r.coordinatesFrom(t))
+			x.account = limit.NewAccount(x.current.Rate, x.changedAt, r.coordinatesFrom(t))
 		}
 		answer.Count = x.account.Permit(r.now, min(m.Count, mostPermits))
 		answer.Again = x.account.Wait(r.now)
@@ -172,8 +172,8 @@
 		case box == r.settings.Box:
 		case !r.rank.lists(box):
 			from = max(from, p.until)
-		case x.handedBy == box && x.handedAt.Add(r.settings.ShareDelay) > p.until:
-			from = max(from, x.handedAt)
+		case x.handedOverBy == box && x.handedOverAt.Add(r.settings.ShareDelay) > p.until:
+			from = max(from, x.handedOverAt)
 		default:
 			from = max(from, p.until.Add(r.settings.ShareDelay))
 		}
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -62,7 +62,7 @@
 	// reportedRestUntil is the end that the shell was last reportedRestUntil of.
 	reportedRestUntil units.Instant
 	// limit is what is known of the limit that it names; nil where it never named one.
-	limit *namedLimit
+	limit *targetLimit
 	// lastListedAt is when a row last named the start.
 	lastListedAt units.Instant
 }
@@ -84,7 +84,7 @@
 
 // isExpired tells whether nothing of a notice is worth keeping.
 func (n *notice) isExpired(now units.Instant) bool {
-	return !n.forbidsSending(now) && !n.limited() && (n.limit == nil || now.Sub(n.limit.changedAt) > limitMemory)
+	return !n.forbidsSending(now) && !n.isLimited() && (n.limit == nil || now.Sub(n.limit.changedAt) > endedLimitRetention)
 }
 
 // handleNotice takes what a target said of itself in an answer, whatever became of the call or probe. A
@@ -130,7 +130,7 @@
 func (r *Router) updateNotice(o incarnation, x *Endpoint, said Reading, base uint64, e *Effects) {
 	n := r.ensureNotice(o)
 	if said.Limit.Named {
-		r.nameLimit(n, x, said.Limit.Rate, base, e)
+		r.recordLimit(n, x, said.Limit.Rate, base, e)
 	}
 	restBegins := said.Rest > 0 && !n.isResting(r.now)
 	leaveBegins := said.Leaving && !n.leaving
@@ -165,8 +165,8 @@
 // toEffect is what the shell has to know of a notice to keep calls from the target.
 func (n *notice) toEffect(now units.Instant) *Notice {
 	x := &Notice{RestUntil: n.restUntil, Leaving: n.leaving}
-	if n.limited() {
-		x.Limited, x.Rate = true, n.limit.word.Rate
+	if n.isLimited() {
+		x.Limited, x.Rate = true, n.limit.current.Rate
 	}
 	return x
 }
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -64,21 +64,21 @@
 func (a *permitAsk) isOpen(now units.Instant) bool { return a.open && now.Sub(a.at) < askTerm }
 
 // opensAt is when a permit may come, as far as this box knows.
-func (x *namedLimit) opensAt(now units.Instant) units.Instant {
+func (x *targetLimit) opensAt(now units.Instant) units.Instant {
 	if x.ask.isOpen(now) {
 		return now
 	}
-	return max(now, x.again)
+	return max(now, x.nextAskAt)
 }
 
 // mayAsk tells whether a request for permits is worth while now.
-func (x *namedLimit) mayAsk(now units.Instant) bool {
-	return !x.permits.any(now) && !x.ask.isOpen(now) && now >= x.again
+func (x *targetLimit) mayAsk(now units.Instant) bool {
+	return !x.permits.any(now) && !x.ask.isOpen(now) && now >= x.nextAskAt
 }
 
 // lacksPermit tells whether the target names a limit and this box has no permit for a call to it.
 func (t *target) lacksPermit(now units.Instant) bool {
-	return t.notice.limited() && !t.notice.limit.permits.any(now)
+	return t.notice.isLimited() && !t.notice.limit.permits.any(now)
 }
 
 // takesIfPermitted tells whether a new call might go to the target now, were it permitted.
@@ -89,7 +89,7 @@
 // usePermit takes the permit that a call or probe of a target needs, and returns until when it may be
 // used: zero where the target names no limit, or there is none.
 func (r *Router) usePermit(t *target) units.Instant {
-	if !t.notice.limited() {
+	if !t.notice.isLimited() {
 		return 0
 	}
 	until, ok := t.notice.limit.permits.use(r.now)
@@ -101,7 +101,7 @@
 
 // unusePermit gives back the permit of an attempt that wasn't sent.
 func (r *Router) unusePermit(t *target, until units.Instant, e *Effects) {
-	if until == 0 || !t.notice.limited() {
+	if until == 0 || !t.notice.isLimited() {
 		return
 	}
 	r.permits.Used--
@@ -148,7 +148,7 @@
 		if asked >= most {
 			break
 		}
-		if t.notice.limited() && t.notice.limit.mayAsk(r.now) && fits(t) && c.mayUse(t) && t.takesIfPermitted(r.now, anyHealth) {
+		if t.notice.isLimited() && t.notice.limit.mayAsk(r.now) && fits(t) && c.mayUse(t) && t.takesIfPermitted(r.now, anyHealth) {
 			r.askPermits(t, min(mostPermits, 1+s.held.length+len(s.waiting)), e)
 			asked++
 		}
@@ -174,14 +174,14 @@
 
 // asksPermits tells whether a coordinator may still answer.
 func (s *service) asksPermits(now units.Instant) bool {
-	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.notice.limited() && t.notice.limit.ask.isOpen(now) })
+	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.notice.isLimited() && t.notice.limit.ask.isOpen(now) })
 }
 
 // askPermits asks a target's coordinator for permits.
 func (r *Router) askPermits(t *target, count int, e *Effects) {
 	to, known := r.coordinatorOf(t)
 	if !known {
-		t.notice.limit.again = r.now.Add(askPause)
+		t.notice.limit.nextAskAt = r.now.Add(askPause)
 		return
 	}
 	r.permits.nonce++
@@ -193,7 +193,7 @@
 
 // takeGrant takes a coordinator's answer. What comes too late goes back.
 func (r *Router) takeGrant(from units.BoxID, t *target, m *LimitMessage, e *Effects) {
-	if !t.notice.limited() {
+	if !t.notice.isLimited() {
 		return
 	}
 	x := t.notice.limit
@@ -203,7 +203,7 @@
 	}
 	x.ask.open = false
 	pause := min(m.Again, mostAskPause)
-	x.again = r.now.Add(pause + time.Duration(askSpread*r.random.Float64()*float64(pause)))
+	x.nextAskAt = r.now.Add(pause + time.Duration(askSpread*r.random.Float64()*float64(pause)))
 	if m.Count > 0 {
 		r.permits.Granted += uint64(m.Count)
 		until := r.now.Add(permitTerm)
@@ -247,18 +247,18 @@
 		return
 	}
 	for _, t := range s.targets {
-		if !t.notice.limited() {
+		if !t.notice.isLimited() {
 			continue
 		}
 		x := t.notice.limit
 		if n := x.permits.dropEnded(r.now); n > 0 {
 			r.returnPermits(t, n, e)
 			// Nothing here needed it, so that others are let ask first.
-			x.again = max(x.again, r.now.Add(permitTerm))
+			x.nextAskAt = max(x.nextAskAt, r.now.Add(permitTerm))
 		}
 		if x.ask.open && !x.ask.isOpen(r.now) {
 			x.ask.open = false
-			x.again = r.now.Add(askPause)
+			x.nextAskAt = r.now.Add(askPause)
 		}
 		if len(x.permits) > 0 {
 			r.sweepBy(s, x.permits[0])
@@ -277,7 +277,7 @@
 		return nil
 	}
 	for i, t := range c.service.targets {
-		if t.notice.limited() && t.notice.limit.permits.any(c.now) && c.now.Sub(t.lastHeard) > scoutAfter && c.Available(i) {
+		if t.notice.isLimited() && t.notice.limit.permits.any(c.now) && c.now.Sub(t.lastHeard) > scoutAfter && c.Available(i) {
 			return t
 		}
 	}
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -57,7 +57,7 @@
 
 // place sends a call to the target that seems best, or probes a few first.
 func (r *Router) place(id CallID, c *call, best *target, why Purpose, e *Effects) {
-	if !r.on(Probing) || !c.service.probesTargets() || best.notice.limited() || best.isFresh(r.now) && r.isSuitable(c, best) || r.goesUnprobed(c, best) {
+	if !r.on(Probing) || !c.service.probesTargets() || best.notice.isLimited() || best.isFresh(r.now) && r.isSuitable(c, best) || r.goesUnprobed(c, best) {
 		r.send(id, c, best, why, e)
 		return
 	}
@@ -165,7 +165,7 @@
 		i := (start + k) % len(targets)
 		t := targets[i]
 		// At a target that names a limit a probe would cost as much as the call.
-		if t.notice.limited() || !set.Available(i) && !set.onlyInDoubt(i) || t.isFresh(r.now) || t.awaitsProbe(r.now) {
+		if t.notice.isLimited() || !set.Available(i) && !set.onlyInDoubt(i) || t.isFresh(r.now) || t.awaitsProbe(r.now) {
 			continue
 		}
 		if t.lastProbedAt != 0 && r.now.Sub(t.lastProbedAt) < t.probeLimit() {
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -128,7 +128,7 @@
 	active, ejected, limited := 0, 0, 0
 	for _, t := range s.targets {
 		t.weight = t.effectiveWeight(now)
-		if t.notice.limited() {
+		if t.notice.isLimited() {
 			limited++
 		}
 		sum += t.weight
@@ -215,5 +215,5 @@
 // excluded tells whether the call itself rules a target out. A call that is under way isn't sent to a
 // target that names a limit as well: the permit serves another call better.
 func (c *candidates) excluded(t *target) bool {
-	return !c.call.mayUse(t) || c.fresh && c.call.tried(t) || c.call.uses(t) || t.notice.limited() && c.call.underWay() > 0
+	return !c.call.mayUse(t) || c.fresh && c.call.tried(t) || c.call.uses(t) || t.notice.isLimited() && c.call.underWay() > 0
 }
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -193,7 +193,7 @@
 		if t.notice.isLeaving() {
 			status.Leaving++
 		}
-		if t.notice.limited() {
+		if t.notice.isLimited() {
 			status.Limited++
 		}
 	}
@@ -232,9 +232,9 @@
 	if t.notice.isResting(now) {
 		status.RestLeftMs = t.notice.restUntil.Sub(now).Milliseconds()
 	}
-	if t.notice.limited() {
+	if t.notice.isLimited() {
 		x := t.notice.limit
-		status.Limit = &x.word.Rate
+		status.Limit = &x.current.Rate
 		status.PermittedBy, _ = r.coordinatorOf(t)
 		status.Permits = len(x.permits)
 	}
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -5,7 +5,7 @@
 // isSuitable tells whether a target would serve the call about as well as any could: work
 // goes at its usual pace there, and a slot is free.
 func (r *Router) isSuitable(c *call, t *target) bool {
-	if !c.service.probesTargets() || t.notice.limited() {
+	if !c.service.probesTargets() || t.notice.isLimited() {
 		// A target that names a limit has room for what it permits.
 		return true
 	}
--- a/pkg/core/routing/waiting.go
+++ b/pkg/core/routing/waiting.go
@@ -175,7 +175,7 @@
 		if c == nil || !c.probeRound.open || c.service != s || blocked != nil && blocked.Equal(c.regions) {
 			continue
 		}
-		if t := r.choose(s, c); t != nil && (t.isFresh(r.now) || t.notice.limited()) && r.isSuitable(c, t) {
+		if t := r.choose(s, c); t != nil && (t.isFresh(r.now) || t.notice.isLimited()) && r.isSuitable(c, t) {
 			return i, t
 		}
 		if c.regions == nil {
