--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -171,8 +171,8 @@
 	c.onTrial = false
 	r.seekPermits(s, c, neededAsks, e)
 	until := min(c.deadline, r.now.Add(s.row.HoldLimit))
-	if s.isLimited(c) {
-		until = min(until, c.waitEnd(s))
+	if s.allLimited(c) {
+		until = min(until, c.waitDeadline(s))
 	}
 	if reason := r.refusesToHold(s, c, until); reason != 0 {
 		r.refuse(id, c, Refusal{Reason: reason, Outcome: c.outcome(), RetryAfter: s.retryAfterOf(reason, r.now)}, e)
@@ -200,8 +200,8 @@
 	if r.openSide(s) == noSide && c.route.work != table.Patient {
 		return RolloutUnsure
 	}
-	if s.opensTooLate(c, r.now) {
-		return s.closedReason(c, r.now)
+	if s.isBlockedTooLong(c, r.now) {
+		return s.blockedReason(c, r.now)
 	}
 	wait := s.expectedWait(c, r.now)
 	if r.standsBehind(s, c) {
--- a/pkg/core/routing/evacuation.go
+++ b/pkg/core/routing/evacuation.go
@@ -45,7 +45,7 @@
 		return RegionBarred
 	}
 	if s.hasActiveTarget(c) {
-		return s.closedReason(c, now)
+		return s.blockedReason(c, now)
 	}
 	if slices.ContainsFunc(s.targets, func(t *target) bool { return t.evacuated && t.isActiveInTable() && c.mayUse(t) }) {
 		return Evacuated
@@ -91,13 +91,13 @@
 // canServe tells whether a target may take a call, but for its health and limits, before the call
 // can wait no longer.
 func (s *service) canServe(c *call, now units.Instant) bool {
-	return s.hasActiveTarget(c) && !s.opensTooLate(c, now)
+	return s.hasActiveTarget(c) && !s.isBlockedTooLong(c, now)
 }
 
 // hasOpenTarget tells whether a target may take calls, but for its health and limits of the table, and
 // isn't closed.
 func (s *service) hasOpenTarget(now units.Instant) bool {
-	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.isEligible() && !t.isClosed(now) })
+	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.isEligible() && !t.isBlocked(now) })
 }
 
 // refuseWaiting refuses a call that still waits for a target of the service and isn't under
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -161,14 +161,14 @@
 func (r *Router) seekMore(s *service, e *Effects) {
 	for s.limited > 0 && !s.asksPermits(r.now) {
 		id, c := r.firstHeld(s)
-		if c == nil || !s.isLimited(c) {
+		if c == nil || !s.allLimited(c) {
 			return
 		}
 		if r.seekPermits(s, c, 1, e); c.asks < mostAsks || c.route.work == table.Patient || s.asksPermits(r.now) {
 			return
 		}
 		s.held.popFront()
-		r.refuse(id, c, Refusal{Reason: TargetsLimited, Outcome: c.outcome(), RetryAfter: r.limitRetry(s, r.now)}, e)
+		r.refuse(id, c, Refusal{Reason: TargetsLimited, Outcome: c.outcome(), RetryAfter: r.limitRetryAfter(s, r.now)}, e)
 	}
 }
 
--- a/pkg/core/routing/retrying.go
+++ b/pkg/core/routing/retrying.go
@@ -52,7 +52,7 @@
 func (r *Router) holdAgain(id CallID, c *call, e *Effects) bool {
 	s := c.service
 	until := min(c.deadline, c.arrived.Add(s.row.HoldLimit))
-	if r.now >= until || s.held.length >= s.row.HoldCount || s.opensTooLate(c, r.now) {
+	if r.now >= until || s.held.length >= s.row.HoldCount || s.isBlockedTooLong(c, r.now) {
 		return false
 	}
 	c.held = true
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -328,7 +328,7 @@
 		r.deliverKept(id, c, e)
 		return
 	}
-	r.explainClosed(c, &refusal)
+	r.explainBlocked(c, &refusal)
 	r.unuseTrial(c)
 	e.add(Effect{Kind: Refuse, Call: id, Owner: c.owner, Refusal: refusal, Workspace: c.workspaceName()})
 	r.refusals[refusal.Reason]++
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -141,7 +141,7 @@
 
 // capacity is how many calls this box can count on at the target now.
 func (t *target) capacity(now units.Instant) int {
-	if !t.isEligible() || t.isClosed(now) {
+	if !t.isEligible() || t.isBlocked(now) {
 		return 0
 	}
 	return max(0, t.concurrencyLimit()-t.lentSlots) + len(t.borrowedSlots)
