--- a/pkg/core/routing/expectation.go
+++ b/pkg/core/routing/expectation.go
@@ -45,7 +45,7 @@
 	}
 	time += t.awayCost(x)
 	if !t.inSubset && !t.acceptsColdCalls(now) {
-		time += outsideCost
+		time += outsideSubsetCost
 	}
 	return time * t.availabilityCostFactor(now)
 }
--- a/pkg/core/routing/subset.go
+++ b/pkg/core/routing/subset.go
@@ -19,21 +19,21 @@
 	// subsetSize is how many targets of a service a box prefers: enough to find a free one, and few
 	// enough to come back to each before its idle connection is closed.
 	subsetSize = 10
-	// outsideCost is what a target beyond the subset must be better by, in units of the work
+	// outsideSubsetCost is what a target beyond the subset must be better by, in units of the work
 	// itself.
-	outsideCost = 0.5
+	outsideSubsetCost = 0.5
 )
 
 // chooseSubset marks the targets that this box prefers.
 func (r *Router) chooseSubset(s *service) {
-	own := r.ownTargets(s)
+	own := r.ownDomainTargets(s)
 	for _, t := range s.targets {
 		t.inSubset = true
 	}
 	if !r.on(Subsetting) || len(own) <= subsetSize {
 		return
 	}
-	boxes := r.ownBoxes()
+	boxes := r.ownDomainBoxes()
 	place := slices.Index(boxes, r.settings.Box)
 	if place < 0 {
 		return
@@ -42,16 +42,16 @@
 		// All boxes send calls to the few targets of a trial.
 		t.inSubset = t.side == onTrial
 	}
-	slices.SortFunc(own, func(a, b *target) int { return compareHashes(s.row.Name, a.row.Target, b.row.Target) })
+	slices.SortFunc(own, func(a, b *target) int { return compareByHash(s.row.Name, a.row.Target, b.row.Target) })
 	first := place * len(own) / len(boxes)
 	for i := range subsetSize {
 		own[(first+i)%len(own)].inSubset = true
 	}
 }
 
-// ownTargets are the active targets of the service in the box's own failure domain, or all
+// ownDomainTargets are the active targets of the service in the box's own failure domain, or all
 // where that has none.
-func (r *Router) ownTargets(s *service) []*target {
+func (r *Router) ownDomainTargets(s *service) []*target {
 	var own, all []*target
 	for _, t := range s.targets {
 		if t.row.State != table.Active || t.row.Silent || t.evacuated || t.side != inForce {
@@ -68,9 +68,9 @@
 	return own
 }
 
-// ownBoxes are the boxes of this box's failure domain that stay, in the order of their
+// ownDomainBoxes are the boxes of this box's failure domain that stay, in the order of their
 // ids.
-func (r *Router) ownBoxes() []units.BoxID {
+func (r *Router) ownDomainBoxes() []units.BoxID {
 	var boxes []units.BoxID
 	for _, b := range withoutLeaving(r.rank.boxes) {
 		if b.Domain == r.settings.Domain {
@@ -81,8 +81,8 @@
 	return boxes
 }
 
-// compareHashes orders a service's targets in a way that differs from service to service.
-func compareHashes(s units.ServiceName, a, b units.TargetID) int {
+// compareByHash orders a service's targets in a way that differs from service to service.
+func compareByHash(s units.ServiceName, a, b units.TargetID) int {
 	x, y := rendezvous.Hash(s, a), rendezvous.Hash(s, b)
 	switch {
 	case x < y:
