--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -81,7 +81,7 @@
 
 // start sends a call that was admitted, or holds it.
 func (r *Router) start(id CallID, c *call, e *Effects) {
-	if r.waitsForLink(id, c, e) {
+	if r.waitForLink(id, c, e) {
 		return
 	}
 	if !r.standsBehind(c.service, c) {
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -32,7 +32,7 @@
 			a.loan.inUse = true
 		}
 	}
-	r.expect(c.route, a)
+	r.expectInbound(c.route, a)
 	t.addAttempt(a)
 	t.countSend()
 	t.sends++
@@ -72,7 +72,7 @@
 func (r *Router) release(c *call, a *attempt, e *Effects) {
 	t := a.target
 	t.removeAttempt(a)
-	r.attemptOver(a)
+	r.releaseInbound(a)
 	if a.loan != nil {
 		r.endLoanUse(a.loan, e)
 	}
@@ -119,7 +119,7 @@
 	// The shell may no longer hold the request once its answer is passed on.
 	c.identity = nil
 	r.recordNoLimit(a, v.Reading.Limit, e)
-	r.answerBegins(c, a, v.Coming)
+	r.recordAnswerStart(c, a, v.Coming)
 	a.target.recordReport(r.now, v.Reading)
 	e.add(Effect{Kind: Deliver, Call: v.Call, Owner: c.owner, Attempt: v.Attempt, Endpoint: a.target.endpoint})
 	r.cancelOthers(v.Call, c, a, e)
@@ -163,7 +163,7 @@
 	took := r.timeAtTarget(c, a)
 	t := a.target
 	if v.Result == Answered {
-		c.route.noteShort(a)
+		c.route.recordShortAnswer(a)
 	}
 	if a.atPace && v.Result == Answered {
 		t.recordAnswerTime(r.now, c.route, took, a)
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -274,7 +274,7 @@
 	case hedgeTimer:
 		r.hedge(t.call, c, e)
 	case linkTimer:
-		r.linkTimePassed(t.call, c, e)
+		r.resumeAfterLinkWait(t.call, c, e)
 	case silenceTimer:
 		r.checkOverdue(t.call, c, e)
 	case canaryTimer:
@@ -296,7 +296,7 @@
 			continue
 		}
 		r.noteVersionSilent(c, a, e)
-		if r.saysNothing(a) || r.recordIfUnanswered(c, a, e) {
+		if r.isInconclusive(a) || r.recordIfUnanswered(c, a, e) {
 			continue
 		}
 		if a.target.health.recordFailure(r.now) {
--- a/pkg/core/routing/inbound_test.go
+++ b/pkg/core/routing/inbound_test.go
@@ -66,8 +66,8 @@
 	if w.router.expected < -1 {
 		t.Fatalf("%f bytes are expected", w.router.expected)
 	}
-	if x := &w.router.inbound; x.passing < 0 || x.left(w.now) > x.passing {
-		t.Fatalf("the link is occupied for %s by answers that take %s", x.left(w.now), x.passing)
+	if x := &w.router.inbound; x.pendingTime < 0 || x.remaining(w.now) > x.pendingTime {
+		t.Fatalf("the link is occupied for %s by answers that take %s", x.remaining(w.now), x.pendingTime)
 	}
 }
 
@@ -75,7 +75,7 @@
 func (w *inboundWorld) pass(t *rapid.T, d time.Duration) {
 	w.now = w.now.Add(d)
 	w.give(t, &Tick{})
-	busy := w.router.inbound.busyBy(w.now)
+	busy := w.router.inbound.busyTime(w.now)
 	if busy < w.busy || busy-w.busy > d {
 		t.Fatalf("within %s the link was occupied for %s", d, busy-w.busy)
 	}
@@ -113,7 +113,7 @@
 		if math.Abs(w.router.expected) > 1 {
 			t.Fatalf("%f bytes are still expected of no call", w.router.expected)
 		}
-		if passing, left := w.router.inbound.passing, w.router.inbound.left(w.now); passing != 0 || left != 0 {
+		if passing, left := w.router.inbound.pendingTime, w.router.inbound.remaining(w.now); passing != 0 || left != 0 {
 			t.Fatalf("answers of %s occupy the link for another %s, but no call is under way", passing, left)
 		}
 	})
@@ -126,9 +126,9 @@
 		t.Fatal(err)
 	}
 	c, a := &call{route: &route{}}, &attempt{}
-	r.inbound.begins(0, 1000)
+	r.inbound.start(0, 1000)
 	r.now = units.Instant(time.Second)
-	if took := r.timeAtTarget(c, a); took != time.Second || r.saysNothing(a) {
+	if took := r.timeAtTarget(c, a); took != time.Second || r.isInconclusive(a) {
 		t.Errorf("an answer that came after 1s counts as %s", took)
 	}
 }
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -57,7 +57,7 @@
 
 // place sends a call to the target that seems best, or probes a few first.
 func (r *Router) place(id CallID, c *call, best *target, why Purpose, e *Effects) {
-	if !r.on(Probing) || !c.service.probesTargets() || best.notice.isLimited() || best.isFresh(r.now) && r.isSuitable(c, best) || r.goesUnprobed(c, best) {
+	if !r.on(Probing) || !c.service.probesTargets() || best.notice.isLimited() || best.isFresh(r.now) && r.isSuitable(c, best) || r.mayGoUnprobed(c, best) {
 		r.send(id, c, best, why, e)
 		return
 	}
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -110,7 +110,7 @@
 	refusals  [reasonCount]uint64
 	// inbound is what is coming in, expected how many bytes of answers that haven't begun;
 	// linkWaits counts the calls' waits for it.
-	inbound   inbound
+	inbound   inboundLink
 	expected  float64
 	linkWaits uint64
 	// unknown are the failure domains whose region isn't known and that the log has been told
@@ -166,7 +166,7 @@
 		boxLists:    1,
 		neverListed: true,
 		beside:      map[units.Domain][]table.Box{},
-		inbound:     inbound{rate: s.LinkRate},
+		inbound:     inboundLink{bytesPerSecond: s.LinkRate},
 		distances:   map[units.Domain]*domainDistance{},
 		unknown:     map[units.Domain]bool{},
 		now:         now,
--- a/pkg/core/routing/silence.go
+++ b/pkg/core/routing/silence.go
@@ -193,7 +193,7 @@
 		return false
 	}
 	for i := range c.attempts {
-		if a := &c.attempts[i]; a.target != nil && !r.saysNothing(a) && a.isUnanswered(r.now) {
+		if a := &c.attempts[i]; a.target != nil && !r.isInconclusive(a) && a.isUnanswered(r.now) {
 			r.abandon(id, c, a, e)
 			return true
 		}
@@ -245,7 +245,7 @@
 // recordIfUnanswered tells whether an attempt that ends without an answer is one that its target
 // wouldn't have answered, and counts it.
 func (r *Router) recordIfUnanswered(c *call, a *attempt, e *Effects) bool {
-	if !r.on(UnansweredCalls) || r.saysNothing(a) || !a.isUnanswered(r.now) {
+	if !r.on(UnansweredCalls) || r.isInconclusive(a) || !a.isUnanswered(r.now) {
 		return false
 	}
 	r.recordUnanswered(c, a, e)
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -46,7 +46,7 @@
 
 func (r *Router) inboundStatus(now units.Instant) InboundStatus {
 	return InboundStatus{
-		LeftMs: r.inbound.left(now).Milliseconds(), BusyMs: r.inbound.busyBy(now).Milliseconds(),
+		LeftMs: r.inbound.remaining(now).Milliseconds(), BusyMs: r.inbound.busyTime(now).Milliseconds(),
 		Expected: int64(r.expected), Waits: r.linkWaits,
 	}
 }
