--- a/pkg/core/routing/distance_test.go
+++ b/pkg/core/routing/distance_test.go
@@ -19,17 +19,17 @@
 		want       time.Duration
 		wantLater  time.Duration
 	}{
-		{"nothing measured in the region", nil, nil, true, 0, assumedNear, assumedNear},
-		{"nothing measured elsewhere", nil, nil, false, 0, assumedFar, assumedFar},
-		{"only there", nil, []time.Duration{17 * ms}, false, 0, assumedFar, assumedFar},
+		{"nothing measured in the region", nil, nil, true, 0, defaultSameRegionRoundTrip, defaultSameRegionRoundTrip},
+		{"nothing measured elsewhere", nil, nil, false, 0, defaultOtherRegionRoundTrip, defaultOtherRegionRoundTrip},
+		{"only there", nil, []time.Duration{17 * ms}, false, 0, defaultOtherRegionRoundTrip, defaultOtherRegionRoundTrip},
 		{"slow answers don't count", []time.Duration{90 * ms, 7 * ms}, []time.Duration{23 * ms, 120 * ms}, false, 0, 16 * ms, 16 * ms},
 		{"never negative", []time.Duration{9 * ms}, []time.Duration{8 * ms}, true, 0, 0, 0},
-		{"a longer way is noticed", []time.Duration{7 * ms}, []time.Duration{9 * ms}, true, leastWindow + ms, 2 * ms, 33 * ms},
+		{"a longer way is noticed", []time.Duration{7 * ms}, []time.Duration{9 * ms}, true, minTimeWindow + ms, 2 * ms, 33 * ms},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			own := &domainDistance{}
-			there := &domainDistance{own: own, sameRegion: s.sameRegion}
+			there := &domainDistance{ownDomain: own, sameRegion: s.sameRegion}
 			noteAll(own, testNow, s.own)
 			noteAll(there, testNow, s.there)
 			if way := there.extraRoundTrip(); way != s.want {
@@ -54,6 +54,6 @@
 
 func noteAll(x *domainDistance, now units.Instant, took []time.Duration) {
 	for _, d := range took {
-		x.note(now, d)
+		x.recordProbe(now, d)
 	}
 }
--- a/pkg/core/routing/expectation.go
+++ b/pkg/core/routing/expectation.go
@@ -43,7 +43,7 @@
 	if load > slots {
 		time += (load - slots) / slots * defaultPace * nearlyFullSlowdown
 	}
-	time += t.awayCost(x)
+	time += t.distanceCost(x)
 	if !t.inSubset && !t.acceptsColdCalls(now) {
 		time += outsideSubsetCost
 	}
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -110,7 +110,7 @@
 	c.probeRound.rounds++
 	limit := probeLimit
 	for _, t := range probed {
-		limit = max(limit, t.probeLimit())
+		limit = max(limit, t.probeTimeout())
 		r.probe(id, c, t, c.probeRound.number, e)
 	}
 	if c.probeRound.purpose == HedgeSend {
@@ -122,7 +122,7 @@
 
 // probe probes a target for a call.
 func (r *Router) probe(id CallID, c *call, t *target, number AttemptNumber, e *Effects) {
-	t.noteProbeSent(r.now)
+	t.recordProbeSent(r.now)
 	e.add(Effect{
 		Kind: Probe, PermitUntil: r.usePermit(t), Call: id, Owner: c.owner, Attempt: number, Endpoint: t.endpoint, NotAfter: r.notAfterOf(t),
 		Connections: t.maxConnections, ProbePath: c.service.row.ProbePath,
@@ -168,7 +168,7 @@
 		if t.notice.isLimited() || !set.Available(i) && !set.onlyInDoubt(i) || t.isFresh(r.now) || t.awaitsProbe(r.now) {
 			continue
 		}
-		if t.lastProbedAt != 0 && r.now.Sub(t.lastProbedAt) < t.probeLimit() {
+		if t.lastProbedAt != 0 && r.now.Sub(t.lastProbedAt) < t.probeTimeout() {
 			continue
 		}
 		t.rankingCost = t.cost(r.now, c.route)
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -88,7 +88,7 @@
 	if t == nil {
 		return
 	}
-	t.noteProbeTime(r.now, v.Healthy)
+	t.recordProbeEnd(r.now, v.Healthy)
 	t.recordReport(r.now, v.Reading)
 	t.markMissing(r.now, v.Reading, t.lastProbedAt)
 	if v.Healthy {
--- a/pkg/core/routing/residency.go
+++ b/pkg/core/routing/residency.go
@@ -83,7 +83,7 @@
 	r.settings.Regions = regions
 	clear(r.unknown)
 	for d, x := range r.distances {
-		r.placeDistance(d, x)
+		r.updateSameRegion(d, x)
 	}
 	for _, s := range r.order {
 		r.markRegions(s, e)
