--- a/pkg/core/box/box.go
+++ b/pkg/core/box/box.go
@@ -90,7 +90,7 @@
 func (b *Box) addEvidence(now units.Instant, sends []*wire.Envelope) {
 	for _, m := range sends {
 		if x := m.GetRenewRequest(); x != nil {
-			x.Evidence = wire.FromEvidence(b.router.TakeEvidence())
+			x.Evidence = wire.FromEvidence(b.router.CollectEvidence())
 			x.CrashNotes = wire.FromCrashNotes(b.router.CrashNotes(), now)
 			x.Refused = wire.FromFingerprints(b.router.TakeRefused())
 			x.Uses = wire.FromQuotaUses(b.router.TakeQuotaUses(now))
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -140,7 +140,7 @@
 
 // cancelOthers cancels the attempts of a call that another one has won, and learns from them.
 func (r *Router) cancelOthers(id CallID, c *call, winner *attempt, e *Effects) {
-	r.noteVersionOvertaken(c, winner)
+	r.recordVersionOvertaken(c, winner)
 	for i := range c.attempts {
 		a := &c.attempts[i]
 		if a == winner || a.target == nil {
@@ -180,7 +180,7 @@
 	} else {
 		r.learn(t, v, took, e)
 	}
-	r.noteResult(c, t, v.Result, took, t.health.ejected && !wasEjected, e)
+	r.recordResult(c, t, v.Result, took, t.health.ejected && !wasEjected, e)
 	switch {
 	case v.Result == Broken:
 		r.noteBroken(c, a, e)
@@ -277,7 +277,7 @@
 }
 
 func (r *Router) deliver(v *AttemptEnded, c *call, t *target, e *Effects) {
-	r.noteVersionOvertaken(c, nil)
+	r.recordVersionOvertaken(c, nil)
 	e.add(Effect{Kind: Deliver, Call: v.Call, Owner: c.owner, Attempt: v.Attempt, Endpoint: t.endpoint})
 	r.finish(v.Call, c, e)
 }
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -295,7 +295,7 @@
 		if a.target == nil {
 			continue
 		}
-		r.noteVersionSilent(c, a, e)
+		r.recordVersionTimeout(c, a, e)
 		if r.isInconclusive(a) || r.recordIfUnanswered(c, a, e) {
 			continue
 		}
--- a/pkg/core/routing/evidence.go
+++ b/pkg/core/routing/evidence.go
@@ -13,21 +13,21 @@
 // host and prefix.
 const maxEvidenceRoutes = 16
 
-// evidence is what a box has seen of the two versions of a rollout.
-type evidence struct {
+// versionEvidence is what a box has seen of the two versions of a rollout.
+type versionEvidence struct {
 	old, new []routeEvidence
 }
 
 // routeEvidence is what was seen of one version on one route.
 type routeEvidence struct {
-	host, prefix string
-	good, bad    uint64
-	times        rollout.Histogram
-	underWay     uint32
+	host, prefix        string
+	successes, failures uint64
+	durations           rollout.Histogram
+	inFlight            uint32
 }
 
-// of returns where answers of a version on a route are counted.
-func (v *evidence) of(isNew bool, host, prefix string) *routeEvidence {
+// forRoute returns where answers forRoute a version on a route are counted.
+func (v *versionEvidence) forRoute(isNew bool, host, prefix string) *routeEvidence {
 	list := &v.old
 	if isNew {
 		list = &v.new
@@ -54,74 +54,74 @@
 	return nil
 }
 
-// addGood counts an answer that isn't a failure.
-func (x *routeEvidence) addGood(took time.Duration) {
-	x.good++
-	x.times.Add(took)
+// addSuccess counts an answer that isn't a failure.
+func (x *routeEvidence) addSuccess(took time.Duration) {
+	x.successes++
+	x.durations.Add(took)
 }
 
-// isNew tells whether a target runs the version that the rollout moves calls to.
-func (v *rolloutState) isNew(t *target) bool { return t.row.Software == v.record.To }
+// runsNewVersion tells whether a target runs the version that the rollout moves calls to.
+func (v *rolloutState) runsNewVersion(t *target) bool { return t.row.Software == v.record.To }
 
-// noteResult takes how an attempt ended as evidence. A shed, misdirected or canceled call
+// recordResult takes how an attempt ended as evidence. A shed, misdirected or canceled call
 // says nothing of the version; a target that is ejected because it can't be reached does.
-func (r *Router) noteResult(c *call, t *target, result AttemptResult, took time.Duration, ejected bool, e *Effects) {
+func (r *Router) recordResult(c *call, t *target, result AttemptResult, took time.Duration, ejected bool, e *Effects) {
 	v := t.service.rollout
 	if v == nil {
 		return
 	}
 	switch {
 	case result == Answered:
-		v.evidence.of(v.isNew(t), c.route.host, c.route.prefix).addGood(took)
-		if v.isNew(t) {
+		v.evidence.forRoute(v.runsNewVersion(t), c.route.host, c.route.prefix).addSuccess(took)
+		if v.runsNewVersion(t) {
 			r.noteNewAnswer(v, false, e)
 		}
 	case result == Broken && !r.mayRepeat(c):
 		// A suspect breaks off whatever the version.
 	case result == Failed || result == Broken || ejected && result == NotSent:
-		r.noteBad(v, c, t, e)
+		r.recordVersionFailure(v, c, t, e)
 	}
 }
 
-// noteBad counts a failure of the target.
-func (r *Router) noteBad(v *rolloutState, c *call, t *target, e *Effects) {
-	v.evidence.of(v.isNew(t), c.route.host, c.route.prefix).bad++
-	if v.isNew(t) {
+// recordVersionFailure counts a failure of the target.
+func (r *Router) recordVersionFailure(v *rolloutState, c *call, t *target, e *Effects) {
+	v.evidence.forRoute(v.runsNewVersion(t), c.route.host, c.route.prefix).failures++
+	if v.runsNewVersion(t) {
 		r.noteNewAnswer(v, true, e)
 	}
 }
 
-// noteVersionSilent takes as evidence that an attempt got no answer by its call's deadline, if
+// recordVersionTimeout takes as evidence that an attempt got no answer by its call's deadline, if
 // it had at least half of the call's time: others came too late for any version.
-func (r *Router) noteVersionSilent(c *call, a *attempt, e *Effects) {
+func (r *Router) recordVersionTimeout(c *call, a *attempt, e *Effects) {
 	v := a.target.service.rollout
 	if v == nil || a.sent.Sub(c.arrived) > c.deadline.Sub(c.arrived)/2 {
 		return
 	}
-	r.noteBad(v, c, a.target, e)
+	r.recordVersionFailure(v, c, a.target, e)
 }
 
-// noteVersionOvertaken takes as evidence that another target answered before the call's first one,
+// recordVersionOvertaken takes as evidence that another target answered before the call's first one,
 // which takes at least as long as it has taken. Without that a hedge would hide a slow
 // version. A hedge that is overtaken began late, so that its time would say too little.
-func (r *Router) noteVersionOvertaken(c *call, winner *attempt) {
+func (r *Router) recordVersionOvertaken(c *call, winner *attempt) {
 	for i := range c.attempts {
 		a := &c.attempts[i]
 		if a == winner || a.target == nil || a.hedge {
 			continue
 		}
 		if v := a.target.service.rollout; v != nil {
-			v.evidence.of(v.isNew(a.target), c.route.host, c.route.prefix).addGood(r.now.Sub(a.sent))
+			v.evidence.forRoute(v.runsNewVersion(a.target), c.route.host, c.route.prefix).addSuccess(r.now.Sub(a.sent))
 		}
 	}
 }
 
-// TakeEvidence returns what the box has seen of the versions of the rollouts that are under
+// CollectEvidence returns what the box has seen of the versions of the rollouts that are under
 // way, and for the last time of those that have ended.
-func (r *Router) TakeEvidence() []rollout.Evidence {
+func (r *Router) CollectEvidence() []rollout.Evidence {
 	var all []rollout.Evidence
 	for _, v := range r.rollouts {
-		r.countUnderWay(v)
+		r.countInFlight(v)
 		all = v.appendEvidence(all, v.evidence.old, v.record.From)
 		all = v.appendEvidence(all, v.evidence.new, v.record.To)
 	}
@@ -129,17 +129,17 @@
 	return all
 }
 
-// countUnderWay counts the calls that the box waits for, those from before the order too.
-func (r *Router) countUnderWay(v *rolloutState) {
+// countInFlight counts the calls that the box waits for, those from before the order too.
+func (r *Router) countInFlight(v *rolloutState) {
 	for _, list := range [][]routeEvidence{v.evidence.old, v.evidence.new} {
 		for i := range list {
-			list[i].underWay = 0
+			list[i].inFlight = 0
 		}
 	}
 	r.calls.Each(func(_ CallID, c *call) {
 		for i := range c.attempts {
 			if t := c.attempts[i].target; t != nil && t.row.Service == v.record.Service {
-				v.evidence.of(v.isNew(t), c.route.host, c.route.prefix).underWay++
+				v.evidence.forRoute(v.runsNewVersion(t), c.route.host, c.route.prefix).inFlight++
 			}
 		}
 	})
@@ -151,7 +151,7 @@
 		x := &list[i]
 		all = append(all, rollout.Evidence{
 			Service: v.record.Service, Order: v.record.Order, Software: software, Route: rollout.RouteID(x.host + x.prefix),
-			Good: x.good, Bad: x.bad, Times: x.times, UnderWay: x.underWay,
+			Good: x.successes, Bad: x.failures, Times: x.durations, UnderWay: x.inFlight,
 		})
 	}
 	return all
--- a/pkg/core/routing/evidence_test.go
+++ b/pkg/core/routing/evidence_test.go
@@ -12,13 +12,13 @@
 
 // Evidence stays small however many routes there are, and no answer is left out.
 func TestEvidenceIsBounded(t *testing.T) {
-	var v evidence
+	var v versionEvidence
 	for i := range 100 {
-		v.of(true, fmt.Sprintf("host-%d", i), "/").addGood(time.Millisecond)
+		v.forRoute(true, fmt.Sprintf("host-%d", i), "/").addSuccess(time.Millisecond)
 	}
 	sum := uint64(0)
 	for _, x := range v.new {
-		sum += x.good
+		sum += x.successes
 	}
 	if len(v.new) != maxEvidenceRoutes+1 || sum != 100 || len(v.old) != 0 {
 		t.Fatalf("%d routes with %d answers", len(v.new), sum)
--- a/pkg/core/routing/rollout.go
+++ b/pkg/core/routing/rollout.go
@@ -39,7 +39,7 @@
 	stop     ownStop
 	// urgentAt is when bad answers last brought about a request for a lease.
 	urgentAt units.Instant
-	evidence evidence
+	evidence versionEvidence
 }
 
 // sideOf says which calls a row's target takes, given the version in force and the service's
--- a/pkg/core/routing/script_rollout_test.go
+++ b/pkg/core/routing/script_rollout_test.go
@@ -66,7 +66,7 @@
 	if s.router.EvidenceDue() {
 		lines = append(lines, "due at once")
 	}
-	for _, x := range s.router.TakeEvidence() {
+	for _, x := range s.router.CollectEvidence() {
 		lines = append(lines, fmt.Sprintf("%s order %d %s %q: %d good, %d bad, %d timed, %d under way",
 			x.Service, x.Order, x.Software, x.Route, x.Good, x.Bad, x.Times.Total(), x.UnderWay))
 	}
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -210,8 +210,8 @@
 func sumAnswers(list []routeEvidence) VersionAnswers {
 	var sum VersionAnswers
 	for i := range list {
-		sum.Good += list[i].good
-		sum.Bad += list[i].bad
+		sum.Good += list[i].successes
+		sum.Bad += list[i].failures
 	}
 	return sum
 }
