--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -176,7 +176,7 @@
 	}
 	wasEjected := t.health.ejected
 	if v.Result == Broken && r.recordIfUnanswered(c, a, e) {
-		t.lastHeard = r.now
+		t.lastObservedAt = r.now
 	} else {
 		r.learn(t, v, took, e)
 	}
@@ -225,7 +225,7 @@
 	if v.Reading.Cold > 0 {
 		r.markCold(t, v.Reading.Cold)
 	}
-	t.lastHeard = r.now
+	t.lastObservedAt = r.now
 	turned := false
 	switch v.Result {
 	case Answered:
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -277,7 +277,7 @@
 		return nil
 	}
 	for i, t := range c.service.targets {
-		if t.notice.isLimited() && t.notice.limit.permits.any(c.now) && c.now.Sub(t.lastHeard) > scoutAfter && c.Available(i) {
+		if t.notice.isLimited() && t.notice.limit.permits.any(c.now) && c.now.Sub(t.lastObservedAt) > scoutAfter && c.Available(i) {
 			return t
 		}
 	}
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -30,7 +30,7 @@
 // probeIfDue probes a target that is out of the common path. Calls are the
 // first measurement; a target that has them needs no probe.
 func (r *Router) probeIfDue(s *service, t *target, e *Effects) {
-	if !t.needsHealthProbe(r.now) || t.evacuated || t.side > onTrial || t.healthProbeInFlight || r.now.Sub(t.lastHeard) < probeAfter || !r.leased() {
+	if !t.needsHealthProbe(r.now) || t.evacuated || t.side > onTrial || t.healthProbeInFlight || r.now.Sub(t.lastObservedAt) < probeAfter || !r.leased() {
 		return
 	}
 	if t.lacksPermit(r.now) {
@@ -66,7 +66,7 @@
 		return
 	}
 	t.healthProbeInFlight = false
-	t.lastHeard = r.now
+	t.lastObservedAt = r.now
 	r.detectSuccessor(t, v, e)
 	t.recordReport(r.now, v.Reading)
 	if v.Healthy {
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -51,7 +51,7 @@
 	callBucket          rateLimit
 	probeBucket         rateLimit
 	healthProbeInFlight bool
-	lastHeard           units.Instant
+	lastObservedAt      units.Instant
 
 	health  health
 	latency latencyEstimate
@@ -238,7 +238,7 @@
 	usual := float64(t.service.latency.mean())
 	expected := usual
 	if t.latency.count > 0 {
-		expected += (float64(t.latency.mean()) - usual) * hyperbolicDecay(now.Sub(t.lastHeard), latencyHalfLife)
+		expected += (float64(t.latency.mean()) - usual) * hyperbolicDecay(now.Sub(t.lastObservedAt), latencyHalfLife)
 	}
 	if t.oldestAttempt != nil {
 		expected = max(expected, float64(now.Sub(t.oldestAttempt.sent)))
