--- a/pkg/core/routing/cold_test.go
+++ b/pkg/core/routing/cold_test.go
@@ -25,8 +25,8 @@
 const (
 	// coldFleetRate is what a cold target takes, in calls a second; coldFleetMost is what it
 	// may get in any second before it falls over.
-	coldFleetRate = 2.5
-	coldFleetMost = 11
+	coldFleetRate         = 2.5
+	coldFleetMaxPerSecond = 11
 )
 
 func newColdFleet(t *testing.T, boxes, targets int) *coldFleet {
@@ -41,7 +41,7 @@
 		f.routers = append(f.routers, f.newRouter(box, uint64(i)))
 	}
 	f.putTargets(targets, func(*table.Row) {})
-	f.pass(5 * time.Second)
+	f.advance(5 * time.Second)
 	return f
 }
 
@@ -74,11 +74,11 @@
 	next.Revision++
 	next.Services = map[units.ServiceName]*table.Entry{"s": entry}
 	f.table = &next
-	f.tell(f.routers)
+	f.applyTable(f.routers)
 }
 
-// comeBackCold has all targets of a domain start again, cold for 3 s.
-func (f *coldFleet) comeBackCold(d units.Domain, targets int) {
+// restartCold has all targets of a domain start again, cold for 3 s.
+func (f *coldFleet) restartCold(d units.Domain, targets int) {
 	f.putTargets(targets, func(r *table.Row) {
 		if r.Domain == d {
 			r.Target += "-again"
@@ -87,14 +87,14 @@
 	})
 }
 
-func (f *coldFleet) tell(routers []*Router) {
+func (f *coldFleet) applyTable(routers []*Router) {
 	for _, r := range routers {
 		r.Reduce(f.now, &TableChanged{Table: f.table}, &Effects{})
 	}
 }
 
-// pass lets time pass with about 700 calls a second, each answered after 100 ms.
-func (f *coldFleet) pass(d time.Duration) {
+// advance lets time advance with about 700 calls a second, each answered after 100 ms.
+func (f *coldFleet) advance(d time.Duration) {
 	const perTick = 7
 	type ending struct {
 		at     units.Instant
@@ -129,8 +129,8 @@
 	}
 }
 
-// mostInASecond is the most calls that a target of a domain got in any second since a time.
-func (f *coldFleet) mostInASecond(d units.Domain, since units.Instant) int {
+// maxCallsPerSecond is the most calls that a target of a domain got in any second since a time.
+func (f *coldFleet) maxCallsPerSecond(d units.Domain, since units.Instant) int {
 	most := 0
 	for row := range f.table.Services["s"].Rows.All() {
 		if row.Domain != d {
@@ -150,8 +150,8 @@
 	return most
 }
 
-// served is how many calls the targets of a domain got since a time.
-func (f *coldFleet) served(d units.Domain, since units.Instant) int {
+// callsReceived is how many calls the targets of a domain got since a time.
+func (f *coldFleet) callsReceived(d units.Domain, since units.Instant) int {
 	n := 0
 	for row := range f.table.Services["s"].Rows.All() {
 		for _, at := range f.arrivals[row.Target] {
@@ -169,14 +169,14 @@
 	const targets = 60
 	f := newColdFleet(t, 100, targets)
 	since := f.now
-	f.comeBackCold("d1", targets)
-	f.pass(2500 * time.Millisecond)
-	if most := f.mostInASecond("d1", since); most > coldFleetMost {
-		t.Errorf("a cold target got %d calls in a second, it bears %d", most, coldFleetMost)
+	f.restartCold("d1", targets)
+	f.advance(2500 * time.Millisecond)
+	if most := f.maxCallsPerSecond("d1", since); most > coldFleetMaxPerSecond {
+		t.Errorf("a cold target got %d calls in a second, it bears %d", most, coldFleetMaxPerSecond)
 	}
 	// Each of the two boxes that a target has gets seven calls a second, and spreads them over
 	// all targets that it may use.
-	if n := f.served("d1", since); n < targets/8 {
+	if n := f.callsReceived("d1", since); n < targets/8 {
 		t.Errorf("%d cold targets got %d calls in 2.5 s", targets/4, n)
 	}
 }
@@ -186,15 +186,15 @@
 	const targets = 60
 	f := newColdFleet(t, 100, targets)
 	since := f.now
-	f.comeBackCold("d1", targets)
+	f.restartCold("d1", targets)
 	next := *f.table
 	next.Revision++
 	next.Boxes = f.table.Boxes[:50]
 	f.table = &next
-	f.tell(f.routers[:50])
-	f.pass(2500 * time.Millisecond)
-	if most := f.mostInASecond("d1", since); most > coldFleetMost {
-		t.Errorf("a cold target got %d calls in a second, it bears %d", most, coldFleetMost)
+	f.applyTable(f.routers[:50])
+	f.advance(2500 * time.Millisecond)
+	if most := f.maxCallsPerSecond("d1", since); most > coldFleetMaxPerSecond {
+		t.Errorf("a cold target got %d calls in a second, it bears %d", most, coldFleetMaxPerSecond)
 	}
 }
 
@@ -203,19 +203,19 @@
 	const targets = 60
 	f := newColdFleet(t, 100, targets)
 	f.evacuate("d1", true)
-	f.pass(time.Second)
-	evacuated := f.served("d1", f.now.Add(-time.Second))
+	f.advance(time.Second)
+	evacuated := f.callsReceived("d1", f.now.Add(-time.Second))
 	since := f.now
 	f.evacuate("d1", false)
-	f.pass(DefaultColdDoubt - 100*time.Millisecond)
+	f.advance(DefaultColdDoubt - 100*time.Millisecond)
 	if evacuated > 0 {
 		t.Errorf("targets of an evacuated domain got %d calls", evacuated)
 	}
-	if most := f.mostInASecond("d1", since); most > coldFleetMost {
-		t.Errorf("a target of a restored domain got %d calls in a second, it bears %d when cold", most, coldFleetMost)
+	if most := f.maxCallsPerSecond("d1", since); most > coldFleetMaxPerSecond {
+		t.Errorf("a target of a restored domain got %d calls in a second, it bears %d when cold", most, coldFleetMaxPerSecond)
 	}
-	f.pass(time.Second)
-	if n := f.served("d1", f.now.Add(-time.Second)); n < targets {
+	f.advance(time.Second)
+	if n := f.callsReceived("d1", f.now.Add(-time.Second)); n < targets {
 		t.Errorf("the targets of a domain got %d calls in a second although they must be warm", n)
 	}
 }
@@ -225,7 +225,7 @@
 	next.Revision++
 	next.Evacuations = []table.Evacuation{{Domain: d, Active: active, Since: next.Revision}}
 	f.table = &next
-	f.tell(f.routers)
+	f.applyTable(f.routers)
 }
 
 // A change of one row must not work out anew what every cold target of the service takes
--- a/pkg/core/routing/silence_test.go
+++ b/pkg/core/routing/silence_test.go
@@ -18,10 +18,10 @@
 	now     units.Instant
 	routers []*Router
 	targets map[units.TargetID]*hangingTarget
-	due     *container.Heap[dueEvent]
+	pending *container.Heap[pendingEvent]
 	started map[string]units.Instant
-	// sent counts the sends of each call.
-	sent map[string]int
+	// sends counts the sends of each call.
+	sends map[string]int
 	// delivered, late and lost count the calls by how they ended: lost at their deadline.
 	delivered, late, refused, lost int
 }
@@ -29,38 +29,38 @@
 // hangingTarget works on some calls at a time, queues some, and drops the others.
 type hangingTarget struct {
 	slots, queue int
-	present      map[string]bool
+	inFlight     map[string]bool
 	busyUntil    []units.Instant
-	// drops has it drop every call.
-	drops   bool
-	dropped int
-	sends   int
+	// dropsAll has it drop every call.
+	dropsAll bool
+	dropped  int
+	sends    int
 }
 
-type dueEvent struct {
+type pendingEvent struct {
 	at     units.Instant
 	router *Router
 	event  Event
-	// ends is the attempt that the event ends at its target, if it is one.
-	ends   string
-	target *hangingTarget
+	// attempt is the attempt that the event attempt at its target, if it is one.
+	attempt string
+	target  *hangingTarget
 }
 
 const (
-	hangWork     = 20 * time.Millisecond
+	hangWorkTime = 20 * time.Millisecond
 	hangAim      = 200 * time.Millisecond
 	hangDeadline = time.Second
 	hangStep     = time.Millisecond
-	// hangLag is how old the answer to a probe is when it comes.
-	hangLag  = 4 * time.Millisecond
-	hangSeed = 20261202
+	// hangProbeDelay is how old the answer to a probe is when it comes.
+	hangProbeDelay = 4 * time.Millisecond
+	hangSeed       = 20261202
 )
 
 func newHangFleet(t *testing.T, work table.Work, boxes, targets int) *hangFleet {
 	w := &hangFleet{
 		t: t, random: rand.New(rand.NewPCG(hangSeed, 1)), now: units.Instant(time.Second),
-		targets: map[units.TargetID]*hangingTarget{}, started: map[string]units.Instant{}, sent: map[string]int{},
-		due: container.NewHeap(func(a, b dueEvent) bool { return a.at < b.at }),
+		targets: map[units.TargetID]*hangingTarget{}, started: map[string]units.Instant{}, sends: map[string]int{},
+		pending: container.NewHeap(func(a, b pendingEvent) bool { return a.at < b.at }),
 	}
 	service := table.Service{
 		Name: "shop", Work: work, Deadline: hangDeadline, RetryBudget: 20, HedgeBudget: 20, MeasureBudget: 50, ProbeTargets: 2,
@@ -73,7 +73,7 @@
 		entry.Rows = entry.Rows.With(table.Row{
 			Service: "shop", Target: id, Address: "127.0.0.1:1", Weight: 100, State: table.Active, Registered: true, Slots: 2,
 		})
-		w.targets[id] = &hangingTarget{slots: 2, queue: 1, present: map[string]bool{}, busyUntil: make([]units.Instant, 2)}
+		w.targets[id] = &hangingTarget{slots: 2, queue: 1, inFlight: map[string]bool{}, busyUntil: make([]units.Instant, 2)}
 	}
 	next.Services["shop"] = entry
 	route := &table.Route{
@@ -90,29 +90,29 @@
 			t.Fatal(err)
 		}
 		w.routers = append(w.routers, r)
-		w.give(r, &TableChanged{Table: next})
+		w.dispatch(r, &TableChanged{Table: next})
 	}
 	return w
 }
 
-func (w *hangFleet) give(r *Router, event Event) {
+func (w *hangFleet) dispatch(r *Router, event Event) {
 	var e Effects
 	r.Reduce(w.now, event, &e)
 	for i := range e.List {
-		w.carryOut(r, &e.List[i])
+		w.apply(r, &e.List[i])
 	}
 }
 
-func (w *hangFleet) carryOut(r *Router, x *Effect) {
+func (w *hangFleet) apply(r *Router, x *Effect) {
 	name, _ := x.Owner.(string)
 	switch x.Kind {
 	case Send:
-		w.sent[name]++
-		w.targets[x.Endpoint.Target].take(w, r, x, name)
+		w.sends[name]++
+		w.targets[x.Endpoint.Target].receive(w, r, x, name)
 	case Cancel:
-		delete(w.targets[x.Endpoint.Target].present, attemptName(name, x.Attempt))
+		delete(w.targets[x.Endpoint.Target].inFlight, attemptName(name, x.Attempt))
 	case Probe:
-		w.due.Push(dueEvent{at: w.now.Add(hangLag), router: r, event: &ProbeEnded{
+		w.pending.Push(pendingEvent{at: w.now.Add(hangProbeDelay), router: r, event: &ProbeEnded{
 			Target: x.Endpoint, Healthy: true, Reading: w.targets[x.Endpoint.Target].reading(), Call: x.Call, Attempt: x.Attempt,
 		}})
 	case Deliver:
@@ -122,7 +122,7 @@
 		}
 	case Refuse:
 		w.refused++
-		if x.Refusal.Outcome == NotRun && w.sent[name] > 0 {
+		if x.Refusal.Outcome == NotRun && w.sends[name] > 0 {
 			w.t.Errorf("%s was sent and is told not to have run: %s", name, x.Refusal.Reason)
 		}
 		if x.Refusal.Reason == DeadlinePassed {
@@ -134,26 +134,26 @@
 func attemptName(call string, n AttemptNumber) string { return fmt.Sprintf("%s #%d", call, n) }
 
 func (x *hangingTarget) reading() Reading {
-	return Reading{Known: true, InFlight: float64(len(x.present)), Slots: float64(x.slots), Pace: 1}
+	return Reading{Known: true, InFlight: float64(len(x.inFlight)), Slots: float64(x.slots), Pace: 1}
 }
 
-// take works on a call, or drops it.
-func (x *hangingTarget) take(w *hangFleet, r *Router, s *Effect, call string) {
+// receive works on a call, or drops it.
+func (x *hangingTarget) receive(w *hangFleet, r *Router, s *Effect, call string) {
 	x.sends++
-	if x.drops || len(x.present) >= x.slots+x.queue {
+	if x.dropsAll || len(x.inFlight) >= x.slots+x.queue {
 		x.dropped++
 		return
 	}
 	name := attemptName(call, s.Attempt)
-	x.present[name] = true
+	x.inFlight[name] = true
 	slot := 0
 	for i, until := range x.busyUntil {
 		if until < x.busyUntil[slot] {
 			slot = i
 		}
 	}
-	x.busyUntil[slot] = max(x.busyUntil[slot], w.now).Add(hangWork)
-	w.due.Push(dueEvent{at: x.busyUntil[slot], router: r, ends: name, target: x, event: &AttemptEnded{Call: s.Call, Attempt: s.Attempt, Result: Answered}})
+	x.busyUntil[slot] = max(x.busyUntil[slot], w.now).Add(hangWorkTime)
+	w.pending.Push(pendingEvent{at: x.busyUntil[slot], router: r, attempt: name, target: x, event: &AttemptEnded{Call: s.Call, Attempt: s.Attempt, Result: Answered}})
 }
 
 // run lets calls come to all boxes for a time, each some time after the last.
@@ -165,7 +165,7 @@
 			if w.random.Float64() < float64(hangStep)/float64(gap) {
 				name := fmt.Sprintf("%d-%d", i, len(w.started))
 				w.started[name] = w.now
-				w.give(r, &CallArrived{Owner: name, Host: []byte("shop"), Path: []byte("/")})
+				w.dispatch(r, &CallArrived{Owner: name, Host: []byte("shop"), Path: []byte("/")})
 			}
 		}
 	}
@@ -173,23 +173,23 @@
 
 func (w *hangFleet) step() {
 	for {
-		next, ok := w.due.Peek()
+		next, ok := w.pending.Peek()
 		if !ok || next.at > w.now {
 			break
 		}
-		w.due.Pop()
+		w.pending.Pop()
 		if ended, isEnd := next.event.(*AttemptEnded); isEnd {
-			if !next.target.present[next.ends] {
+			if !next.target.inFlight[next.attempt] {
 				continue
 			}
-			delete(next.target.present, next.ends)
+			delete(next.target.inFlight, next.attempt)
 			ended.Reading = next.target.reading()
 		}
-		w.give(next.router, next.event)
+		w.dispatch(next.router, next.event)
 	}
 	for _, r := range w.routers {
 		if r.NextWake() <= w.now {
-			w.give(r, &Tick{})
+			w.dispatch(r, &Tick{})
 		}
 	}
 }
@@ -213,7 +213,7 @@
 	if w.lost*25 > dropped {
 		t.Errorf("%d calls stayed until their deadline", w.lost)
 	}
-	w.expectAllInUse()
+	w.expectAllTargetsUsed()
 }
 
 // TestHalfOfAServiceHangs has two of four targets drop every call for 5 s, while they answer
@@ -221,7 +221,7 @@
 func TestHalfOfAServiceHangs(t *testing.T) {
 	w := newHangFleet(t, table.Repeatable, 4, 4)
 	w.run(2*time.Second, 40*time.Millisecond)
-	w.drop(true, "t0", "t1")
+	w.setDropping(true, "t0", "t1")
 	before := w.lost
 	w.run(5*time.Second, 40*time.Millisecond)
 	t.Logf("delivered %d, %d late, refused %d, lost %d, dropped %d and %d", w.delivered, w.late, w.refused, w.lost,
@@ -229,9 +229,9 @@
 	if lost := w.lost - before; lost > 5 {
 		t.Errorf("%d calls stayed until their deadline", lost)
 	}
-	w.drop(false, "t0", "t1")
+	w.setDropping(false, "t0", "t1")
 	w.run(3*time.Second, 40*time.Millisecond)
-	w.expectAllInUse()
+	w.expectAllTargetsUsed()
 }
 
 // TestOnceCallsAtTargetsThatHang has calls that may run once come to the same targets: none is
@@ -239,7 +239,7 @@
 func TestOnceCallsAtTargetsThatHang(t *testing.T) {
 	w := newHangFleet(t, table.Once, 10, 3)
 	w.run(6*time.Second, 33*time.Millisecond)
-	for name, n := range w.sent {
+	for name, n := range w.sends {
 		if n > 1 {
 			t.Errorf("%s was sent %d times", name, n)
 		}
@@ -254,14 +254,14 @@
 	}
 }
 
-func (w *hangFleet) drop(on bool, ids ...units.TargetID) {
+func (w *hangFleet) setDropping(on bool, ids ...units.TargetID) {
 	for _, id := range ids {
-		w.targets[id].drops = on
+		w.targets[id].dropsAll = on
 	}
 }
 
-// expectAllInUse checks that calls go to every target again.
-func (w *hangFleet) expectAllInUse() {
+// expectAllTargetsUsed checks that calls go to every target again.
+func (w *hangFleet) expectAllTargetsUsed() {
 	before := map[units.TargetID]int{}
 	for id, x := range w.targets {
 		before[id] = x.sends
