--- a/pkg/core/routing/distance_test.go
+++ b/pkg/core/routing/distance_test.go
@@ -30,16 +30,16 @@
 		t.Run(s.testName, func(t *testing.T) {
 			own := &domainDistance{}
 			there := &domainDistance{ownDomain: own, sameRegion: s.sameRegion}
-			noteAll(own, testNow, s.own)
-			noteAll(there, testNow, s.there)
+			recordAll(own, testNow, s.own)
+			recordAll(there, testNow, s.there)
 			if way := there.extraRoundTrip(); way != s.want {
 				t.Errorf("the way is %s, want %s", way, s.want)
 			}
 			// Two windows later only what was measured since counts.
 			for i := range 2 {
 				if now := testNow.Add(time.Duration(i+1) * s.after); s.after > 0 {
-					noteAll(own, now, []time.Duration{7 * ms})
-					noteAll(there, now, []time.Duration{40 * ms})
+					recordAll(own, now, []time.Duration{7 * ms})
+					recordAll(there, now, []time.Duration{40 * ms})
 				}
 			}
 			if way := there.extraRoundTrip(); way != s.wantLater {
@@ -52,7 +52,7 @@
 	}
 }
 
-func noteAll(x *domainDistance, now units.Instant, took []time.Duration) {
+func recordAll(x *domainDistance, now units.Instant, took []time.Duration) {
 	for _, d := range took {
 		x.recordProbe(now, d)
 	}
--- a/pkg/core/routing/expectation_test.go
+++ b/pkg/core/routing/expectation_test.go
@@ -13,9 +13,9 @@
 	testNow   = units.Instant(time.Hour)
 )
 
-// newLearningRoute returns a route whose typical time has been learnt from usual answers
+// newTrainedRoute returns a route whose typical time has been learnt from usual answers
 // of another target, after a first one that was odd.
-func newLearningRoute(first time.Duration) *route {
+func newTrainedRoute(first time.Duration) *route {
 	x := &route{}
 	other := newTarget(newService(table.Service{}), table.Row{Registered: true})
 	other.recordAnswerTime(testNow, x, first, &attempt{})
@@ -29,7 +29,7 @@
 
 func TestAnOddFirstAnswerIsSoonForgotten(t *testing.T) {
 	for _, first := range []time.Duration{time.Millisecond, 10 * time.Millisecond, time.Second, 10 * time.Second} {
-		x := newLearningRoute(first)
+		x := newTrainedRoute(first)
 		if ratio := x.typical / float64(usualTime); ratio < 0.6 || ratio > 1.6 {
 			t.Errorf("after a first answer of %s the typical time is %.2f of the usual", first, ratio)
 		}
@@ -37,7 +37,7 @@
 }
 
 func TestOneSlowAnswerDoesNotMakeATargetSlow(t *testing.T) {
-	x := newLearningRoute(usualTime)
+	x := newTrainedRoute(usualTime)
 	v := newTarget(newService(table.Service{}), table.Row{Registered: true})
 	v.recordAnswerTime(testNow, x, 5*usualTime, &attempt{})
 	if s := v.currentSlowdown(testNow); s >= slowTargetThreshold {
--- a/pkg/core/routing/inbound_test.go
+++ b/pkg/core/routing/inbound_test.go
@@ -17,16 +17,16 @@
 	number AttemptNumber
 }
 
-// inboundWorld is a router with a route of large answers, and what it has under way.
-type inboundWorld struct {
-	router *Router
-	now    units.Instant
-	sent   []sentAttempt
-	busy   time.Duration
+// inboundModel is a router with a route of large answers, and what it has under way.
+type inboundModel struct {
+	router   *Router
+	now      units.Instant
+	sent     []sentAttempt
+	busyTime time.Duration
 }
 
-func newInboundWorld(t *rapid.T) *inboundWorld {
-	w := &inboundWorld{now: units.Instant(time.Second)}
+func newInboundModel(t *rapid.T) *inboundModel {
+	w := &inboundModel{now: units.Instant(time.Second)}
 	router, err := NewRouter(Settings{Box: "me", ServeStale: true, ShareDelay: time.Second, MaxDeadline: time.Minute, LinkRate: 875_000}, w.now)
 	if err != nil {
 		t.Fatal(err)
@@ -50,12 +50,12 @@
 		}
 		next.Routes[r.Key()] = r
 	}
-	w.give(t, &TableChanged{Table: next})
+	w.dispatch(t, &TableChanged{Table: next})
 	return w
 }
 
-// give hands an event to the router, keeps what it sends and checks what it counts.
-func (w *inboundWorld) give(t *rapid.T, e Event) {
+// dispatch hands an event to the router, keeps what it sends and checks what it counts.
+func (w *inboundModel) dispatch(t *rapid.T, e Event) {
 	var effects Effects
 	w.router.Reduce(w.now, e, &effects)
 	for _, x := range effects.List {
@@ -71,18 +71,18 @@
 	}
 }
 
-// pass lets time pass; the link can't have been occupied for longer than that.
-func (w *inboundWorld) pass(t *rapid.T, d time.Duration) {
+// advance lets time advance; the link can't have been occupied for longer than that.
+func (w *inboundModel) advance(t *rapid.T, d time.Duration) {
 	w.now = w.now.Add(d)
-	w.give(t, &Tick{})
+	w.dispatch(t, &Tick{})
 	busy := w.router.inbound.busyTime(w.now)
-	if busy < w.busy || busy-w.busy > d {
-		t.Fatalf("within %s the link was occupied for %s", d, busy-w.busy)
+	if busy < w.busyTime || busy-w.busyTime > d {
+		t.Fatalf("within %s the link was occupied for %s", d, busy-w.busyTime)
 	}
-	w.busy = busy
+	w.busyTime = busy
 }
 
-func (w *inboundWorld) draw(t *rapid.T) sentAttempt {
+func (w *inboundModel) drawAttempt(t *rapid.T) sentAttempt {
 	return w.sent[rapid.IntRange(0, len(w.sent)-1).Draw(t, "attempt")]
 }
 
@@ -90,26 +90,26 @@
 // as occupied for longer than time has passed.
 func TestRandomInboundCountsEndWithTheirCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newInboundWorld(t)
+		w := newInboundModel(t)
 		for range 60 {
 			kind := rapid.IntRange(0, 5).Draw(t, "kind")
 			switch {
 			case kind <= 1:
-				w.give(t, &CallArrived{Host: []byte([]string{"large", "small"}[kind]), Path: []byte("/")})
+				w.dispatch(t, &CallArrived{Host: []byte([]string{"large", "small"}[kind]), Path: []byte("/")})
 			case kind == 2 || len(w.sent) == 0:
-				w.pass(t, time.Duration(rapid.IntRange(1, 200).Draw(t, "ms"))*time.Millisecond)
+				w.advance(t, time.Duration(rapid.IntRange(1, 200).Draw(t, "ms"))*time.Millisecond)
 			case kind == 3:
-				a := w.draw(t)
-				w.give(t, &AttemptStarted{Call: a.call, Attempt: a.number, Coming: rapid.IntRange(-1, 540_000).Draw(t, "coming")})
+				a := w.drawAttempt(t)
+				w.dispatch(t, &AttemptStarted{Call: a.call, Attempt: a.number, Coming: rapid.IntRange(-1, 540_000).Draw(t, "coming")})
 			case kind == 4:
-				a := w.draw(t)
+				a := w.drawAttempt(t)
 				result := AttemptResult(rapid.IntRange(int(Answered), int(Canceled)).Draw(t, "result"))
-				w.give(t, &AttemptEnded{Call: a.call, Attempt: a.number, Result: result})
+				w.dispatch(t, &AttemptEnded{Call: a.call, Attempt: a.number, Result: result})
 			case kind == 5:
-				w.give(t, &CallerGone{Call: w.draw(t).call})
+				w.dispatch(t, &CallerGone{Call: w.drawAttempt(t).call})
 			}
 		}
-		w.pass(t, 2*time.Second)
+		w.advance(t, 2*time.Second)
 		if math.Abs(w.router.expected) > 1 {
 			t.Fatalf("%f bytes are still expected of no call", w.router.expected)
 		}
--- a/pkg/core/routing/notice_random_test.go
+++ b/pkg/core/routing/notice_random_test.go
@@ -12,21 +12,21 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// start is one start of a target.
-type start struct {
+// targetStart is one targetStart of a target.
+type targetStart struct {
 	id   units.TargetID
 	born units.WallTime
 }
 
-// said is what a start has told the box.
-type said struct {
+// statedNotice is what a start has told the box.
+type statedNotice struct {
 	restUntil units.Instant
 	leaving   bool
 }
 
-// talkers is a box whose targets ask for rest and leave in answers of all kinds, while rows come, go and
+// noticeModel is a box whose targets ask for rest and leave in answers of all kinds, while rows come, go and
 // name new starts. It checks each send and probe against what its target had said.
-type talkers struct {
+type noticeModel struct {
 	*rapid.T
 	router   *Router
 	now      units.Instant
@@ -34,14 +34,14 @@
 	// rows are the targets that register, listed the ones that the table has now.
 	rows   []table.Row
 	listed []bool
-	heard  map[start]said
+	stated map[targetStart]statedNotice
 	// sends and probes are under way; calls are those that may have one.
 	sends, probes []Effect
 	calls         []CallID
 }
 
-func newTalkers(t *rapid.T) *talkers {
-	x := &talkers{T: t, now: units.Instant(time.Second), heard: map[start]said{}}
+func newNoticeModel(t *rapid.T) *noticeModel {
+	x := &noticeModel{T: t, now: units.Instant(time.Second), stated: map[targetStart]statedNotice{}}
 	router, err := NewRouter(Settings{
 		Box: "me", Seed: rapid.Uint64().Draw(t, "seed"), ServeStale: true, ShareDelay: time.Second, ProbeCost: DefaultProbeCost, MaxDeadline: time.Minute,
 	}, x.now)
@@ -62,7 +62,7 @@
 	return x
 }
 
-func (x *talkers) putTable() {
+func (x *noticeModel) putTable() {
 	next := table.NewTable()
 	x.revision++
 	next.Revision, next.Document = x.revision, 1
@@ -80,20 +80,20 @@
 			entry.Rows = entry.Rows.With(row)
 		}
 	}
-	x.give(&TableChanged{Table: next})
+	x.dispatch(&TableChanged{Table: next})
 }
 
-func (x *talkers) give(event Event) {
+func (x *noticeModel) dispatch(event Event) {
 	var e Effects
 	x.router.Reduce(x.now, event, &e)
 	for _, effect := range e.List {
 		switch effect.Kind {
 		case Send:
-			x.check(effect, false)
+			x.checkAllowed(effect, false)
 			x.sends = append(x.sends, effect)
 			x.calls = append(x.calls, effect.Call)
 		case Probe:
-			x.check(effect, true)
+			x.checkAllowed(effect, true)
 			x.probes = append(x.probes, effect)
 		case Hold:
 			x.calls = append(x.calls, effect.Call)
@@ -101,10 +101,10 @@
 	}
 }
 
-// check checks that a target gets nothing that it doesn't want.
-func (x *talkers) check(effect Effect, probe bool) {
+// checkAllowed checks that a target gets nothing that it doesn't want.
+func (x *noticeModel) checkAllowed(effect Effect, probe bool) {
 	e := effect.Endpoint
-	h := x.heard[start{e.Target, e.Born}]
+	h := x.stated[targetStart{e.Target, e.Born}]
 	if x.now < h.restUntil {
 		x.Fatalf("%s got something %s before the end of its rest (probe: %t)", e.Target, h.restUntil.Sub(x.now), probe)
 	}
@@ -113,8 +113,8 @@
 	}
 }
 
-// words draws what an answer says, and notes that the box will have heard it.
-func (x *talkers) words(e *Endpoint) Reading {
+// drawReading draws what an answer says, and notes that the box will have heard it.
+func (x *noticeModel) drawReading(e *Endpoint) Reading {
 	r := Reading{Known: true, InFlight: float64(rapid.IntRange(0, 4).Draw(x.T, "load")), Slots: 3, Pace: 1}
 	switch rapid.IntRange(0, 5).Draw(x.T, "words") {
 	case 0:
@@ -122,23 +122,23 @@
 	case 1:
 		r.Leaving = rapid.IntRange(0, 3).Draw(x.T, "leaving") == 0
 	}
-	key := start{e.Target, e.Born}
-	h := x.heard[key]
+	key := targetStart{e.Target, e.Born}
+	h := x.stated[key]
 	h.leaving = h.leaving || r.Leaving
 	if r.Rest > 0 {
 		h.restUntil = max(h.restUntil, x.now.Add(r.Rest))
 	}
-	x.heard[key] = h
+	x.stated[key] = h
 	return r
 }
 
-func (x *talkers) call(*rapid.T) {
+func (x *noticeModel) arrive(*rapid.T) {
 	host := rapid.SampledFrom([]string{"once", "read", "file"}).Draw(x.T, "host")
-	x.give(&CallArrived{Owner: x, Host: []byte(host), Path: []byte("/")})
+	x.dispatch(&CallArrived{Owner: x, Host: []byte(host), Path: []byte("/")})
 }
 
-// takeOut takes one of a list out of it.
-func takeOut(t *rapid.T, list *[]Effect) Effect {
+// removeRandom takes one of a list out of it.
+func removeRandom(t *rapid.T, list *[]Effect) Effect {
 	if len(*list) == 0 {
 		t.Skip("nothing is under way")
 	}
@@ -148,53 +148,53 @@
 	return effect
 }
 
-func (x *talkers) answer(t *rapid.T) {
-	s := takeOut(t, &x.sends)
+func (x *noticeModel) endAttempt(t *rapid.T) {
+	s := removeRandom(t, &x.sends)
 	v := &AttemptEnded{Call: s.Call, Attempt: s.Attempt, Endpoint: s.Endpoint}
 	v.Result = rapid.SampledFrom([]AttemptResult{Answered, Answered, Failed, Shed, Shed, Broken, NotSent, Withheld}).Draw(t, "result")
 	if v.Result != NotSent && v.Result != Withheld {
-		v.Reading = x.words(s.Endpoint)
+		v.Reading = x.drawReading(s.Endpoint)
 	}
-	x.give(v)
+	x.dispatch(v)
 }
 
-func (x *talkers) begin(t *rapid.T) {
-	s := takeOut(t, &x.sends)
-	x.give(&AttemptStarted{Call: s.Call, Attempt: s.Attempt, Endpoint: s.Endpoint, Reading: x.words(s.Endpoint), Coming: -1})
+func (x *noticeModel) startAnswer(t *rapid.T) {
+	s := removeRandom(t, &x.sends)
+	x.dispatch(&AttemptStarted{Call: s.Call, Attempt: s.Attempt, Endpoint: s.Endpoint, Reading: x.drawReading(s.Endpoint), Coming: -1})
 	x.sends = append(x.sends, s)
 }
 
-func (x *talkers) probed(t *rapid.T) {
-	p := takeOut(t, &x.probes)
+func (x *noticeModel) endProbe(t *rapid.T) {
+	p := removeRandom(t, &x.probes)
 	v := &ProbeEnded{Target: p.Endpoint, Call: p.Call, Attempt: p.Attempt}
 	if rapid.Bool().Draw(t, "answered") {
 		v.Answered, v.Healthy = true, rapid.Bool().Draw(t, "healthy")
-		v.Reading = x.words(p.Endpoint)
+		v.Reading = x.drawReading(p.Endpoint)
 	} else {
 		v.Unreachable = rapid.Bool().Draw(t, "unreachable")
 		v.Refused = v.Unreachable && rapid.Bool().Draw(t, "refused")
 	}
-	x.give(v)
+	x.dispatch(v)
 }
 
-func (x *talkers) leave(t *rapid.T) {
+func (x *noticeModel) abandonCall(t *rapid.T) {
 	if len(x.calls) == 0 {
 		t.Skip("there is no call")
 	}
-	x.give(&CallerGone{Call: rapid.SampledFrom(x.calls).Draw(t, "call")})
+	x.dispatch(&CallerGone{Call: rapid.SampledFrom(x.calls).Draw(t, "call")})
 }
 
-func (x *talkers) pass(t *rapid.T) {
+func (x *noticeModel) advance(t *rapid.T) {
 	end := x.now.Add(time.Duration(rapid.IntRange(1, 700).Draw(t, "ms")) * time.Millisecond)
 	for x.router.NextWake() <= end {
 		x.now = max(x.now, x.router.NextWake())
-		x.give(&Tick{})
+		x.dispatch(&Tick{})
 	}
 	x.now = end
 }
 
-// edit has a row go, come back, move to another address or name a new start.
-func (x *talkers) edit(t *rapid.T) {
+// editRow has a row go, come back, move to another address or name a new start.
+func (x *noticeModel) editRow(t *rapid.T) {
 	i := rapid.IntRange(0, len(x.rows)-1).Draw(t, "row")
 	switch rapid.IntRange(0, 3).Draw(t, "edit") {
 	case 0:
@@ -213,12 +213,12 @@
 // rests, or after it has said that it leaves.
 func TestNothingReachesTargetsThatWantNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x := newTalkers(t)
+		x := newNoticeModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"call": x.call, "call again": x.call, "answer": x.answer, "begin": x.begin, "probed": x.probed, "leave": x.leave, "pass": x.pass, "edit": x.edit,
+			"call": x.arrive, "call again": x.arrive, "answer": x.endAttempt, "begin": x.startAnswer, "probed": x.endProbe, "leave": x.abandonCall, "pass": x.advance, "edit": x.editRow,
 		})
-		if n := len(x.router.notices); n > len(x.heard) {
-			t.Fatalf("%d notices are kept of %d starts that said anything", n, len(x.heard))
+		if n := len(x.router.notices); n > len(x.stated) {
+			t.Fatalf("%d notices are kept of %d starts that said anything", n, len(x.stated))
 		}
 	})
 }
--- a/pkg/core/routing/script_notice_test.go
+++ b/pkg/core/routing/script_notice_test.go
@@ -17,12 +17,12 @@
 	x.Leaving = d.HasArg("leaving")
 	x.Limit.Unread = d.HasArg("unread-limit")
 	if d.HasArg("limit") {
-		x.Limit.Named, x.Limit.Rate = true, s.rate(d, "limit")
+		x.Limit.Named, x.Limit.Rate = true, s.callRate(d, "limit")
 	}
 }
 
-// rate reads a number of calls a second.
-func (s *script) rate(d *datadriven.TestData, key string) units.CallRate {
+// callRate reads a number of calls a second.
+func (s *script) callRate(d *datadriven.TestData, key string) units.CallRate {
 	x, err := strconv.ParseFloat(s.word(d, key), 64)
 	if err != nil {
 		d.Fatalf(s.t, "%v", err)
@@ -30,7 +30,7 @@
 	return units.CallRate(x)
 }
 
-var limitWords = map[LimitKind]string{
+var limitKindNames = map[LimitKind]string{
 	AskPermits: "ask", GrantPermits: "grant", ReturnPermits: "return", TellLimit: "tell", HandOver: "hand-over",
 }
 
@@ -39,7 +39,7 @@
 // heard of one.
 func (s *script) peerLimit(d *datadriven.TestData) {
 	m := LimitMessage{Service: units.ServiceName(s.word(d, "service")), Target: units.TargetID(s.word(d, "target")), Born: 1}
-	for k, w := range limitWords {
+	for k, w := range limitKindNames {
 		if w == s.word(d, "kind") {
 			m.Kind = k
 		}
@@ -49,7 +49,7 @@
 	d.MaybeScanArgs(s.t, "count", &m.Count)
 	m.Again = s.duration(d, "again")
 	if d.HasArg("limit") {
-		m.Word.Limited, m.Word.Rate = true, s.rate(d, "limit")
+		m.Word.Limited, m.Word.Rate = true, s.callRate(d, "limit")
 	}
 	d.MaybeScanArgs(s.t, "version", &m.Word.Version)
 	s.give(&PeerLimit{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
@@ -57,7 +57,7 @@
 
 // describeLimit tells of a message on a target's limit.
 func describeLimit(m *LimitMessage) string {
-	words := []string{limitWords[m.Kind], string(m.Target)}
+	words := []string{limitKindNames[m.Kind], string(m.Target)}
 	if m.Nonce != 0 {
 		words = append(words, fmt.Sprintf("nonce %d", m.Nonce))
 	}
