--- a/pkg/core/routing/crowd_rest_test.go
+++ b/pkg/core/routing/crowd_rest_test.go
@@ -27,15 +27,15 @@
 	gain := 0.0
 	for _, s := range scenarios {
 		play := func(shared bool) (inAim, wasted float64) {
-			f := newCrowd(t)
-			f.shared = shared
-			inAim = f.play(s.load, func() {
+			f := newCrowdSim(t)
+			f.sharesNotices = shared
+			inAim = f.measure(s.load, func() {
 				for i := range s.resting {
 					x := f.targets[units.TargetID(fmt.Sprintf("t%03d", i))]
-					x.sheds, x.rest = s.sheds, time.Second
+					x.shedRate, x.rest = s.sheds, time.Second
 				}
 			})
-			return inAim, f.perCall()
+			return inAim, f.wastedPerCall()
 		}
 		alone, wasted := play(false)
 		shared, wastedShared := play(true)
--- a/pkg/core/routing/crowd_test.go
+++ b/pkg/core/routing/crowd_test.go
@@ -11,9 +11,9 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// crowd replays more calls than targets can serve in time over many boxes. Targets have two
+// crowdSim replays more calls than targets can serve in time over many boxes. Targets have two
 // slots, the second of which slows both; refused callers come back once, as they are told.
-type crowd struct {
+type crowdSim struct {
 	t       *testing.T
 	random  *rand.Rand
 	now     units.Instant
@@ -21,18 +21,18 @@
 	targets map[units.TargetID]*crowdTarget
 	events  *container.Heap[crowdEvent]
 	inAim   int
-	asked   int
+	callers int
 	// wasted counts the probes and sends that met an unreachable target, or one that rests.
 	wasted int
-	// shared has every box hear what a target says to one of them.
-	shared bool
+	// sharesNotices has every box hear what a target says to one of them.
+	sharesNotices bool
 }
 
 type crowdTarget struct {
-	running int
-	dark    bool
-	// sheds is the part of calls that the target sheds, whatever room it has.
-	sheds float64
+	running     int
+	unreachable bool
+	// shedRate is the part of calls that the target shedRate, whatever room it has.
+	shedRate float64
 	// rest is for how long a target that sheds wants nothing more from the box.
 	rest time.Duration
 }
@@ -51,18 +51,18 @@
 const (
 	crowdBoxes    = 60
 	crowdTargets  = 48
-	crowdWork     = 60 * time.Millisecond
+	crowdWorkTime = 60 * time.Millisecond
 	crowdAim      = 200 * time.Millisecond
 	crowdDeadline = 600 * time.Millisecond
 	// crowdCapacity is about how many calls a second all targets serve.
-	crowdCapacity = crowdTargets * 2 / 0.102
-	crowdWay      = 2 * time.Millisecond
-	// crowdConnect is how long a caller who comes back takes to connect.
-	crowdConnect = 15 * time.Millisecond
+	crowdCapacity  = crowdTargets * 2 / 0.102
+	crowdRoundTrip = 2 * time.Millisecond
+	// crowdConnectTime is how long a caller who comes back takes to connect.
+	crowdConnectTime = 15 * time.Millisecond
 )
 
-func newCrowd(t *testing.T, off ...Mechanism) *crowd {
-	f := &crowd{
+func newCrowdSim(t *testing.T, off ...Mechanism) *crowdSim {
+	f := &crowdSim{
 		t: t, random: rand.New(rand.NewPCG(3, 4)), now: units.Instant(time.Second), targets: map[units.TargetID]*crowdTarget{},
 		events: container.NewHeap(func(a, b crowdEvent) bool { return a.at < b.at }),
 	}
@@ -81,7 +81,7 @@
 	return f
 }
 
-func (f *crowd) newTable() *table.Table {
+func (f *crowdSim) newTable() *table.Table {
 	x := table.NewTable()
 	x.Revision, x.Document = 1, 1
 	for i := range crowdBoxes {
@@ -108,21 +108,21 @@
 
 func crowdDomain(i int) units.Domain { return units.Domain(fmt.Sprintf("d%d", i%3)) }
 
-// darken has all targets of a domain refuse connections.
-func (f *crowd) darken(d units.Domain) {
+// makeUnreachable has all targets of a domain refuse connections.
+func (f *crowdSim) makeUnreachable(d units.Domain) {
 	for i := range crowdTargets {
 		if crowdDomain(i) == d {
-			f.targets[units.TargetID(fmt.Sprintf("t%03d", i))].dark = true
+			f.targets[units.TargetID(fmt.Sprintf("t%03d", i))].unreachable = true
 		}
 	}
 }
 
-// pass lets calls come for a time, at a part of the capacity.
-func (f *crowd) pass(d time.Duration, load float64) {
+// advance lets calls come for a time, at a part of the capacity.
+func (f *crowdSim) advance(d time.Duration, load float64) {
 	gap := time.Duration(float64(time.Second) / (load * crowdCapacity))
 	end := f.now.Add(d)
 	for at := f.now; at < end; at = at.Add(time.Duration(f.random.ExpFloat64() * float64(gap))) {
-		f.events.Push(crowdEvent{at, func() { f.asked++; f.call(&crowdCaller{first: f.now}) }})
+		f.events.Push(crowdEvent{at, func() { f.callers++; f.call(&crowdCaller{first: f.now}) }})
 	}
 	for at := f.now; at < end; at = at.Add(time.Millisecond) {
 		f.events.Push(crowdEvent{at, f.tick})
@@ -139,11 +139,11 @@
 	}
 }
 
-func (f *crowd) after(d time.Duration, run func()) {
+func (f *crowdSim) after(d time.Duration, run func()) {
 	f.events.Push(crowdEvent{f.now.Add(d), run})
 }
 
-func (f *crowd) tick() {
+func (f *crowdSim) tick() {
 	for _, r := range f.routers {
 		if r.NextWake() <= f.now {
 			f.reduce(r, &Tick{})
@@ -151,7 +151,7 @@
 	}
 }
 
-func (f *crowd) call(c *crowdCaller) {
+func (f *crowdSim) call(c *crowdCaller) {
 	left := crowdDeadline - f.now.Sub(c.first)
 	if left <= 0 {
 		return
@@ -160,15 +160,15 @@
 	f.reduce(r, &CallArrived{Owner: c, Host: []byte("s"), Path: []byte("/"), Deadline: left})
 }
 
-func (f *crowd) reduce(r *Router, event Event) {
+func (f *crowdSim) reduce(r *Router, event Event) {
 	var e Effects
 	r.Reduce(f.now, event, &e)
 	for _, x := range e.List {
-		f.carryOut(r, x)
+		f.apply(r, x)
 	}
 }
 
-func (f *crowd) carryOut(r *Router, x Effect) {
+func (f *crowdSim) apply(r *Router, x Effect) {
 	switch x.Kind {
 	case Send:
 		f.send(r, x)
@@ -179,23 +179,23 @@
 			f.inAim++
 		}
 	case Refuse:
-		f.comeBack(x.Owner.(*crowdCaller), x.Refusal.RetryAfter)
+		f.retryCaller(x.Owner.(*crowdCaller), x.Refusal.RetryAfter)
 	}
 }
 
-func (f *crowd) send(r *Router, x Effect) {
+func (f *crowdSim) send(r *Router, x Effect) {
 	t := f.targets[x.Endpoint.Target]
-	if t.dark {
+	if t.unreachable {
 		f.wasted++
-		f.after(crowdWay, func() { f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: NotSent}) })
+		f.after(crowdRoundTrip, func() { f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: NotSent}) })
 		return
 	}
-	if f.random.Float64() < t.sheds {
-		f.after(crowdWay, func() { f.shed(r, x, t) })
+	if f.random.Float64() < t.shedRate {
+		f.after(crowdRoundTrip, func() { f.shed(r, x, t) })
 		return
 	}
 	t.running++
-	takes := crowdWork
+	takes := crowdWorkTime
 	if t.running > 1 {
 		takes = takes * 17 / 10 * time.Duration((t.running+1)/2)
 	}
@@ -206,71 +206,71 @@
 }
 
 // shed answers a call that a target turns away.
-func (f *crowd) shed(r *Router, x Effect, t *crowdTarget) {
+func (f *crowdSim) shed(r *Router, x Effect, t *crowdTarget) {
 	if t.rest > 0 {
 		f.wasted++
 	}
 	said := t.reading()
 	said.Rest = t.rest
 	f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Endpoint: x.Endpoint, Result: Shed, Reading: said})
-	if !f.shared || t.rest == 0 {
+	if !f.sharesNotices || t.rest == 0 {
 		return
 	}
-	f.after(crowdTold, func() {
+	f.after(crowdShareDelay, func() {
 		for _, o := range f.routers {
 			var e Effects
-			o.handleNotice(x.Endpoint, Reading{Rest: t.rest - crowdTold}, false, noBase, &e)
+			o.handleNotice(x.Endpoint, Reading{Rest: t.rest - crowdShareDelay}, false, noBase, &e)
 		}
 	})
 }
 
-// crowdTold is how long it takes until what one box has heard is known to all.
-const crowdTold = 50 * time.Millisecond
+// crowdShareDelay is how long it takes until what one box has heard is known to all.
+const crowdShareDelay = 50 * time.Millisecond
 
-func (f *crowd) probe(r *Router, x Effect) {
+func (f *crowdSim) probe(r *Router, x Effect) {
 	t := f.targets[x.Endpoint.Target]
-	if t.dark {
+	if t.unreachable {
 		f.wasted++
 	}
-	f.after(crowdWay, func() {
-		f.reduce(r, &ProbeEnded{Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Healthy: !t.dark, Unreachable: t.dark, Reading: t.reading()})
+	f.after(crowdRoundTrip, func() {
+		f.reduce(r, &ProbeEnded{Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Healthy: !t.unreachable, Unreachable: t.unreachable, Reading: t.reading()})
 	})
 }
 
 func (t *crowdTarget) reading() Reading {
-	if t.dark {
+	if t.unreachable {
 		return Reading{}
 	}
 	return Reading{Known: true, InFlight: float64(t.running), Slots: 2, Pace: 1}
 }
 
-// comeBack has a refused caller try once more, when it was told to but within a third of the
+// retryCaller has a refused caller try once more, when it was told to but within a third of the
 // time that it has left.
-func (f *crowd) comeBack(c *crowdCaller, after time.Duration) {
+func (f *crowdSim) retryCaller(c *crowdCaller, after time.Duration) {
 	left := crowdDeadline - f.now.Sub(c.first)
 	if c.retries > 0 {
 		return
 	}
 	c.retries++
-	f.after(min(after, left/3)+crowdConnect, func() { f.call(c) })
+	f.after(min(after, left/3)+crowdConnectTime, func() { f.call(c) })
 }
 
-// play has calls come at half of the capacity, and then at a load for 4 s; it returns the
+// measure has calls come at half of the capacity, and then at a load for 4 s; it returns the
 // part of the latter that was answered in aim.
-func (f *crowd) play(load float64, before func()) float64 {
-	f.pass(2*time.Second, 0.5)
+func (f *crowdSim) measure(load float64, before func()) float64 {
+	f.advance(2*time.Second, 0.5)
 	before()
-	f.inAim, f.asked, f.wasted = 0, 0, 0
-	f.pass(4*time.Second, load)
-	return float64(f.inAim) / float64(f.asked)
+	f.inAim, f.callers, f.wasted = 0, 0, 0
+	f.advance(4*time.Second, load)
+	return float64(f.inAim) / float64(f.callers)
 }
 
-func nothing() {}
+func noChange() {}
 
 // With calls of 1.8 times the capacity, slots go to first tries.
 func TestFirstTriesGoBeforeLateReturns(t *testing.T) {
-	without := newCrowd(t, FirstTries).play(1.8, nothing)
-	with := newCrowd(t).play(1.8, nothing)
+	without := newCrowdSim(t, FirstTries).measure(1.8, noChange)
+	with := newCrowdSim(t).measure(1.8, noChange)
 	t.Logf("in aim: %.3f, and %.3f where late returns take places", with, without)
 	if with < 1.1*without {
 		t.Errorf("%.3f of the calls were answered in aim, %.3f without the preference", with, without)
@@ -279,25 +279,25 @@
 
 // With a third of the targets unreachable, boxes stop trying them one by one.
 func TestADarkDomainIsLearntAsOne(t *testing.T) {
-	play := func(off ...Mechanism) *crowd {
-		f := newCrowd(t, off...)
-		f.play(0.5, func() { f.darken("d1") })
+	play := func(off ...Mechanism) *crowdSim {
+		f := newCrowdSim(t, off...)
+		f.measure(0.5, func() { f.makeUnreachable("d1") })
 		return f
 	}
 	with, without := play(), play(Outlook)
-	t.Logf("wasted tries a call: %.3f, and %.3f target by target", with.perCall(), without.perCall())
-	if 2*with.perCall() > without.perCall() {
-		t.Errorf("%.3f tries a call met dark targets, %.3f without the outlook", with.perCall(), without.perCall())
+	t.Logf("wasted tries a call: %.3f, and %.3f target by target", with.wastedPerCall(), without.wastedPerCall())
+	if 2*with.wastedPerCall() > without.wastedPerCall() {
+		t.Errorf("%.3f tries a call met dark targets, %.3f without the outlook", with.wastedPerCall(), without.wastedPerCall())
 	}
 }
 
 // Where targets with room shed half of their calls, refused callers come back in time for their
 // aim. With a pause of 100 ms 0.65 of the calls were answered in aim.
 func TestCallersOfShedCallsComeBackInTime(t *testing.T) {
-	f := newCrowd(t)
-	inAim := f.play(0.4, func() {
+	f := newCrowdSim(t)
+	inAim := f.measure(0.4, func() {
 		for _, x := range f.targets {
-			x.sheds = 0.55
+			x.shedRate = 0.55
 		}
 	})
 	t.Logf("in aim: %.3f", inAim)
@@ -306,4 +306,4 @@
 	}
 }
 
-func (f *crowd) perCall() float64 { return float64(f.wasted) / float64(f.asked) }
+func (f *crowdSim) wastedPerCall() float64 { return float64(f.wasted) / float64(f.callers) }
--- a/pkg/core/routing/regions_test.go
+++ b/pkg/core/routing/regions_test.go
@@ -14,22 +14,22 @@
 // regionFleet is a router in each of six failure domains of three regions, beside targets of
 // one service that tell their load.
 type regionFleet struct {
-	t       *testing.T
-	now     units.Instant
-	random  *rand.Rand
-	routers map[units.Domain]*Router
-	table   *table.Table
-	dark    map[units.Domain]bool
-	load    map[units.TargetID]int
-	events  fleetEvents
-	// stayed, left and refused count the calls of the region south by where they were sent.
-	stayed, left, refused int
+	t           *testing.T
+	now         units.Instant
+	random      *rand.Rand
+	routers     map[units.Domain]*Router
+	table       *table.Table
+	unreachable map[units.Domain]bool
+	load        map[units.TargetID]int
+	events      fleetEvents
+	// servedInRegion, servedElsewhere and refused count the calls of the region south by where they were sent.
+	servedInRegion, servedElsewhere, refused int
 }
 
 // fleetEvent is what a router hears at a time.
 type fleetEvent struct {
-	at   units.Instant
-	what func()
+	at  units.Instant
+	run func()
 }
 
 type fleetEvents []fleetEvent
@@ -45,13 +45,13 @@
 }
 
 const (
-	fleetTargets = 6
-	fleetSlots   = 2
-	fleetWork    = 60 * time.Millisecond
-	fleetProbe   = 2 * time.Millisecond
-	// fleetWayNear and fleetWayFar are there and back between domains, and between regions.
-	fleetWayNear = 2 * time.Millisecond
-	fleetWayFar  = 17 * time.Millisecond
+	fleetTargets   = 6
+	fleetSlots     = 2
+	fleetWorkTime  = 60 * time.Millisecond
+	fleetProbeTime = 2 * time.Millisecond
+	// fleetRoundTripNear and fleetWayFar are there and back between domains, and between regions.
+	fleetRoundTripNear = 2 * time.Millisecond
+	fleetRoundTripFar  = 17 * time.Millisecond
 )
 
 var fleetRegions = map[units.Domain]units.Region{
@@ -63,7 +63,7 @@
 func newRegionFleet(t *testing.T, dark ...units.Domain) *regionFleet {
 	f := &regionFleet{
 		t: t, now: units.Instant(time.Second), random: rand.New(rand.NewPCG(1, 5)), routers: map[units.Domain]*Router{},
-		dark: map[units.Domain]bool{}, load: map[units.TargetID]int{}, table: table.NewTable(),
+		unreachable: map[units.Domain]bool{}, load: map[units.TargetID]int{}, table: table.NewTable(),
 	}
 	entry := &table.Entry{Service: table.Service{
 		Name: "rates", Work: table.Repeatable, Hosts: []string{"rates"}, Deadline: time.Second, HoldCount: 10, RetryBudget: 10, HedgeBudget: 10,
@@ -85,7 +85,7 @@
 		Parts: []table.Part{{Service: "rates", Weight: 1}},
 	}}
 	for _, d := range dark {
-		f.dark[d] = true
+		f.unreachable[d] = true
 	}
 	for i, d := range fleetDomains {
 		f.start(d, uint64(i))
@@ -102,39 +102,39 @@
 		f.t.Fatal(err)
 	}
 	f.routers[d] = r
-	f.give(d, &TableChanged{Table: f.table})
+	f.dispatch(d, &TableChanged{Table: f.table})
 }
 
-func (f *regionFleet) give(d units.Domain, event Event) {
+func (f *regionFleet) dispatch(d units.Domain, event Event) {
 	var e Effects
 	f.routers[d].Reduce(f.now, event, &e)
 	for _, x := range e.List {
-		f.carryOut(d, x)
+		f.apply(d, x)
 	}
 }
 
-func (f *regionFleet) later(after time.Duration, what func()) {
-	heap.Push(&f.events, fleetEvent{at: f.now.Add(after), what: what})
+func (f *regionFleet) schedule(after time.Duration, what func()) {
+	heap.Push(&f.events, fleetEvent{at: f.now.Add(after), run: what})
 }
 
-func (f *regionFleet) way(from, to units.Domain) time.Duration {
+func (f *regionFleet) roundTrip(from, to units.Domain) time.Duration {
 	switch {
 	case from == to:
 		return 0
 	case fleetRegions[from] == fleetRegions[to]:
-		return fleetWayNear
+		return fleetRoundTripNear
 	}
-	return fleetWayFar
+	return fleetRoundTripFar
 }
 
-func (f *regionFleet) carryOut(d units.Domain, x Effect) {
+func (f *regionFleet) apply(d units.Domain, x Effect) {
 	switch x.Kind {
 	case Refuse:
-		f.count(d, &f.refused)
+		f.countSouth(d, &f.refused)
 	case Probe:
-		f.later(f.way(d, x.Endpoint.Domain)+fleetProbe, func() {
-			dark := f.dark[x.Endpoint.Domain]
-			f.give(d, &ProbeEnded{
+		f.schedule(f.roundTrip(d, x.Endpoint.Domain)+fleetProbeTime, func() {
+			dark := f.unreachable[x.Endpoint.Domain]
+			f.dispatch(d, &ProbeEnded{
 				Target: x.Endpoint, Healthy: !dark, Unreachable: dark, Call: x.Call, Attempt: x.Attempt, Reading: f.reading(x.Endpoint, !dark),
 			})
 		})
@@ -148,45 +148,45 @@
 }
 
 func (f *regionFleet) send(d units.Domain, x Effect) {
-	if f.dark[x.Endpoint.Domain] {
-		f.later(f.way(d, x.Endpoint.Domain), func() {
-			f.give(d, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: NotSent})
+	if f.unreachable[x.Endpoint.Domain] {
+		f.schedule(f.roundTrip(d, x.Endpoint.Domain), func() {
+			f.dispatch(d, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: NotSent})
 		})
 		return
 	}
 	if fleetRegions[d] == fleetRegions[x.Endpoint.Domain] {
-		f.count(d, &f.stayed)
+		f.countSouth(d, &f.servedInRegion)
 	} else {
-		f.count(d, &f.left)
+		f.countSouth(d, &f.servedElsewhere)
 	}
 	f.load[x.Endpoint.Target]++
 	waves := time.Duration((f.load[x.Endpoint.Target] + fleetSlots - 1) / fleetSlots)
-	f.later(f.way(d, x.Endpoint.Domain)+waves*fleetWork, func() {
+	f.schedule(f.roundTrip(d, x.Endpoint.Domain)+waves*fleetWorkTime, func() {
 		f.load[x.Endpoint.Target]--
-		f.give(d, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: Answered, Reading: f.reading(x.Endpoint, true)})
+		f.dispatch(d, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: Answered, Reading: f.reading(x.Endpoint, true)})
 	})
 }
 
-func (f *regionFleet) count(d units.Domain, n *int) {
+func (f *regionFleet) countSouth(d units.Domain, n *int) {
 	if fleetRegions[d] == "south" {
 		*n++
 	}
 }
 
-// pass lets time pass; the boxes of each domain get so many calls a second together.
-func (f *regionFleet) pass(d time.Duration, perSecond int) {
+// advance lets time advance; the boxes of each domain get so many calls a second together.
+func (f *regionFleet) advance(d time.Duration, perSecond int) {
 	pause := time.Second / time.Duration(perSecond*len(fleetDomains))
 	for end := f.now.Add(d); f.now < end; {
 		f.now = f.now.Add(pause)
 		for len(f.events) > 0 && f.events[0].at <= f.now {
-			heap.Pop(&f.events).(fleetEvent).what()
+			heap.Pop(&f.events).(fleetEvent).run()
 		}
 		for _, d := range fleetDomains {
 			if f.routers[d].NextWake() <= f.now {
-				f.give(d, &Tick{})
+				f.dispatch(d, &Tick{})
 			}
 		}
-		f.give(fleetDomains[f.random.IntN(len(fleetDomains))], &CallArrived{Host: []byte("rates"), Path: []byte("/")})
+		f.dispatch(fleetDomains[f.random.IntN(len(fleetDomains))], &CallArrived{Host: []byte("rates"), Path: []byte("/")})
 	}
 }
 
@@ -194,10 +194,10 @@
 // has room.
 func TestCallsOfADarkDomainStayInTheirRegion(t *testing.T) {
 	f := newRegionFleet(t, "south-a")
-	f.pass(4*time.Second, 40)
-	t.Logf("%d stayed, %d left, %d were refused", f.stayed, f.left, f.refused)
-	if all := f.stayed + f.left + f.refused; f.left > all/8 || f.refused > all/20 {
-		t.Errorf("of %d calls %d left the region and %d were refused, though it has room", all, f.left, f.refused)
+	f.advance(4*time.Second, 40)
+	t.Logf("%d stayed, %d left, %d were refused", f.servedInRegion, f.servedElsewhere, f.refused)
+	if all := f.servedInRegion + f.servedElsewhere + f.refused; f.servedElsewhere > all/8 || f.refused > all/20 {
+		t.Errorf("of %d calls %d left the region and %d were refused, though it has room", all, f.servedElsewhere, f.refused)
 	}
 }
 
@@ -205,9 +205,9 @@
 // from there.
 func TestCallsOfADarkRegionAreServedElsewhere(t *testing.T) {
 	f := newRegionFleet(t, "south-a", "south-b")
-	f.pass(4*time.Second, 40)
-	t.Logf("%d stayed, %d left, %d were refused", f.stayed, f.left, f.refused)
-	if all := f.stayed + f.left + f.refused; f.refused > all/10 {
+	f.advance(4*time.Second, 40)
+	t.Logf("%d stayed, %d left, %d were refused", f.servedInRegion, f.servedElsewhere, f.refused)
+	if all := f.servedInRegion + f.servedElsewhere + f.refused; f.refused > all/10 {
 		t.Errorf("of %d calls %d were refused, though other regions have room", all, f.refused)
 	}
 }
