--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -9,7 +9,7 @@
 )
 
 // A target may tell a box in an answer that it wants nothing for a time, that it is about to end, or
-// how many calls it takes from all boxes together (namedlimit.go). Each binds every way on which this box
+// how many calls it takes from all boxes together (targetlimit.go). Each binds every way on which this box
 // could reach the target: first sends, retries, hedges, calls that were held or wait, borrowed slots, trials
 // of an ejected target, probes and checks. It belongs to a start of the target and is kept apart from the
 // target's row, so that neither a new row nor a report ends it. Whether a target seems to have room doesn't
