--- a/pkg/core/routing/cold.go
+++ b/pkg/core/routing/cold.go
@@ -8,58 +8,59 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A target is cold for some seconds after it has started or was idle for long: it is slower
-// then, and falls over under a rate of calls that it bears when warm. The table says what
-// rate a cold target takes from all boxes together. Boxes learn that a target is cold by
-// its registration and by the answers to probes.
+// A target is cold for some seconds after it has started or was idle for long. It is slower then
+// and would be overloaded by a rate of calls that it handles when warm. The table sets the rate
+// that a cold target accepts from all boxes together. Boxes recognize a cold target by its
+// registration and by its answers to probes.
 //
-// The rate is divided among a few boxes of the target's own failure domain, chosen by
-// rendezvous hashing; no other box sends it calls. Divided among all boxes each would have
-// a call every half minute, and what boxes may send at once would add up to many times the
-// rate.
+// The rate is divided among a few boxes of the target's failure domain, chosen by rendezvous
+// hashing; no other box sends calls to the target. Divided among all boxes, each would have one
+// call every half minute, and the bursts of all boxes would add up to many times the rate.
 
 const (
-	// boxesPerColdTarget is how many boxes share a cold target's rate. Two go on when one is lost.
-	// While boxes disagree on the list of boxes there may be twice as many.
+	// boxesPerColdTarget is how many boxes share a cold target's rate. With two, one remains if the
+	// other is lost. While boxes have different lists of boxes, twice as many may send.
 	boxesPerColdTarget = 2
-	// coldBurst is how many calls one of them may send a cold target at once.
+	// coldBurst is how many calls one of these boxes may send to a cold target at once.
 	coldBurst = 1
-	// restartGrace is for how long after its start a box may have sent a cold target a call in
-	// its last life: that call counts in the same second as the next one.
+	// restartGrace is how long after its start a box sends no calls to a cold target: a call that
+	// it sent before it restarted counts in the same second as the next one.
 	restartGrace = time.Second
 )
 
-// coldState is what is known of a cold target.
+// coldState tracks whether a target is cold, and this box's share of its rate.
 type coldState struct {
 	// until is when the target will be warm.
 	until units.Instant
-	// possibleUntil is when a target that may be cold counts as warm unless it says otherwise.
+	// possibleUntil is until when the target may be cold without having reported it; afterwards it
+	// is considered warm.
 	possibleUntil units.Instant
-	// rowRemaining is for how long the target stays cold by a row that was put in force just now.
+	// rowRemaining is the remaining cold time in a row that has just come into force; zero once it
+	// is applied.
 	rowRemaining time.Duration
-	// share is this box's part of the rate.
+	// share is this box's fraction of the rate.
 	share  float64
 	bucket rateLimit
-	// boxListVersion is the list of boxes that the share was worked out from, by its number.
+	// boxListVersion is the number of the list of boxes that the share was computed from.
 	boxListVersion int
 }
 
-// isCold tells whether the target is cold, or may be.
+// isCold reports whether the target is cold or may be.
 func (t *target) isCold(now units.Instant) bool {
 	return t.service.row.ColdRate > 0 && (now < t.cold.until || now < t.cold.possibleUntil)
 }
 
-// acceptsColdCalls tells whether the target is cold and takes calls of this box all the same.
+// acceptsColdCalls reports whether the target is cold but takes calls from this box.
 func (t *target) acceptsColdCalls(now units.Instant) bool {
 	return t.isCold(now) && t.cold.share > 0
 }
 
-// isPossiblyCold tells whether only a probe can tell whether the target is cold.
+// isPossiblyCold reports whether only a probe can show whether the target is cold.
 func (t *target) isPossiblyCold(now units.Instant) bool {
 	return t.service.row.ColdRate > 0 && now < t.cold.possibleUntil && now >= t.cold.until
 }
 
-// coldRateAdmits tells whether a call may be sent as far as the rate of cold targets goes.
+// coldRateAdmits reports whether the rate limit for cold targets allows another call.
 func (t *target) coldRateAdmits(now units.Instant) bool {
 	if !t.isCold(now) {
 		return true
@@ -68,17 +69,17 @@
 	return t.cold.share > 0 && t.cold.bucket.tokens >= 1
 }
 
-// coldRate is how many calls a second this box may send the target while it is cold.
+// coldRate returns how many calls a second this box may send to the target while it is cold.
 func (t *target) coldRate() float64 { return t.cold.share * t.service.row.ColdRate }
 
-// countColdSend takes a call off the rate of a cold target.
+// countColdSend charges a call to the rate limit of a cold target.
 func (t *target) countColdSend(now units.Instant) {
 	if t.isCold(now) {
 		t.cold.bucket.take(now, t.coldRate(), coldBurst)
 	}
 }
 
-// applyColdRows takes what the rows of a service that were put in force say of cold targets.
+// applyColdRows applies the cold times in a service's rows that have just come into force.
 func (r *Router) applyColdRows(s *service) {
 	for _, t := range s.targets {
 		if t.cold.rowRemaining > 0 {
@@ -88,21 +89,21 @@
 	}
 }
 
-// markCold notes that a target stays cold for a time.
-func (r *Router) markCold(t *target, left time.Duration) {
+// markCold records that a target stays cold for the given time.
+func (r *Router) markCold(t *target, remaining time.Duration) {
 	wasCold := t.isCold(r.now)
-	t.cold.until = max(t.cold.until, r.now.Add(left))
+	t.cold.until = max(t.cold.until, r.now.Add(remaining))
 	r.startColdRate(t, wasCold)
 }
 
-// markPossiblyCold notes that a target may have become cold.
+// markPossiblyCold records that a target may have become cold.
 func (r *Router) markPossiblyCold(t *target) {
 	wasCold := t.isCold(r.now)
 	t.cold.possibleUntil = r.now.Add(r.settings.ColdDoubt)
 	r.startColdRate(t, wasCold)
 }
 
-// startColdRate gives this box its part of the rate of a target that has turned cold.
+// startColdRate sets up this box's share of the rate when a target has become cold.
 func (r *Router) startColdRate(t *target, wasCold bool) {
 	if wasCold || !t.isCold(r.now) {
 		return
@@ -114,18 +115,17 @@
 	}
 }
 
-// updateColdState takes what the answer to a probe says: for how long the target stays cold,
-// zero where it is warm.
-func (r *Router) updateColdState(t *target, left time.Duration) {
-	if left > 0 {
-		r.markCold(t, left)
+// updateColdState applies the answer to a probe: the remaining cold time, zero for a warm target.
+func (r *Router) updateColdState(t *target, remaining time.Duration) {
+	if remaining > 0 {
+		r.markCold(t, remaining)
 		return
 	}
 	t.cold.until, t.cold.possibleUntil = r.now, r.now
 }
 
-// updateColdShare works out this box's part of a cold target's rate, unless that was done for the
-// present list of boxes.
+// updateColdShare computes this box's fraction of a cold target's rate, unless that was done for
+// the current list of boxes.
 func (r *Router) updateColdShare(t *target) {
 	if t.cold.boxListVersion == r.boxLists {
 		return
@@ -142,8 +142,8 @@
 	}
 }
 
-// boxesInDomainOf are the boxes in the target's failure domain that stay, or all that stay where
-// there are none.
+// boxesInDomainOf returns the boxes in the target's failure domain that aren't leaving, or all
+// boxes that aren't leaving if the domain has none.
 func (r *Router) boxesInDomainOf(t *target) []table.Box {
 	if boxes, known := r.beside[t.row.Domain]; known {
 		return boxes
@@ -153,8 +153,8 @@
 	return beside
 }
 
-// boxesInDomain are those of some boxes that are in a failure domain and stay, or all that stay where there are
-// none.
+// boxesInDomain returns those of the boxes that are in a failure domain and aren't leaving, or all
+// that aren't leaving if there are none.
 func boxesInDomain(boxes []table.Box, domain units.Domain) []table.Box {
 	all := withoutLeaving(boxes)
 	var beside []table.Box
@@ -169,7 +169,7 @@
 	return beside
 }
 
-// withoutLeaving are those of some boxes that aren't about to go.
+// withoutLeaving returns the boxes that aren't leaving.
 func withoutLeaving(boxes []table.Box) []table.Box {
 	var stay []table.Box
 	for _, b := range boxes {
--- a/pkg/core/routing/expectation.go
+++ b/pkg/core/routing/expectation.go
@@ -8,25 +8,26 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// What a registered target is expected to take for a call, in units of the work itself.
-// Such a target works on a few calls at a time, shares its machine with others, and slows
-// down when nearly full.
+// Estimates of the time that a call takes at a registered target, in units of the work itself. Such
+// a target runs a few calls at a time, shares its machine with other processes, and slows down when
+// nearly full.
 
 const (
-	// paceLifetime is the age at which a reading of a target's pace counts for nothing:
-	// neighbours' load on its machine comes and goes in about this time.
+	// paceLifetime is the age at which a reported pace has no weight any more: the load of other
+	// processes on the machine changes in about this time.
 	paceLifetime = 150 * time.Millisecond
-	// defaultPace is the pace of a target that nothing is known of.
+	// defaultPace is the pace assumed for a target without a recent report.
 	defaultPace = 1.6
-	// loadLifetime is the age at which a reading of a target's load counts for nothing.
+	// loadLifetime is the age at which a reported load has no weight any more.
 	loadLifetime = 400 * time.Millisecond
-	// nearlyFullUtilization is the part of the slots from which on work takes nearlyFullPace.
+	// nearlyFullUtilization is the fraction of the slots in use from which on calls are slowed by
+	// the factor nearlyFullSlowdown.
 	nearlyFullUtilization = 0.8
 	nearlyFullSlowdown    = 1.6
 )
 
-// expectedTime is the time that a call of a route sent now would take at the target, over
-// that of the work alone; nil stands for any route.
+// expectedTime returns the expected time of a call of a route at the target if sent now, divided by
+// the time of the work alone. A nil route stands for any.
 func (t *target) expectedTime(now units.Instant, x *route) float64 {
 	slots := t.slots()
 	load := t.load(now) + 1
@@ -51,26 +52,25 @@
 }
 
 const (
-	// slowdownGain is the weight of the newest answer in a target's slowdown: one slow
-	// answer in five may be the neighbours' doing, two in a row are the target's.
+	// slowdownGain is the weight of the newest answer in a target's slowdown. Other processes on
+	// the machine may cause one slow answer in five; two in a row are attributed to the target.
 	slowdownGain = 0.3
-	// slowdownHalfLife is the age at which a target's slowdown counts for a half.
+	// slowdownHalfLife is the age at which a target's slowdown has half its weight.
 	slowdownHalfLife = 3 * time.Second
 	// slowTargetThreshold is the slowdown from which on a target is avoided.
 	slowTargetThreshold = 2.5
-	// similarSlowdownFactor is how many times as slow as the best target others may be and still
-	// count as alike.
+	// similarSlowdownFactor is the ratio to the lowest slowdown up to which targets are considered
+	// equally fast.
 	similarSlowdownFactor = 1.25
-	// typicalTimeStep is how far a route's typical time moves with each answer. Before
-	// sureAnswers of them it is no measure for a target.
+	// typicalTimeStep is the relative change of a route's typical time with each answer. Before
+	// minTimeSamples answers the typical time isn't used to judge targets.
 	typicalTimeStep = 0.05
 	minTimeSamples  = 8
 	maxSlowdown     = 10
 )
 
-// bestConcurrency is how many calls at a time the target does most with: all of its
-// slots, or those below which work isn't slowed, where the last ones cost more than they
-// bring.
+// bestConcurrency returns the concurrency at which the target has the highest throughput: all of
+// its slots, or fewer if filling the last ones slows all calls by more than they add.
 func (t *target) bestConcurrency() float64 {
 	slots := t.slots()
 	below := math.Ceil(nearlyFullUtilization*slots) - 1
@@ -80,14 +80,14 @@
 	return slots
 }
 
-// slowdownEstimate is how much longer calls take at a service's targets in some state than
-// they do elsewhere, learnt from answers.
+// slowdownEstimate is a moving average of how much longer calls take at a service's targets in a
+// particular state, such as nearly full or cold, than elsewhere.
 type slowdownEstimate struct {
 	mean    float64
 	samples int
 }
 
-// value is the slowdown; 1 until enough calls have shown it.
+// value returns the slowdown, or 1 before there are enough samples.
 func (l *slowdownEstimate) value() float64 {
 	if l.samples < minTimeSamples {
 		return 1
@@ -95,19 +95,18 @@
 	return l.mean
 }
 
-// minSlowdownGain is the least weight of the newest answer in a learnt slowdown: a mean of about
-// 30 calls, since one in four meets a slow moment.
+// minSlowdownGain is the lower bound on the weight of the newest sample in a slowdownEstimate. It
+// gives a mean over about 30 calls, since one in four is slowed by chance.
 const minSlowdownGain = 0.03
 
-// add takes how long a call took at a target in that state, over what it takes elsewhere.
+// add adds a sample: the time of a call at a target in that state divided by the time elsewhere.
 func (l *slowdownEstimate) add(ratio float64) {
 	l.samples++
 	l.mean += max(minSlowdownGain, 1/float64(l.samples)) * (min(maxSlowdown, ratio) - l.mean)
 }
 
-// recordAnswerTime takes how long an answer took at a target whose pace was known to be usual
-// when the call was sent: what it took beyond the route's typical time is the target's
-// own slowdown.
+// recordAnswerTime records the time of an answer from a target that had its usual pace when the
+// call was sent. The ratio to the route's typical time is a sample of the target's slowdown.
 func (t *target) recordAnswerTime(now units.Instant, x *route, took time.Duration, a *attempt) {
 	if x.answers < minTimeSamples {
 		if !a.full && !a.cold {
@@ -128,8 +127,8 @@
 	}
 }
 
-// updateTypicalTime moves the typical time, which is the median of the first answers and follows
-// that of the later ones in small steps.
+// updateTypicalTime updates the typical time. It starts as the median of the first answers and
+// follows the median of later ones in small steps.
 func (x *route) updateTypicalTime(took float64) {
 	if x.answers < minTimeSamples {
 		x.first[x.answers] = took
@@ -147,7 +146,8 @@
 	}
 }
 
-// knownTypicalTime is the route's typical time once it is a measure, else zero.
+// knownTypicalTime returns the route's typical time in nanoseconds, or zero before there are enough
+// samples.
 func (x *route) knownTypicalTime() float64 {
 	if x.answers < minTimeSamples {
 		return 0
@@ -155,8 +155,8 @@
 	return x.typical
 }
 
-// currentSlowdown is how much longer than elsewhere calls take at the target; it fades, so
-// that a target which was slow is tried again. A call that is out for long counts too.
+// currentSlowdown returns how much longer calls take at the target than elsewhere. It decays, so
+// that a target that was slow is tried again. A call that has been in flight for long raises it.
 func (t *target) currentSlowdown(now units.Instant) float64 {
 	slowdown := 1.0
 	if t.slowdown > 1 {
@@ -168,12 +168,12 @@
 	return slowdown
 }
 
-// oldestAttemptTolerance is how many times its typical time a call may be out before that says
-// something about its target: half of the calls take longer than the typical time, and
-// one in four meets a slow moment.
+// oldestAttemptTolerance is how many times its typical time a call may be in flight before it
+// raises its target's slowdown: half of the calls take longer than the typical time, and one in
+// four is slowed by chance.
 const oldestAttemptTolerance = 2.5
 
-// slots is how many calls the target works on at a time.
+// slots returns how many calls the target runs at a time.
 func (t *target) slots() float64 {
 	switch {
 	case t.report.Slots > 0:
@@ -184,17 +184,17 @@
 	return defaultSlots
 }
 
-// expectedPace is how long work is expected to take there, over the usual.
+// expectedPace returns the expected duration of work at the target relative to the usual duration.
 func (t *target) expectedPace(now units.Instant) float64 {
 	if !t.report.Known || t.report.Pace == 0 {
 		return defaultPace
 	}
-	left := linearDecay(now.Sub(t.report.receivedAt), paceLifetime)
-	return defaultPace + (t.report.Pace-defaultPace)*left
+	weight := linearDecay(now.Sub(t.report.receivedAt), paceLifetime)
+	return defaultPace + (t.report.Pace-defaultPace)*weight
 }
 
-// linearDecay is the part of its weight that something keeps at an age, which falls evenly
-// to nothing.
-func linearDecay(age, memory time.Duration) float64 {
-	return max(0, 1-float64(age)/float64(memory))
+// linearDecay returns the weight of a sample of the given age, which falls linearly from 1 to zero
+// over its lifetime.
+func linearDecay(age, lifetime time.Duration) float64 {
+	return max(0, 1-float64(age)/float64(lifetime))
 }
--- a/pkg/core/routing/health.go
+++ b/pkg/core/routing/health.go
@@ -6,61 +6,63 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// health says whether a target is in the common path. A target that fails
-// several calls in a row is ejected for a while, then tried with one call at a
-// time, and comes back with a growing weight.
+// health tracks whether a target takes calls normally. A target that fails several calls in a row
+// is ejected for a while, then tried with one call at a time, and returns with a gradually
+// increasing weight.
 type health struct {
 	consecutiveFailures int
 	ejected             bool
-	// retryAt is when an ejected target may be tried.
+	// retryAt is when an ejected target may be sent a call again.
 	retryAt   units.Instant
 	ejections int
-	// rampStart is when the target began to take work again.
+	// rampStart is when the target returned to service.
 	rampStart units.Instant
 }
 
 const (
-	// failuresToEject is how many failures in a row eject a target.
+	// failuresToEject is how many consecutive failures eject a target.
 	failuresToEject = 5
-	// minEjection doubles with each ejection up to maxEjection.
+	// minEjection is the time of the first ejection; it doubles with each further one up to
+	// maxEjection.
 	minEjection = 250 * time.Millisecond
 	maxEjection = time.Second
-	// maxEjectionDoublings is after how many ejections in a row the wait grows no longer.
+	// maxEjectionDoublings bounds how often the ejection time is doubled.
 	maxEjectionDoublings = 4
 	// rampTime is how long a target takes to reach its full weight.
 	rampTime = time.Second
-	// rampFloor is the part of the weight that a target starts with.
+	// rampFloor is the fraction of its weight that a target starts with.
 	rampFloor = 0.1
 )
 
 const (
-	// failureGain is the weight of the newest call in a target's part of failures: two
-	// failures in a row weigh as much as a usual slow moment.
+	// failureGain is the weight of the newest call in a target's failure rate: two consecutive
+	// failures raise its cost about as much as an ordinary slow moment.
 	failureGain = 0.15
-	// failureHalfLife is the age at which that part counts for a half.
+	// failureHalfLife is the age at which the failure rate has half its weight.
 	failureHalfLife = 2 * time.Second
-	// failureCost is what a call that fails costs, in calls: it is sent again where that
-	// is allowed, and lost where it isn't.
+	// failureCost is the cost of a failed call, in calls: it is sent again if that is allowed, and
+	// lost otherwise.
 	failureCost = 3
 )
 
-// updateFailureRate takes how a call ended: 1 for a failure, 0 for an answer.
+// updateFailureRate adds the result of a call to the failure rate: 1 for a failure, 0 for an
+// answer.
 func (t *target) updateFailureRate(now units.Instant, x float64) {
 	t.failureRate += failureGain * (x - t.failureRate)
 	t.failureRateAt = now
 }
 
-// expectedFailureRate is the part of calls that are expected to fail at the target.
+// expectedFailureRate returns the fraction of calls that are expected to fail at the target.
 func (t *target) expectedFailureRate(now units.Instant) float64 {
 	return t.failureRate * hyperbolicDecay(now.Sub(t.failureRateAt), failureHalfLife)
 }
 
-// hasReportedFreeSlot tells whether the target is known to have had a slot free a moment ago.
+// hasReportedFreeSlot reports whether a recent load report showed a free slot at the target.
 func (t *target) hasReportedFreeSlot(now units.Instant) bool {
 	return t.report.Known && now.Sub(t.report.receivedAt) < loadLifetime && t.load(now) < t.slots()
 }
 
-// recordFailure notes a recordFailure call; it returns true when the target was ejected by it.
+// recordFailure counts a failed call and reports whether it caused an ejection.
 func (h *health) recordFailure(now units.Instant) bool {
 	h.consecutiveFailures++
 	if h.ejected {
@@ -75,15 +77,16 @@
 	return true
 }
 
-// recordUnreachable notes that no connection could be made, which says more than a
-// failed call.
+// recordUnreachable counts a failed connection attempt, which is stronger evidence than a failed
+// call, and reports whether it caused an ejection.
 func (h *health) recordUnreachable(now units.Instant) bool {
 	h.consecutiveFailures = max(h.consecutiveFailures, failuresToEject-2)
 	return h.recordFailure(now)
 }
 
-// recordMisdirected notes that another target answers at the address; it returns true when
-// the target was ejected by that. Only the table will bring it back soon.
+// recordMisdirected ejects a target at whose address another target answers, and reports whether it
+// wasn't ejected before. The maximum ejection time applies, since only a new table is likely to
+// correct the address.
 func (h *health) recordMisdirected(now units.Instant) bool {
 	turned := !h.ejected
 	h.ejected = true
@@ -98,7 +101,7 @@
 	h.retryAt = now.Add(wait)
 }
 
-// recordSuccess notes a good answer; it returns true when it ended an ejection.
+// recordSuccess resets the failures after a good answer and reports whether it ended an ejection.
 func (h *health) recordSuccess(now units.Instant) bool {
 	h.consecutiveFailures = 0
 	if !h.ejected {
@@ -112,8 +115,8 @@
 	return true
 }
 
-// admits tells whether a call may be sent, given those under way. An ejected
-// target is tried with one call at a time.
+// admits reports whether a call may be sent, given the number in flight. An ejected target is tried
+// with one call at a time.
 func (h *health) admits(now units.Instant, inFlight int) bool {
 	if !h.ejected {
 		return true
@@ -121,7 +124,7 @@
 	return now >= h.retryAt && inFlight == 0
 }
 
-// rampFactor is the part of its weight that counts.
+// rampFactor returns the fraction of the target's weight that is in effect.
 func (h *health) rampFactor(now units.Instant) float64 {
 	if h.ejected {
 		return 0
@@ -133,7 +136,7 @@
 	return min(1, rampFloor+(1-rampFloor)*grown)
 }
 
-// isRamping tells whether the weight is still growing.
+// isRamping reports whether the weight is still increasing.
 func (h *health) isRamping(now units.Instant) bool {
 	return !h.ejected && h.rampStart != 0 && now.Sub(h.rampStart) <= rampTime+sweepPeriod
 }
--- a/pkg/core/routing/latency.go
+++ b/pkg/core/routing/latency.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// latencyEstimate follows how long answers take: a mean, and a high quantile
-// that moves up fast and down slowly.
+// latencyEstimate tracks the latency of answers: a moving average, one over a longer term, and a
+// high quantile that rises fast and falls slowly.
 type latencyEstimate struct {
 	average float64
-	// longTermAverage is a mean over many more answers.
+	// longTermAverage is the moving average over about ten times as many answers.
 	longTermAverage float64
 	highEstimate    float64
 	count           uint64
 }
 
 const (
-	// latencyGain is the weight of the newest answer.
+	// latencyGain is the weight of the newest answer in the average.
 	latencyGain = 0.1
-	// longTermGain is its weight in the steady mean.
+	// longTermGain is the weight of the newest answer in the long-term average.
 	longTermGain = 0.01
-	// defaultLatency stands in until the first answer.
+	// defaultLatency is assumed before the first answer.
 	defaultLatency = 5 * time.Millisecond
-	// highQuantile is what high aims at.
+	// highQuantile is the quantile that highEstimate tracks.
 	highQuantile = 0.95
-	// highStep is how far high moves at a time, as a part of itself.
+	// highStep scales the relative change of highEstimate with each answer.
 	highStep = 0.05
 )
 
@@ -34,7 +34,8 @@
 	}
 	l.average += latencyGain * (x - l.average)
 	l.longTermAverage += max(longTermGain, 1/float64(l.count)) * (x - l.longTermAverage)
-	// Steps in this ratio balance where a share of highQuantile lies below.
+	// With steps of this ratio the estimate is stable where a fraction highQuantile of the answers
+	// is below it.
 	if x > l.highEstimate {
 		l.highEstimate *= 1 + highStep*highQuantile
 	} else {
--- a/pkg/core/routing/loadreport.go
+++ b/pkg/core/routing/loadreport.go
@@ -6,17 +6,18 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// loadReport is the last load that a target reported, with its age and the trust
-// that it has earned.
+// loadReport is the last load that a target reported, with the time of its arrival and a trust
+// factor.
 type loadReport struct {
 	Reading
 	receivedAt units.Instant
-	// trust falls when the target sheds while it claims to be idle.
+	// trust is a factor from 0 to 1. It falls when the target sheds calls while its reports show it
+	// idle.
 	trust float64
 }
 
 const (
-	// reportHalfLife is the age at which a reading counts for a half.
+	// reportHalfLife is the age at which a load report has half its weight.
 	reportHalfLife  = 20 * time.Millisecond
 	trustGain       = 0.05
 	trustLossFactor = 0.5
@@ -31,7 +32,7 @@
 	r.trust = min(1, r.trust+trustGain)
 }
 
-// recordReport takes a target's load report.
+// recordReport stores a load report from the target.
 func (t *target) recordReport(now units.Instant, x Reading) {
 	if x.Known {
 		t.sentSinceReport = 0
@@ -39,10 +40,10 @@
 	t.report.update(now, x)
 }
 
-// reduceTrust notes that the target shed a call.
+// reduceTrust lowers the trust after the target has shed a call.
 func (r *loadReport) reduceTrust() { r.trust *= trustLossFactor }
 
-// callsOfOtherBoxes returns how many calls of other boxes the target seems to have.
+// callsOfOtherBoxes estimates how many calls of other boxes the target is running.
 func (r *loadReport) callsOfOtherBoxes(now units.Instant, own int) float64 {
 	if !r.Known {
 		return 0
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -7,37 +7,40 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// target is what a box knows of a target in one service.
+// target is the state that a box keeps for a target of one service.
 type target struct {
 	service  *service
 	row      table.Row
 	endpoint *Endpoint
-	// remote is set for a target in another failure domain than this box.
+	// remote is set if the target is in another failure domain than this box.
 	remote bool
-	// region is the one of the target's failure domain; empty where it isn't known.
+	// region is the region of the target's failure domain; empty if it isn't known.
 	region units.Region
-	// distance is what is known of the round trip to the target's failure domain.
+	// distance is the estimated round trip to the target's failure domain.
 	distance *domainDistance
-	// probesInFlight counts the probes for calls that are under way, the first since probeOutSince.
+	// probesInFlight counts the unanswered probes sent for calls. The first of them was sent at
+	// probesInFlightSince.
 	probesInFlight      int
 	probesInFlightSince units.Instant
-	// sentSinceReport counts the sends since the target's last load report.
+	// sentSinceReport counts the calls sent since the target's last load report.
 	sentSinceReport int
-	// slowdown is how much longer than elsewhere calls take here, as last learnt at slowdownAt.
+	// slowdown is the ratio of the call times here to the routes' typical times, last updated at
+	// slowdownAt.
 	slowdown   float64
 	slowdownAt units.Instant
-	// failureRate is the part of the last calls that failed here, as of failingAt.
+	// failureRate is the moving average of the fraction of calls that failed here, last updated at
+	// failureRateAt.
 	failureRate   float64
 	failureRateAt units.Instant
-	// inSubset is set where the target belongs to the box's subset of the service's targets.
+	// inSubset is set if the target belongs to the box's preferred subset of the service's targets.
 	inSubset    bool
 	rankingCost float64
-	// lastProbedAt is when a call last probed the target; zero for never.
+	// lastProbedAt is when a call last probed the target; zero if none did.
 	lastProbedAt units.Instant
-	// removed is set when the table no longer has the row.
+	// removed is set once the table no longer contains the row.
 	removed  bool
 	inFlight int
-	// oldestAttempt and newest are the ends of the list of attempts under way.
+	// oldestAttempt and newestAttempt are the ends of the linked list of attempts in flight.
 	oldestAttempt *attempt
 	newestAttempt *attempt
 
@@ -45,7 +48,8 @@
 	rateShare      settledValue
 	probeShare     settledValue
 	maxConnections int
-	// rank is how many boxes come before this one for the target, once placed.
+	// rank is the number of boxes that rank before this one for the target in rendezvous hashing;
+	// valid if ranked is set.
 	rank                int
 	ranked              bool
 	callBucket          rateLimit
@@ -56,16 +60,16 @@
 	health  health
 	latency latencyEstimate
 	report  loadReport
-	// window is how many calls at a time this box thinks the target can take; it
-	// falls when the target sheds and rises while it answers.
+	// window is the adaptive bound on this box's concurrent calls to the target. It shrinks when
+	// the target sheds a call and grows with its answers.
 	window float64
-	// backoffUntil is when a target that shed may be tried again.
+	// backoffUntil is when a target that shed a call may be sent calls again.
 	backoffUntil units.Instant
-	// cancelingSlots counts the slots whose canceled calls the target may still have.
+	// cancelingSlots counts the slots of canceled calls that the target may still be working on.
 	cancelingSlots int
-	// weight is what counts of the row's weight now.
+	// weight is the effective weight as of the last weigh.
 	weight float64
-	// recentSends counts the last sends.
+	// recentSends counts the calls sent lately; it is halved from time to time by countSend.
 	recentSends   float64
 	lentSlots     int
 	borrowedSlots []*loan
@@ -74,21 +78,23 @@
 	side      side
 	cold      coldState
 	crash     crashWatch
-	// coordination says which box permits calls to the target while it names a limit.
+	// coordination names the box that grants permits for the target while the target announces a
+	// limit.
 	coordination coordination
-	// notice is what the target's start has told this box; nil for nothing that is in force.
+	// notice holds the rest, departure or limit that the target's current incarnation announced;
+	// nil if none is in force.
 	notice *notice
-	// availability tells how many targets of the same failure domain could be used lately; nil where
-	// that isn't looked at.
+	// availability estimates the usable fraction of the targets in the same failure domain; nil if
+	// that mechanism is off.
 	availability *domainAvailability
 
 	sends, answers, failures, sheds, probesSent, unansweredCalls uint64
 }
 
 const (
-	// maxWindow is where the window starts: no bound of its own.
+	// maxWindow is the initial window, which doesn't limit anything.
 	maxWindow = 1 << 16
-	// minWindow leaves room for one call.
+	// minWindow allows one call.
 	minWindow = 1
 )
 
@@ -104,15 +110,15 @@
 	}
 }
 
-// isRestartedIn tells whether a row is of a later start of the target, which knows nothing of the
-// calls, connections and faults of the one before.
+// isRestartedIn reports whether a row belongs to a later start of the target. The new process has
+// none of the calls, connections and faults of the previous one.
 func (t *target) isRestartedIn(row table.Row) bool {
 	return t.row.Born != 0 && row.Born != 0 && t.row.Born != row.Born
 }
 
 func (t *target) update(row table.Row) {
 	if t.row.Silent && !row.Silent {
-		// A target that reports again may be tried at once.
+		// A target that reports again may be sent a call immediately.
 		t.health.retryAt = 0
 	}
 	if row.Cold != t.row.Cold {
@@ -123,7 +129,8 @@
 	t.removed = false
 }
 
-// effectiveWeight is the weight that draws calls now.
+// effectiveWeight returns the weight used for load balancing now: zero if the target may not take
+// calls, reduced while it ramps up.
 func (t *target) effectiveWeight(now units.Instant) float64 {
 	if t.row.State != table.Active || t.evacuated || t.side != inForce || t.notice.isLeaving() {
 		return 0
@@ -134,12 +141,12 @@
 	return float64(t.row.Weight) * t.health.rampFactor(now)
 }
 
-// concurrencyLimit is how many calls this box may have at the target now.
+// concurrencyLimit returns how many concurrent calls this box may have at the target.
 func (t *target) concurrencyLimit() int {
 	return int(min(t.inFlightShare.value, t.window))
 }
 
-// capacity is how many calls this box can count on at the target now.
+// capacity returns how many concurrent calls this box can expect to run at the target now.
 func (t *target) capacity(now units.Instant) int {
 	if !t.isEligible() || t.isBlocked(now) {
 		return 0
@@ -147,13 +154,13 @@
 	return max(0, t.concurrencyLimit()-t.lentSlots) + len(t.borrowedSlots)
 }
 
-// hasFreeSlot tells whether one more call fits, on an own slot or a borrowed one.
+// hasFreeSlot reports whether one more call fits into this box's own slots or a borrowed one.
 func (t *target) hasFreeSlot(now units.Instant) bool {
 	return t.hasOwnFreeSlot() || t.freeLoan(now) != nil
 }
 
-// hasOwnFreeSlot tells whether one more call fits on this box's own share. Calls on
-// borrowed slots don't count against it.
+// hasOwnFreeSlot reports whether one more call fits into this box's own share. Calls in borrowed
+// slots don't use it up.
 func (t *target) hasOwnFreeSlot() bool {
 	own := t.inFlight - t.loansInUse()
 	return own+t.cancelingSlots+t.lentSlots < t.concurrencyLimit()
@@ -178,23 +185,24 @@
 	return nil
 }
 
-// isActiveInTable tells whether the table has the target take calls.
+// isActiveInTable reports whether the table lets the target take calls.
 func (t *target) isActiveInTable() bool {
 	return !t.removed && t.row.State == table.Active && t.row.Weight > 0
 }
 
-// isEligible tells whether the target may take the service's calls, but for its health, its limits
-// and a rest.
+// isEligible reports whether the target may take the service's calls, regardless of its health, its
+// limits and rests.
 func (t *target) isEligible() bool {
 	return t.isActiveInTable() && !t.evacuated && t.side == inForce && !t.notice.isLeaving()
 }
 
-// isAvailable tells whether a new call may go to the target now.
+// isAvailable reports whether a new call may be sent to the target now.
 func (t *target) isAvailable(now units.Instant, anyHealth bool) bool {
 	return !t.lacksPermit(now) && t.takesIfPermitted(now, anyHealth)
 }
 
-// isAvailableWhenWarm tells whether a new call might go to the target now, were it warm.
+// isAvailableWhenWarm reports whether a new call could be sent to the target now if it were warm
+// and needed no permit.
 func (t *target) isAvailableWhenWarm(now units.Instant, anyHealth bool) bool {
 	if !t.isActiveInTable() || t.evacuated || t.side == closed || t.notice.forbidsSending(now) || now < t.backoffUntil || t.mayHang(now) {
 		return false
@@ -212,13 +220,13 @@
 	return t.callBucket.tokens >= 1
 }
 
-// rateBurst is how many calls of a box may come at once under a rate limit.
+// rateBurst is how many calls a box may send at once under a rate limit.
 const rateBurst = 1
 
-// cost says how bad a choice the target would be for a call of a route: the queue that a call
-// would join, in units of the service's usual latency, and how far the target is above
-// its part of the weights. The second keeps to the weights where targets are much
-// alike, the first leaves them where one of them isn't well.
+// cost ranks the target for a call of a route; lower is better. It adds the queue that the call
+// would join, in units of the service's usual latency, and the target's excess share of recent
+// calls. The excess share keeps to the configured weights among similar targets, the queue term
+// overrides them if a target is slow.
 func (t *target) cost(now units.Instant, x *route) float64 {
 	if t.row.Registered && t.service.unreported < unreportedLimit {
 		return t.expectedTime(now, x)
@@ -227,13 +235,12 @@
 	return (queue+1)*t.relativeLatency(now) + excessShareCost*t.excessShare()
 }
 
-// excessShareCost is how many calls in the queue a target is worth that has had twice
-// its part.
+// excessShareCost is the cost, in queued calls, of a target that received twice its share.
 const excessShareCost = 1
 
-// relativeLatency is what a call is expected to take at the target, over what it takes
-// at the service: by its last answers, which count less and less as they age, or
-// by how long its oldest call has waited.
+// relativeLatency returns the expected latency at the target divided by that of the service. It
+// uses the target's last answers, whose influence decays with age, or the age of its oldest call in
+// flight if that is longer.
 func (t *target) relativeLatency(now units.Instant) float64 {
 	usual := float64(t.service.latency.mean())
 	expected := usual
@@ -246,18 +253,18 @@
 	return (expected + float64(costFloor)) / (usual + float64(costFloor))
 }
 
-// hyperbolicDecay is the part that something counts at an age: all at first, a half at
-// the half-age, and ever less.
-func hyperbolicDecay(age, half time.Duration) float64 {
-	return float64(half) / float64(half+age)
+// hyperbolicDecay returns the weight of a sample of the given age: 1 at first, 1/2 at the
+// half-life, and approaching zero hyperbolically.
+func hyperbolicDecay(age, halfLife time.Duration) float64 {
+	return float64(halfLife) / float64(halfLife+age)
 }
 
-// latencyHalfLife is the age at which a target's last answers count for a half, so
-// that one which was slow is tried again.
+// latencyHalfLife is the age at which a target's last answers have half their weight, so that a
+// target that was slow is tried again.
 const latencyHalfLife = 500 * time.Millisecond
 
-// excessShare is by how much the target's part of the last calls is above its part of
-// the weights, as a part of the latter; it is at least -1.
+// excessShare returns how far the target's share of recent calls exceeds its share of the weights,
+// relative to the latter; it is at least -1.
 func (t *target) excessShare() float64 {
 	s := t.service
 	if s.weight <= 0 {
@@ -267,11 +274,11 @@
 	return (t.recentSends - want) / (want + 1)
 }
 
-// costFloor keeps very quick answers from counting as free; a target that
-// fails fast would otherwise draw all calls.
+// costFloor is added to latencies so that very short ones don't make a target nearly free:
+// otherwise a target that fails fast would attract all calls.
 const costFloor = 500 * time.Microsecond
 
-// countSend counts a send for the parts of the weights.
+// countSend counts a send for comparing the targets' shares with their weights.
 func (t *target) countSend() {
 	s := t.service
 	t.recentSends++
@@ -285,7 +292,8 @@
 	}
 }
 
-// maxRecentSendsPerTarget is how many calls a target the parts are taken over, at the most.
+// maxRecentSendsPerTarget bounds the average number of recent sends per target over which shares
+// are computed.
 const maxRecentSendsPerTarget = 32
 
 func (t *target) addAttempt(a *attempt) {
@@ -315,15 +323,15 @@
 	t.inFlight--
 }
 
-// shrinkWindow lowers the window after the target has shed a call.
+// shrinkWindow reduces the window after the target has shed a call.
 func (t *target) shrinkWindow() {
 	t.window = max(minWindow, min(t.window, float64(t.inFlight+1))*windowShrinkFactor)
 }
 
-// windowShrinkFactor is by how much a shed call lowers the window.
+// windowShrinkFactor is the factor by which a shed call reduces the window.
 const windowShrinkFactor = 0.8
 
-// growWindow raises the window by one for each window's worth of answers.
+// growWindow increases the window by one for each window's worth of answers.
 func (t *target) growWindow() {
 	if t.window < maxWindow {
 		t.window = min(maxWindow, t.window+1/t.window)
--- a/pkg/core/routing/underway.go
+++ b/pkg/core/routing/underway.go
@@ -15,6 +15,6 @@
 	if !t.report.Known {
 		return 0
 	}
-	left := linearDecay(now.Sub(t.report.receivedAt), loadLifetime)
-	return (t.report.InFlight + float64(t.sentSinceReport)) * left
+	weight := linearDecay(now.Sub(t.report.receivedAt), loadLifetime)
+	return (t.report.InFlight + float64(t.sentSinceReport)) * weight
 }
