--- a/pkg/core/routing/closed.go
+++ b/pkg/core/routing/closed.go
@@ -8,32 +8,32 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A target is closed while it takes no calls by its own word: it wants rest, or it names a limit and this
-// box has no permit. Where all targets that a call may use are closed for longer than it can wait, its caller is
-// refused at once and told when to come back.
+// A target is blocked while it takes no calls because of its own notice: it asked for a rest, or it
+// announces a limit and this box holds no permit. If all targets that a call may use are blocked
+// for longer than the call can wait, the caller is refused immediately and told when to retry.
 
 const (
-	// minRestSpread is the least time over which the callers who were refused because of
-	// rests come back: the first of them then show whether the targets take calls again.
+	// minRestSpread is the least time over which retries of callers who were refused because of
+	// rests are spread: the first retries then show whether the targets take calls again.
 	minRestSpread = 100 * time.Millisecond
-	// restSpreadFactor is that time as a part of what is left of the rest, so that callers who were
-	// refused all through a long rest don't come in a burst at its end.
+	// restSpreadFactor is that spread as a fraction of the remaining rest, so that callers who were
+	// refused during a long rest don't all retry at its end.
 	restSpreadFactor = 0.25
-	// maxPermitWait is how long a call that isn't patient waits for a permit: callers who can't be
-	// served learn so at once.
+	// maxPermitWait is how long a call that isn't patient waits for a permit, so that callers who
+	// can't be served are told quickly.
 	maxPermitWait = 150 * time.Millisecond
-	// minLimitRetryFactor and mostLimitRetry bound the spread of the times to come back after refusals for
-	// limits, as parts of the time that they are drawn from.
+	// minLimitRetryFactor and maxLimitRetryFactor bound the random factor applied to the retry time
+	// after a refusal because of limits.
 	minLimitRetryFactor = 0.5
 	maxLimitRetryFactor = 1.5
 )
 
-// isBlocked tells whether the target takes no calls for the time being, by its own word.
+// isBlocked reports whether the target takes no calls at present because of its own notice.
 func (t *target) isBlocked(now units.Instant) bool {
 	return t.notice.isResting(now) || t.lacksPermit(now)
 }
 
-// blockedUntil is when a target that is closed may take calls again, as far as this box knows.
+// blockedUntil returns when a blocked target may take calls again, as far as this box knows.
 func (t *target) blockedUntil(now units.Instant) units.Instant {
 	at := max(now, t.notice.restUntil)
 	if t.lacksPermit(now) {
@@ -42,8 +42,8 @@
 	return at
 }
 
-// blockedUntil is when the first target that a call may use takes calls again, where all of them are
-// closed; false means that one of them isn't, or that there is none.
+// blockedUntil returns when the first of the targets that a call may use takes calls again. It
+// returns false if one of them isn't blocked, or if there are none.
 func (s *service) blockedUntil(c *call, now units.Instant) (units.Instant, bool) {
 	var first units.Instant
 	for _, t := range s.targets {
@@ -60,7 +60,7 @@
 	return first, first != 0
 }
 
-// allLimited tells whether all targets that a call may use name limits.
+// allLimited reports whether all targets that a call may use announce limits.
 func (s *service) allLimited(c *call) bool {
 	if s.limited == 0 {
 		return false
@@ -73,14 +73,15 @@
 	return true
 }
 
-// isBlockedTooLong tells whether all targets that a call may use are closed for longer than it can wait.
+// isBlockedTooLong reports whether all targets that a call may use are blocked for longer than the
+// call can wait.
 func (s *service) isBlockedTooLong(c *call, now units.Instant) bool {
 	at, closed := s.blockedUntil(c, now)
 	return closed && at > c.waitDeadline(s)
 }
 
-// blockedReason says why all targets that a call may use are closed: they rest, unless one of them
-// only lacks a permit.
+// blockedReason returns why all targets that a call may use are blocked: TargetsLimited if one of
+// them only lacks a permit, otherwise TargetsRest.
 func (s *service) blockedReason(c *call, now units.Instant) Reason {
 	for _, t := range s.targets {
 		if t.isEligible() && c.mayUse(t) && !t.notice.isResting(now) && t.lacksPermit(now) {
@@ -90,8 +91,9 @@
 	return TargetsRest
 }
 
-// waitDeadline is until when a call may wait for a target: the part of its aim for which calls wait for
-// one to come free, not long for a permit, or as long as a patient one may be held.
+// waitDeadline returns until when a call may wait for a target. A patient call may wait for the
+// service's hold limit, any other for a fraction of its aim, and only briefly if it waits for a
+// permit.
 func (c *call) waitDeadline(s *service) units.Instant {
 	held := min(c.deadline, c.arrived.Add(s.row.HoldLimit))
 	if c.route.work == table.Patient {
@@ -104,8 +106,8 @@
 	return min(held, c.arrived.Add(wait))
 }
 
-// blockedRetryAfter is when the caller of a call may come back whose targets are all closed; zero where one of
-// them isn't.
+// blockedRetryAfter returns when the caller of a call whose targets are all blocked should retry;
+// zero if one of them isn't blocked.
 func (r *Router) blockedRetryAfter(c *call) time.Duration {
 	first, closed := c.service.blockedUntil(c, r.now)
 	switch {
@@ -117,9 +119,9 @@
 	return c.service.restRetryAfter(c, first, r.now, r.random)
 }
 
-// limitRetryAfter is when the caller of a call may come back that limits left no room for. As at a busy service, a
-// time that has lasted is expected to last as long again; callers are spread
-// around it, so that they don't all come for what is permitted next.
+// limitRetryAfter returns when a caller whose call was refused because of limits should retry. As
+// for a busy service, the state is expected to last as long again as it has lasted so far. The time
+// is randomized, so that callers don't all compete for the next permits.
 func (r *Router) limitRetryAfter(s *service, first units.Instant) time.Duration {
 	lasted := min(r.now.Sub(s.limitedSince), mostBusyRetry)
 	after := max(leastBusyRetry, lasted, first.Sub(r.now))
@@ -127,9 +129,9 @@
 	return time.Duration(part * float64(after)).Round(time.Millisecond)
 }
 
-// restRetryAfter is when the caller of a call may come back whose targets all rest, the first of them until
-// an instant. Each caller is told the end of one of the rests, drawn by lot among those that end
-// first, and a moment more, so that no target meets all of them at the end of its rest.
+// restRetryAfter returns when a caller should retry whose targets all rest, where first is the
+// earliest end of a rest. The time is the end of a rest chosen at random among those that end
+// soonest, plus a random delay, so that no target receives all retries at the end of its rest.
 func (s *service) restRetryAfter(c *call, first, now units.Instant, random *rand.Rand) time.Duration {
 	left := first.Sub(now)
 	drawn, n := left, 0
@@ -146,13 +148,14 @@
 	return min(maxRetryAfter, drawn+time.Duration(random.Float64()*spread)).Round(time.Millisecond)
 }
 
-// blockableReasons are the refusals that are due to the targets' own words where all of them are closed.
+// blockableReasons are the refusal reasons that are caused by the targets' notices if all targets
+// are blocked.
 var blockableReasons = map[Reason]bool{
 	TooManyHeld: true, WaitTooLong: true, HoldExpired: true, TargetShed: true, RetriesSpent: true, TargetsBusy: true,
 	TargetsRest: true, TargetsLimited: true,
 }
 
-// explainBlocked has such a refusal say what closes all targets, and when their caller may come back.
+// explainBlocked sets the reason and retry time of such a refusal to those of the blocked targets.
 func (r *Router) explainBlocked(c *call, x *Refusal) {
 	if c.service == nil || len(r.notices) == 0 || !blockableReasons[x.Reason] {
 		return
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -8,25 +8,27 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A target may tell a box in an answer that it wants nothing for a time, that it is about to end, or
-// how many calls it takes from all boxes together (targetlimit.go). Each binds every way on which this box
-// could reach the target: first sends, retries, hedges, calls that were held or wait, borrowed slots, trials
-// of an ejected target, probes and checks. It belongs to a start of the target and is kept apart from the
-// target's row, so that neither a new row nor a report ends it. Whether a target seems to have room doesn't
-// matter: one that reports free slots may turn calls away all the same.
+// A target may tell a box in an answer that it wants no calls for some time (a rest), that it is
+// about to exit (leaving), or how many calls it accepts from all boxes together (targetlimit.go).
+// Such a notice applies to everything that the box could send to the target: first sends, retries,
+// hedges, calls that were held or are waiting, borrowed slots, attempts at an ejected target,
+// probes and checks. A notice belongs to one incarnation of the target, which is one run of its
+// process. It is kept apart from the target's row, so that neither a new row nor a load report ends
+// it. It applies even if the target appears to have free slots: a target may reject calls while it
+// reports some.
 
 const (
-	// noticeRetention is for how long a notice is kept of a start that no row names: a late report
-	// brings a row back within seconds.
+	// noticeRetention is how long the notice of an incarnation without a row is kept: after a late
+	// report the row reappears within seconds.
 	noticeRetention = time.Minute
-	// minRestExtension is how much longer than last told the shell a rest must have become for it to be
-	// told again: each call that a target turns away makes its rest a little longer.
+	// minRestExtension is by how much a rest must have been extended for the shell to be informed
+	// again: each call that a target rejects extends its rest slightly.
 	minRestExtension = 100 * time.Millisecond
 )
 
-// incarnation tells starts of targets apart as far as they can be: by id and birth where a registered
-// target tells its birth, by id and address where it doesn't, and by address where operators
-// entered it.
+// incarnation identifies one run of a target's process as precisely as the data allows: by id and
+// start time if a registered target reports its start time, by id and address if it doesn't, and by
+// address if operators configured the target.
 type incarnation struct {
 	target  units.TargetID
 	address string
@@ -51,45 +53,45 @@
 	return newIncarnation(x.Registered, x.Target, x.Address, x.Born)
 }
 
-// notice is what a start of a target has told this box.
+// notice is what one incarnation of a target has announced to this box.
 type notice struct {
 	incarnation incarnation
-	// restUntil is when the last of the rests that it asked for ends; a later, shorter one
-	// doesn't end it sooner.
+	// restUntil is the latest end of the rests that it asked for; a later request for a shorter
+	// rest doesn't move it forward.
 	restUntil units.Instant
-	// leaving is set once the target has said that it is about to end.
+	// leaving is set once the target has announced that it is about to exit.
 	leaving bool
-	// reportedRestUntil is the end that the shell was last reportedRestUntil of.
+	// reportedRestUntil is the value of restUntil that the shell was last informed of.
 	reportedRestUntil units.Instant
-	// limit is what is known of the limit that it names; nil where it never named one.
+	// limit is the state of the limit that it announces; nil if it never announced one.
 	limit *targetLimit
-	// lastListedAt is when a row last named the start.
+	// lastListedAt is when a row last referred to the incarnation.
 	lastListedAt units.Instant
 }
 
-// noticeMap holds the notices in force: one at the most for each start that a row names or has named
-// within noticeMemory.
+// noticeMap holds the notices in force, at most one for each incarnation that a row refers to or
+// referred to within noticeRetention.
 type noticeMap map[incarnation]*notice
 
-// isResting tells whether the target wants nothing for the time being.
+// isResting reports whether the target wants no calls at present.
 func (n *notice) isResting(now units.Instant) bool { return n != nil && now < n.restUntil }
 
-// isLeaving tells whether the target has said that it is about to end.
+// isLeaving reports whether the target has announced that it is about to exit.
 func (n *notice) isLeaving() bool { return n != nil && n.leaving }
 
-// forbidsSending tells whether nothing may be sent to the target now.
+// forbidsSending reports whether nothing may be sent to the target now.
 func (n *notice) forbidsSending(now units.Instant) bool {
 	return n != nil && (n.leaving || now < n.restUntil)
 }
 
-// isExpired tells whether nothing of a notice is worth keeping.
+// isExpired reports whether the notice has no effect any more and may be discarded.
 func (n *notice) isExpired(now units.Instant) bool {
 	return !n.forbidsSending(now) && !n.isLimited() && (n.limit == nil || now.Sub(n.limit.changedAt) > endedLimitRetention)
 }
 
-// handleNotice takes what a target said of itself in an answer, whatever became of the call or probe. A
-// misdirected answer comes from another target at the address. base is which word on the target's limit was
-// known as the call was sent.
+// handleNotice processes the notices in an answer from a target, whatever the result of the call or
+// probe. A misdirected answer comes from another target at the address. base is the version of the
+// target's limit that was known when the call was sent.
 func (r *Router) handleNotice(x *Endpoint, said Reading, misdirected bool, base uint64, e *Effects) {
 	if x == nil || said.Rest <= 0 && !said.Leaving && !said.Limit.Named {
 		return
@@ -102,14 +104,14 @@
 		}
 		o, x, base = incarnationOfRow(&other.row), other.endpoint, noBase
 	} else if t := r.findTarget(x); t != nil {
-		// Its birth may have become known since the endpoint was made.
+		// The start time may have become known after the endpoint was created.
 		o = incarnationOfRow(&t.row)
 	}
 	r.updateNotice(o, x, said, base, e)
 }
 
-// onlyOtherAtAddress returns the only other target that is listed at an endpoint's address; nil for none,
-// and for several.
+// onlyOtherAtAddress returns the only other target listed at an endpoint's address, or nil if there
+// is none or more than one.
 func (r *Router) onlyOtherAtAddress(x *Endpoint) *target {
 	var other *target
 	for _, s := range r.order {
@@ -126,7 +128,8 @@
 	return other
 }
 
-// updateNotice keeps what a start of a target said, and has it bind all targets that are this start.
+// updateNotice stores what an incarnation announced and applies it to all targets of that
+// incarnation.
 func (r *Router) updateNotice(o incarnation, x *Endpoint, said Reading, base uint64, e *Effects) {
 	n := r.ensureNotice(o)
 	if said.Limit.Named {
@@ -152,7 +155,7 @@
 	}
 }
 
-// ensureNotice returns what is kept of a start of a target; empty where that is nothing.
+// ensureNotice returns the notice of an incarnation; it creates an empty one if there is none.
 func (r *Router) ensureNotice(o incarnation) *notice {
 	n := r.notices[o]
 	if n == nil {
@@ -162,7 +165,7 @@
 	return n
 }
 
-// toEffect is what the shell has to know of a notice to keep calls from the target.
+// toEffect returns the part of a notice that the shell needs to keep calls from the target.
 func (n *notice) toEffect(now units.Instant) *Notice {
 	x := &Notice{RestUntil: n.restUntil, Leaving: n.leaving}
 	if n.isLimited() {
@@ -171,12 +174,12 @@
 	return x
 }
 
-// applyToServices has a notice that has changed bind all targets that are its start, and returns their
+// applyToServices applies a changed notice to all targets of its incarnation and returns their
 // services.
 func (r *Router) applyToServices(n *notice, x *Endpoint, e *Effects) []*service {
 	var bound []*service
 	for _, s := range r.order {
-		// A target that registers belongs to one service; a process that operators entered may serve
+		// A registered target belongs to one service; a process configured by operators may serve
 		// several.
 		if (!x.Registered || s.row.Name == x.Service) && r.applyToService(s, n, x, e) {
 			bound = append(bound, s)
@@ -188,8 +191,8 @@
 	return bound
 }
 
-// applyToService gives a notice to a service's targets that are its start, and tells whether there
-// are any.
+// applyToService attaches a notice to a service's targets of its incarnation and reports whether
+// there are any.
 func (r *Router) applyToService(s *service, n *notice, x *Endpoint, e *Effects) bool {
 	found := false
 	for _, t := range s.targets {
@@ -205,15 +208,15 @@
 	return found
 }
 
-// updateAfterNotice does what follows for a service when one of its targets rests, leaves, or names or no
-// longer names a limit.
+// updateAfterNotice updates a service after one of its targets started a rest, announced that it
+// leaves, or began or ceased to announce a limit.
 func (r *Router) updateAfterNotice(s *service, e *Effects) {
 	s.weigh(r.now)
 	r.sweepBy(s, r.now)
 	r.refuseUnservable(s, e)
 }
 
-// attachNotices gives the targets of a service that is put in force the notices of their starts.
+// attachNotices attaches the existing notices to the targets of a service that comes into force.
 func (r *Router) attachNotices(s *service) {
 	if len(r.notices) == 0 {
 		return
@@ -221,7 +224,7 @@
 	for _, t := range s.targets {
 		o := incarnationOfRow(&t.row)
 		if t.notice != nil && t.notice.incarnation != o {
-			// The start's birth has become known.
+			// The incarnation's start time has become known.
 			delete(r.notices, t.notice.incarnation)
 			t.notice.incarnation = o
 			r.notices[o] = t.notice
@@ -233,8 +236,8 @@
 	}
 }
 
-// expireNotices forgets the notices whose time is over, and those of starts that were no longer
-// named for a while.
+// expireNotices discards notices that have expired, and those of incarnations that no row has
+// referred to for a while.
 func (r *Router) expireNotices() {
 	if len(r.notices) == 0 {
 		return
@@ -255,7 +258,7 @@
 	})
 }
 
-// removeNotice ends a notice before its time.
+// removeNotice ends a notice early.
 func (r *Router) removeNotice(n *notice) {
 	delete(r.notices, n.incarnation)
 	for _, s := range r.order {
@@ -267,12 +270,12 @@
 	}
 }
 
-// lacksStartTime tells whether nothing but the target's own answers can show that it has started
-// again: its rows tell no birth.
+// lacksStartTime reports whether a restart of the target can be seen from its own answers only,
+// since its rows contain no start time.
 func (t *target) lacksStartTime() bool { return t.row.Born == 0 }
 
-// needsHealthProbe tells whether a target that gets no calls is worth a probe: one that is ejected, and one
-// that said it leaves where a probe alone shows whether a new start has taken its place.
+// needsHealthProbe reports whether a target without calls should be probed: if it is ejected, or if
+// it announced that it leaves and only a probe can show that a new process has replaced it.
 func (t *target) needsHealthProbe(now units.Instant) bool {
 	switch {
 	case t.notice.isResting(now):
@@ -283,8 +286,9 @@
 	return t.health.ejected
 }
 
-// detectSuccessor takes the end of a probe of a target that said it leaves. One that leaves says so in all
-// its answers; one that answers without, or no longer listens, isn't the one that left.
+// detectSuccessor processes the result of a probe of a target that announced that it leaves. Such a
+// target repeats this in all its answers. An answer without it, or a refused connection, shows that
+// the process has exited, and the notice is removed.
 func (r *Router) detectSuccessor(t *target, v *ProbeEnded, e *Effects) {
 	if !t.notice.isLeaving() || !t.lacksStartTime() || v.Reading.Leaving || !v.Refused && (!v.Answered || v.Misdirected) {
 		return
--- a/pkg/core/routing/subset.go
+++ b/pkg/core/routing/subset.go
@@ -8,18 +8,19 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// With many boxes and many targets a box meets each target so seldom that it knows none of
-// them and has a connection to none. So each box prefers a subset of a service's targets:
-// the boxes of a failure domain stand in a ring beside the domain's targets, and each takes
-// those that follow its own place. Every target is in the subsets of about as many boxes,
-// and a box that comes or goes moves the others by a place at the most. Targets beyond the
-// subset are used as well, when its own are slow or full (outsideCost).
+// With many boxes and many targets, a box uses each target so rarely that it has neither recent
+// data about the targets nor open connections to them. So each box prefers a subset of a service's
+// targets: the boxes and the targets of a failure domain are arranged in two aligned rings, and
+// each box takes the targets that follow its own position. Every target is in the subsets of about
+// equally many boxes, and a box that joins or leaves moves the subsets of others by at most one
+// position. Targets outside the subset are still used if those in it are slow or full
+// (outsideSubsetCost).
 
 const (
 	// subsetSize is how many targets of a service a box prefers: enough to find a free one, and few
-	// enough to come back to each before its idle connection is closed.
+	// enough to reuse each one's connection before it is closed as idle.
 	subsetSize = 10
-	// outsideSubsetCost is what a target beyond the subset must be better by, in units of the work
+	// outsideSubsetCost is the extra cost of a target outside the subset, in units of the work
 	// itself.
 	outsideSubsetCost = 0.5
 )
@@ -39,7 +40,7 @@
 		return
 	}
 	for _, t := range s.targets {
-		// All boxes send calls to the few targets of a trial.
+		// All boxes send calls to the few targets of a rollout's new version.
 		t.inSubset = t.side == onTrial
 	}
 	slices.SortFunc(own, func(a, b *target) int { return compareByHash(s.row.Name, a.row.Target, b.row.Target) })
@@ -49,8 +50,8 @@
 	}
 }
 
-// ownDomainTargets are the active targets of the service in the box's own failure domain, or all
-// where that has none.
+// ownDomainTargets returns the active targets of the service in the box's own failure domain, or
+// all active targets if there are none in it.
 func (r *Router) ownDomainTargets(s *service) []*target {
 	var own, all []*target
 	for _, t := range s.targets {
@@ -68,8 +69,7 @@
 	return own
 }
 
-// ownDomainBoxes are the boxes of this box's failure domain that stay, in the order of their
-// ids.
+// ownDomainBoxes returns the boxes of this box's failure domain that aren't leaving, ordered by id.
 func (r *Router) ownDomainBoxes() []units.BoxID {
 	var boxes []units.BoxID
 	for _, b := range withoutLeaving(r.rank.boxes) {
@@ -81,7 +81,8 @@
 	return boxes
 }
 
-// compareByHash orders a service's targets in a way that differs from service to service.
+// compareByHash orders targets by their hash with the service's name, so that the order differs
+// between services.
 func compareByHash(s units.ServiceName, a, b units.TargetID) int {
 	x, y := rendezvous.Hash(s, a), rendezvous.Hash(s, b)
 	switch {
--- a/pkg/core/routing/targetlimit.go
+++ b/pkg/core/routing/targetlimit.go
@@ -7,43 +7,47 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A target may name in its answers how many calls a second it takes from all boxes together, for as
-// long as it says so. A box that has heard it sends such a target nothing without a permit of the
-// target's coordinator (coordinator.go), whatever the reason for the send is. Any box's part would be
-// wrong otherwise: of a limit below the number of boxes each would have to send less than a call a
-// second, and callers come to other boxes than those whose part is left.
+// A target may announce in its answers how many calls a second it accepts from all boxes together.
+// The limit is in force as long as its answers contain it. A box that knows of the limit sends
+// nothing to the target without a permit from the target's coordinator (coordinator.go), whatever
+// the purpose of the send. Fixed shares for all boxes wouldn't work: if the limit is below the
+// number of boxes, each would be limited to less than one call a second, and callers arrive at
+// other boxes than those with unused shares.
 
 const (
-	// endedLimitRetention is how long a box remembers that a limit is over, so that a box that hasn't
-	// heard it yet doesn't begin it anew.
+	// endedLimitRetention is how long a box remembers that a limit has ended, so that a box that
+	// doesn't know this yet can't restore the limit.
 	endedLimitRetention = time.Minute
-	// minLimitLogInterval is the least time between two log lines on limits that one target names.
+	// minLimitLogInterval is the least time between two log lines about the limits of one target.
 	minLimitLogInterval = time.Second
 )
 
-// targetLimit is what a box knows of the limit of a start of a target, and what it holds of it.
+// targetLimit is a box's state of the limit announced by one incarnation of a target, and the
+// permits that the box holds.
 type targetLimit struct {
 	current limit.Word
-	// receivedAt is when an answer to this box last named a limit, changedAt when the word last changed.
+	// receivedAt is when an answer to this box last announced a limit, changedAt when the limit
+	// last changed.
 	receivedAt, changedAt units.Instant
-	// loggedAt is when the log was last told of a limit.
+	// loggedAt is when the limit was last logged.
 	loggedAt units.Instant
-	// permits are those that are held.
+	// permits are the unused permits held by this box.
 	permits allowances
-	// ask is the request under way, again when the next one is worth while.
+	// ask is the request in flight, nextAskAt the earliest useful time for the next one.
 	ask       permitAsk
 	nextAskAt units.Instant
-	// account is kept by the target's coordinator alone; nil before the first request.
+	// account is the token bucket of the limit, kept by the target's coordinator only; nil before
+	// the first request.
 	account *limit.Account
-	// handedOverBy is the coordinator that has handed the target over to this box, at handedAt.
+	// handedOverBy is the coordinator that handed the target over to this box, at handedOverAt.
 	handedOverBy units.BoxID
 	handedOverAt units.Instant
 }
 
-// isLimited tells whether the target names a limit.
+// isLimited reports whether the target announces a limit.
 func (n *notice) isLimited() bool { return n != nil && n.limit != nil && n.limit.current.Limited }
 
-// ensureLimit returns what is known of the limit; it begins with nothing.
+// ensureLimit returns the state of the limit; it creates an empty one if there is none.
 func (n *notice) ensureLimit() *targetLimit {
 	if n.limit == nil {
 		n.limit = &targetLimit{}
@@ -51,8 +55,8 @@
 	return n.limit
 }
 
-// recordLimit takes an answer of a start of a target that names a limit. One to a call that was sent before the
-// newest word was known may be older than that: only a tighter limit is taken from it.
+// recordLimit processes an answer that announces a limit. If the call was sent before the current
+// version was known, the answer may be older than that version, so only a lower limit is accepted.
 func (r *Router) recordLimit(n *notice, endpoint *Endpoint, rate units.CallRate, base uint64, e *Effects) {
 	x := n.ensureLimit()
 	x.receivedAt = r.now
@@ -62,9 +66,9 @@
 	}
 }
 
-// recordNoLimit takes a good answer that names no limit. It ends one only if its call was sent once the newest word was
-// known, and after this box last heard of the limit: an answer that was on its way then says nothing. The
-// coordinator tells the other boxes when they ask.
+// recordNoLimit processes a good answer that announces no limit. It ends the limit only if the call
+// was sent when the current version was known and after this box last received a limit; otherwise
+// the answer may be older than the limit. The coordinator informs the other boxes when they ask.
 func (r *Router) recordNoLimit(a *attempt, said SaidLimit, e *Effects) {
 	t := a.target
 	if said.Named || said.Unread || !t.notice.isLimited() {
@@ -80,7 +84,7 @@
 	}
 }
 
-// updateLimitFromPeer takes the word on a target's limit that another box has sent.
+// updateLimitFromPeer applies the state of a target's limit that another box has sent.
 func (r *Router) updateLimitFromPeer(t *target, w limit.Word, e *Effects) {
 	if !w.Replaces(t.limitWord()) || t.notice == nil && !w.Limited {
 		return
@@ -92,8 +96,8 @@
 	r.setLimit(t.notice, t.endpoint, w, e)
 }
 
-// setLimit puts a word in force. The shell keeps calls without a permit from the target from now on,
-// or lets all go there again.
+// setLimit puts a new state of the limit in force. From then on the shell sends the target no calls
+// without a permit, or all calls again if the limit has ended.
 func (r *Router) setLimit(n *notice, endpoint *Endpoint, w limit.Word, e *Effects) {
 	x := n.limit
 	before := x.current
--- a/pkg/core/routing/unanswered.go
+++ b/pkg/core/routing/unanswered.go
@@ -7,66 +7,70 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A target may drop a call that it can't queue without an answer, and answer nothing more on
-// that connection. Such an unanswered call is told apart from a slow one by what the target does
-// meanwhile: it answers calls that came later, or reports fewer calls than this box has
-// there. The target counts as full then, not as dead. A call that may run twice goes
-// elsewhere; one that may not stays until its deadline, and its caller is told that it may have run.
+// A target may drop a call that it can't queue without answering it, and then answer nothing more
+// on that connection. Such an unanswered call is distinguished from a slow one by what the target
+// does meanwhile: it answers later calls, or reports fewer calls in flight than this box has sent
+// it. The target is then treated as full rather than as failed. A repeatable call is sent to
+// another target. Any other call is left until its deadline, and its caller is told that it may
+// have run.
+//
+// An answer is overdue once the call has been in flight for longer than its answer timeout.
 
 const (
-	// answerTimeoutFactor is how many times its route's typical time a call may be out before its
-	// answer is missed: what else runs on a target's machine slows work down fivefold for moments, but
-	// seldom for all of a call, and callers wait for about ten times the typical time.
+	// answerTimeoutFactor is the answer timeout as a multiple of the route's typical time. Other
+	// processes on a target's machine may slow work down fivefold for moments, but seldom for all
+	// of a call, and callers wait for about ten times the typical time.
 	answerTimeoutFactor = 4
-	// quantileTimeoutFactor is how many times the time within which nearly all calls end one may be
-	// out: of work that lasts exponentially long one call in 160,000 takes longer. sureQuantile
-	// is how many answers of a target that time is learnt from: it moves by a twentieth with
-	// each.
+	// quantileTimeoutFactor is the timeout as a multiple of the latency quantile that nearly all
+	// calls meet: with exponentially distributed work one call in 160,000 takes longer.
+	// minQuantileSamples is the number of answers before a target's quantile is used, as each moves
+	// it by a twentieth.
 	quantileTimeoutFactor = 4
 	minQuantileSamples    = 50
-	// minAnswerTimeout keeps calls of some milliseconds from being missed when a packet is lost
-	// and sent again.
+	// minAnswerTimeout keeps a call of a few milliseconds from being overdue after a single packet
+	// loss and retransmission.
 	minAnswerTimeout = 100 * time.Millisecond
-	// overdueCheckInterval is the time between two looks at a call whose answer is missed; a caller
-	// that still waits then has some such pauses left.
+	// overdueCheckInterval is the time between two checks of an overdue call. It allows several
+	// checks before a typical caller's deadline.
 	overdueCheckInterval = 100 * time.Millisecond
-	// minOvertakes is how many later calls a target must have answered: one may have been
-	// shorter work in another slot.
+	// minOvertakes is how many later calls the target must have answered. A single one may have
+	// been shorter work in another slot.
 	minOvertakes = 2
-	// unansweredHalfLife is the age at which an unanswered call counts for a half as a sign that
-	// its service hangs when full: crowds last for seconds and come back within minutes.
+	// unansweredHalfLife is the age at which an unanswered call has half its weight as evidence
+	// that its service hangs when full: overload lasts for seconds and recurs within minutes.
 	unansweredHalfLife = time.Minute
-	// hangThreshold is how many such calls are a sign: one may be an answer that was lost.
+	// hangThreshold is the weight of unanswered calls from which on a service is considered to
+	// hang: a single one may be an answer that was lost.
 	hangThreshold = 1.5
-	// minHangLoad is the least number of calls at which a target is taken to hang.
+	// minHangLoad is the lowest number of calls at which a target is assumed to hang.
 	minHangLoad = 2
 )
 
-// unansweredStats is what a box has learnt of a service's unanswered calls.
+// unansweredStats tracks the unanswered calls of a service.
 type unansweredStats struct {
 	total       uint64
 	recentCalls float64
 	updatedAt   units.Instant
-	// hangLoad is the least number of calls at a target with which one went unanswered; zero
-	// where that isn't known.
+	// hangLoad is the lowest number of calls at a target, counting the unanswered one, with which a
+	// call went unanswered; zero if that isn't known.
 	hangLoad float64
-	// reportsUntrustedUntil is set when a call was answered that the target's reports had left out;
-	// they prove nothing until then.
+	// reportsUntrustedUntil is set when a call was answered although the target's reports had left
+	// it out. Until then, missing calls in reports are no evidence.
 	reportsUntrustedUntil units.Instant
-	// hanging is set while the service is known to hang when full.
+	// hanging is set once the service was found to hang when full.
 	hanging bool
 }
 
-// recentWeight is how many of the last unanswered calls count now.
+// recentWeight returns the decayed count of unanswered calls.
 func (x *unansweredStats) recentWeight(now units.Instant) float64 {
 	return x.recentCalls * hyperbolicDecay(now.Sub(x.updatedAt), unansweredHalfLife)
 }
 
-// hangs tells whether the service's targets are known not to answer what they can't queue.
+// hangs reports whether the service's targets are known not to answer calls that they can't queue.
 func (x *unansweredStats) hangs(now units.Instant) bool { return x.recentWeight(now) >= hangThreshold }
 
-// record takes an unanswered call that was the n-th at its target, as far as that is known;
-// true means that the service is found to hang by it.
+// record adds an unanswered call that was the n-th at its target, or n = 0 if that isn't known. It
+// returns true if the service is newly found to hang.
 func (x *unansweredStats) record(now units.Instant, n float64) bool {
 	if !x.hangs(now) {
 		x.hanging, x.hangLoad = false, 0
@@ -82,14 +86,14 @@
 	return found
 }
 
-// mayHang tells whether one more call might be one that the target never answers.
+// mayHang reports whether the target might never answer one more call.
 func (t *target) mayHang(now units.Instant) bool {
 	x := &t.service.silence
 	return x.hangLoad > 0 && x.hangs(now) && t.load(now)+1 >= x.hangLoad
 }
 
-// answerTimeout is how long a call may be out before its answer is missed: all of its time where
-// it isn't known how long its like take.
+// answerTimeout returns how long a call may be in flight before its answer is overdue. Without an
+// estimate for such calls that is the time until its deadline.
 func (c *call) answerTimeout(t *target, now units.Instant) time.Duration {
 	switch usual := time.Duration(c.route.knownTypicalTime()); {
 	case usual > 0:
@@ -102,8 +106,9 @@
 	return c.deadline.Sub(now)
 }
 
-// overtakenTimeout is how long a call may be out before it counts that later ones overtook it:
-// work of very uneven length does so by itself, at a slow target above all.
+// overtakenTimeout returns how long a call must be in flight before being overtaken by later calls
+// is evidence: work of very uneven length is overtaken without any fault, most of all at a slow
+// target.
 func (c *call) overtakenTimeout(t *target, now units.Instant) time.Duration {
 	if t.latency.count < minQuantileSamples {
 		return c.deadline.Sub(now)
@@ -112,21 +117,21 @@
 	return max(minAnswerTimeout, quantileTimeoutFactor*usual)
 }
 
-// isUnanswered tells whether the attempt's target serves others and won't answer it.
+// isUnanswered reports whether the attempt's target serves other calls and won't answer this one.
 func (a *attempt) isUnanswered(now units.Instant) bool {
 	out := now.Sub(a.sent)
 	return a.missing && out >= a.patience || a.overtaken >= minOvertakes && out >= a.longPatience
 }
 
-// countOvertaken notes that the target has answered an attempt before older ones.
+// countOvertaken increments the overtaken count of all attempts older than the answered one.
 func (t *target) countOvertaken(answered *attempt) {
 	for a := t.oldestAttempt; a != nil && a != answered; a = a.next {
 		a.overtaken++
 	}
 }
 
-// markMissing marks the calls that a report leaves out: when the target was asked, it had
-// fewer calls in all than this box waits for. The oldest are the ones it hasn't got.
+// markMissing marks the calls that a load report leaves out: when the target was asked, it had
+// fewer calls in all than this box waits for. The oldest ones are assumed to be missing.
 func (t *target) markMissing(now units.Instant, x Reading, asked units.Instant) {
 	if !x.Known || now < t.service.silence.reportsUntrustedUntil {
 		return
@@ -141,7 +146,8 @@
 	}
 }
 
-// recordAnswer takes an answer to an attempt: a late one shows that reports leave calls out.
+// recordAnswer records an answer to an attempt. If the attempt had been marked as missing, the
+// target's reports aren't trusted for a while.
 func (t *target) recordAnswer(now units.Instant, a *attempt) {
 	t.countOvertaken(a)
 	if a.missing {
@@ -149,8 +155,9 @@
 	}
 }
 
-// scheduleOverdueCheck has a call looked at once its answer is missed. Calls that are hedged before that are
-// watched from then on only: few take that long, and each timer costs the others.
+// scheduleOverdueCheck schedules a check for when the call becomes overdue. A call that is hedged
+// before that is checked only from its hedge on: few calls take that long, and each timer has a
+// cost.
 func (r *Router) scheduleOverdueCheck(id CallID, c *call, a *attempt) {
 	if c.watched || a.target == nil || !r.on(UnansweredCalls) {
 		return
@@ -163,8 +170,8 @@
 	r.timers.Push(timer{at: at, call: id, kind: silenceTimer})
 }
 
-// checkOverdue looks at a call whose answer is missed, and will look again. While it can't tell
-// whether the target will answer it probes that.
+// checkOverdue checks an overdue call and schedules the next check. If it can't decide whether the
+// target will answer, it sends the target a probe.
 func (r *Router) checkOverdue(id CallID, c *call, e *Effects) {
 	c.watched = false
 	if c.held || c.streaming || c.underWay() == 0 {
@@ -180,14 +187,13 @@
 			r.probeOverdue(id, c, a, e)
 		}
 	}
-	// A hedge may have gone unanswered too.
+	// The hedge may have gone unanswered too.
 	if r.hedges(c) && c.mayHedge() && r.isOverdue(c) {
 		r.tryHedge(id, c, e)
 	}
 }
 
-// abandonUnanswered gives up the first attempt of a call that won't be answered, and tells
-// whether there is one.
+// abandonUnanswered abandons the call's first unanswered attempt and reports whether there is one.
 func (r *Router) abandonUnanswered(id CallID, c *call, e *Effects) bool {
 	if c.streaming {
 		return false
@@ -201,7 +207,7 @@
 	return false
 }
 
-// isOverdue tells whether the call has been out for longer than its answer should take.
+// isOverdue reports whether an attempt of the call is overdue.
 func (r *Router) isOverdue(c *call) bool {
 	if !r.on(UnansweredCalls) {
 		return false
@@ -214,8 +220,7 @@
 	return false
 }
 
-// probeOverdue probes the target of a call whose answer is missed, to learn whether the target
-// still serves others.
+// probeOverdue probes the target of an overdue call to find out whether it still serves others.
 func (r *Router) probeOverdue(id CallID, c *call, a *attempt, e *Effects) {
 	t := a.target
 	if t.removed || !c.mayUse(t) || t.notice.forbidsSending(r.now) || !c.service.probesTargets() || t.awaitsProbe(r.now) || t.lacksPermit(r.now) || !r.spendProbes(c.service, 1) {
@@ -224,12 +229,12 @@
 	r.probe(id, c, t, overdueProbe, e)
 }
 
-// overdueProbe is the number of a probe that probeSilent sends; no round of probes has it.
+// overdueProbe is the attempt number of the probes that probeOverdue sends; no probe round has it.
 const overdueProbe AttemptNumber = 0
 
-// abandon deals with an attempt that its target won't answer. Its connection is closed once
-// the call is under way elsewhere. Without another target or a budget the call stays where
-// it is, and is looked at again: calls earn budget.
+// abandon handles an attempt that its target won't answer. The attempt's connection is closed once
+// another attempt of the call is in flight. Without another target or budget the call stays where
+// it is and is checked again later, since the retry budget grows with each call.
 func (r *Router) abandon(id CallID, c *call, a *attempt, e *Effects) {
 	r.recordUnanswered(c, a, e)
 	if c.route.work != table.Repeatable || c.probeRound.open {
@@ -242,8 +247,8 @@
 	r.retry(id, c, false, e)
 }
 
-// recordIfUnanswered tells whether an attempt that ends without an answer is one that its target
-// wouldn't have answered, and counts it.
+// recordIfUnanswered reports whether an attempt that ended without an answer is classified as
+// unanswered, and counts it if so.
 func (r *Router) recordIfUnanswered(c *call, a *attempt, e *Effects) bool {
 	if !r.on(UnansweredCalls) || r.isInconclusive(a) || !a.isUnanswered(r.now) {
 		return false
@@ -252,7 +257,7 @@
 	return true
 }
 
-// recordUnanswered counts an unanswered attempt once, and its target as full.
+// recordUnanswered counts an unanswered attempt once and treats its target as full.
 func (r *Router) recordUnanswered(c *call, a *attempt, e *Effects) {
 	if a.counted {
 		return
@@ -263,7 +268,7 @@
 	t.unansweredCalls++
 	t.updateFailureRate(r.now, 1)
 	t.report.reduceTrust()
-	// The call itself still counts, but takes nothing of what the target can do.
+	// The call still counts as in flight but doesn't reduce the capacity for others.
 	t.window = min(t.window, max(minWindow, float64(t.inFlight))+1)
 	t.backoffUntil = max(t.backoffUntil, r.now.Add(t.latency.mean()/2))
 	n := 0.0
@@ -281,8 +286,8 @@
 	}
 }
 
-// knownSlots is how many calls the target is known to work on at a time; zero where neither
-// it nor the table says so.
+// knownSlots returns how many calls the target runs at a time, or zero if neither its reports nor
+// the table contain that.
 func (t *target) knownSlots() float64 {
 	if t.report.Slots > 0 {
 		return t.report.Slots
@@ -290,8 +295,8 @@
 	return float64(t.row.Slots)
 }
 
-// requiresKnownFreeSlot tells whether a call may go only to a target that is known to have room: if it
-// were never answered it would be lost, since it can't be sent twice.
+// requiresKnownFreeSlot reports whether a call may go only to a target that is known to have a free
+// slot: the call can't be sent twice, so it would be lost if it were never answered.
 func (r *Router) requiresKnownFreeSlot(c *call) bool {
 	return r.on(UnansweredCalls) && c.route.work != table.Repeatable && c.service.silence.hangs(r.now)
 }
--- a/pkg/core/routing/underway.go
+++ b/pkg/core/routing/underway.go
@@ -2,15 +2,14 @@
 
 import "github.com/madderpond/madderpond/pkg/units"
 
-// load is how many calls are under way at the target as far as this box knows: what the
-// target reported last, which counts less as it ages, and what this box has sent it since;
-// at least the box's own. Whatever asks for room at a target asks here, so that what other
-// boxes know of it has one place to come in.
+// load estimates how many calls are in flight at the target: the load that it last reported,
+// weighted by the report's age, plus the calls that this box has sent since; at least this box's
+// own calls. All checks for a free slot use it, so that data from other boxes could be added here.
 func (t *target) load(now units.Instant) float64 {
 	return max(float64(t.inFlight), t.reportedLoad(now))
 }
 
-// reportedLoad is the part that rests on the target's reports.
+// reportedLoad returns the part of the estimate that is based on the target's reports.
 func (t *target) reportedLoad(now units.Instant) float64 {
 	if !t.report.Known {
 		return 0
