--- a/pkg/core/routing/distance.go
+++ b/pkg/core/routing/distance.go
@@ -6,45 +6,46 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Calls to a target in another failure domain take longer by a round trip. What the round trip
-// takes beyond that to the box's own domain is measured for each domain and counts as time
-// beside the work. So a call goes to a target of the box's own domain before others of its
-// region, to these before other regions, and far away only where it is still answered sooner.
+// A call to a target in another failure domain takes longer by the network round trip. The round
+// trip in excess of that within the box's own domain is measured for each domain and added to the
+// cost. So a call prefers targets in the box's own domain, then those in the same region, and goes
+// to other regions only if it is still answered sooner there.
 
 const (
-	// minTimeWindow is for how long the least time of a probe counts, at the least: network paths
-	// change seldom, and within some seconds a probe meets no queue and shows the round trip
+	// minTimeWindow is the window over which the minimum probe time is taken: network paths rarely
+	// change, and within some seconds at least one probe meets no queue and measures the round trip
 	// alone.
 	minTimeWindow = 10 * time.Second
-	// defaultSameRegionRoundTrip and assumedFar stand in for the extra round trip to a domain of the same region,
-	// and to one of another or an unknown region, until it has been measured: nearer ones are tried
-	// first, and a far one still is when the near ones are full.
+	// defaultSameRegionRoundTrip and defaultOtherRegionRoundTrip are assumed as the extra round
+	// trip to a domain of the same region, and of another or an unknown region, until it has been
+	// measured. Nearer domains are tried first, and distant ones still are if the near ones are
+	// full.
 	defaultSameRegionRoundTrip  = 2 * time.Millisecond
 	defaultOtherRegionRoundTrip = 15 * time.Millisecond
-	// crossDomainPenalty is what leaving the box's domain costs besides the round trip, as a part of the
-	// work: a box has connections to the targets of its domain and knows more of them, so that
-	// calls which leave meet full targets more often. It grows with the work, since a full target
-	// delays long calls by more. With a fixed 30 ms the two worst windows of a day with more
-	// calls than targets could serve kept 0.47 in place of 0.64 of the calls' value, and 2.5 times
-	// the bytes went between domains.
+	// crossDomainPenalty is the extra cost of leaving the box's domain besides the round trip, as a
+	// fraction of the work. A box has connections to the targets of its own domain and more data
+	// about them, so calls to other domains meet full targets more often. The cost is proportional
+	// to the work, since a full target delays long calls by more. With a fixed 30 ms the two worst
+	// windows of an overloaded day kept 0.47 instead of 0.64 of the calls' value, and 2.5 times as
+	// many bytes were sent between domains.
 	crossDomainPenalty = 0.6
-	// defaultWorkTime stands in for a route's typical time until that is known.
+	// defaultWorkTime is used before a route's typical time is known.
 	defaultWorkTime = 50 * time.Millisecond
 )
 
-// domainDistance is what a box knows of the round trip to a failure domain's targets.
+// domainDistance estimates the round trip to the targets of a failure domain.
 type domainDistance struct {
-	// ownDomain is the box's ownDomain domain; nil for itself.
+	// ownDomain is the estimate for the box's own domain; nil if this is that domain.
 	ownDomain *domainDistance
-	// sameRegion is set where the domain is in the box's own region, or no regions are known.
+	// sameRegion is set if the domain is in the box's own region, or no regions are known.
 	sameRegion bool
-	// currentMin is the currentMin time that a probe took in the present window, which began at since,
-	// previousMin that of the window previousMin; zero for none.
+	// currentMin is the minimum probe time in the current window, which began at windowStart, and
+	// previousMin that of the previous window; zero if there was no probe.
 	currentMin, previousMin time.Duration
 	windowStart             units.Instant
 }
 
-// distanceTo returns what is known of the round trip to a domain.
+// distanceTo returns the estimate for a domain and creates it if necessary.
 func (r *Router) distanceTo(d units.Domain) *domainDistance {
 	x := r.distances[d]
 	if x != nil {
@@ -59,13 +60,13 @@
 	return x
 }
 
-// updateSameRegion notes whether a domain is in the box's own region.
+// updateSameRegion sets whether a domain is in the box's own region.
 func (r *Router) updateSameRegion(d units.Domain, x *domainDistance) {
 	region := r.settings.Regions[d]
 	x.sameRegion = region == r.settings.Regions[r.settings.Domain]
 }
 
-// recordProbe takes how long a probe took.
+// recordProbe updates the minimum with the time of a probe.
 func (x *domainDistance) recordProbe(now units.Instant, took time.Duration) {
 	if now.Sub(x.windowStart) > minTimeWindow {
 		x.previousMin, x.currentMin, x.windowStart = x.currentMin, 0, now
@@ -75,7 +76,7 @@
 	}
 }
 
-// minProbeTime is the least time that a probe took lately; zero for none.
+// minProbeTime returns the minimum probe time of the last two windows; zero if there was no probe.
 func (x *domainDistance) minProbeTime() time.Duration {
 	if x.currentMin == 0 || x.previousMin != 0 && x.previousMin < x.currentMin {
 		return x.previousMin
@@ -83,8 +84,9 @@
 	return x.currentMin
 }
 
-// extraRoundTrip is how much longer the round trip is than to the box's own domain. Probes take
-// the same work everywhere, so their least times differ by it.
+// extraRoundTrip returns how much longer the round trip is than within the box's own domain.
+// Answering a probe takes the same time everywhere, so the minimum probe times differ by the round
+// trip only.
 func (x *domainDistance) extraRoundTrip() time.Duration {
 	if x.ownDomain == nil {
 		return 0
@@ -99,7 +101,7 @@
 	return defaultOtherRegionRoundTrip
 }
 
-// recordProbeSent notes that a probe is on its way to the target.
+// recordProbeSent records that a probe for a call was sent to the target.
 func (t *target) recordProbeSent(now units.Instant) {
 	t.probesSent++
 	t.lastProbedAt = now
@@ -109,8 +111,8 @@
 	t.probesInFlight++
 }
 
-// recordProbeEnd takes the time that a probe for a call took. Where several were out, the time
-// since the first is no less than what the one that was answered took.
+// recordProbeEnd records the end of a probe for a call. With several probes in flight it uses the
+// time since the first was sent, which is an upper bound.
 func (t *target) recordProbeEnd(now units.Instant, healthy bool) {
 	t.probesInFlight = max(0, t.probesInFlight-1)
 	if healthy && t.distance != nil {
@@ -118,7 +120,8 @@
 	}
 }
 
-// distanceCost is what the target's distance costs a call of the route, in units of its work.
+// distanceCost returns the extra cost of the target's distance for a call of the route, in units of
+// its work.
 func (t *target) distanceCost(x *route) float64 {
 	if !t.remote || t.distance == nil {
 		return 0
@@ -130,7 +133,7 @@
 	return float64(t.distance.extraRoundTrip())/work + crossDomainPenalty
 }
 
-// probeTimeout is how long a call waits for the answer to a probe of the target.
+// probeTimeout returns how long a call waits for the answer to a probe of the target.
 func (t *target) probeTimeout() time.Duration {
 	if !t.remote || t.distance == nil {
 		return probeLimit
--- a/pkg/core/routing/evidence.go
+++ b/pkg/core/routing/evidence.go
@@ -8,17 +8,16 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// maxEvidenceRoutes is how many routes evidence of one version tells apart at the most, so that a
-// request for a lease stays below some 4 KB. Answers on further routes are added up under an empty
-// host and prefix.
+// maxEvidenceRoutes bounds the routes counted separately for one version, so that a lease request
+// stays below about 4 KB. Answers on further routes are added up under an empty host and prefix.
 const maxEvidenceRoutes = 16
 
-// versionEvidence is what a box has seen of the two versions of a rollout.
+// versionEvidence counts a box's results with the two versions of a rollout.
 type versionEvidence struct {
 	old, new []routeEvidence
 }
 
-// routeEvidence is what was seen of one version on one route.
+// routeEvidence counts the results with one version on one route.
 type routeEvidence struct {
 	host, prefix        string
 	successes, failures uint64
@@ -26,7 +25,7 @@
 	inFlight            uint32
 }
 
-// forRoute returns where answers forRoute a version on a route are counted.
+// forRoute returns the counters of a version on a route.
 func (v *versionEvidence) forRoute(isNew bool, host, prefix string) *routeEvidence {
 	list := &v.old
 	if isNew {
@@ -60,11 +59,11 @@
 	x.durations.Add(took)
 }
 
-// runsNewVersion tells whether a target runs the version that the rollout moves calls to.
+// runsNewVersion reports whether a target runs the version that the rollout moves calls to.
 func (v *rolloutState) runsNewVersion(t *target) bool { return t.row.Software == v.record.To }
 
-// recordResult takes how an attempt ended as evidence. A shed, misdirected or canceled call
-// says nothing of the version; a target that is ejected because it can't be reached does.
+// recordResult records the result of an attempt as evidence about its version. A shed, misdirected
+// or canceled call is none; the ejection of a target that can't be reached is.
 func (r *Router) recordResult(c *call, t *target, result AttemptResult, took time.Duration, ejected bool, e *Effects) {
 	v := t.service.rollout
 	if v == nil {
@@ -77,7 +76,7 @@
 			r.noteNewAnswer(v, false, e)
 		}
 	case result == Broken && !r.mayRepeat(c):
-		// A suspect breaks off whatever the version.
+		// A call suspected of crashing targets breaks with any version.
 	case result == Failed || result == Broken || ejected && result == NotSent:
 		r.recordVersionFailure(v, c, t, e)
 	}
@@ -91,8 +90,8 @@
 	}
 }
 
-// recordVersionTimeout takes as evidence that an attempt got no answer by its call's deadline, if
-// it had at least half of the call's time: others came too late for any version.
+// recordVersionTimeout counts a failure for an attempt without an answer at its call's deadline, if
+// it had at least half of the call's time: later attempts had too little time with any version.
 func (r *Router) recordVersionTimeout(c *call, a *attempt, e *Effects) {
 	v := a.target.service.rollout
 	if v == nil || a.sent.Sub(c.arrived) > c.deadline.Sub(c.arrived)/2 {
@@ -101,9 +100,10 @@
 	r.recordVersionFailure(v, c, a.target, e)
 }
 
-// recordVersionOvertaken takes as evidence that another target answered before the call's first one,
-// which takes at least as long as it has taken. Without that a hedge would hide a slow
-// version. A hedge that is overtaken began late, so that its time would say too little.
+// recordVersionOvertaken records the elapsed time of a call's first attempt when another one was
+// answered first. The actual time is at least as long. Without this a hedge would hide a slow
+// version. An overtaken hedge isn't recorded: it started late, so that its elapsed time shows too
+// little.
 func (r *Router) recordVersionOvertaken(c *call, winner *attempt) {
 	for i := range c.attempts {
 		a := &c.attempts[i]
@@ -116,8 +116,8 @@
 	}
 }
 
-// CollectEvidence returns what the box has seen of the versions of the rollouts that are under
-// way, and for the last time of those that have ended.
+// CollectEvidence returns the evidence about the versions of all rollouts in progress, and a final
+// time about those that have ended.
 func (r *Router) CollectEvidence() []rollout.Evidence {
 	var all []rollout.Evidence
 	for _, v := range r.rollouts {
@@ -129,7 +129,7 @@
 	return all
 }
 
-// countInFlight counts the calls that the box waits for, those from before the order too.
+// countInFlight counts the calls in flight, including those sent before the rollout was ordered.
 func (r *Router) countInFlight(v *rolloutState) {
 	for _, list := range [][]routeEvidence{v.evidence.old, v.evidence.new} {
 		for i := range list {
@@ -145,7 +145,7 @@
 	})
 }
 
-// appendEvidence appends what was seen of one version, an entry a route.
+// appendEvidence appends the evidence about one version, with one entry for each route.
 func (v *rolloutState) appendEvidence(all []rollout.Evidence, list []routeEvidence, software units.Software) []rollout.Evidence {
 	for i := range list {
 		x := &list[i]
--- a/pkg/core/routing/inbound.go
+++ b/pkg/core/routing/inbound.go
@@ -6,50 +6,49 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A box can't slow down what targets send it: a large answer occupies the link while it comes
-// in, and every answer behind it is late. The box knows how much is coming in, though. So it has
-// few large answers on their way at a time, and doesn't count as a target's fault what is late
-// because of one.
+// A box can't throttle what targets send it: a large answer occupies the link while it is received
+// and delays every answer behind it. But the box knows how much is being received. It therefore
+// receives only few large answers at a time, and doesn't attribute delays that they cause to the
+// targets.
 
 const (
-	// inboundAimFraction is the part of its aim that a call with a large answer leaves to the answers
-	// that are already on their way. With more of them, each would take much of the others' aims,
-	// and all small answers would wait behind them.
+	// inboundAimFraction bounds the transfer time of the large answers in flight, as a fraction of
+	// the aim of the next call with a large answer. With more of them, each would use much of the
+	// others' aims, and all small answers would wait behind them.
 	inboundAimFraction = 0.25
-	// inboundWaitFraction is the part of its aim, or of its deadline if that is closer, that such a call
-	// waits at the most: enough for an average answer to come in, and most of the aim is left
-	// for its own.
+	// inboundWaitFraction bounds how long such a call waits, as a fraction of its aim or its
+	// deadline, whichever is shorter: enough to receive an average answer, and most of the aim is
+	// left for its own.
 	inboundWaitFraction = 0.125
-	// minInboundWait is the least time between two looks of a waiting call at the link, so that
-	// many of them don't take the box's processor time.
+	// minInboundWait is the least time between two checks of the link for a waiting call, so that
+	// many waiting calls don't use up the box's processor time.
 	minInboundWait = 2 * time.Millisecond
-	// sizeGain is the weight of the newest answer in a route's expected size: sizes of one route
-	// may vary by several times, so that a call's wait must not depend on the newest alone.
+	// sizeGain is the weight of the newest answer in a route's expected answer size: the sizes on
+	// one route may vary severalfold, so a call's wait must not depend on the newest alone.
 	sizeGain = 0.1
-	// inconclusiveFraction is the part of its time for which the link must have been occupied for a call
-	// without an answer to say nothing of its target.
+	// inconclusiveFraction is the fraction of an unanswered attempt's time for which the link must
+	// have been occupied for the attempt to be no evidence about its target.
 	inconclusiveFraction = 0.5
-	// maxOccupancy is for how long one answer counts as occupying the link: longer ones share
-	// it with others by then, and what a target says of an answer's length may be wrong. No
-	// call may be kept from probing, and no target from being ejected, for longer by one.
+	// maxOccupancy bounds how long one answer is assumed to occupy the link: a longer one shares it
+	// with others by then, and the length that a target states may be wrong. One answer can't
+	// suppress probes, or the ejection of targets, for longer than that.
 	maxOccupancy = time.Second
 )
 
-// inboundLink is what a box knows of the large answers on their way to it.
+// inboundLink tracks the large answers that the box is receiving.
 type inboundLink struct {
-	// bytesPerSecond is in bytes a second; zero means that the link isn't limited.
+	// bytesPerSecond is the capacity of the link; zero means that it isn't limited.
 	bytesPerSecond float64
-	// busyUntil is when what has begun to come in will be there.
+	// busyUntil is when all answers whose transfer has begun will have been received.
 	busyUntil units.Instant
-	// busyTotal is for how long the link has been occupied by large answers since the start,
-	// and will be until busyUntil.
+	// busyTotal is the total time since the box's start for which large answers have occupied the
+	// link, including the time until busyUntil.
 	busyTotal time.Duration
-	// pendingTime is for how long the answers that are coming in occupy the link, together.
+	// pendingTime is the sum of the transfer times of the answers being received.
 	pendingTime time.Duration
 }
 
-// start notes that so many bytes of an answer are coming in now, and returns for how long
-// they occupy the link.
+// start records the start of a transfer and returns how long it occupies the link.
 func (x *inboundLink) start(now units.Instant, bytes float64) time.Duration {
 	takes := x.transferTime(bytes)
 	x.pendingTime += takes
@@ -58,8 +57,8 @@
 	return takes
 }
 
-// finish notes that an answer which occupies the link for takes has come in, or was given up. The
-// link isn't occupied for longer than the answers that are left take.
+// finish records that an answer with the given transfer time was received or abandoned. The link is
+// then occupied for no longer than the remaining transfers take.
 func (x *inboundLink) finish(now units.Instant, takes time.Duration) {
 	x.pendingTime -= takes
 	if excess := x.remaining(now) - x.pendingTime; excess > 0 {
@@ -68,7 +67,7 @@
 	}
 }
 
-// transferTime is for how long so many bytes occupy the link.
+// transferTime returns how long a transfer of so many bytes occupies the link.
 func (x *inboundLink) transferTime(bytes float64) time.Duration {
 	if x.bytesPerSecond <= 0 {
 		return 0
@@ -76,15 +75,16 @@
 	return time.Duration(bytes / x.bytesPerSecond * float64(time.Second))
 }
 
-// remaining is for how long the link will still be occupied.
+// remaining returns how long the link will still be occupied.
 func (x *inboundLink) remaining(now units.Instant) time.Duration { return max(0, x.busyUntil.Sub(now)) }
 
-// busyTime is for how long the link was occupied until now, since the start.
+// busyTime returns for how long the link has been occupied since the box's start.
 func (x *inboundLink) busyTime(now units.Instant) time.Duration {
 	return x.busyTotal - x.remaining(now)
 }
 
-// updateSize takes how many bytes of an answer came behind those that are held for a retry.
+// updateSize updates the expected size by the bytes of an answer that followed those buffered for a
+// retry.
 func (x *route) updateSize(bytes float64) {
 	if x.sized {
 		x.size += sizeGain * (bytes - x.size)
@@ -93,8 +93,8 @@
 	x.size, x.sized = bytes, true
 }
 
-// recordAnswerStart notes an answer that begins to pass through. One that doesn't say how long it
-// is counts as its route's usual.
+// recordAnswerStart records that an answer starts being streamed to the caller; coming is how many
+// bytes follow. If that is negative, thus unknown, the route's expected size is used.
 func (r *Router) recordAnswerStart(c *call, a *attempt, coming int) {
 	a.answered = r.timeAtTarget(c, a)
 	a.begun = true
@@ -108,7 +108,7 @@
 	a.takes = r.inbound.start(r.now, bytes)
 }
 
-// expectInbound counts what an attempt that is being sent may bring.
+// expectInbound adds the expected size of the answer to an attempt that is being sent.
 func (r *Router) expectInbound(x *route, a *attempt) {
 	a.busyAt = r.inbound.busyTime(r.now)
 	if x.largeAnswers {
@@ -117,29 +117,28 @@
 	}
 }
 
-// releaseInbound ends what was counted of an attempt.
+// releaseInbound removes an attempt's expected and pending transfers.
 func (r *Router) releaseInbound(a *attempt) {
 	r.clearExpected(a)
 	r.inbound.finish(r.now, a.takes)
 	a.takes = 0
 }
 
-// clearExpected no longer counts the bytes that an attempt may bring: the answer has begun, or
-// won't come.
+// clearExpected removes the expected size of an attempt's answer, which has started or won't come.
 func (r *Router) clearExpected(a *attempt) {
 	r.expected -= a.expected
 	a.expected = 0
 }
 
-// recordShortAnswer notes that a route with large answers brought one that was whole at once.
+// recordShortAnswer records that a route with large answers returned one that was complete at once.
 func (x *route) recordShortAnswer(a *attempt) {
 	if x.largeAnswers && !a.begun {
 		x.updateSize(0)
 	}
 }
 
-// linkBusySince is for how long, since an attempt was sent, its answer may have waited behind
-// large ones.
+// linkBusySince returns for how long large answers have occupied the link since the attempt was
+// sent, so that its own answer may have been delayed. It is zero if the mechanism is off.
 func (r *Router) linkBusySince(a *attempt) time.Duration {
 	if !r.on(SharedLink) {
 		return 0
@@ -147,9 +146,9 @@
 	return r.inbound.busyTime(r.now) - a.busyAt
 }
 
-// timeAtTarget is how long an attempt's answer took, as far as its target is concerned. What
-// it took beyond the route's typical time isn't the target's while other answers occupied
-// the link, and what passing an answer through takes isn't at all.
+// timeAtTarget returns the part of an attempt's time that is attributed to its target. Time beyond
+// the route's typical time is left out as far as other answers occupied the link, and so is the
+// time for streaming the answer.
 func (r *Router) timeAtTarget(c *call, a *attempt) time.Duration {
 	if a.begun {
 		return a.answered
@@ -162,27 +161,27 @@
 	return max(min(took, time.Duration(c.route.typical)), took-hidden)
 }
 
-// isInconclusive tells whether an attempt that wasn't answered in time says nothing of its
-// target: the answer is passing through, or may be waiting behind others.
+// isInconclusive reports whether an attempt that wasn't answered in time is no evidence about its
+// target: its answer is being streamed or may be waiting behind other answers.
 func (r *Router) isInconclusive(a *attempt) bool {
 	return a.begun || float64(r.linkBusySince(a)) > inconclusiveFraction*float64(r.now.Sub(a.sent))
 }
 
-// mayGoUnprobed tells whether a call had better go to a target by what is known of it than
-// wait for probes, whose answers would come too late because of the large ones that are
-// coming in. While the service is busy, a target that nothing is known of is likely to be
-// full, and calls wait all the same.
+// mayGoUnprobed reports whether a call should be sent to a target based on existing data, since the
+// answers to probes would be delayed by large answers. This doesn't apply while the service is
+// busy: a target without recent data is likely to be full then, and calls wait anyway.
 func (r *Router) mayGoUnprobed(c *call, t *target) bool {
 	return r.linkDelaysProbes(c) && !r.isTooSlow(c, t) && t.load(r.now)+1 <= t.slots()
 }
 
-// linkDelaysProbes tells whether probes' answers come too late, at a service that isn't busy.
+// linkDelaysProbes reports whether large answers delay the answers to probes for too long, at a
+// service that isn't busy.
 func (r *Router) linkDelaysProbes(c *call) bool {
 	return r.on(SharedLink) && r.inbound.remaining(r.now) > probeLimit && !c.service.isBusy(r.now)
 }
 
-// sendUnprobed sends a call whose probes' answers wait behind large ones to the target that
-// seems best by what is known of it.
+// sendUnprobed sends a call whose probes are delayed by large answers to the best target according
+// to existing data.
 func (r *Router) sendUnprobed(id CallID, c *call, e *Effects) bool {
 	if c.probeRound.pending == 0 || !r.linkDelaysProbes(c) {
 		return false
@@ -196,8 +195,8 @@
 	return true
 }
 
-// resumeAfterLinkWait goes on with a call that waited for large answers to come in, unless what
-// it was admitted by is no longer there.
+// resumeAfterLinkWait continues a call that waited for large answers, unless the lease or service
+// that it was admitted under is gone.
 func (r *Router) resumeAfterLinkWait(id CallID, c *call, e *Effects) {
 	if !r.leased() {
 		r.refuse(id, c, Refusal{Reason: NoLease, Outcome: NotRun, RetryAfter: noLeaseRetry}, e)
@@ -210,8 +209,9 @@
 	r.start(id, c, e)
 }
 
-// waitForLink has a call with a large answer wait while enough of them are on their way. One
-// that no target can serve doesn't wait to be refused.
+// waitForLink delays a call with a large answer while too many of them are being received, and
+// reports whether it does. A call without an eligible target isn't delayed, so that it is refused
+// at once.
 func (r *Router) waitForLink(id CallID, c *call, e *Effects) bool {
 	if !c.route.largeAnswers || !r.on(SharedLink) || c.route.aim == 0 || !c.service.hasActiveTarget(c) {
 		return false
