--- a/pkg/core/routing/bench_test.go
+++ b/pkg/core/routing/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// newBenchRouter returns a router with services of targets each, in force and
-// settled, on a box among others.
+// newBenchRouter returns a router of one of several boxes, with the given number of services and
+// targets per service. Its table is in force and its shares have settled.
 func newBenchRouter(b testing.TB, services, targets, limit int, off ...Mechanism) (*Router, units.Instant) {
 	b.Helper()
 	now := units.Instant(time.Second)
@@ -47,7 +47,7 @@
 	return r, now
 }
 
-// benchCalls measures a call from its arrival to its answer.
+// benchCalls measures calls from arrival to answer.
 func benchCalls(b *testing.B, r *Router, now units.Instant, arrived *CallArrived) {
 	b.Helper()
 	var e Effects
@@ -64,7 +64,7 @@
 	}
 }
 
-// BenchmarkCall is one call from its arrival to its answer.
+// BenchmarkCall measures one call from arrival to answer.
 func BenchmarkCall(b *testing.B) {
 	for _, targets := range []int{5, 20, 100, 500, 2000} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// BenchmarkCallWithKey is a call that is let in by one of many keys. BenchmarkCall at 5 targets is the
-// same without any.
+// BenchmarkCallWithKey measures a call that is authorized by one of many keys. BenchmarkCall with 5
+// targets is the same without keys.
 func BenchmarkCallWithKey(b *testing.B) {
 	const keys = 10_000
 	r, now := newBenchRouter(b, 1, 5, 0)
@@ -94,8 +94,8 @@
 	})
 }
 
-// BenchmarkCallBesideQuarantines is a call that isn't in quarantine, at a box that keeps many from
-// targets. BenchmarkCall at 5 targets is the same without any.
+// BenchmarkCallBesideQuarantines measures a call that isn't quarantined, at a box with many
+// quarantines. BenchmarkCall with 5 targets is the same without any.
 func BenchmarkCallBesideQuarantines(b *testing.B) {
 	r, now := newBenchRouter(b, 1, 5, 0)
 	var e Effects
@@ -109,7 +109,7 @@
 	benchCalls(b, r, now, arrived)
 }
 
-// BenchmarkTick is what a box spends on time alone, ten milliseconds of it.
+// BenchmarkTick measures a tick without any calls, one for each ten milliseconds.
 func BenchmarkTick(b *testing.B) {
 	for _, services := range []int{10, 270, 2700} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// BenchmarkTableChange is what an edit of one service costs a box.
+// BenchmarkTableChange measures the cost of an edit of one service to a box.
 func BenchmarkTableChange(b *testing.B) {
 	for _, services := range []int{10, 270, 2700} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
@@ -148,7 +148,7 @@
 	}
 }
 
-// BenchmarkMemory reports what a router keeps for each target.
+// BenchmarkMemory reports the memory that a router uses for each target.
 func BenchmarkMemory(b *testing.B) {
 	for _, services := range []int{270, 2700} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
@@ -166,7 +166,7 @@
 	}
 }
 
-// BenchmarkBoxChange is what a change of the list of boxes costs a box.
+// BenchmarkBoxChange measures the cost of a change of the list of boxes to a box.
 func BenchmarkBoxChange(b *testing.B) {
 	for _, boxes := range []int{15, 60, 240} {
 		b.Run(fmt.Sprintf("boxes=%d", boxes), func(b *testing.B) {
@@ -186,8 +186,8 @@
 	}
 }
 
-// BenchmarkFirstTable is what a box that has just started does with its first table, of
-// 473 boxes and 719 registered targets in three services.
+// BenchmarkFirstTable measures how a newly started box processes its first table, of 473 boxes and
+// 719 registered targets in three services.
 func BenchmarkFirstTable(b *testing.B) {
 	now := units.Instant(time.Second)
 	t := table.NewTable()
@@ -218,17 +218,17 @@
 	}
 }
 
-// BenchmarkCallBesideRests is a call at a service of which every second target rests. BenchmarkCall
-// is the same without any rest.
+// BenchmarkCallBesideRests measures a call at a service of which every second target rests.
+// BenchmarkCall is the same without any rest.
 func BenchmarkCallBesideRests(b *testing.B) { benchCallsBeside(b, Reading{Rest: time.Hour}) }
 
-// BenchmarkCallBesideLimits is a call at a service of which every second target names a limit, with permits
-// that this box grants itself. BenchmarkCall is the same without any limit.
+// BenchmarkCallBesideLimits measures a call at a service of which every second target announces a
+// limit, with permits that this box grants itself. BenchmarkCall is the same without any limit.
 func BenchmarkCallBesideLimits(b *testing.B) {
 	benchCallsBeside(b, Reading{Limit: SaidLimit{Named: true, Rate: 2}})
 }
 
-// benchCallsBeside measures calls at a service of which every second target has said something of itself.
+// benchCallsBeside measures calls at a service of which every second target has sent a notice.
 func benchCallsBeside(b *testing.B, said Reading) {
 	for _, targets := range []int{20, 500} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
--- a/pkg/core/routing/cold_test.go
+++ b/pkg/core/routing/cold_test.go
@@ -10,21 +10,22 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// coldFleet is many boxes of four failure domains beside the targets of one service.
+// coldFleet simulates many boxes in four failure domains with the targets of one service.
 type coldFleet struct {
 	t       *testing.T
 	random  *rand.Rand
 	now     units.Instant
 	routers []*Router
 	table   *table.Table
-	// arrivals are the times of the calls that each target got.
+	// arrivals are the times at which each target received calls.
 	arrivals map[units.TargetID][]units.Instant
 	sent     int
 }
 
 const (
-	// coldFleetRate is what a cold target takes, in calls a second; coldFleetMost is what it
-	// may get in any second before it falls over.
+	// coldFleetRate is the rate that a cold target accepts, in calls a second;
+	// coldFleetMaxPerSecond is the most calls that it can receive in any second without being
+	// overloaded.
 	coldFleetRate         = 2.5
 	coldFleetMaxPerSecond = 11
 )
@@ -57,7 +58,7 @@
 	return r
 }
 
-// putTargets puts the service's targets in force, changed by a function.
+// putTargets puts the service's targets in force, after the function has changed their rows.
 func (f *coldFleet) putTargets(n int, change func(*table.Row)) {
 	entry := &table.Entry{Service: table.Service{
 		Name: "s", Work: table.Repeatable, Hosts: []string{"s"}, Deadline: time.Second, HoldCount: 10, ColdRate: coldFleetRate,
@@ -77,7 +78,7 @@
 	f.applyTable(f.routers)
 }
 
-// restartCold has all targets of a domain start again, cold for 3 s.
+// restartCold restarts all targets of a domain, which are then cold for 3 s.
 func (f *coldFleet) restartCold(d units.Domain, targets int) {
 	f.putTargets(targets, func(r *table.Row) {
 		if r.Domain == d {
@@ -93,7 +94,7 @@
 	}
 }
 
-// advance lets time advance with about 700 calls a second, each answered after 100 ms.
+// advance simulates a period with about 700 calls a second, each answered after 100 ms.
 func (f *coldFleet) advance(d time.Duration) {
 	const perTick = 7
 	type ending struct {
@@ -129,7 +130,8 @@
 	}
 }
 
-// maxCallsPerSecond is the most calls that a target of a domain got in any second since a time.
+// maxCallsPerSecond returns the most calls that a target of a domain received in any second ending
+// at or after a time.
 func (f *coldFleet) maxCallsPerSecond(d units.Domain, since units.Instant) int {
 	most := 0
 	for row := range f.table.Services["s"].Rows.All() {
@@ -150,7 +152,7 @@
 	return most
 }
 
-// callsReceived is how many calls the targets of a domain got since a time.
+// callsReceived returns how many calls the targets of a domain have received since a time.
 func (f *coldFleet) callsReceived(d units.Domain, since units.Instant) int {
 	n := 0
 	for row := range f.table.Services["s"].Rows.All() {
@@ -163,8 +165,9 @@
 	return n
 }
 
-// All targets of a failure domain come back cold beside a hundred boxes: none of them gets
-// more calls than it bears, and together they get their part.
+// Guards against overloading the targets of a failure domain that all return cold to a hundred
+// boxes: none may receive more calls than it can handle, and together they must receive their
+// share.
 func TestADomainThatComesBackColdIsNotOverrun(t *testing.T) {
 	const targets = 60
 	f := newColdFleet(t, 100, targets)
@@ -174,14 +177,14 @@
 	if most := f.maxCallsPerSecond("d1", since); most > coldFleetMaxPerSecond {
 		t.Errorf("a cold target got %d calls in a second, it bears %d", most, coldFleetMaxPerSecond)
 	}
-	// Each of the two boxes that a target has gets seven calls a second, and spreads them over
-	// all targets that it may use.
+	// Each of the two boxes of a target receives seven calls a second and distributes them over all
+	// targets that it may use.
 	if n := f.callsReceived("d1", since); n < targets/8 {
 		t.Errorf("%d cold targets got %d calls in 2.5 s", targets/4, n)
 	}
 }
 
-// While some boxes know a longer list of boxes than others, cold targets get no more.
+// Guards against overloading cold targets while some boxes have a longer list of boxes than others.
 func TestColdTargetsAreNotOverrunWhileBoxesDisagree(t *testing.T) {
 	const targets = 60
 	f := newColdFleet(t, 100, targets)
@@ -198,7 +201,7 @@
 	}
 }
 
-// Targets of a restored domain may be cold without having said so.
+// Targets of a restored domain may be cold without having reported it.
 func TestARestoredDomainIsNotOverrun(t *testing.T) {
 	const targets = 60
 	f := newColdFleet(t, 100, targets)
@@ -228,9 +231,8 @@
 	f.applyTable(f.routers)
 }
 
-// A change of one row must not work out anew what every cold target of the service takes
-// from this box: with 3,000 targets beside 300 boxes that stopped boxes for seconds when a
-// domain came back cold.
+// Guards against recomputing this box's share of every cold target when one row changes: with 3,000
+// targets and 300 boxes that blocked boxes for seconds when a domain returned cold.
 func TestAChangeOfOneRowLeavesOtherColdTargetsAlone(t *testing.T) {
 	const boxes, targets = 300, 200
 	cost := func(cold time.Duration) float64 {
--- a/pkg/core/routing/concurrency_test.go
+++ b/pkg/core/routing/concurrency_test.go
@@ -6,8 +6,8 @@
 	"github.com/madderpond/madderpond/pkg/core/table"
 )
 
-// Where the last slots of a target slow all of its calls by more than they add, they are
-// better left free.
+// If filling the last slots of a target slows all of its calls by more than they add, they should
+// be left free.
 func TestConcurrencyFollowsWhatFullTargetsDo(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/pkg/core/routing/crowd_rest_test.go
+++ b/pkg/core/routing/crowd_rest_test.go
@@ -8,13 +8,14 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// What a target asks of one box binds that box alone. Were boxes to tell each other, calls would gain a
-// little where targets turn every call away, and lose much more where they turn a part away: the
-// target would get nothing from anybody. It must gain more than it loses to be worth a message.
+// A target's request for a rest applies only to the box that received it. If boxes shared these
+// requests, slightly more calls would be answered in time where targets shed every call, but far
+// fewer where they shed a part: such a target would receive no calls from any box. This test fails
+// if sharing gains more than it loses, which would justify the messages.
 func TestARestIsNotPassedOnToOtherBoxes(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		// resting is how many of the targets turn away which part of the calls.
+		// resting is how many of the targets shed the fraction sheds of their calls.
 		resting int
 		sheds   float64
 		load    float64
--- a/pkg/core/routing/crowd_test.go
+++ b/pkg/core/routing/crowd_test.go
@@ -11,8 +11,9 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// crowdSim replays more calls than targets can serve in time over many boxes. Targets have two
-// slots, the second of which slows both; refused callers come back once, as they are told.
+// crowdSim simulates many boxes that receive more calls than their targets can serve in time.
+// Targets have two slots, and use of the second slows both. A refused caller retries once, at the
+// time that it is told.
 type crowdSim struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -22,18 +23,19 @@
 	events  *container.Heap[crowdEvent]
 	inAim   int
 	callers int
-	// wasted counts the probes and sends that met an unreachable target, or one that rests.
+	// wasted counts the probes and sends that met an unreachable target or one that had asked for a
+	// rest.
 	wasted int
-	// sharesNotices has every box hear what a target says to one of them.
+	// sharesNotices passes what a target tells one box on to all boxes.
 	sharesNotices bool
 }
 
 type crowdTarget struct {
 	running     int
 	unreachable bool
-	// shedRate is the part of calls that the target shedRate, whatever room it has.
+	// shedRate is the fraction of calls that the target sheds even with free slots.
 	shedRate float64
-	// rest is for how long a target that sheds wants nothing more from the box.
+	// rest is the length of the rest that the target asks for when it sheds a call; zero for none.
 	rest time.Duration
 }
 
@@ -42,7 +44,7 @@
 	run func()
 }
 
-// crowdCaller is one caller's call over its tries.
+// crowdCaller is a caller with one call and its retries.
 type crowdCaller struct {
 	first   units.Instant
 	retries int
@@ -54,10 +56,10 @@
 	crowdWorkTime = 60 * time.Millisecond
 	crowdAim      = 200 * time.Millisecond
 	crowdDeadline = 600 * time.Millisecond
-	// crowdCapacity is about how many calls a second all targets serve.
+	// crowdCapacity is the approximate number of calls a second that all targets can serve.
 	crowdCapacity  = crowdTargets * 2 / 0.102
 	crowdRoundTrip = 2 * time.Millisecond
-	// crowdConnectTime is how long a caller who comes back takes to connect.
+	// crowdConnectTime is the time that a retrying caller takes to connect.
 	crowdConnectTime = 15 * time.Millisecond
 )
 
@@ -108,7 +110,7 @@
 
 func crowdDomain(i int) units.Domain { return units.Domain(fmt.Sprintf("d%d", i%3)) }
 
-// makeUnreachable has all targets of a domain refuse connections.
+// makeUnreachable makes all targets of a domain refuse connections.
 func (f *crowdSim) makeUnreachable(d units.Domain) {
 	for i := range crowdTargets {
 		if crowdDomain(i) == d {
@@ -117,7 +119,7 @@
 	}
 }
 
-// advance lets calls come for a time, at a part of the capacity.
+// advance simulates a period in which calls arrive at a fraction of the capacity.
 func (f *crowdSim) advance(d time.Duration, load float64) {
 	gap := time.Duration(float64(time.Second) / (load * crowdCapacity))
 	end := f.now.Add(d)
@@ -205,7 +207,7 @@
 	})
 }
 
-// shed answers a call that a target turns away.
+// shed answers a call that the target sheds.
 func (f *crowdSim) shed(r *Router, x Effect, t *crowdTarget) {
 	if t.rest > 0 {
 		f.wasted++
@@ -224,7 +226,7 @@
 	})
 }
 
-// crowdShareDelay is how long it takes until what one box has heard is known to all.
+// crowdShareDelay is the time until a notice received by one box is known to all.
 const crowdShareDelay = 50 * time.Millisecond
 
 func (f *crowdSim) probe(r *Router, x Effect) {
@@ -244,8 +246,8 @@
 	return Reading{Known: true, InFlight: float64(t.running), Slots: 2, Pace: 1}
 }
 
-// retryCaller has a refused caller try once more, when it was told to but within a third of the
-// time that it has left.
+// retryCaller schedules a refused caller's only retry: at the time that it was told, but within a
+// third of its remaining time.
 func (f *crowdSim) retryCaller(c *crowdCaller, after time.Duration) {
 	left := crowdDeadline - f.now.Sub(c.first)
 	if c.retries > 0 {
@@ -255,8 +257,8 @@
 	f.after(min(after, left/3)+crowdConnectTime, func() { f.call(c) })
 }
 
-// measure has calls come at half of the capacity, and then at a load for 4 s; it returns the
-// part of the latter that was answered in aim.
+// measure simulates 2 s at half of the capacity, and then 4 s at the given load. It returns the
+// fraction of the latter calls that were answered within their aim.
 func (f *crowdSim) measure(load float64, before func()) float64 {
 	f.advance(2*time.Second, 0.5)
 	before()
@@ -267,7 +269,7 @@
 
 func noChange() {}
 
-// With calls of 1.8 times the capacity, slots go to first tries.
+// With a load of 1.8 times the capacity, slots are given to first tries before late retries.
 func TestFirstTriesGoBeforeLateReturns(t *testing.T) {
 	without := newCrowdSim(t, FirstTries).measure(1.8, noChange)
 	with := newCrowdSim(t).measure(1.8, noChange)
@@ -291,8 +293,8 @@
 	}
 }
 
-// Where targets with room shed half of their calls, refused callers come back in time for their
-// aim. With a pause of 100 ms 0.65 of the calls were answered in aim.
+// Where targets with free slots shed half of their calls, refused callers must retry early enough
+// for their aim. With a pause of 100 ms only 0.65 of the calls were answered within their aim.
 func TestCallersOfShedCallsComeBackInTime(t *testing.T) {
 	f := newCrowdSim(t)
 	inAim := f.measure(0.4, func() {
--- a/pkg/core/routing/distance_test.go
+++ b/pkg/core/routing/distance_test.go
@@ -7,8 +7,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// The extra round trip is what the quickest probes of some seconds took longer than in the box's
-// own domain.
+// The extra round trip is the difference between the minimum probe times of the domain and of the
+// box's own domain over some seconds.
 func TestTheWayIsLearntFromTheQuickestProbes(t *testing.T) {
 	const ms = time.Millisecond
 	scenarios := []struct {
@@ -35,7 +35,7 @@
 			if way := there.extraRoundTrip(); way != s.want {
 				t.Errorf("the way is %s, want %s", way, s.want)
 			}
-			// Two windows later only what was measured since counts.
+			// Two windows later only the measurements since then are used.
 			for i := range 2 {
 				if now := testNow.Add(time.Duration(i+1) * s.after); s.after > 0 {
 					recordAll(own, now, []time.Duration{7 * ms})
--- a/pkg/core/routing/evidence_test.go
+++ b/pkg/core/routing/evidence_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// Evidence stays small however many routes there are, and no answer is left out.
+// The number of entries is bounded for any number of routes, and no answer is left out.
 func TestEvidenceIsBounded(t *testing.T) {
 	var v versionEvidence
 	for i := range 100 {
@@ -25,7 +25,8 @@
 	}
 }
 
-// The lot never strays by more than a call from its share, however the share changes.
+// The number of chosen calls never exceeds the share by more than one call, however the share
+// changes.
 func TestLotKeepsToItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
--- a/pkg/core/routing/expectation_test.go
+++ b/pkg/core/routing/expectation_test.go
@@ -13,14 +13,14 @@
 	testNow   = units.Instant(time.Hour)
 )
 
-// newTrainedRoute returns a route whose typical time has been learnt from usual answers
-// of another target, after a first one that was odd.
+// newTrainedRoute returns a route whose typical time is based on usual answers of another target,
+// after an unusual first one.
 func newTrainedRoute(first time.Duration) *route {
 	x := &route{}
 	other := newTarget(newService(table.Service{}), table.Row{Registered: true})
 	other.recordAnswerTime(testNow, x, first, &attempt{})
 	for i := range 40 {
-		// Half of the answers take a little longer, half a little less.
+		// Half of the answers take a little longer, half take a little less.
 		took := usualTime + time.Duration(i%2*40-20)*time.Millisecond
 		other.recordAnswerTime(testNow, x, took, &attempt{})
 	}
@@ -82,8 +82,8 @@
 	}
 }
 
-// Slowness is found by comparing: where all targets are slow, so is the work, or
-// something that no other choice would mend. Refusing calls then would be an outage.
+// Slow targets are found by comparison: if all targets are slow, the work itself is, or there is a
+// cause that no other choice would avoid. Refusing calls then would be an outage.
 func TestATargetIsTooSlowOnlyBesideBetterOnes(t *testing.T) {
 	scenarios := []struct {
 		testName  string
--- a/pkg/core/routing/inbound_test.go
+++ b/pkg/core/routing/inbound_test.go
@@ -11,13 +11,13 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// sentAttempt is a send that hasn't ended.
+// sentAttempt is an attempt in flight.
 type sentAttempt struct {
 	call   CallID
 	number AttemptNumber
 }
 
-// inboundModel is a router with a route of large answers, and what it has under way.
+// inboundModel is a router with a route that has large answers, and its attempts in flight.
 type inboundModel struct {
 	router   *Router
 	now      units.Instant
@@ -54,7 +54,7 @@
 	return w
 }
 
-// dispatch hands an event to the router, keeps what it sends and checks what it counts.
+// dispatch passes an event to the router, stores the resulting sends and checks the counts.
 func (w *inboundModel) dispatch(t *rapid.T, e Event) {
 	var effects Effects
 	w.router.Reduce(w.now, e, &effects)
@@ -71,7 +71,7 @@
 	}
 }
 
-// advance lets time advance; the link can't have been occupied for longer than that.
+// advance lets time pass and checks that the link wasn't occupied for longer than that.
 func (w *inboundModel) advance(t *rapid.T, d time.Duration) {
 	w.now = w.now.Add(d)
 	w.dispatch(t, &Tick{})
@@ -86,8 +86,8 @@
 	return w.sent[rapid.IntRange(0, len(w.sent)-1).Draw(t, "attempt")]
 }
 
-// However calls end, nothing stays expected once all are over, and the link is never counted
-// as occupied for longer than time has passed.
+// Whatever the results of calls, no bytes may remain expected once all calls have ended, and the
+// link may never be counted as occupied for longer than the elapsed time.
 func TestRandomInboundCountsEndWithTheirCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newInboundModel(t)
@@ -119,7 +119,7 @@
 	})
 }
 
-// With the mechanism switched off, what takes long is put down to its target.
+// With the mechanism switched off, delays are attributed to the target.
 func TestWithoutSharedLinkNothingIsHidden(t *testing.T) {
 	r, err := NewRouter(Settings{Box: "me", LinkRate: 1000, Disable: []Mechanism{SharedLink}}, 0)
 	if err != nil {
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -57,7 +57,7 @@
 type notice struct {
 	incarnation incarnation
 	// restUntil is the latest end of the rests that it asked for; a later request for a shorter
-	// rest doesn't move it forward.
+	// rest doesn't end it earlier.
 	restUntil units.Instant
 	// leaving is set once the target has announced that it is about to exit.
 	leaving bool
--- a/pkg/core/routing/notice_random_test.go
+++ b/pkg/core/routing/notice_random_test.go
@@ -12,30 +12,31 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// targetStart is one targetStart of a target.
+// targetStart identifies one start of a target.
 type targetStart struct {
 	id   units.TargetID
 	born units.WallTime
 }
 
-// statedNotice is what a start has told the box.
+// statedNotice is what a target has announced to the box since a start.
 type statedNotice struct {
 	restUntil units.Instant
 	leaving   bool
 }
 
-// noticeModel is a box whose targets ask for rest and leave in answers of all kinds, while rows come, go and
-// name new starts. It checks each send and probe against what its target had said.
+// noticeModel is a box whose targets ask for rests and announce that they leave, in answers of all
+// kinds, while rows are added, removed and changed to new starts. It checks each send and probe
+// against what the target had announced.
 type noticeModel struct {
 	*rapid.T
 	router   *Router
 	now      units.Instant
 	revision units.Revision
-	// rows are the targets that register, listed the ones that the table has now.
+	// rows are the registered targets; listed tells which of them the table contains now.
 	rows   []table.Row
 	listed []bool
 	stated map[targetStart]statedNotice
-	// sends and probes are under way; calls are those that may have one.
+	// sends and probes are in flight; calls are those that may have some.
 	sends, probes []Effect
 	calls         []CallID
 }
@@ -101,7 +102,7 @@
 	}
 }
 
-// checkAllowed checks that a target gets nothing that it doesn't want.
+// checkAllowed checks that nothing is sent to a target that doesn't accept it.
 func (x *noticeModel) checkAllowed(effect Effect, probe bool) {
 	e := effect.Endpoint
 	h := x.stated[targetStart{e.Target, e.Born}]
@@ -113,7 +114,7 @@
 	}
 }
 
-// drawReading draws what an answer says, and notes that the box will have heard it.
+// drawReading draws the content of an answer and records what the box is told by it.
 func (x *noticeModel) drawReading(e *Endpoint) Reading {
 	r := Reading{Known: true, InFlight: float64(rapid.IntRange(0, 4).Draw(x.T, "load")), Slots: 3, Pace: 1}
 	switch rapid.IntRange(0, 5).Draw(x.T, "words") {
@@ -137,7 +138,7 @@
 	x.dispatch(&CallArrived{Owner: x, Host: []byte(host), Path: []byte("/")})
 }
 
-// removeRandom takes one of a list out of it.
+// removeRandom removes a random element from a list and returns it.
 func removeRandom(t *rapid.T, list *[]Effect) Effect {
 	if len(*list) == 0 {
 		t.Skip("nothing is under way")
@@ -193,7 +194,7 @@
 	x.now = end
 }
 
-// editRow has a row go, come back, move to another address or name a new start.
+// editRow removes a row, restores it, changes its address or state, or gives it a new start.
 func (x *noticeModel) editRow(t *rapid.T) {
 	i := rapid.IntRange(0, len(x.rows)-1).Draw(t, "row")
 	switch rapid.IntRange(0, 3).Draw(t, "edit") {
@@ -209,8 +210,8 @@
 	x.putTable()
 }
 
-// Whatever comes in whatever order, nothing is sent to a start of a target before the end of its
-// rests, or after it has said that it leaves.
+// Whatever the order of events, nothing may be sent to a target before the end of its rests, or
+// after it has announced that it leaves, until it starts again.
 func TestNothingReachesTargetsThatWantNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newNoticeModel(t)
--- a/pkg/core/routing/regions_test.go
+++ b/pkg/core/routing/regions_test.go
@@ -11,8 +11,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// regionFleet is a router in each of six failure domains of three regions, beside targets of
-// one service that tell their load.
+// regionFleet simulates a router in each of six failure domains in three regions, and the targets
+// of one service, which report their load.
 type regionFleet struct {
 	t           *testing.T
 	now         units.Instant
@@ -22,11 +22,12 @@
 	unreachable map[units.Domain]bool
 	load        map[units.TargetID]int
 	events      fleetEvents
-	// servedInRegion, servedElsewhere and refused count the calls of the region south by where they were sent.
+	// servedInRegion, servedElsewhere and refused count the calls of the region south by result and
+	// by the region that they were sent to.
 	servedInRegion, servedElsewhere, refused int
 }
 
-// fleetEvent is what a router hears at a time.
+// fleetEvent is a scheduled event of the simulation.
 type fleetEvent struct {
 	at  units.Instant
 	run func()
@@ -49,7 +50,8 @@
 	fleetSlots     = 2
 	fleetWorkTime  = 60 * time.Millisecond
 	fleetProbeTime = 2 * time.Millisecond
-	// fleetRoundTripNear and fleetWayFar are there and back between domains, and between regions.
+	// fleetRoundTripNear and fleetRoundTripFar are the round trips between domains of one region
+	// and between regions.
 	fleetRoundTripNear = 2 * time.Millisecond
 	fleetRoundTripFar  = 17 * time.Millisecond
 )
@@ -173,7 +175,8 @@
 	}
 }
 
-// advance lets time advance; the boxes of each domain get so many calls a second together.
+// advance simulates a period in which the boxes of each domain together receive so many calls a
+// second.
 func (f *regionFleet) advance(d time.Duration, perSecond int) {
 	pause := time.Second / time.Duration(perSecond*len(fleetDomains))
 	for end := f.now.Add(d); f.now < end; {
@@ -190,8 +193,8 @@
 	}
 }
 
-// With a failure domain unreachable its callers are served by the other domain of their region, which
-// has room.
+// If a failure domain is unreachable, its callers must be served by the other domain of their
+// region, which has capacity for them.
 func TestCallsOfADarkDomainStayInTheirRegion(t *testing.T) {
 	f := newRegionFleet(t, "south-a")
 	f.advance(4*time.Second, 40)
@@ -201,8 +204,8 @@
 	}
 }
 
-// With all of a region unreachable its callers are served by the others: answers to probes take 19 ms
-// from there.
+// If a whole region is unreachable, its callers must be served by the other regions, from which
+// answers to probes take 19 ms.
 func TestCallsOfADarkRegionAreServedElsewhere(t *testing.T) {
 	f := newRegionFleet(t, "south-a", "south-b")
 	f.advance(4*time.Second, 40)
--- a/pkg/core/routing/script_notice_test.go
+++ b/pkg/core/routing/script_notice_test.go
@@ -11,7 +11,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// setNotice sets what an answer says of its target by "rest=D", "leaving", "limit=R" and "unread-limit".
+// setNotice sets the notice in an answer from "rest=D", "leaving", "limit=R" and "unread-limit".
 func (s *script) setNotice(d *datadriven.TestData, x *Reading) {
 	x.Rest = s.duration(d, "rest")
 	x.Leaving = d.HasArg("leaving")
@@ -21,7 +21,7 @@
 	}
 }
 
-// callRate reads a number of calls a second.
+// callRate parses a number of calls a second.
 func (s *script) callRate(d *datadriven.TestData, key string) units.CallRate {
 	x, err := strconv.ParseFloat(s.word(d, key), 64)
 	if err != nil {
@@ -34,9 +34,9 @@
 	AskPermits: "ask", GrantPermits: "grant", ReturnPermits: "return", TellLimit: "tell", HandOver: "hand-over",
 }
 
-// limit BOX kind=K service=S target=T [born=N] [nonce=N] [count=N] [again=D] [version=N] [limit=R] gives a message of
-// another box on a target's limit. Without a limit it says that there is none, without a version that nothing was
-// heard of one.
+// limit BOX kind=K service=S target=T [born=N] [nonce=N] [count=N] [again=D] [version=N] [limit=R]
+// delivers a message of another box about a target's limit. Without a limit the message states that
+// there is none, without a version that the box has no information about one.
 func (s *script) peerLimit(d *datadriven.TestData) {
 	m := LimitMessage{Service: units.ServiceName(s.word(d, "service")), Target: units.TargetID(s.word(d, "target")), Born: 1}
 	for k, w := range limitKindNames {
@@ -55,7 +55,7 @@
 	s.give(&PeerLimit{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
 }
 
-// describeLimit tells of a message on a target's limit.
+// describeLimit describes a message about a target's limit.
 func describeLimit(m *LimitMessage) string {
 	words := []string{limitKindNames[m.Kind], string(m.Target)}
 	if m.Nonce != 0 {
@@ -75,7 +75,7 @@
 	return strings.Join(append(words, fmt.Sprintf("version %d", m.Word.Version)), ", ")
 }
 
-// describeNotice tells of what a target wants as the shell is told.
+// describeNotice describes the notice of a target that the shell receives.
 func (s *script) describeNotice(x Effect) string {
 	words := []string{"keep calls from", string(x.Endpoint.Target)}
 	if left := x.Notice.RestUntil.Sub(s.now); x.Notice.RestUntil > 0 && left > 0 {
--- a/pkg/core/routing/subset_test.go
+++ b/pkg/core/routing/subset_test.go
@@ -26,7 +26,7 @@
 	return t
 }
 
-// subsetOf returns the targets that a box prefers under a table.
+// subsetOf returns the targets that a box prefers with the given table.
 func subsetOf(t *testing.T, box units.BoxID, x *table.Table, off ...Mechanism) map[units.TargetID]bool {
 	t.Helper()
 	r, err := NewRouter(Settings{Box: box, Domain: "here", MaxDeadline: time.Minute, Disable: off}, units.Instant(time.Second))
--- a/pkg/core/routing/unanswered.go
+++ b/pkg/core/routing/unanswered.go
@@ -57,7 +57,7 @@
 	// reportsUntrustedUntil is set when a call was answered although the target's reports had left
 	// it out. Until then, missing calls in reports are no evidence.
 	reportsUntrustedUntil units.Instant
-	// hanging is set once the service was found to hang when full.
+	// hanging is set while the service is classified as hanging when full.
 	hanging bool
 }
 
--- a/pkg/core/routing/unanswered_test.go
+++ b/pkg/core/routing/unanswered_test.go
@@ -11,7 +11,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// hangFleet is some boxes at the same targets, which never answer what they can't queue.
+// hangFleet simulates some boxes with the same targets, which never answer calls that they can't
+// queue.
 type hangFleet struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -22,16 +23,17 @@
 	started map[string]units.Instant
 	// sends counts the sends of each call.
 	sends map[string]int
-	// delivered, late and lost count the calls by how they ended: lost at their deadline.
+	// delivered, late, refused and lost count the calls by result; lost ones were refused at their
+	// deadline.
 	delivered, late, refused, lost int
 }
 
-// hangingTarget works on some calls at a time, queues some, and drops the others.
+// hangingTarget runs some calls at a time, queues some, and drops the others without an answer.
 type hangingTarget struct {
 	slots, queue int
 	inFlight     map[string]bool
 	busyUntil    []units.Instant
-	// dropsAll has it drop every call.
+	// dropsAll makes the target drop every call.
 	dropsAll bool
 	dropped  int
 	sends    int
@@ -41,7 +43,7 @@
 	at     units.Instant
 	router *Router
 	event  Event
-	// attempt is the attempt that the event attempt at its target, if it is one.
+	// attempt names the attempt that the event ends at its target; empty for other events.
 	attempt string
 	target  *hangingTarget
 }
@@ -51,7 +53,7 @@
 	hangAim      = 200 * time.Millisecond
 	hangDeadline = time.Second
 	hangStep     = time.Millisecond
-	// hangProbeDelay is how old the answer to a probe is when it comes.
+	// hangProbeDelay is the age of a probe's answer on arrival.
 	hangProbeDelay = 4 * time.Millisecond
 	hangSeed       = 20261202
 )
@@ -137,7 +139,7 @@
 	return Reading{Known: true, InFlight: float64(len(x.inFlight)), Slots: float64(x.slots), Pace: 1}
 }
 
-// receive works on a call, or drops it.
+// receive accepts a call or drops it.
 func (x *hangingTarget) receive(w *hangFleet, r *Router, s *Effect, call string) {
 	x.sends++
 	if x.dropsAll || len(x.inFlight) >= x.slots+x.queue {
@@ -156,7 +158,7 @@
 	w.pending.Push(pendingEvent{at: x.busyUntil[slot], router: r, attempt: name, target: x, event: &AttemptEnded{Call: s.Call, Attempt: s.Attempt, Result: Answered}})
 }
 
-// run lets calls come to all boxes for a time, each some time after the last.
+// run simulates a period in which each box receives calls at random times with a mean gap.
 func (w *hangFleet) run(length, gap time.Duration) {
 	end := w.now.Add(length)
 	for ; w.now < end; w.now = w.now.Add(hangStep) {
@@ -194,9 +196,9 @@
 	}
 }
 
-// TestTenBoxesAtTargetsThatHang has calls come from ten boxes at what three targets just bear,
-// which drop what they can't queue. Of the calls that were dropped one in 25 may stay until its
-// deadline, both of its sends dropped; no target may be left out afterwards.
+// Ten boxes send about as many calls as three targets can handle, which drop what they can't queue.
+// Guards against losing calls: of the dropped calls at most one in 25 may stay until its deadline,
+// as both of its sends may be dropped. Afterwards no target may remain without calls.
 func TestTenBoxesAtTargetsThatHang(t *testing.T) {
 	w := newHangFleet(t, table.Repeatable, 10, 3)
 	w.run(2*time.Second, 100*time.Millisecond)
@@ -216,8 +218,8 @@
 	w.expectAllTargetsUsed()
 }
 
-// TestHalfOfAServiceHangs has two of four targets drop every call for 5 s, while they answer
-// probes: the calls go to the others, and come back to these two.
+// Two of four targets drop every call for 5 s but still answer probes. Guards against calls that
+// are lost there instead of being sent to the other two, and against never using the two again.
 func TestHalfOfAServiceHangs(t *testing.T) {
 	w := newHangFleet(t, table.Repeatable, 4, 4)
 	w.run(2*time.Second, 40*time.Millisecond)
@@ -234,8 +236,8 @@
 	w.expectAllTargetsUsed()
 }
 
-// TestOnceCallsAtTargetsThatHang has calls that may run once come to the same targets: none is
-// sent twice, or told not to have run after it was sent.
+// Guards against calls of work that must not run twice being sent twice to such targets, and
+// against telling callers that a call hasn't run after it was sent.
 func TestOnceCallsAtTargetsThatHang(t *testing.T) {
 	w := newHangFleet(t, table.Once, 10, 3)
 	w.run(6*time.Second, 33*time.Millisecond)
@@ -260,7 +262,7 @@
 	}
 }
 
-// expectAllTargetsUsed checks that calls go to every target again.
+// expectAllTargetsUsed checks that every target receives calls again.
 func (w *hangFleet) expectAllTargetsUsed() {
 	before := map[units.TargetID]int{}
 	for id, x := range w.targets {
