--- a/pkg/core/routing/closed.go
+++ b/pkg/core/routing/closed.go
@@ -76,8 +76,8 @@
 // isBlockedTooLong reports whether all targets that a call may use are blocked for longer than the
 // call can wait.
 func (s *service) isBlockedTooLong(c *call, now units.Instant) bool {
-	at, closed := s.blockedUntil(c, now)
-	return closed && at > c.waitDeadline(s)
+	at, blocked := s.blockedUntil(c, now)
+	return blocked && at > c.waitDeadline(s)
 }
 
 // blockedReason returns why all targets that a call may use are blocked: TargetsLimited if one of
@@ -109,9 +109,9 @@
 // blockedRetryAfter returns when the caller of a call whose targets are all blocked should retry;
 // zero if one of them isn't blocked.
 func (r *Router) blockedRetryAfter(c *call) time.Duration {
-	first, closed := c.service.blockedUntil(c, r.now)
+	first, blocked := c.service.blockedUntil(c, r.now)
 	switch {
-	case !closed:
+	case !blocked:
 		return 0
 	case c.service.blockedReason(c, r.now) == TargetsLimited:
 		return r.limitRetryAfter(c.service, first)
@@ -123,29 +123,29 @@
 // for a busy service, the state is expected to last as long again as it has lasted so far. The time
 // is randomized, so that callers don't all compete for the next permits.
 func (r *Router) limitRetryAfter(s *service, first units.Instant) time.Duration {
-	lasted := min(r.now.Sub(s.limitedSince), mostBusyRetry)
-	after := max(leastBusyRetry, lasted, first.Sub(r.now))
-	part := minLimitRetryFactor + (maxLimitRetryFactor-minLimitRetryFactor)*r.random.Float64()
-	return time.Duration(part * float64(after)).Round(time.Millisecond)
+	elapsed := min(r.now.Sub(s.limitedSince), mostBusyRetry)
+	after := max(leastBusyRetry, elapsed, first.Sub(r.now))
+	factor := minLimitRetryFactor + (maxLimitRetryFactor-minLimitRetryFactor)*r.random.Float64()
+	return time.Duration(factor * float64(after)).Round(time.Millisecond)
 }
 
 // restRetryAfter returns when a caller should retry whose targets all rest, where first is the
 // earliest end of a rest. The time is the end of a rest chosen at random among those that end
 // soonest, plus a random delay, so that no target receives all retries at the end of its rest.
 func (s *service) restRetryAfter(c *call, first, now units.Instant, random *rand.Rand) time.Duration {
-	left := first.Sub(now)
-	drawn, n := left, 0
+	remaining := first.Sub(now)
+	chosen, n := remaining, 0
 	for _, t := range s.targets {
-		if !t.isEligible() || !c.mayUse(t) || t.notice.restUntil.Sub(now) > 2*left {
+		if !t.isEligible() || !c.mayUse(t) || t.notice.restUntil.Sub(now) > 2*remaining {
 			continue
 		}
 		n++
 		if random.IntN(n) == 0 {
-			drawn = t.notice.restUntil.Sub(now)
+			chosen = t.notice.restUntil.Sub(now)
 		}
 	}
-	spread := max(float64(minRestSpread), restSpreadFactor*float64(left))
-	return min(maxRetryAfter, drawn+time.Duration(random.Float64()*spread)).Round(time.Millisecond)
+	spread := max(float64(minRestSpread), restSpreadFactor*float64(remaining))
+	return min(maxRetryAfter, chosen+time.Duration(random.Float64()*spread)).Round(time.Millisecond)
 }
 
 // blockableReasons are the refusal reasons that are caused by the targets' notices if all targets
--- a/pkg/core/routing/cold.go
+++ b/pkg/core/routing/cold.go
@@ -148,34 +148,34 @@
 	if boxes, known := r.beside[t.row.Domain]; known {
 		return boxes
 	}
-	beside := boxesInDomain(r.rank.boxes, t.row.Domain)
-	r.beside[t.row.Domain] = beside
-	return beside
+	boxes := boxesInDomain(r.rank.boxes, t.row.Domain)
+	r.beside[t.row.Domain] = boxes
+	return boxes
 }
 
 // boxesInDomain returns those of the boxes that are in a failure domain and aren't leaving, or all
 // that aren't leaving if there are none.
 func boxesInDomain(boxes []table.Box, domain units.Domain) []table.Box {
 	all := withoutLeaving(boxes)
-	var beside []table.Box
+	var inDomain []table.Box
 	for _, b := range all {
 		if b.Domain == domain {
-			beside = append(beside, b)
+			inDomain = append(inDomain, b)
 		}
 	}
-	if len(beside) == 0 {
+	if len(inDomain) == 0 {
 		return all
 	}
-	return beside
+	return inDomain
 }
 
 // withoutLeaving returns the boxes that aren't leaving.
 func withoutLeaving(boxes []table.Box) []table.Box {
-	var stay []table.Box
+	var remaining []table.Box
 	for _, b := range boxes {
 		if !b.Leaving {
-			stay = append(stay, b)
+			remaining = append(remaining, b)
 		}
 	}
-	return stay
+	return remaining
 }
--- a/pkg/core/routing/cold_test.go
+++ b/pkg/core/routing/cold_test.go
@@ -102,12 +102,12 @@
 		router *Router
 		event  *AttemptEnded
 	}
-	var under []ending
-	for end := f.now.Add(d); f.now < end || len(under) > 0; {
+	var inFlight []ending
+	for end := f.now.Add(d); f.now < end || len(inFlight) > 0; {
 		f.now = f.now.Add(10 * time.Millisecond)
-		for len(under) > 0 && under[0].at <= f.now {
-			under[0].router.Reduce(f.now, under[0].event, &Effects{})
-			under = under[1:]
+		for len(inFlight) > 0 && inFlight[0].at <= f.now {
+			inFlight[0].router.Reduce(f.now, inFlight[0].event, &Effects{})
+			inFlight = inFlight[1:]
 		}
 		if f.now >= end {
 			continue
@@ -120,7 +120,7 @@
 				if x.Kind == Send {
 					f.sent++
 					f.arrivals[x.Endpoint.Target] = append(f.arrivals[x.Endpoint.Target], f.now)
-					under = append(under, ending{f.now.Add(100 * time.Millisecond), r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: Answered}})
+					inFlight = append(inFlight, ending{f.now.Add(100 * time.Millisecond), r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: Answered}})
 				}
 			}
 		}
@@ -175,12 +175,12 @@
 	f.restartCold("d1", targets)
 	f.advance(2500 * time.Millisecond)
 	if most := f.maxCallsPerSecond("d1", since); most > coldFleetMaxPerSecond {
-		t.Errorf("a cold target got %d calls in a second, it bears %d", most, coldFleetMaxPerSecond)
+		t.Errorf("a cold target received %d calls in a second, it can handle %d", most, coldFleetMaxPerSecond)
 	}
 	// Each of the two boxes of a target receives seven calls a second and distributes them over all
 	// targets that it may use.
 	if n := f.callsReceived("d1", since); n < targets/8 {
-		t.Errorf("%d cold targets got %d calls in 2.5 s", targets/4, n)
+		t.Errorf("%d cold targets received %d calls in 2.5 s", targets/4, n)
 	}
 }
 
@@ -197,7 +197,7 @@
 	f.applyTable(f.routers[:50])
 	f.advance(2500 * time.Millisecond)
 	if most := f.maxCallsPerSecond("d1", since); most > coldFleetMaxPerSecond {
-		t.Errorf("a cold target got %d calls in a second, it bears %d", most, coldFleetMaxPerSecond)
+		t.Errorf("a cold target received %d calls in a second, it can handle %d", most, coldFleetMaxPerSecond)
 	}
 }
 
@@ -212,14 +212,14 @@
 	f.evacuate("d1", false)
 	f.advance(DefaultColdDoubt - 100*time.Millisecond)
 	if evacuated > 0 {
-		t.Errorf("targets of an evacuated domain got %d calls", evacuated)
+		t.Errorf("targets of an evacuated domain received %d calls", evacuated)
 	}
 	if most := f.maxCallsPerSecond("d1", since); most > coldFleetMaxPerSecond {
-		t.Errorf("a target of a restored domain got %d calls in a second, it bears %d when cold", most, coldFleetMaxPerSecond)
+		t.Errorf("a target of a restored domain received %d calls in a second, it can handle %d when cold", most, coldFleetMaxPerSecond)
 	}
 	f.advance(time.Second)
 	if n := f.callsReceived("d1", f.now.Add(-time.Second)); n < targets {
-		t.Errorf("the targets of a domain got %d calls in a second although they must be warm", n)
+		t.Errorf("the targets of a domain received only %d calls in a second although they must be warm", n)
 	}
 }
 
--- a/pkg/core/routing/concurrency_test.go
+++ b/pkg/core/routing/concurrency_test.go
@@ -32,7 +32,7 @@
 				s.whenFull.add(c.ratio)
 			}
 			if got := v.bestConcurrency(); got != c.want {
-				t.Errorf("%.0f calls at a time, not %.0f", got, c.want)
+				t.Errorf("the best concurrency is %.0f, want %.0f", got, c.want)
 			}
 		})
 	}
--- a/pkg/core/routing/crowd_rest_test.go
+++ b/pkg/core/routing/crowd_rest_test.go
@@ -40,10 +40,10 @@
 		}
 		alone, wasted := play(false)
 		shared, wastedShared := play(true)
-		t.Logf("%s: in aim %.3f alone, %.3f shared; turned away, a call: %.3f and %.3f", s.testName, alone, shared, wasted, wastedShared)
+		t.Logf("%s: within aim %.3f without sharing, %.3f with it; shed per call: %.3f and %.3f", s.testName, alone, shared, wasted, wastedShared)
 		gain += shared - alone
 	}
 	if gain > 0 {
-		t.Errorf("sharing rests gains %.3f of the calls in aim, added up over these loads", gain)
+		t.Errorf("sharing rests raises the fraction of calls within their aim by %.3f, summed over these loads", gain)
 	}
 }
--- a/pkg/core/routing/crowd_test.go
+++ b/pkg/core/routing/crowd_test.go
@@ -197,11 +197,11 @@
 		return
 	}
 	t.running++
-	takes := crowdWorkTime
+	duration := crowdWorkTime
 	if t.running > 1 {
-		takes = takes * 17 / 10 * time.Duration((t.running+1)/2)
+		duration = duration * 17 / 10 * time.Duration((t.running+1)/2)
 	}
-	f.after(takes, func() {
+	f.after(duration, func() {
 		t.running--
 		f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: Answered, Reading: t.reading()})
 	})
@@ -273,9 +273,9 @@
 func TestFirstTriesGoBeforeLateReturns(t *testing.T) {
 	without := newCrowdSim(t, FirstTries).measure(1.8, noChange)
 	with := newCrowdSim(t).measure(1.8, noChange)
-	t.Logf("in aim: %.3f, and %.3f where late returns take places", with, without)
+	t.Logf("within aim: %.3f, and %.3f without the preference for first tries", with, without)
 	if with < 1.1*without {
-		t.Errorf("%.3f of the calls were answered in aim, %.3f without the preference", with, without)
+		t.Errorf("%.3f of the calls were answered within their aim, %.3f without the preference", with, without)
 	}
 }
 
@@ -287,9 +287,9 @@
 		return f
 	}
 	with, without := play(), play(Outlook)
-	t.Logf("wasted tries a call: %.3f, and %.3f target by target", with.wastedPerCall(), without.wastedPerCall())
+	t.Logf("wasted sends and probes per call: %.3f, and %.3f without the estimate of domain availability", with.wastedPerCall(), without.wastedPerCall())
 	if 2*with.wastedPerCall() > without.wastedPerCall() {
-		t.Errorf("%.3f tries a call met dark targets, %.3f without the outlook", with.wastedPerCall(), without.wastedPerCall())
+		t.Errorf("%.3f sends and probes per call met unreachable targets, %.3f without the estimate", with.wastedPerCall(), without.wastedPerCall())
 	}
 }
 
@@ -302,9 +302,9 @@
 			x.shedRate = 0.55
 		}
 	})
-	t.Logf("in aim: %.3f", inAim)
+	t.Logf("within aim: %.3f", inAim)
 	if inAim < 0.69 {
-		t.Errorf("%.3f of the calls were answered in aim", inAim)
+		t.Errorf("only %.3f of the calls were answered within their aim", inAim)
 	}
 }
 
--- a/pkg/core/routing/distance_test.go
+++ b/pkg/core/routing/distance_test.go
@@ -32,8 +32,8 @@
 			there := &domainDistance{ownDomain: own, sameRegion: s.sameRegion}
 			recordAll(own, testNow, s.own)
 			recordAll(there, testNow, s.there)
-			if way := there.extraRoundTrip(); way != s.want {
-				t.Errorf("the way is %s, want %s", way, s.want)
+			if extra := there.extraRoundTrip(); extra != s.want {
+				t.Errorf("the extra round trip is %s, want %s", extra, s.want)
 			}
 			// Two windows later only the measurements since then are used.
 			for i := range 2 {
@@ -42,11 +42,11 @@
 					recordAll(there, now, []time.Duration{40 * ms})
 				}
 			}
-			if way := there.extraRoundTrip(); way != s.wantLater {
-				t.Errorf("later the way is %s, want %s", way, s.wantLater)
+			if extra := there.extraRoundTrip(); extra != s.wantLater {
+				t.Errorf("later the extra round trip is %s, want %s", extra, s.wantLater)
 			}
-			if way := own.extraRoundTrip(); way != 0 {
-				t.Errorf("the way to the own domain is %s", way)
+			if extra := own.extraRoundTrip(); extra != 0 {
+				t.Errorf("the extra round trip to the own domain is %s", extra)
 			}
 		})
 	}
--- a/pkg/core/routing/evidence_test.go
+++ b/pkg/core/routing/evidence_test.go
@@ -40,12 +40,12 @@
 					got++
 				}
 				if math.Abs(got-want) > 1+1e-9 && got > want {
-					t.Fatalf("%.0f calls were chosen in place of %.2f", got, want)
+					t.Fatalf("%.0f calls were chosen instead of %.2f", got, want)
 				}
 			}
 		}
 		if got < 0.8*want-1 {
-			t.Fatalf("%.0f calls were chosen in place of %.2f", got, want)
+			t.Fatalf("%.0f calls were chosen instead of %.2f", got, want)
 		}
 	})
 }
--- a/pkg/core/routing/expectation_test.go
+++ b/pkg/core/routing/expectation_test.go
@@ -31,7 +31,7 @@
 	for _, first := range []time.Duration{time.Millisecond, 10 * time.Millisecond, time.Second, 10 * time.Second} {
 		x := newTrainedRoute(first)
 		if ratio := x.typical / float64(usualTime); ratio < 0.6 || ratio > 1.6 {
-			t.Errorf("after a first answer of %s the typical time is %.2f of the usual", first, ratio)
+			t.Errorf("after a first answer of %s the typical time is %.2f times the usual time", first, ratio)
 		}
 	}
 }
@@ -68,13 +68,13 @@
 	v := newTarget(newService(table.Service{}), table.Row{Registered: true})
 	v.recordReport(testNow, Reading{Known: true, InFlight: 3, Slots: 3, Pace: 5})
 	if p := v.expectedPace(testNow); p != 5 {
-		t.Errorf("a new reading of 5 gives the pace %.2f", p)
+		t.Errorf("a new report of 5 gives the pace %.2f", p)
 	}
 	if p := v.expectedPace(testNow.Add(paceLifetime)); p != defaultPace {
-		t.Errorf("an old reading gives the pace %.2f, not that of a target that nothing is known of", p)
+		t.Errorf("an old report gives the pace %.2f, not that of a target without reports", p)
 	}
 	if n := v.load(testNow.Add(loadLifetime)); n != 0 {
-		t.Errorf("an old reading gives the load %.2f", n)
+		t.Errorf("an old report gives the load %.2f", n)
 	}
 	v.inFlight = 2
 	if n := v.load(testNow.Add(loadLifetime)); n != 2 {
@@ -113,7 +113,7 @@
 			c := &call{service: v, route: &route{aim: time.Second}, arrived: testNow}
 			for i, want := range s.suits {
 				if got := r.isSuitable(c, v.targets[i]); got != want {
-					t.Errorf("target %d with a slowdown of %.1f suits: %t, want %t", i, s.slowdowns[i], got, want)
+					t.Errorf("target %d with a slowdown of %.1f is suitable: %t, want %t", i, s.slowdowns[i], got, want)
 				}
 			}
 		})
--- a/pkg/core/routing/inbound.go
+++ b/pkg/core/routing/inbound.go
@@ -50,17 +50,17 @@
 
 // start records the start of a transfer and returns how long it occupies the link.
 func (x *inboundLink) start(now units.Instant, bytes float64) time.Duration {
-	takes := x.transferTime(bytes)
-	x.pendingTime += takes
-	x.busyUntil = max(x.busyUntil, now).Add(takes)
-	x.busyTotal += takes
-	return takes
+	duration := x.transferTime(bytes)
+	x.pendingTime += duration
+	x.busyUntil = max(x.busyUntil, now).Add(duration)
+	x.busyTotal += duration
+	return duration
 }
 
 // finish records that an answer with the given transfer time was received or abandoned. The link is
 // then occupied for no longer than the remaining transfers take.
-func (x *inboundLink) finish(now units.Instant, takes time.Duration) {
-	x.pendingTime -= takes
+func (x *inboundLink) finish(now units.Instant, duration time.Duration) {
+	x.pendingTime -= duration
 	if excess := x.remaining(now) - x.pendingTime; excess > 0 {
 		x.busyTotal -= excess
 		x.busyUntil = x.busyUntil.Add(-excess)
@@ -217,15 +217,15 @@
 		return false
 	}
 	coming := r.inbound.remaining(r.now) + r.inbound.transferTime(r.expected)
-	room := time.Duration(inboundAimFraction * float64(c.route.aim))
+	allowed := time.Duration(inboundAimFraction * float64(c.route.aim))
 	waited := r.now.Sub(c.arrived)
-	most := time.Duration(inboundWaitFraction * float64(min(c.route.aim, c.deadline.Sub(c.arrived))))
-	if coming <= room || waited >= most {
+	maxWait := time.Duration(inboundWaitFraction * float64(min(c.route.aim, c.deadline.Sub(c.arrived))))
+	if coming <= allowed || waited >= maxWait {
 		return false
 	}
 	r.linkWaits++
 	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.deadline})
-	wait := max(minInboundWait, min(coming-room, most-waited))
+	wait := max(minInboundWait, min(coming-allowed, maxWait-waited))
 	r.timers.Push(timer{at: r.now.Add(wait), call: id, kind: linkTimer})
 	return true
 }
--- a/pkg/core/routing/inbound_test.go
+++ b/pkg/core/routing/inbound_test.go
@@ -64,10 +64,10 @@
 		}
 	}
 	if w.router.expected < -1 {
-		t.Fatalf("%f bytes are expected", w.router.expected)
+		t.Fatalf("the expected bytes are negative: %f", w.router.expected)
 	}
 	if x := &w.router.inbound; x.pendingTime < 0 || x.remaining(w.now) > x.pendingTime {
-		t.Fatalf("the link is occupied for %s by answers that take %s", x.remaining(w.now), x.pendingTime)
+		t.Fatalf("the link remains occupied for %s by answers with a transfer time of %s", x.remaining(w.now), x.pendingTime)
 	}
 }
 
@@ -111,10 +111,10 @@
 		}
 		w.advance(t, 2*time.Second)
 		if math.Abs(w.router.expected) > 1 {
-			t.Fatalf("%f bytes are still expected of no call", w.router.expected)
+			t.Fatalf("%f bytes are still expected without any call", w.router.expected)
 		}
-		if passing, left := w.router.inbound.pendingTime, w.router.inbound.remaining(w.now); passing != 0 || left != 0 {
-			t.Fatalf("answers of %s occupy the link for another %s, but no call is under way", passing, left)
+		if pending, remaining := w.router.inbound.pendingTime, w.router.inbound.remaining(w.now); pending != 0 || remaining != 0 {
+			t.Fatalf("the pending transfer time is %s and the link remains occupied for %s, but no call is in flight", pending, remaining)
 		}
 	})
 }
@@ -129,6 +129,6 @@
 	r.inbound.start(0, 1000)
 	r.now = units.Instant(time.Second)
 	if took := r.timeAtTarget(c, a); took != time.Second || r.isInconclusive(a) {
-		t.Errorf("an answer that came after 1s counts as %s", took)
+		t.Errorf("an answer after 1s is recorded with a time of %s", took)
 	}
 }
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -90,10 +90,10 @@
 }
 
 // handleNotice processes the notices in an answer from a target, whatever the result of the call or
-// probe. A misdirected answer comes from another target at the address. base is the version of the
-// target's limit that was known when the call was sent.
-func (r *Router) handleNotice(x *Endpoint, said Reading, misdirected bool, base uint64, e *Effects) {
-	if x == nil || said.Rest <= 0 && !said.Leaving && !said.Limit.Named {
+// probe. A misdirected answer comes from another target at the address. knownVersion is the version
+// of the target's limit that was known when the call was sent.
+func (r *Router) handleNotice(x *Endpoint, reading Reading, misdirected bool, knownVersion uint64, e *Effects) {
+	if x == nil || reading.Rest <= 0 && !reading.Leaving && !reading.Limit.Named {
 		return
 	}
 	o := x.incarnation()
@@ -102,12 +102,12 @@
 		if other == nil {
 			return
 		}
-		o, x, base = incarnationOfRow(&other.row), other.endpoint, noBase
+		o, x, knownVersion = incarnationOfRow(&other.row), other.endpoint, noBase
 	} else if t := r.findTarget(x); t != nil {
 		// The start time may have become known after the endpoint was created.
 		o = incarnationOfRow(&t.row)
 	}
-	r.updateNotice(o, x, said, base, e)
+	r.updateNotice(o, x, reading, knownVersion, e)
 }
 
 // onlyOtherAtAddress returns the only other target listed at an endpoint's address, or nil if there
@@ -130,24 +130,24 @@
 
 // updateNotice stores what an incarnation announced and applies it to all targets of that
 // incarnation.
-func (r *Router) updateNotice(o incarnation, x *Endpoint, said Reading, base uint64, e *Effects) {
+func (r *Router) updateNotice(o incarnation, x *Endpoint, reading Reading, knownVersion uint64, e *Effects) {
 	n := r.ensureNotice(o)
-	if said.Limit.Named {
-		r.recordLimit(n, x, said.Limit.Rate, base, e)
+	if reading.Limit.Named {
+		r.recordLimit(n, x, reading.Limit.Rate, knownVersion, e)
 	}
-	restBegins := said.Rest > 0 && !n.isResting(r.now)
-	leaveBegins := said.Leaving && !n.leaving
-	if said.Rest > 0 {
-		n.restUntil = max(n.restUntil, r.now.Add(said.Rest))
+	restBegins := reading.Rest > 0 && !n.isResting(r.now)
+	leaveBegins := reading.Leaving && !n.leaving
+	if reading.Rest > 0 {
+		n.restUntil = max(n.restUntil, r.now.Add(reading.Rest))
 	}
-	n.leaving = n.leaving || said.Leaving
+	n.leaving = n.leaving || reading.Leaving
 	if !restBegins && !leaveBegins && n.restUntil.Sub(n.reportedRestUntil) < minRestExtension {
 		return
 	}
 	n.reportedRestUntil = n.restUntil
-	news := n.toEffect(r.now)
-	news.RestBegins, news.LeaveBegins = restBegins, leaveBegins
-	e.add(Effect{Kind: TargetNotice, Endpoint: x, Notice: news})
+	change := n.toEffect(r.now)
+	change.RestBegins, change.LeaveBegins = restBegins, leaveBegins
+	e.add(Effect{Kind: TargetNotice, Endpoint: x, Notice: change})
 	for _, s := range r.applyToServices(n, x, e) {
 		if restBegins {
 			s.rests++
--- a/pkg/core/routing/notice_random_test.go
+++ b/pkg/core/routing/notice_random_test.go
@@ -107,10 +107,10 @@
 	e := effect.Endpoint
 	h := x.stated[targetStart{e.Target, e.Born}]
 	if x.now < h.restUntil {
-		x.Fatalf("%s got something %s before the end of its rest (probe: %t)", e.Target, h.restUntil.Sub(x.now), probe)
+		x.Fatalf("%s was sent something %s before the end of its rest (probe: %t)", e.Target, h.restUntil.Sub(x.now), probe)
 	}
 	if h.leaving {
-		x.Fatalf("%s got something after it had said that it leaves (probe: %t)", e.Target, probe)
+		x.Fatalf("%s was sent something after it had announced that it leaves (probe: %t)", e.Target, probe)
 	}
 }
 
@@ -141,7 +141,7 @@
 // removeRandom removes a random element from a list and returns it.
 func removeRandom(t *rapid.T, list *[]Effect) Effect {
 	if len(*list) == 0 {
-		t.Skip("nothing is under way")
+		t.Skip("nothing is in flight")
 	}
 	i := rapid.IntRange(0, len(*list)-1).Draw(t, "which")
 	effect := (*list)[i]
@@ -219,7 +219,7 @@
 			"call": x.arrive, "call again": x.arrive, "answer": x.endAttempt, "begin": x.startAnswer, "probed": x.endProbe, "leave": x.abandonCall, "pass": x.advance, "edit": x.editRow,
 		})
 		if n := len(x.router.notices); n > len(x.stated) {
-			t.Fatalf("%d notices are kept of %d starts that said anything", n, len(x.stated))
+			t.Fatalf("%d notices are kept although only %d starts sent any", n, len(x.stated))
 		}
 	})
 }
--- a/pkg/core/routing/regions_test.go
+++ b/pkg/core/routing/regions_test.go
@@ -162,8 +162,8 @@
 		f.countSouth(d, &f.servedElsewhere)
 	}
 	f.load[x.Endpoint.Target]++
-	waves := time.Duration((f.load[x.Endpoint.Target] + fleetSlots - 1) / fleetSlots)
-	f.schedule(f.roundTrip(d, x.Endpoint.Domain)+waves*fleetWorkTime, func() {
+	rounds := time.Duration((f.load[x.Endpoint.Target] + fleetSlots - 1) / fleetSlots)
+	f.schedule(f.roundTrip(d, x.Endpoint.Domain)+rounds*fleetWorkTime, func() {
 		f.load[x.Endpoint.Target]--
 		f.dispatch(d, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: Answered, Reading: f.reading(x.Endpoint, true)})
 	})
@@ -198,9 +198,9 @@
 func TestCallsOfADarkDomainStayInTheirRegion(t *testing.T) {
 	f := newRegionFleet(t, "south-a")
 	f.advance(4*time.Second, 40)
-	t.Logf("%d stayed, %d left, %d were refused", f.servedInRegion, f.servedElsewhere, f.refused)
+	t.Logf("%d served in the region, %d elsewhere, %d refused", f.servedInRegion, f.servedElsewhere, f.refused)
 	if all := f.servedInRegion + f.servedElsewhere + f.refused; f.servedElsewhere > all/8 || f.refused > all/20 {
-		t.Errorf("of %d calls %d left the region and %d were refused, though it has room", all, f.servedElsewhere, f.refused)
+		t.Errorf("of %d calls %d left the region and %d were refused, although it has capacity", all, f.servedElsewhere, f.refused)
 	}
 }
 
@@ -209,8 +209,8 @@
 func TestCallsOfADarkRegionAreServedElsewhere(t *testing.T) {
 	f := newRegionFleet(t, "south-a", "south-b")
 	f.advance(4*time.Second, 40)
-	t.Logf("%d stayed, %d left, %d were refused", f.servedInRegion, f.servedElsewhere, f.refused)
+	t.Logf("%d served in the region, %d elsewhere, %d refused", f.servedInRegion, f.servedElsewhere, f.refused)
 	if all := f.servedInRegion + f.servedElsewhere + f.refused; f.refused > all/10 {
-		t.Errorf("of %d calls %d were refused, though other regions have room", all, f.refused)
+		t.Errorf("of %d calls %d were refused, although other regions have capacity", all, f.refused)
 	}
 }
--- a/pkg/core/routing/subset_test.go
+++ b/pkg/core/routing/subset_test.go
@@ -34,13 +34,13 @@
 		t.Fatal(err)
 	}
 	r.Reduce(units.Instant(time.Second), &TableChanged{Table: x}, &Effects{})
-	near := map[units.TargetID]bool{}
+	preferred := map[units.TargetID]bool{}
 	for _, v := range r.services["s"].targets {
 		if v.inSubset {
-			near[v.row.Target] = true
+			preferred[v.row.Target] = true
 		}
 	}
-	return near
+	return preferred
 }
 
 func TestSubsetsCoverTargetsEvenly(t *testing.T) {
@@ -48,17 +48,17 @@
 	x := subsetTable(boxes, targets)
 	covered := map[units.TargetID]int{}
 	for _, b := range x.Boxes {
-		near := subsetOf(t, b.ID, x)
-		if len(near) != subsetSize {
-			t.Fatalf("%s prefers %d targets", b.ID, len(near))
+		preferred := subsetOf(t, b.ID, x)
+		if len(preferred) != subsetSize {
+			t.Fatalf("%s prefers %d targets", b.ID, len(preferred))
 		}
-		for id := range near {
+		for id := range preferred {
 			covered[id]++
 		}
 	}
 	for row := range x.Services["s"].Rows.All() {
 		if n := covered[row.Target]; n < boxes*subsetSize/targets-1 || n > boxes*subsetSize/targets+2 {
-			t.Errorf("%s is in the subsets of %d boxes, of %d on average", row.Target, n, boxes*subsetSize/targets)
+			t.Errorf("%s is in the subsets of %d boxes, expected about %d", row.Target, n, boxes*subsetSize/targets)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 			}
 		}
 		if kept < subsetSize-2 {
-			t.Errorf("%s keeps %d of its %d targets", b.ID, kept, subsetSize)
+			t.Errorf("%s keeps only %d of its %d targets", b.ID, kept, subsetSize)
 		}
 	}
 }
--- a/pkg/core/routing/targetlimit.go
+++ b/pkg/core/routing/targetlimit.go
@@ -57,11 +57,11 @@
 
 // recordLimit processes an answer that announces a limit. If the call was sent before the current
 // version was known, the answer may be older than that version, so only a lower limit is accepted.
-func (r *Router) recordLimit(n *notice, endpoint *Endpoint, rate units.CallRate, base uint64, e *Effects) {
+func (r *Router) recordLimit(n *notice, endpoint *Endpoint, rate units.CallRate, knownVersion uint64, e *Effects) {
 	x := n.ensureLimit()
 	x.receivedAt = r.now
 	w := x.current.Naming(rate)
-	if !w.Same(x.current) && (w.Tighter(x.current) || base == x.current.Version) {
+	if !w.Same(x.current) && (w.Tighter(x.current) || knownVersion == x.current.Version) {
 		r.setLimit(n, endpoint, w, e)
 	}
 }
@@ -69,9 +69,9 @@
 // recordNoLimit processes a good answer that announces no limit. It ends the limit only if the call
 // was sent when the current version was known and after this box last received a limit; otherwise
 // the answer may be older than the limit. The coordinator informs the other boxes when they ask.
-func (r *Router) recordNoLimit(a *attempt, said SaidLimit, e *Effects) {
+func (r *Router) recordNoLimit(a *attempt, announced SaidLimit, e *Effects) {
 	t := a.target
-	if said.Named || said.Unread || !t.notice.isLimited() {
+	if announced.Named || announced.Unread || !t.notice.isLimited() {
 		return
 	}
 	x := t.notice.limit
@@ -113,9 +113,9 @@
 		return
 	}
 	x.loggedAt = r.now
-	news := n.toEffect(r.now)
-	news.LimitBegins, news.LimitEnds = w.Limited, ends
-	e.add(Effect{Kind: TargetNotice, Endpoint: endpoint, Notice: news})
+	change := n.toEffect(r.now)
+	change.LimitBegins, change.LimitEnds = w.Limited, ends
+	e.add(Effect{Kind: TargetNotice, Endpoint: endpoint, Notice: change})
 	for _, s := range r.applyToServices(n, endpoint, e) {
 		if ends {
 			r.freed = append(r.freed, s)
--- a/pkg/core/routing/unanswered.go
+++ b/pkg/core/routing/unanswered.go
@@ -81,9 +81,9 @@
 	if n > 0 && (x.hangLoad == 0 || n < x.hangLoad) {
 		x.hangLoad = n
 	}
-	found := x.hangs(now) && !x.hanging
-	x.hanging = x.hanging || found
-	return found
+	newlyHanging := x.hangs(now) && !x.hanging
+	x.hanging = x.hanging || newlyHanging
+	return newlyHanging
 }
 
 // mayHang reports whether the target might never answer one more call.
@@ -119,8 +119,8 @@
 
 // isUnanswered reports whether the attempt's target serves other calls and won't answer this one.
 func (a *attempt) isUnanswered(now units.Instant) bool {
-	out := now.Sub(a.sent)
-	return a.missing && out >= a.patience || a.overtaken >= minOvertakes && out >= a.longPatience
+	elapsed := now.Sub(a.sent)
+	return a.missing && elapsed >= a.patience || a.overtaken >= minOvertakes && elapsed >= a.longPatience
 }
 
 // countOvertaken increments the overtaken count of all attempts older than the answered one.
@@ -136,13 +136,13 @@
 	if !x.Known || now < t.service.silence.reportsUntrustedUntil {
 		return
 	}
-	left := -int(x.InFlight)
+	missing := -int(x.InFlight)
 	for a := t.oldestAttempt; a != nil && a.sent < asked; a = a.next {
-		left++
+		missing++
 	}
-	for a := t.oldestAttempt; a != nil && left > 0; a = a.next {
+	for a := t.oldestAttempt; a != nil && missing > 0; a = a.next {
 		a.missing = a.missing || now.Sub(a.sent) >= a.patience
-		left--
+		missing--
 	}
 }
 
--- a/pkg/core/routing/unanswered_test.go
+++ b/pkg/core/routing/unanswered_test.go
@@ -125,7 +125,7 @@
 	case Refuse:
 		w.refused++
 		if x.Refusal.Outcome == NotRun && w.sends[name] > 0 {
-			w.t.Errorf("%s was sent and is told not to have run: %s", name, x.Refusal.Reason)
+			w.t.Errorf("%s was sent but refused as not run: %s", name, x.Refusal.Reason)
 		}
 		if x.Refusal.Reason == DeadlinePassed {
 			w.lost++
@@ -210,7 +210,7 @@
 	}
 	t.Logf("delivered %d, %d late, refused %d, lost %d, dropped %d", w.delivered, w.late, w.refused, w.lost, dropped)
 	if dropped == 0 {
-		t.Fatal("no target dropped a call, so that nothing was tested")
+		t.Fatal("no target dropped a call, so nothing was tested")
 	}
 	if w.lost*25 > dropped {
 		t.Errorf("%d calls stayed until their deadline", w.lost)
@@ -252,7 +252,7 @@
 	}
 	t.Logf("delivered %d, %d late, refused %d, lost %d, dropped %d", w.delivered, w.late, w.refused, w.lost, dropped)
 	if dropped == 0 {
-		t.Fatal("no target dropped a call, so that nothing was tested")
+		t.Fatal("no target dropped a call, so nothing was tested")
 	}
 }
 
@@ -271,7 +271,7 @@
 	w.run(2*time.Second, 40*time.Millisecond)
 	for id, x := range w.targets {
 		if x.sends == before[id] {
-			w.t.Errorf("%s gets no calls any more", id)
+			w.t.Errorf("%s receives no calls any more", id)
 		}
 	}
 }
