--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -145,7 +145,7 @@
 		return
 	}
 	n.reportedRestUntil = n.restUntil
-	change := n.toEffect(r.now)
+	change := n.toShellNotice(r.now)
 	change.RestBegins, change.LeaveBegins = restBegins, leaveBegins
 	e.add(Effect{Kind: TargetNotice, Endpoint: x, Notice: change})
 	for _, s := range r.applyToServices(n, x, e) {
@@ -165,8 +165,8 @@
 	return n
 }
 
-// toEffect returns the part of a notice that the shell needs to keep calls from the target.
-func (n *notice) toEffect(now units.Instant) *Notice {
+// toShellNotice returns the part of a notice that the shell needs to keep calls from the target.
+func (n *notice) toShellNotice(now units.Instant) *Notice {
 	x := &Notice{RestUntil: n.restUntil, Leaving: n.leaving}
 	if n.isLimited() {
 		x.Limited, x.Rate = true, n.limit.current.Rate
@@ -202,7 +202,7 @@
 		found = true
 		t.notice = n
 		if t.endpoint != x {
-			e.add(Effect{Kind: TargetNotice, Endpoint: t.endpoint, Notice: n.toEffect(r.now)})
+			e.add(Effect{Kind: TargetNotice, Endpoint: t.endpoint, Notice: n.toShellNotice(r.now)})
 		}
 	}
 	return found
--- a/pkg/core/routing/targetlimit.go
+++ b/pkg/core/routing/targetlimit.go
@@ -113,7 +113,7 @@
 		return
 	}
 	x.loggedAt = r.now
-	change := n.toEffect(r.now)
+	change := n.toShellNotice(r.now)
 	change.LimitBegins, change.LimitEnds = w.Limited, ends
 	e.add(Effect{Kind: TargetNotice, Endpoint: endpoint, Notice: change})
 	for _, s := range r.applyToServices(n, endpoint, e) {
