--- a/pkg/core/routing/bench_test.go
+++ b/pkg/core/routing/bench_test.go
@@ -229,7 +229,7 @@
 }
 
 // benchCallsBeside measures calls at a service of which every second target has sent a notice.
-func benchCallsBeside(b *testing.B, said Reading) {
+func benchCallsBeside(b *testing.B, reading Reading) {
 	for _, targets := range []int{20, 500} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
 			r, now := newBenchRouter(b, 1, targets, 0)
@@ -238,7 +238,7 @@
 				t.row.Address = fmt.Sprintf("10.0.0.1:%d", i)
 				t.endpoint.Address = t.row.Address
 				if i%2 == 0 {
-					r.handleNotice(t.endpoint, said, false, noBase, &e)
+					r.handleNotice(t.endpoint, reading, false, noBase, &e)
 				}
 			}
 			benchCalls(b, r, now, &CallArrived{Owner: r, Host: []byte("s0"), Path: []byte("/")})
--- a/pkg/core/routing/crowd_test.go
+++ b/pkg/core/routing/crowd_test.go
@@ -212,9 +212,9 @@
 	if t.rest > 0 {
 		f.wasted++
 	}
-	said := t.reading()
-	said.Rest = t.rest
-	f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Endpoint: x.Endpoint, Result: Shed, Reading: said})
+	reading := t.reading()
+	reading.Rest = t.rest
+	f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Endpoint: x.Endpoint, Result: Shed, Reading: reading})
 	if !f.sharesNotices || t.rest == 0 {
 		return
 	}
--- a/pkg/core/routing/unanswered.go
+++ b/pkg/core/routing/unanswered.go
@@ -36,8 +36,9 @@
 	// minOvertakes is how many later calls the target must have answered. A single one may have
 	// been shorter work in another slot.
 	minOvertakes = 2
-	// unansweredHalfLife is the age at which an unanswered call has half its weight as evidence
-	// that its service hangs when full: overload lasts for seconds and recurs within minutes.
+	// unansweredHalfLife is the age at which an unanswered call has half its weight as evidence that
+	// its service hangs when full: overload lasts for seconds and recurs within minutes. It is also
+	// how long a target's reports aren't trusted after they left out a call that was answered.
 	unansweredHalfLife = time.Minute
 	// hangThreshold is the weight of unanswered calls from which on a service is considered to
 	// hang: a single one may be an answer that was lost.
