--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -250,7 +250,7 @@
 		r.timers.Pop()
 		switch t.kind {
 		case coolTimer:
-			t.target.cooling--
+			t.target.cancelingSlots--
 			r.freed = append(r.freed, t.target.service)
 			continue
 		case crashTimer:
@@ -274,9 +274,9 @@
 	case hedgeTimer:
 		r.hedge(t.call, c, e)
 	case linkTimer:
-		r.linkTimePassed(t.call, c, e)
+		r.resumeAfterLinkWait(t.call, c, e)
 	case silenceTimer:
-		r.checkSilence(t.call, c, e)
+		r.checkOverdue(t.call, c, e)
 	case canaryTimer:
 		r.canaryTimePassed(t.call, c, e)
 	case earlyTimer:
@@ -295,11 +295,11 @@
 		if a.target == nil {
 			continue
 		}
-		r.noteVersionSilent(c, a, e)
-		if r.saysNothing(a) || r.wentUnanswered(c, a, e) {
+		r.recordVersionTimeout(c, a, e)
+		if r.isInconclusive(a) || r.recordIfUnanswered(c, a, e) {
 			continue
 		}
-		if a.target.health.failed(r.now) {
+		if a.target.health.recordFailure(r.now) {
 			r.healthTurned(a.target, e)
 		}
 	}
--- a/pkg/core/routing/cold_test.go
+++ b/pkg/core/routing/cold_test.go
@@ -10,23 +10,24 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// coldFleet is many boxes of four failure domains beside the targets of one service.
+// coldFleet simulates many boxes in four failure domains with the targets of one service.
 type coldFleet struct {
 	t       *testing.T
 	random  *rand.Rand
 	now     units.Instant
 	routers []*Router
 	table   *table.Table
-	// arrivals are the times of the calls that each target got.
+	// arrivals are the times at which each target received calls.
 	arrivals map[units.TargetID][]units.Instant
 	sent     int
 }
 
 const (
-	// coldFleetRate is what a cold target takes, in calls a second; coldFleetMost is what it
-	// may get in any second before it falls over.
-	coldFleetRate = 2.5
-	coldFleetMost = 11
+	// coldFleetRate is the rate that a cold target accepts, in calls a second;
+	// coldFleetMaxPerSecond is the most calls that it can receive in any second without being
+	// overloaded.
+	coldFleetRate         = 2.5
+	coldFleetMaxPerSecond = 11
 )
 
 func newColdFleet(t *testing.T, boxes, targets int) *coldFleet {
@@ -41,7 +42,7 @@
 		f.routers = append(f.routers, f.newRouter(box, uint64(i)))
 	}
 	f.putTargets(targets, func(*table.Row) {})
-	f.pass(5 * time.Second)
+	f.advance(5 * time.Second)
 	return f
 }
 
@@ -57,7 +58,7 @@
 	return r
 }
 
-// putTargets puts the service's targets in force, changed by a function.
+// putTargets puts the service's targets in force, after the function has changed their rows.
 func (f *coldFleet) putTargets(n int, change func(*table.Row)) {
 	entry := &table.Entry{Service: table.Service{
 		Name: "s", Work: table.Repeatable, Hosts: []string{"s"}, Deadline: time.Second, HoldCount: 10, ColdRate: coldFleetRate,
@@ -74,11 +75,11 @@
 	next.Revision++
 	next.Services = map[units.ServiceName]*table.Entry{"s": entry}
 	f.table = &next
-	f.tell(f.routers)
+	f.applyTable(f.routers)
 }
 
-// comeBackCold has all targets of a domain start again, cold for 3 s.
-func (f *coldFleet) comeBackCold(d units.Domain, targets int) {
+// restartCold restarts all targets of a domain, which are then cold for 3 s.
+func (f *coldFleet) restartCold(d units.Domain, targets int) {
 	f.putTargets(targets, func(r *table.Row) {
 		if r.Domain == d {
 			r.Target += "-again"
@@ -87,26 +88,26 @@
 	})
 }
 
-func (f *coldFleet) tell(routers []*Router) {
+func (f *coldFleet) applyTable(routers []*Router) {
 	for _, r := range routers {
 		r.Reduce(f.now, &TableChanged{Table: f.table}, &Effects{})
 	}
 }
 
-// pass lets time pass with about 700 calls a second, each answered after 100 ms.
-func (f *coldFleet) pass(d time.Duration) {
+// advance simulates a period with about 700 calls a second, each answered after 100 ms.
+func (f *coldFleet) advance(d time.Duration) {
 	const perTick = 7
 	type ending struct {
 		at     units.Instant
 		router *Router
 		event  *AttemptEnded
 	}
-	var under []ending
-	for end := f.now.Add(d); f.now < end || len(under) > 0; {
+	var inFlight []ending
+	for end := f.now.Add(d); f.now < end || len(inFlight) > 0; {
 		f.now = f.now.Add(10 * time.Millisecond)
-		for len(under) > 0 && under[0].at <= f.now {
-			under[0].router.Reduce(f.now, under[0].event, &Effects{})
-			under = under[1:]
+		for len(inFlight) > 0 && inFlight[0].at <= f.now {
+			inFlight[0].router.Reduce(f.now, inFlight[0].event, &Effects{})
+			inFlight = inFlight[1:]
 		}
 		if f.now >= end {
 			continue
@@ -119,7 +120,7 @@
 				if x.Kind == Send {
 					f.sent++
 					f.arrivals[x.Endpoint.Target] = append(f.arrivals[x.Endpoint.Target], f.now)
-					under = append(under, ending{f.now.Add(100 * time.Millisecond), r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: Answered}})
+					inFlight = append(inFlight, ending{f.now.Add(100 * time.Millisecond), r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: Answered}})
 				}
 			}
 		}
@@ -129,8 +130,9 @@
 	}
 }
 
-// mostInASecond is the most calls that a target of a domain got in any second since a time.
-func (f *coldFleet) mostInASecond(d units.Domain, since units.Instant) int {
+// maxCallsPerSecond returns the most calls that a target of a domain received in any second ending
+// at or after a time.
+func (f *coldFleet) maxCallsPerSecond(d units.Domain, since units.Instant) int {
 	most := 0
 	for row := range f.table.Services["s"].Rows.All() {
 		if row.Domain != d {
@@ -150,8 +152,8 @@
 	return most
 }
 
-// served is how many calls the targets of a domain got since a time.
-func (f *coldFleet) served(d units.Domain, since units.Instant) int {
+// callsReceived returns how many calls the targets of a domain have received since a time.
+func (f *coldFleet) callsReceived(d units.Domain, since units.Instant) int {
 	n := 0
 	for row := range f.table.Services["s"].Rows.All() {
 		for _, at := range f.arrivals[row.Target] {
@@ -163,60 +165,61 @@
 	return n
 }
 
-// All targets of a failure domain come back cold beside a hundred boxes: none of them gets
-// more calls than it bears, and together they get their part.
+// Guards against overloading the targets of a failure domain that all return cold to a hundred
+// boxes: none may receive more calls than it can handle, and together they must receive their
+// share.
 func TestADomainThatComesBackColdIsNotOverrun(t *testing.T) {
 	const targets = 60
 	f := newColdFleet(t, 100, targets)
 	since := f.now
-	f.comeBackCold("d1", targets)
-	f.pass(2500 * time.Millisecond)
-	if most := f.mostInASecond("d1", since); most > coldFleetMost {
-		t.Errorf("a cold target got %d calls in a second, it bears %d", most, coldFleetMost)
+	f.restartCold("d1", targets)
+	f.advance(2500 * time.Millisecond)
+	if most := f.maxCallsPerSecond("d1", since); most > coldFleetMaxPerSecond {
+		t.Errorf("a cold target received %d calls in a second, it can handle %d", most, coldFleetMaxPerSecond)
 	}
-	// Each of the two boxes that a target has gets seven calls a second, and spreads them over
-	// all targets that it may use.
-	if n := f.served("d1", since); n < targets/8 {
-		t.Errorf("%d cold targets got %d calls in 2.5 s", targets/4, n)
+	// Each of the two boxes of a target receives seven calls a second and distributes them over all
+	// targets that it may use.
+	if n := f.callsReceived("d1", since); n < targets/8 {
+		t.Errorf("%d cold targets received %d calls in 2.5 s", targets/4, n)
 	}
 }
 
-// While some boxes know a longer list of boxes than others, cold targets get no more.
+// Guards against overloading cold targets while some boxes have a longer list of boxes than others.
 func TestColdTargetsAreNotOverrunWhileBoxesDisagree(t *testing.T) {
 	const targets = 60
 	f := newColdFleet(t, 100, targets)
 	since := f.now
-	f.comeBackCold("d1", targets)
+	f.restartCold("d1", targets)
 	next := *f.table
 	next.Revision++
 	next.Boxes = f.table.Boxes[:50]
 	f.table = &next
-	f.tell(f.routers[:50])
-	f.pass(2500 * time.Millisecond)
-	if most := f.mostInASecond("d1", since); most > coldFleetMost {
-		t.Errorf("a cold target got %d calls in a second, it bears %d", most, coldFleetMost)
+	f.applyTable(f.routers[:50])
+	f.advance(2500 * time.Millisecond)
+	if most := f.maxCallsPerSecond("d1", since); most > coldFleetMaxPerSecond {
+		t.Errorf("a cold target received %d calls in a second, it can handle %d", most, coldFleetMaxPerSecond)
 	}
 }
 
-// Targets of a restored domain may be cold without having said so.
+// Targets of a restored domain may be cold without having reported it.
 func TestARestoredDomainIsNotOverrun(t *testing.T) {
 	const targets = 60
 	f := newColdFleet(t, 100, targets)
 	f.evacuate("d1", true)
-	f.pass(time.Second)
-	evacuated := f.served("d1", f.now.Add(-time.Second))
+	f.advance(time.Second)
+	evacuated := f.callsReceived("d1", f.now.Add(-time.Second))
 	since := f.now
 	f.evacuate("d1", false)
-	f.pass(DefaultColdDoubt - 100*time.Millisecond)
+	f.advance(DefaultColdDoubt - 100*time.Millisecond)
 	if evacuated > 0 {
-		t.Errorf("targets of an evacuated domain got %d calls", evacuated)
+		t.Errorf("targets of an evacuated domain received %d calls", evacuated)
 	}
-	if most := f.mostInASecond("d1", since); most > coldFleetMost {
-		t.Errorf("a target of a restored domain got %d calls in a second, it bears %d when cold", most, coldFleetMost)
+	if most := f.maxCallsPerSecond("d1", since); most > coldFleetMaxPerSecond {
+		t.Errorf("a target of a restored domain received %d calls in a second, it can handle %d when cold", most, coldFleetMaxPerSecond)
 	}
-	f.pass(time.Second)
-	if n := f.served("d1", f.now.Add(-time.Second)); n < targets {
-		t.Errorf("the targets of a domain got %d calls in a second although they must be warm", n)
+	f.advance(time.Second)
+	if n := f.callsReceived("d1", f.now.Add(-time.Second)); n < targets {
+		t.Errorf("the targets of a domain received only %d calls in a second although they must be warm", n)
 	}
 }
 
@@ -225,12 +228,11 @@
 	next.Revision++
 	next.Evacuations = []table.Evacuation{{Domain: d, Active: active, Since: next.Revision}}
 	f.table = &next
-	f.tell(f.routers)
+	f.applyTable(f.routers)
 }
 
-// A change of one row must not work out anew what every cold target of the service takes
-// from this box: with 3,000 targets beside 300 boxes that stopped boxes for seconds when a
-// domain came back cold.
+// Guards against recomputing this box's share of every cold target when one row changes: with 3,000
+// targets and 300 boxes that blocked boxes for seconds when a domain returned cold.
 func TestAChangeOfOneRowLeavesOtherColdTargetsAlone(t *testing.T) {
 	const boxes, targets = 300, 200
 	cost := func(cold time.Duration) float64 {
--- a/pkg/core/routing/crowd_rest_test.go
+++ b/pkg/core/routing/crowd_rest_test.go
@@ -8,13 +8,14 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// What a target asks of one box binds that box alone. Were boxes to tell each other, calls would gain a
-// little where targets turn every call away, and lose much more where they turn a part away: the
-// target would get nothing from anybody. It must gain more than it loses to be worth a message.
+// A target's request for a rest applies only to the box that received it. If boxes shared these
+// requests, slightly more calls would be answered in time where targets shed every call, but far
+// fewer where they shed a part: such a target would receive no calls from any box. This test fails
+// if sharing gains more than it loses, which would justify the messages.
 func TestARestIsNotPassedOnToOtherBoxes(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		// resting is how many of the targets turn away which part of the calls.
+		// resting is how many of the targets shed the fraction sheds of their calls.
 		resting int
 		sheds   float64
 		load    float64
@@ -27,22 +28,22 @@
 	gain := 0.0
 	for _, s := range scenarios {
 		play := func(shared bool) (inAim, wasted float64) {
-			f := newCrowd(t)
-			f.shared = shared
-			inAim = f.play(s.load, func() {
+			f := newCrowdSim(t)
+			f.sharesNotices = shared
+			inAim = f.measure(s.load, func() {
 				for i := range s.resting {
 					x := f.targets[units.TargetID(fmt.Sprintf("t%03d", i))]
-					x.sheds, x.rest = s.sheds, time.Second
+					x.shedRate, x.rest = s.sheds, time.Second
 				}
 			})
-			return inAim, f.perCall()
+			return inAim, f.wastedPerCall()
 		}
 		alone, wasted := play(false)
 		shared, wastedShared := play(true)
-		t.Logf("%s: in aim %.3f alone, %.3f shared; turned away, a call: %.3f and %.3f", s.testName, alone, shared, wasted, wastedShared)
+		t.Logf("%s: within aim %.3f without sharing, %.3f with it; shed per call: %.3f and %.3f", s.testName, alone, shared, wasted, wastedShared)
 		gain += shared - alone
 	}
 	if gain > 0 {
-		t.Errorf("sharing rests gains %.3f of the calls in aim, added up over these loads", gain)
+		t.Errorf("sharing rests raises the fraction of calls within their aim by %.3f, summed over these loads", gain)
 	}
 }
--- a/pkg/core/routing/evacuation.go
+++ b/pkg/core/routing/evacuation.go
@@ -28,11 +28,11 @@
 func (r *Router) markEvacuated(s *service) {
 	for _, t := range s.targets {
 		t.evacuated = r.table.Evacuated(t.row.Domain)
-		if t.outlook == nil && t.row.Domain != "" && r.on(Outlook) {
-			t.outlook = r.outlookOf(t.row.Domain)
+		if t.availability == nil && t.row.Domain != "" && r.on(Outlook) {
+			t.availability = r.availabilityOf(t.row.Domain)
 		}
 		if r.wasRestored(t.row.Domain) {
-			r.doubtWarmth(t)
+			r.markPossiblyCold(t)
 		}
 	}
 }
@@ -45,9 +45,9 @@
 		return RegionBarred
 	}
 	if s.hasActiveTarget(c) {
-		return s.closedReason(c, now)
+		return s.blockedReason(c, now)
 	}
-	if slices.ContainsFunc(s.targets, func(t *target) bool { return t.evacuated && t.inTable() && c.mayUse(t) }) {
+	if slices.ContainsFunc(s.targets, func(t *target) bool { return t.evacuated && t.isActiveInTable() && c.mayUse(t) }) {
 		return Evacuated
 	}
 	if s.hasOtherVersions() {
@@ -91,13 +91,13 @@
 // canServe tells whether a target may take a call, but for its health and limits, before the call
 // can wait no longer.
 func (s *service) canServe(c *call, now units.Instant) bool {
-	return s.hasActiveTarget(c) && !s.opensTooLate(c, now)
+	return s.hasActiveTarget(c) && !s.isBlockedTooLong(c, now)
 }
 
 // hasOpenTarget tells whether a target may take calls, but for its health and limits of the table, and
 // isn't closed.
 func (s *service) hasOpenTarget(now units.Instant) bool {
-	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.isActive() && !t.isClosed(now) })
+	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.isEligible() && !t.isBlocked(now) })
 }
 
 // refuseWaiting refuses a call that still waits for a target of the service and isn't under
--- a/pkg/core/routing/evidence_test.go
+++ b/pkg/core/routing/evidence_test.go
@@ -10,22 +10,23 @@
 	"pgregory.net/rapid"
 )
 
-// Evidence stays small however many routes there are, and no answer is left out.
+// The number of entries is bounded for any number of routes, and no answer is left out.
 func TestEvidenceIsBounded(t *testing.T) {
-	var v evidence
+	var v versionEvidence
 	for i := range 100 {
-		v.of(true, fmt.Sprintf("host-%d", i), "/").addGood(time.Millisecond)
+		v.forRoute(true, fmt.Sprintf("host-%d", i), "/").addSuccess(time.Millisecond)
 	}
 	sum := uint64(0)
 	for _, x := range v.new {
-		sum += x.good
+		sum += x.successes
 	}
 	if len(v.new) != maxEvidenceRoutes+1 || sum != 100 || len(v.old) != 0 {
 		t.Fatalf("%d routes with %d answers", len(v.new), sum)
 	}
 }
 
-// The lot never strays by more than a call from its share, however the share changes.
+// The number of chosen calls never exceeds the share by more than one call, however the share
+// changes.
 func TestLotKeepsToItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -39,12 +40,12 @@
 					got++
 				}
 				if math.Abs(got-want) > 1+1e-9 && got > want {
-					t.Fatalf("%.0f calls were chosen in place of %.2f", got, want)
+					t.Fatalf("%.0f calls were chosen instead of %.2f", got, want)
 				}
 			}
 		}
 		if got < 0.8*want-1 {
-			t.Fatalf("%.0f calls were chosen in place of %.2f", got, want)
+			t.Fatalf("%.0f calls were chosen instead of %.2f", got, want)
 		}
 	})
 }
--- a/pkg/core/routing/inbound_test.go
+++ b/pkg/core/routing/inbound_test.go
@@ -11,22 +11,22 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// sentAttempt is a send that hasn't ended.
+// sentAttempt is an attempt in flight.
 type sentAttempt struct {
 	call   CallID
 	number AttemptNumber
 }
 
-// inboundWorld is a router with a route of large answers, and what it has under way.
-type inboundWorld struct {
-	router *Router
-	now    units.Instant
-	sent   []sentAttempt
-	busy   time.Duration
+// inboundModel is a router with a route that has large answers, and its attempts in flight.
+type inboundModel struct {
+	router   *Router
+	now      units.Instant
+	sent     []sentAttempt
+	busyTime time.Duration
 }
 
-func newInboundWorld(t *rapid.T) *inboundWorld {
-	w := &inboundWorld{now: units.Instant(time.Second)}
+func newInboundModel(t *rapid.T) *inboundModel {
+	w := &inboundModel{now: units.Instant(time.Second)}
 	router, err := NewRouter(Settings{Box: "me", ServeStale: true, ShareDelay: time.Second, MaxDeadline: time.Minute, LinkRate: 875_000}, w.now)
 	if err != nil {
 		t.Fatal(err)
@@ -50,12 +50,12 @@
 		}
 		next.Routes[r.Key()] = r
 	}
-	w.give(t, &TableChanged{Table: next})
+	w.dispatch(t, &TableChanged{Table: next})
 	return w
 }
 
-// give hands an event to the router, keeps what it sends and checks what it counts.
-func (w *inboundWorld) give(t *rapid.T, e Event) {
+// dispatch passes an event to the router, stores the resulting sends and checks the counts.
+func (w *inboundModel) dispatch(t *rapid.T, e Event) {
 	var effects Effects
 	w.router.Reduce(w.now, e, &effects)
 	for _, x := range effects.List {
@@ -64,71 +64,71 @@
 		}
 	}
 	if w.router.expected < -1 {
-		t.Fatalf("%f bytes are expected", w.router.expected)
+		t.Fatalf("the expected bytes are negative: %f", w.router.expected)
 	}
-	if x := &w.router.inbound; x.passing < 0 || x.left(w.now) > x.passing {
-		t.Fatalf("the link is occupied for %s by answers that take %s", x.left(w.now), x.passing)
+	if x := &w.router.inbound; x.pendingTime < 0 || x.remaining(w.now) > x.pendingTime {
+		t.Fatalf("the link remains occupied for %s by answers with a transfer time of %s", x.remaining(w.now), x.pendingTime)
 	}
 }
 
-// pass lets time pass; the link can't have been occupied for longer than that.
-func (w *inboundWorld) pass(t *rapid.T, d time.Duration) {
+// advance lets time pass and checks that the link wasn't occupied for longer than that.
+func (w *inboundModel) advance(t *rapid.T, d time.Duration) {
 	w.now = w.now.Add(d)
-	w.give(t, &Tick{})
-	busy := w.router.inbound.busyBy(w.now)
-	if busy < w.busy || busy-w.busy > d {
-		t.Fatalf("within %s the link was occupied for %s", d, busy-w.busy)
+	w.dispatch(t, &Tick{})
+	busy := w.router.inbound.busyTime(w.now)
+	if busy < w.busyTime || busy-w.busyTime > d {
+		t.Fatalf("within %s the link was occupied for %s", d, busy-w.busyTime)
 	}
-	w.busy = busy
+	w.busyTime = busy
 }
 
-func (w *inboundWorld) draw(t *rapid.T) sentAttempt {
+func (w *inboundModel) drawAttempt(t *rapid.T) sentAttempt {
 	return w.sent[rapid.IntRange(0, len(w.sent)-1).Draw(t, "attempt")]
 }
 
-// However calls end, nothing stays expected once all are over, and the link is never counted
-// as occupied for longer than time has passed.
+// Whatever the results of calls, no bytes may remain expected once all calls have ended, and the
+// link may never be counted as occupied for longer than the elapsed time.
 func TestRandomInboundCountsEndWithTheirCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newInboundWorld(t)
+		w := newInboundModel(t)
 		for range 60 {
 			kind := rapid.IntRange(0, 5).Draw(t, "kind")
 			switch {
 			case kind <= 1:
-				w.give(t, &CallArrived{Host: []byte([]string{"large", "small"}[kind]), Path: []byte("/")})
+				w.dispatch(t, &CallArrived{Host: []byte([]string{"large", "small"}[kind]), Path: []byte("/")})
 			case kind == 2 || len(w.sent) == 0:
-				w.pass(t, time.Duration(rapid.IntRange(1, 200).Draw(t, "ms"))*time.Millisecond)
+				w.advance(t, time.Duration(rapid.IntRange(1, 200).Draw(t, "ms"))*time.Millisecond)
 			case kind == 3:
-				a := w.draw(t)
-				w.give(t, &AttemptStarted{Call: a.call, Attempt: a.number, Coming: rapid.IntRange(-1, 540_000).Draw(t, "coming")})
+				a := w.drawAttempt(t)
+				w.dispatch(t, &AttemptStarted{Call: a.call, Attempt: a.number, Coming: rapid.IntRange(-1, 540_000).Draw(t, "coming")})
 			case kind == 4:
-				a := w.draw(t)
+				a := w.drawAttempt(t)
 				result := AttemptResult(rapid.IntRange(int(Answered), int(Canceled)).Draw(t, "result"))
-				w.give(t, &AttemptEnded{Call: a.call, Attempt: a.number, Result: result})
+				w.dispatch(t, &AttemptEnded{Call: a.call, Attempt: a.number, Result: result})
 			case kind == 5:
-				w.give(t, &CallerGone{Call: w.draw(t).call})
+				w.dispatch(t, &CallerGone{Call: w.drawAttempt(t).call})
 			}
 		}
-		w.pass(t, 2*time.Second)
+		w.advance(t, 2*time.Second)
 		if math.Abs(w.router.expected) > 1 {
-			t.Fatalf("%f bytes are still expected of no call", w.router.expected)
+			t.Fatalf("%f bytes are still expected without any call", w.router.expected)
 		}
-		if passing, left := w.router.inbound.passing, w.router.inbound.left(w.now); passing != 0 || left != 0 {
-			t.Fatalf("answers of %s occupy the link for another %s, but no call is under way", passing, left)
+		if pending, remaining := w.router.inbound.pendingTime, w.router.inbound.remaining(w.now); pending != 0 || remaining != 0 {
+			t.Fatalf("the pending transfer time is %s and the link remains occupied for %s, but no call is in flight", pending, remaining)
 		}
 	})
 }
 
-// With the mechanism switched off, what takes long is put down to its target.
+// With the mechanism switched off, delays are attributed to the target.
 func TestWithoutSharedLinkNothingIsHidden(t *testing.T) {
 	r, err := NewRouter(Settings{Box: "me", LinkRate: 1000, Disable: []Mechanism{SharedLink}}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c, a := &call{route: &route{}}, &attempt{}
-	r.inbound.begins(0, 1000)
+	r.inbound.start(0, 1000)
 	r.now = units.Instant(time.Second)
-	if took := r.timeAtTarget(c, a); took != time.Second || r.saysNothing(a) {
-		t.Errorf("an answer that came after 1s counts as %s", took)
+	if took := r.timeAtTarget(c, a); took != time.Second || r.isInconclusive(a) {
+		t.Errorf("an answer after 1s is recorded with a time of %s", took)
 	}
 }
--- a/pkg/core/routing/rollout.go
+++ b/pkg/core/routing/rollout.go
@@ -39,7 +39,7 @@
 	stop     ownStop
 	// urgentAt is when bad answers last brought about a request for a lease.
 	urgentAt units.Instant
-	evidence evidence
+	evidence versionEvidence
 }
 
 // sideOf says which calls a row's target takes, given the version in force and the service's
@@ -152,5 +152,5 @@
 
 // hasOtherVersions tells whether targets of the service take no calls for their version alone.
 func (s *service) hasOtherVersions() bool {
-	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.inTable() && !t.evacuated && t.side != inForce })
+	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.isActiveInTable() && !t.evacuated && t.side != inForce })
 }
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -99,7 +99,7 @@
 	timers      *container.Heap[timer]
 	loans       loanBook
 	// outlooks tell how many of each failure domain's targets could be used lately.
-	outlooks map[units.Domain]*outlook
+	outlooks map[units.Domain]*domainAvailability
 	// startedAt is when the router began; early are the calls that came before its first
 	// table.
 	startedAt units.Instant
@@ -110,7 +110,7 @@
 	refusals  [reasonCount]uint64
 	// inbound is what is coming in, expected how many bytes of answers that haven't begun;
 	// linkWaits counts the calls' waits for it.
-	inbound   inbound
+	inbound   inboundLink
 	expected  float64
 	linkWaits uint64
 	// unknown are the failure domains whose region isn't known and that the log has been told
@@ -129,7 +129,7 @@
 	// evidenceDue is set when evidence is to be sent at once.
 	evidenceDue bool
 	crashes     crashBook
-	notices     noticeBook
+	notices     noticeMap
 	permits     PermitStatus
 	quotas      quotaBook
 	// declined are the services for which a coordinator had no permit during this event.
@@ -162,11 +162,11 @@
 		calls:       container.NewSlab[call](),
 		timers:      container.NewHeap(timerBefore),
 		loans:       newLoanBook(),
-		outlooks:    map[units.Domain]*outlook{},
+		outlooks:    map[units.Domain]*domainAvailability{},
 		boxLists:    1,
 		neverListed: true,
 		beside:      map[units.Domain][]table.Box{},
-		inbound:     inbound{rate: s.LinkRate},
+		inbound:     inboundLink{bytesPerSecond: s.LinkRate},
 		distances:   map[units.Domain]*domainDistance{},
 		unknown:     map[units.Domain]bool{},
 		now:         now,
@@ -174,7 +174,7 @@
 		off:         off,
 		sweepAt:     now,
 		crashes:     newCrashBook(),
-		notices:     noticeBook{},
+		notices:     noticeMap{},
 		quotas:      newQuotaBook(),
 	}, nil
 }
@@ -254,7 +254,7 @@
 	}
 	r.sweepLoans(e)
 	r.ageQuarantines(e)
-	r.ageNotices()
+	r.expireNotices()
 	if r.quotas.any() {
 		r.sweepQuotas(e)
 		r.sweepAt = min(r.sweepAt, r.quotas.sweepAt)
@@ -277,7 +277,7 @@
 	}
 	s.sweepAt = r.now.Add(calmSweepPeriod)
 	for _, t := range s.targets {
-		if r.settleShare(t) || t.health.ejected || t.health.ramping(r.now) {
+		if r.settleShare(t) || t.health.ejected || t.health.isRamping(r.now) {
 			s.sweepAt = r.now.Add(sweepPeriod)
 		}
 		r.probeIfDue(s, t, e)
@@ -328,7 +328,7 @@
 		r.deliverKept(id, c, e)
 		return
 	}
-	r.explainClosed(c, &refusal)
+	r.explainBlocked(c, &refusal)
 	r.unuseTrial(c)
 	e.add(Effect{Kind: Refuse, Call: id, Owner: c.owner, Refusal: refusal, Workspace: c.workspaceName()})
 	r.refusals[refusal.Reason]++
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -46,7 +46,7 @@
 
 func (r *Router) inboundStatus(now units.Instant) InboundStatus {
 	return InboundStatus{
-		LeftMs: r.inbound.left(now).Milliseconds(), BusyMs: r.inbound.busyBy(now).Milliseconds(),
+		LeftMs: r.inbound.remaining(now).Milliseconds(), BusyMs: r.inbound.busyTime(now).Milliseconds(),
 		Expected: int64(r.expected), Waits: r.linkWaits,
 	}
 }
@@ -180,20 +180,20 @@
 	status := ServiceStatus{
 		Service: s.row.Name, Version: s.entry.Version, Calls: s.calls, Refused: s.refused, Held: s.held.length,
 		Retries: s.retries.spent, Hedges: s.hedges.spent, Latency: s.latency.mean(), HedgeDelay: s.hedgeDelay(),
-		Crashes: s.crashes, Rests: s.rests, Unanswered: s.silence.calls, Hangs: s.silence.hangs(now), HangsFrom: s.silence.from,
+		Crashes: s.crashes, Rests: s.rests, Unanswered: s.silence.total, Hangs: s.silence.hangs(now), HangsFrom: s.silence.hangLoad,
 	}
 	if s.rollout != nil {
 		status.Rollout = s.rollout.status(now)
 	}
 	for _, t := range s.targets {
 		status.Targets = append(status.Targets, r.targetStatus(t, now))
-		if t.notice.rests(now) {
+		if t.notice.isResting(now) {
 			status.Resting++
 		}
 		if t.notice.isLeaving() {
 			status.Leaving++
 		}
-		if t.notice.limited() {
+		if t.notice.isLimited() {
 			status.Limited++
 		}
 	}
@@ -210,31 +210,31 @@
 func sumAnswers(list []routeEvidence) VersionAnswers {
 	var sum VersionAnswers
 	for i := range list {
-		sum.Good += list[i].good
-		sum.Bad += list[i].bad
+		sum.Good += list[i].successes
+		sum.Bad += list[i].failures
 	}
 	return sum
 }
 
 func (r *Router) targetStatus(t *target, now units.Instant) TargetStatus {
-	share := int(t.share.value)
+	share := int(t.inFlightShare.value)
 	if share >= unlimited {
 		share = -1
 	}
 	status := TargetStatus{
 		Target: t.row.Target, Address: t.row.Address, Region: t.region, State: t.row.State.String(), Weight: t.row.Weight,
-		InFlight: t.inFlight, Share: share, Lent: t.lent, Borrowed: len(t.borrowed),
-		Ejected: t.health.ejected, Ramp: t.health.ramp(now), Latency: t.latency.mean(),
+		InFlight: t.inFlight, Share: share, Lent: t.lentSlots, Borrowed: len(t.borrowedSlots),
+		Ejected: t.health.ejected, Ramp: t.health.rampFactor(now), Latency: t.latency.mean(),
 		Sends: t.sends, Answers: t.answers, Failures: t.failures, Sheds: t.sheds, Unanswered: t.unansweredCalls, Probes: t.probesSent,
 		Measured: time.Duration(t.probesSent) * r.settings.ProbeCost, ProbeRate: r.probeRate(t.service, t), Bound: t.bound(now),
 		SaysLeaving: t.notice.isLeaving(),
 	}
-	if t.notice.rests(now) {
+	if t.notice.isResting(now) {
 		status.RestLeftMs = t.notice.restUntil.Sub(now).Milliseconds()
 	}
-	if t.notice.limited() {
+	if t.notice.isLimited() {
 		x := t.notice.limit
-		status.Limit = &x.word.Rate
+		status.Limit = &x.current.Rate
 		status.PermittedBy, _ = r.coordinatorOf(t)
 		status.Permits = len(x.permits)
 	}
@@ -248,7 +248,7 @@
 		return "leaving"
 	case t.notice.isLeaving():
 		return "says-leaving"
-	case t.notice.rests(now):
+	case t.notice.isResting(now):
 		return "rest"
 	case t.lacksPermit(now):
 		return "named-limit"
@@ -260,15 +260,15 @@
 		return "weight"
 	case t.health.ejected:
 		return "health"
-	case now < t.notBefore:
+	case now < t.backoffUntil:
 		return "shed"
 	case t.mayHang(now):
 		return "may-hang"
-	case !t.coldAdmits(now):
+	case !t.coldRateAdmits(now):
 		return "cold"
-	case t.share.value <= 0:
+	case t.inFlightShare.value <= 0:
 		return "share"
-	case !t.hasRoom(now):
+	case !t.hasFreeSlot(now):
 		return "limit"
 	}
 	return ""
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -5,11 +5,11 @@
 // isSuitable tells whether a target would serve the call about as well as any could: work
 // goes at its usual pace there, and a slot is free.
 func (r *Router) isSuitable(c *call, t *target) bool {
-	if !c.service.probesTargets() || t.notice.limited() {
+	if !c.service.probesTargets() || t.notice.isLimited() {
 		// A target that names a limit has room for what it permits.
 		return true
 	}
-	return r.suits(c, t) && (t.isFresh(r.now) || !r.mustBeSure(c))
+	return r.suits(c, t) && (t.isFresh(r.now) || !r.requiresKnownFreeSlot(c))
 }
 
 // suits tells whether a target that has just been probed suits a call; nil stands for a call that
@@ -29,16 +29,16 @@
 // help nobody.
 func (r *Router) isTooSlow(c *call, t *target) bool {
 	slowdown := t.currentSlowdown(r.now)
-	if !r.on(SlowTargets) || slowdown < heavySlowdown {
+	if !r.on(SlowTargets) || slowdown < slowTargetThreshold {
 		return false
 	}
 	least := slowdown
 	for _, o := range t.service.targets {
-		if o.side == t.side && c.mayUse(o) && o.takesWork(r.now, t.service.mostlyEjected) {
+		if o.side == t.side && c.mayUse(o) && o.isAvailable(r.now, t.service.mostlyEjected) {
 			least = min(least, o.currentSlowdown(r.now))
 		}
 	}
-	return slowdown > slowAlike*least
+	return slowdown > similarSlowdownFactor*least
 }
 
 // acceptsUnsuitable tells whether a call that can't wait any longer may go to a target that
@@ -46,7 +46,7 @@
 // target could be probed although the service isn't busy. While it is busy such a call would
 // meet others at a target that nothing is known of, and both would be late.
 func (r *Router) acceptsUnsuitable(c *call) bool {
-	if c.probeRound.purpose == HedgeSend || r.mustBeSure(c) {
+	if c.probeRound.purpose == HedgeSend || r.requiresKnownFreeSlot(c) {
 		return false
 	}
 	return c.mayHaveRun || c.probeRound.rounds == 0 && !c.service.isBusy(r.now)
@@ -54,5 +54,5 @@
 
 // isFresh tells whether the target's last reading is as good as a new one.
 func (t *target) isFresh(now units.Instant) bool {
-	return t.reading.Known && now.Sub(t.reading.at) <= freshReading
+	return t.report.Known && now.Sub(t.report.receivedAt) <= freshReading
 }
