--- a/pkg/core/control/apply.go
+++ b/pkg/core/control/apply.go
@@ -9,8 +9,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// absorb carries the log's effects over and applies what was committed.
-func (r *Replica) absorb(log *replication.Effects, e *Effects) {
+// applyLogEffects carries the log's effects over and applies what was committed.
+func (r *Replica) applyLogEffects(log *replication.Effects, e *Effects) {
 	if log.Restored != nil {
 		r.restore(log.Restored, e)
 	}
@@ -31,9 +31,9 @@
 		return
 	}
 	r.state = state
-	r.past = container.NewRing[*table.Table](maxPast)
+	r.previousTables = container.NewRing[*table.Table](maxPreviousTables)
 	e.TableChanged = true
-	r.answerKnown(e)
+	r.answerRestoredEdits(e)
 }
 
 // applyCommitted applies an entry. What a replica reads again after its start has been
@@ -47,8 +47,8 @@
 	}
 }
 
-// noteReplayed ends the time in which the log is read again.
-func (r *Replica) noteReplayed(e *Effects) {
+// finishReplay ends the time in which the log is read again.
+func (r *Replica) finishReplay(e *Effects) {
 	if !r.replaying {
 		return
 	}
@@ -83,19 +83,19 @@
 	case *wire.Command_Quarantine:
 		delta, refused = r.applyQuarantine(wire.ToQuarantineStep(k.Quarantine), units.WallTime(c.At), e)
 	default:
-		delta = r.applyRequest(c, e)
+		delta = r.applyDocumentOrTarget(c, e)
 	}
 	r.answerCommand(c, refused, e)
 	if delta == nil {
 		return
 	}
-	r.noteRollouts(delta, before, e)
-	r.past.Push(before)
+	r.recordRolloutChanges(delta, before, e)
+	r.previousTables.Push(before)
 	e.TableChanged = true
 }
 
-// applyRequest applies a whole table, or what registered targets have said.
-func (r *Replica) applyRequest(c *wire.Command, e *Effects) *table.Delta {
+// applyDocumentOrTarget applies a whole table, or what registered targets have said.
+func (r *Replica) applyDocumentOrTarget(c *wire.Command, e *Effects) *table.Delta {
 	var delta *table.Delta
 	change := Change{}
 	switch k := c.Kind.(type) {
@@ -117,7 +117,7 @@
 	case *wire.Command_Silence:
 		r.hearing.proposing = false
 		delta = r.state.ApplySilence(targetIDs(k.Silence.Silent), targetIDs(k.Silence.Heard))
-		r.noteSilenceChanges(k.Silence, e)
+		r.recordSilenceChanges(k.Silence, e)
 		return delta
 	}
 	if delta != nil {
@@ -141,7 +141,7 @@
 	return delta, evacuationError(o, outcome)
 }
 
-func (r *Replica) noteSilenceChanges(s *wire.Silence, e *Effects) {
+func (r *Replica) recordSilenceChanges(s *wire.Silence, e *Effects) {
 	revision := r.state.Table().Revision
 	for _, id := range s.Silent {
 		e.Changes = append(e.Changes, Change{Kind: TargetSilent, Target: units.TargetID(id), Revision: revision})
--- a/pkg/core/control/edits.go
+++ b/pkg/core/control/edits.go
@@ -29,13 +29,13 @@
 	return editQueue{waiting: container.NewOrdered[units.EditID, *waitingEdit](), proposed: map[units.EditID]bool{}}
 }
 
-func (q *editQueue) forgetProposals() {
+func (q *editQueue) clearProposed() {
 	q.proposed = map[units.EditID]bool{}
 }
 
-// submit takes an operator's edit. A result that this replica has applied is
+// submitEdit takes an operator's edit. A result that this replica has applied is
 // committed, so a resent edit is answered from it.
-func (r *Replica) submit(v EditSubmitted, log *replication.Effects, e *Effects) {
+func (r *Replica) submitEdit(v EditSubmitted, log *replication.Effects, e *Effects) {
 	if known := r.state.Lookup(v.Edit.ID); known != nil {
 		e.Answers = append(e.Answers, Answer{Request: v.Request, Result: known})
 		return
@@ -51,24 +51,24 @@
 	}
 	w = &waitingEdit{edit: v.Edit, requests: []RequestID{v.Request}, deadline: r.now.Add(r.settings.EditTimeout)}
 	r.edits.waiting.Put(v.Edit.ID, w)
-	r.pass(w, log)
+	r.forwardEdit(w, log)
 }
 
 func errNotFormed() error {
 	return fault.New(fault.Unavailable, "form the cluster with madderctl form, or wait until this replica has joined it", "this replica belongs to no cluster yet")
 }
 
-// pass hands a waiting edit to whoever leads now.
-func (r *Replica) pass(w *waitingEdit, log *replication.Effects) {
+// forwardEdit hands a waiting edit to whoever leads now.
+func (r *Replica) forwardEdit(w *waitingEdit, log *replication.Effects) {
 	w.retryAt = r.now.Add(retryPeriod)
 	if r.node.IsLeader() {
-		r.propose(w.edit, log)
+		r.proposeEdit(w.edit, log)
 		return
 	}
-	r.sendLeader(&wire.Envelope_ProposeRequest{ProposeRequest: &wire.ProposeRequest{Edit: wire.FromEdit(w.edit)}}, log)
+	r.sendToLeader(&wire.Envelope_ProposeRequest{ProposeRequest: &wire.ProposeRequest{Edit: wire.FromEdit(w.edit)}}, log)
 }
 
-func (r *Replica) propose(edit *table.Edit, log *replication.Effects) {
+func (r *Replica) proposeEdit(edit *table.Edit, log *replication.Effects) {
 	if !r.node.IsLeader() || r.edits.proposed[edit.ID] || r.state.Lookup(edit.ID) != nil {
 		return
 	}
@@ -90,11 +90,11 @@
 	edit := wire.ToEdit(w)
 	result, delta := r.state.ApplyEdit(edit, at)
 	delete(r.edits.proposed, edit.ID)
-	r.answer(edit.ID, &result, e)
+	r.answerEdit(edit.ID, &result, e)
 	return delta
 }
 
-func (r *Replica) answer(id units.EditID, result *table.Result, e *Effects) {
+func (r *Replica) answerEdit(id units.EditID, result *table.Result, e *Effects) {
 	w := r.edits.waiting.Get(id)
 	if w == nil {
 		return
@@ -105,11 +105,11 @@
 	r.edits.waiting.Delete(id)
 }
 
-// answerKnown answers the waiting edits that a snapshot has decided.
-func (r *Replica) answerKnown(e *Effects) {
+// answerRestoredEdits answers the waiting edits that a snapshot has decided.
+func (r *Replica) answerRestoredEdits(e *Effects) {
 	for _, id := range r.edits.waiting.Keys() {
 		if known := r.state.Lookup(id); known != nil {
-			r.answer(id, known, e)
+			r.answerEdit(id, known, e)
 		}
 	}
 }
@@ -120,16 +120,16 @@
 	for _, id := range r.edits.waiting.Keys() {
 		w := r.edits.waiting.Get(id)
 		if r.now >= w.deadline {
-			r.giveUp(id, w, e)
+			r.expireEdit(id, w, e)
 			continue
 		}
 		if r.now >= w.retryAt {
-			r.pass(w, log)
+			r.forwardEdit(w, log)
 		}
 	}
 }
 
-func (r *Replica) giveUp(id units.EditID, w *waitingEdit, e *Effects) {
+func (r *Replica) expireEdit(id units.EditID, w *waitingEdit, e *Effects) {
 	err := fault.New(fault.Unknown, "send it again with the same id; it takes effect once at most",
 		"no quorum of control replicas answered in time, so it isn't known whether edit %s was accepted", id)
 	for _, q := range w.requests {
--- a/pkg/core/control/leases.go
+++ b/pkg/core/control/leases.go
@@ -90,7 +90,7 @@
 
 // leaseEnds returns when a box's lease has run out for sure.
 func (r *Replica) leaseEnds(id units.BoxID) units.Instant {
-	renewed := r.ledSince
+	renewed := r.leaderSince
 	if l := r.leases.leases[id]; l != nil {
 		renewed = l.renewed
 	}
--- a/pkg/core/control/parts_test.go
+++ b/pkg/core/control/parts_test.go
@@ -32,7 +32,7 @@
 	}
 	var sessions []*session
 	for i := range list {
-		sessions = append(sessions, &session{connection: ConnectionID(i + 1), box: list[i], sent: r.Table().Revision, table: r.Table()})
+		sessions = append(sessions, &session{connection: ConnectionID(i + 1), box: list[i], sentRevision: r.Table().Revision, table: r.Table()})
 	}
 	return r, sessions
 }
@@ -88,7 +88,7 @@
 		if len(r.update(s, false, e)) > 0 {
 			continue
 		}
-		had := s.sent
+		had := s.sentRevision
 		list := r.update(s, true, e)
 		if len(list) != 1 {
 			t.Fatalf("a box that asks gets %d messages", len(list))
--- a/pkg/core/control/pushing.go
+++ b/pkg/core/control/pushing.go
@@ -85,7 +85,7 @@
 // push brings a box up to date. A box that knows more than this replica is left alone until the replica
 // has caught up.
 func (r *Replica) push(s *session, due bool, e *Effects) {
-	if s.sent >= r.state.Table().Revision || !r.node.Formed() || r.holdsTable(s) {
+	if s.sentRevision >= r.state.Table().Revision || !r.node.Formed() || r.defersWholeTable(s) {
 		return
 	}
 	for _, m := range r.update(s, due, e) {
@@ -101,7 +101,7 @@
 	if to == nil {
 		to = r.state.Table()
 	}
-	if s.sent >= to.Revision {
+	if s.sentRevision >= to.Revision {
 		return nil
 	}
 	if from == nil {
@@ -110,7 +110,7 @@
 	s.table = to
 	messages := r.difference(s, from, to, due, e)
 	if len(messages) > 0 {
-		s.sent = to.Revision
+		s.sentRevision = to.Revision
 	}
 	return messages
 }
@@ -125,7 +125,7 @@
 		}
 		return nil
 	}
-	s.sent, s.table = to.Revision, to
+	s.sentRevision, s.table = to.Revision, to
 	if u.parts == nil {
 		return u.messages
 	}
@@ -137,7 +137,7 @@
 // part doesn't change, unless they are due.
 func (r *Replica) difference(s *session, from, to *table.Table, due bool, e *Effects) []*wire.Envelope {
 	u := r.updateFrom(from, to)
-	if u.parts == nil && s.sent == from.Revision {
+	if u.parts == nil && s.sentRevision == from.Revision {
 		if u.messages == nil {
 			u.messages = fragments(wire.DeltaEnvelope(u.delta), e)
 		}
@@ -166,7 +166,7 @@
 	if u.parts != nil {
 		part = *u.parts.For(&s.box)
 	}
-	part.From = s.sent
+	part.From = s.sentRevision
 	return &part
 }
 
--- a/pkg/core/control/quarantines.go
+++ b/pkg/core/control/quarantines.go
@@ -253,8 +253,8 @@
 	return 0
 }
 
-// releaseCall takes an operator's order to end a quarantine.
-func (r *Replica) releaseCall(v ReleaseOrdered, log *replication.Effects, e *Effects) {
+// submitRelease takes an operator's order to end a quarantine.
+func (r *Replica) submitRelease(v ReleaseOrdered, log *replication.Effects, e *Effects) {
 	x := table.QuarantineStep{Call: v.Call, Action: table.EndQuarantine, Operator: v.Operator, Base: r.state.Table().Revision}
 	c := &wire.Command{Kind: &wire.Command_Quarantine{Quarantine: wire.FromQuarantineStep(&x)}}
 	r.submitCommand(v.Request, c, "release of the call "+v.Call.String(), log, e)
--- a/pkg/core/control/replica.go
+++ b/pkg/core/control/replica.go
@@ -55,13 +55,13 @@
 	// tickPeriod bounds how late timeouts are noticed; calmTickPeriod does so while no
 	// request waits.
 	tickPeriod     = 50 * time.Millisecond
-	calmTickPeriod = 200 * time.Millisecond
+	idleTickPeriod = 200 * time.Millisecond
 	// maxWaitingCommands is how many commands of others may wait for a quorum at a replica. One that has
 	// as many can't keep up, and whoever comes then is better told so at once.
 	maxWaitingCommands = 512
-	// maxPast is how many tables are kept for boxes that come from other replicas with one of them. They
+	// maxPreviousTables is how many tables are kept for boxes that come from other replicas with one of them. They
 	// share what didn't change.
-	maxPast = 1024
+	maxPreviousTables = 1024
 )
 
 // Replica is the decision logic of one control replica.
@@ -71,8 +71,8 @@
 	state    *table.State
 	edits    editQueue
 	sessions *container.Ordered[ConnectionID, *session]
-	// past are the tables before the present one, the newest last.
-	past *container.Ring[*table.Table]
+	// previousTables are the tables before the present one, the newest last.
+	previousTables *container.Ring[*table.Table]
 	// lastUpdate is what boxes were sent last.
 	lastUpdate boxUpdate
 	lastTable  wholeTable
@@ -84,7 +84,7 @@
 	// domains are the failure domains of the other replicas.
 	domains map[units.ReplicaID]units.Domain
 	// requests are those for whole tables, registered targets and reads.
-	requests requestBook
+	requests requestQueue
 	hearing  hearingBook
 	rollouts rolloutBook
 	// quarantines is filled on the leader only.
@@ -93,9 +93,9 @@
 	uses useBook
 	// foreignReports counts the reports that no target of the table can have sent.
 	foreignReports uint64
-	// knownLeader and knownMembership are what was last told of in the log.
-	knownLeader     units.ReplicaID
-	knownMembership units.Index
+	// reportedLeader and knownMembership are what was last told of in the log.
+	reportedLeader     units.ReplicaID
+	reportedMembership units.Index
 	// caughtUp is set while this replica knows all that was committed before the present
 	// leader stood.
 	caughtUp  bool
@@ -105,29 +105,29 @@
 	replaying bool
 	replayed  int
 	// leading is set while this replica leads; ledSince is when that began.
-	leading  bool
-	ledSince units.Instant
-	tickAt   units.Instant
-	now      units.Instant
-	wall     units.WallTime
+	leading     bool
+	leaderSince units.Instant
+	tickAt      units.Instant
+	now         units.Instant
+	wall        units.WallTime
 }
 
 // NewReplica returns a replica that goes on from what its disk holds. The error
 // is a Damaged fault when the snapshot can't be decoded.
 func NewReplica(s Settings, d *replication.Durable, now units.Instant) (*Replica, error) {
 	r := &Replica{
-		settings: s,
-		state:    table.NewState(),
-		node:     replication.NewNode(s.Replication, d, now),
-		edits:    newEditQueue(),
-		sessions: container.NewOrdered[ConnectionID, *session](),
-		past:     container.NewRing[*table.Table](maxPast),
-		leases:   newLeaseBook(),
-		domains:  map[units.ReplicaID]units.Domain{s.Replication.ID: s.Domain},
-		requests: newRequestBook(),
-		hearing:  newHearingBook(),
-		rollouts: newRolloutBook(),
-		now:      now,
+		settings:       s,
+		state:          table.NewState(),
+		node:           replication.NewNode(s.Replication, d, now),
+		edits:          newEditQueue(),
+		sessions:       container.NewOrdered[ConnectionID, *session](),
+		previousTables: container.NewRing[*table.Table](maxPreviousTables),
+		leases:         newLeaseBook(),
+		domains:        map[units.ReplicaID]units.Domain{s.Replication.ID: s.Domain},
+		requests:       newRequestQueue(),
+		hearing:        newHearingBook(),
+		rollouts:       newRolloutBook(),
+		now:            now,
 
 		quarantines: newQuarantineBook(),
 		uses:        useBook{},
@@ -163,21 +163,21 @@
 	case DiskFailed:
 		e.Halt = fault.Wrap(v.Cause, fault.Damaged, "make room or replace the disk, then start the replica again", "the data folder can't be written")
 	case EditSubmitted:
-		r.submit(v, &log, e)
+		r.submitEdit(v, &log, e)
 	case FormRequested:
 		r.form(v, &log, e)
 	case DocumentSubmitted:
 		r.submitDocument(v, &log, e)
 	case TargetReported:
-		r.reportTarget(v, &log, e)
+		r.submitReport(v, &log, e)
 	case TargetDeparted:
-		r.departTarget(v, &log, e)
+		r.submitDeparture(v, &log, e)
 	case EvacuationOrdered:
-		r.orderEvacuation(v, &log, e)
+		r.submitEvacuation(v, &log, e)
 	case RolloutOrdered:
-		r.orderRollout(v, &log, e)
+		r.submitRollout(v, &log, e)
 	case ReleaseOrdered:
-		r.releaseCall(v, &log, e)
+		r.submitRelease(v, &log, e)
 	case ReadRequested:
 		r.read(v, &log, e)
 	case BoxMessage:
@@ -189,7 +189,7 @@
 	case StopRequested:
 		r.node.HandOver(r.now, &log)
 	}
-	r.absorb(&log, e)
+	r.applyLogEffects(&log, e)
 	r.housekeep(e)
 	r.pushDue(e)
 }
@@ -198,12 +198,12 @@
 // the list of boxes and snapshots.
 func (r *Replica) housekeep(e *Effects) {
 	var log replication.Effects
-	r.noticeLeadership(e)
-	r.formAlone(&log)
-	r.noticeCatchingUp(&log, e)
+	r.updateLeadership(e)
+	r.bootstrap(&log)
+	r.updateCaughtUp(&log, e)
 	r.answerReads(e)
 	if r.now >= r.tickAt {
-		r.tickAt = r.now.Add(calmTickPeriod)
+		r.tickAt = r.now.Add(idleTickPeriod)
 		r.retryEdits(&log, e)
 		r.retryRequests(&log, e)
 		r.tellHeard(&log)
@@ -216,7 +216,7 @@
 		r.tickAt = min(r.tickAt, r.now.Add(tickPeriod))
 	}
 	r.compact(&log, e)
-	r.absorb(&log, e)
+	r.applyLogEffects(&log, e)
 }
 
 // hasWaiting tells whether anything that came to this replica is still unanswered.
@@ -224,8 +224,8 @@
 	return r.edits.waiting.Len()+r.requests.commands.Len()+r.requests.reads.Len() > 0
 }
 
-// formAlone forms the cluster by itself where that is this replica's part.
-func (r *Replica) formAlone(log *replication.Effects) {
+// bootstrap forms the cluster by itself where that is this replica's part.
+func (r *Replica) bootstrap(log *replication.Effects) {
 	if !r.node.MayForm(r.now) {
 		return
 	}
@@ -237,14 +237,14 @@
 	_ = r.node.Form(r.now, string(r.settings.Replication.Incarnation), empty, log)
 }
 
-func (r *Replica) noticeLeadership(e *Effects) {
-	if leader := r.node.Leader(); leader != r.knownLeader {
-		r.knownLeader = leader
-		r.passAgain()
+func (r *Replica) updateLeadership(e *Effects) {
+	if leader := r.node.Leader(); leader != r.reportedLeader {
+		r.reportedLeader = leader
+		r.forwardAllAgain()
 		e.Changes = append(e.Changes, Change{Kind: LeaderChanged, Leader: leader, Term: r.node.Term(), Revision: r.state.Table().Revision})
 	}
-	if index := r.node.MembershipIndex(); index != r.knownMembership {
-		r.knownMembership = index
+	if index := r.node.MembershipIndex(); index != r.reportedMembership {
+		r.reportedMembership = index
 		e.Changes = append(e.Changes, Change{Kind: VotersChanged, Voters: r.node.Voters(), Term: r.node.Term(), Revision: r.state.Table().Revision})
 	}
 	leads := r.node.IsLeader()
@@ -252,13 +252,13 @@
 		return
 	}
 	r.leading = leads
-	r.ledSince = r.now
+	r.leaderSince = r.now
 	r.leases = newLeaseBook()
 	r.hearing.proposing = false
 	r.rollouts.forgetLeadership()
 	r.quarantines = newQuarantineBook()
 	r.uses = useBook{}
-	r.edits.forgetProposals()
+	r.edits.clearProposed()
 	clear(r.requests.proposed)
 }
 
@@ -296,16 +296,16 @@
 	case *wire.Envelope_HeardRequest:
 		r.takeHeard(b.HeardRequest)
 	case *wire.Envelope_ReadRequest:
-		r.nameIndex(m, e)
+		r.answerReadIndex(m, e)
 	case *wire.Envelope_ReadResponse:
-		r.takeIndex(b.ReadResponse)
+		r.receiveReadIndex(b.ReadResponse)
 	case *wire.Envelope_RenewRequest:
 		r.grant(b.RenewRequest, e, func(answer *wire.Envelope) {
 			answer.To = m.From
 			e.PeerSends = append(e.PeerSends, answer)
 		})
 	case *wire.Envelope_RenewResponse:
-		r.passGrant(m, e)
+		r.forwardGrant(m, e)
 	default:
 		r.node.Receive(r.now, m, log)
 	}
--- a/pkg/core/control/requests.go
+++ b/pkg/core/control/requests.go
@@ -22,12 +22,12 @@
 	requests []RequestID
 	encoded  []byte
 	// report is the target's report that the command is; nil for others.
-	report   *table.Registration
-	what     string
-	deadline units.Instant
-	retryAt  units.Instant
-	// pause is how long after it was last passed on the command is passed on again.
-	pause time.Duration
+	report      *table.Registration
+	description string
+	deadline    units.Instant
+	retryAt     units.Instant
+	// backoff is how long after it was last passed on the command is passed on again.
+	backoff time.Duration
 }
 
 // waitingRead is a read that waits for the index that the leader names.
@@ -39,8 +39,8 @@
 	index units.Index
 }
 
-// requestBook holds the requests that wait at this replica.
-type requestBook struct {
+// requestQueue holds the requests that wait at this replica.
+type requestQueue struct {
 	number   commandNumber
 	commands *container.Ordered[commandNumber, *waitingCommand]
 	reads    *container.Ordered[commandNumber, *waitingRead]
@@ -48,21 +48,21 @@
 	reports map[units.TargetID]*waitingCommand
 	// proposed are the commands that this leader has added to the log and that aren't applied yet, so that
 	// one which is passed on again isn't added twice.
-	proposed map[proposal]bool
+	proposed map[commandKey]bool
 }
 
-// proposal names a command by the start of the replica that it came to, and its number there.
-type proposal struct {
+// commandKey names a command by the start of the replica that it came to, and its number there.
+type commandKey struct {
 	origin string
 	number commandNumber
 }
 
-func newRequestBook() requestBook {
-	return requestBook{
+func newRequestQueue() requestQueue {
+	return requestQueue{
 		commands: container.NewOrdered[commandNumber, *waitingCommand](),
 		reads:    container.NewOrdered[commandNumber, *waitingRead](),
 		reports:  map[units.TargetID]*waitingCommand{},
-		proposed: map[proposal]bool{},
+		proposed: map[commandKey]bool{},
 	}
 }
 
@@ -82,9 +82,9 @@
 	r.submitCommand(v.Request, c, fmt.Sprintf("document %d", v.Document.Version), log, e)
 }
 
-// reportTarget takes a target's report. One that says nothing new is answered from
+// submitReport takes a target's report. One that says nothing new is answered from
 // the committed state.
-func (r *Replica) reportTarget(v TargetReported, log *replication.Effects, e *Effects) {
+func (r *Replica) submitReport(v TargetReported, log *replication.Effects, e *Effects) {
 	if problems := table.CheckRegistration(v.Registration); len(problems) > 0 {
 		r.foreignReports++
 		err := fault.New(fault.Invalid, problems[0].Remedy, "the report of target %s has a bad %s", v.Registration.Target, problems[0].Column)
@@ -118,7 +118,7 @@
 	}
 }
 
-func (r *Replica) departTarget(v TargetDeparted, log *replication.Effects, e *Effects) {
+func (r *Replica) submitDeparture(v TargetDeparted, log *replication.Effects, e *Effects) {
 	if r.state.Departed(v.Target) {
 		e.Answers = append(e.Answers, Answer{Request: v.Request})
 		return
@@ -132,10 +132,10 @@
 	r.submitCommand(v.Request, c, fmt.Sprintf("departure of target %s", v.Target), log, e)
 }
 
-// orderEvacuation takes an order for a failure domain. The order carries what this replica
+// submitEvacuation takes an order for a failure domain. The order carries what this replica
 // held when it came: one that waits here behind a cut, and is passed on after another order
 // of the same operator was acknowledged elsewhere, must not undo that one.
-func (r *Replica) orderEvacuation(v EvacuationOrdered, log *replication.Effects, e *Effects) {
+func (r *Replica) submitEvacuation(v EvacuationOrdered, log *replication.Effects, e *Effects) {
 	if problems := table.CheckEvacuation(&v.Order); len(problems) > 0 {
 		err := fault.New(fault.Invalid, problems[0].Remedy, "%q is no failure domain", v.Order.Domain)
 		e.Answers = append(e.Answers, Answer{Request: v.Request, Err: err})
@@ -179,9 +179,9 @@
 		e.Answers = append(e.Answers, Answer{Request: id, Err: err})
 		return nil
 	}
-	w := &waitingCommand{number: r.requests.number, requests: []RequestID{id}, encoded: encoded, what: what, deadline: r.now.Add(r.settings.EditTimeout), pause: retryPeriod}
+	w := &waitingCommand{number: r.requests.number, requests: []RequestID{id}, encoded: encoded, description: what, deadline: r.now.Add(r.settings.EditTimeout), backoff: retryPeriod}
 	r.requests.commands.Put(r.requests.number, w)
-	r.passCommand(w, log)
+	r.forwardCommand(w, log)
 	return w
 }
 
@@ -192,23 +192,23 @@
 
 func originOf(i units.Incarnation, boot uint64) string { return fmt.Sprintf("%s/%d", i, boot) }
 
-// passCommand hands a waiting command to whoever leads now.
-func (r *Replica) passCommand(w *waitingCommand, log *replication.Effects) {
-	w.retryAt = r.now.Add(w.pause)
+// forwardCommand hands a waiting command to whoever leads now.
+func (r *Replica) forwardCommand(w *waitingCommand, log *replication.Effects) {
+	w.retryAt = r.now.Add(w.backoff)
 	// A leader that can't keep up gets fewer copies, not more.
-	w.pause *= 2
+	w.backoff *= 2
 	if r.node.IsLeader() {
-		r.proposeOnce(proposal{origin: r.origin(), number: w.number}, w.encoded, log)
+		r.proposeOnce(commandKey{origin: r.origin(), number: w.number}, w.encoded, log)
 		return
 	}
-	r.sendLeader(&wire.Envelope_ProposeRequest{ProposeRequest: &wire.ProposeRequest{Command: w.encoded, Number: uint64(w.number)}}, log)
+	r.sendToLeader(&wire.Envelope_ProposeRequest{ProposeRequest: &wire.ProposeRequest{Command: w.encoded, Number: uint64(w.number)}}, log)
 }
 
-// passAgain has what waits passed on at once: another leader may not have heard of it.
-func (r *Replica) passAgain() {
+// forwardAllAgain has what waits passed on at once: another leader may not have heard of it.
+func (r *Replica) forwardAllAgain() {
 	for _, n := range r.requests.commands.Keys() {
 		w := r.requests.commands.Get(n)
-		w.retryAt, w.pause = r.now, retryPeriod
+		w.retryAt, w.backoff = r.now, retryPeriod
 	}
 	for _, id := range r.edits.waiting.Keys() {
 		r.edits.waiting.Get(id).retryAt = r.now
@@ -219,7 +219,7 @@
 }
 
 // proposeOnce adds a command to the log, unless that was done and it isn't applied yet.
-func (r *Replica) proposeOnce(p proposal, encoded []byte, log *replication.Effects) {
+func (r *Replica) proposeOnce(p commandKey, encoded []byte, log *replication.Effects) {
 	if !r.requests.proposed[p] && r.node.Propose(r.now, [][]byte{encoded}, log) {
 		r.requests.proposed[p] = true
 	}
@@ -230,14 +230,14 @@
 	p := m.GetProposeRequest()
 	if len(p.Command) > 0 {
 		from := originOf(units.Incarnation(m.Incarnation), m.Boot)
-		r.proposeOnce(proposal{origin: from, number: commandNumber(p.Number)}, p.Command, log)
+		r.proposeOnce(commandKey{origin: from, number: commandNumber(p.Number)}, p.Command, log)
 		return
 	}
-	r.propose(wire.ToEdit(p.Edit), log)
+	r.proposeEdit(wire.ToEdit(p.Edit), log)
 }
 
-// sendLeader sends a message to the leader, if another replica is known to lead.
-func (r *Replica) sendLeader(body wire.Body, log *replication.Effects) {
+// sendToLeader sends a message to the leader, if another replica is known to lead.
+func (r *Replica) sendToLeader(body wire.Body, log *replication.Effects) {
 	to := r.node.Leader()
 	if to == "" || to == r.settings.Replication.ID {
 		return
@@ -252,7 +252,7 @@
 // to this replica in this life; the error says why the command changed nothing.
 func (r *Replica) answerCommand(c *wire.Command, err error, e *Effects) {
 	n := commandNumber(c.Number)
-	delete(r.requests.proposed, proposal{origin: c.Origin, number: n})
+	delete(r.requests.proposed, commandKey{origin: c.Origin, number: n})
 	w := r.requests.commands.Get(n)
 	if w == nil || c.Origin != r.origin() {
 		return
@@ -261,7 +261,7 @@
 }
 
 // answer answers all requests of a command, which waits no more.
-func (b *requestBook) answer(w *waitingCommand, err error, e *Effects) {
+func (b *requestQueue) answer(w *waitingCommand, err error, e *Effects) {
 	for _, id := range w.requests {
 		e.Answers = append(e.Answers, Answer{Request: id, Err: err})
 	}
@@ -277,12 +277,12 @@
 	for _, n := range r.requests.commands.Keys() {
 		w := r.requests.commands.Get(n)
 		if r.now >= w.deadline {
-			err := fault.New(fault.Unknown, "send it again; it takes effect once at most", "no quorum of control replicas answered in time, so it isn't known whether the %s was taken", w.what)
+			err := fault.New(fault.Unknown, "send it again; it takes effect once at most", "no quorum of control replicas answered in time, so it isn't known whether the %s was taken", w.description)
 			r.requests.answer(w, err, e)
 			continue
 		}
 		if r.now >= w.retryAt {
-			r.passCommand(w, log)
+			r.forwardCommand(w, log)
 		}
 	}
 	for _, n := range r.requests.reads.Keys() {
@@ -294,7 +294,7 @@
 			continue
 		}
 		if w.index == 0 && r.now >= w.retryAt {
-			r.askIndex(n, w, log)
+			r.requestReadIndex(n, w, log)
 		}
 	}
 }
@@ -310,20 +310,20 @@
 	n := r.requests.number
 	w := &waitingRead{request: v.Request, deadline: r.now.Add(r.settings.ReadTimeout)}
 	r.requests.reads.Put(n, w)
-	r.askIndex(n, w, log)
+	r.requestReadIndex(n, w, log)
 }
 
-func (r *Replica) askIndex(n commandNumber, w *waitingRead, log *replication.Effects) {
+func (r *Replica) requestReadIndex(n commandNumber, w *waitingRead, log *replication.Effects) {
 	w.retryAt = r.now.Add(readRetryPeriod)
 	if r.node.HasLease(r.now) {
 		w.index = r.node.Commit()
 		return
 	}
-	r.sendLeader(&wire.Envelope_ReadRequest{ReadRequest: &wire.ReadRequest{Nonce: uint64(n)}}, log)
+	r.sendToLeader(&wire.Envelope_ReadRequest{ReadRequest: &wire.ReadRequest{Nonce: uint64(n)}}, log)
 }
 
-// nameIndex answers another replica's question for the newest index.
-func (r *Replica) nameIndex(m *wire.Envelope, e *Effects) {
+// answerReadIndex answers another replica's question for the newest index.
+func (r *Replica) answerReadIndex(m *wire.Envelope, e *Effects) {
 	if !r.node.HasLease(r.now) {
 		return
 	}
@@ -335,7 +335,7 @@
 	e.PeerSends = append(e.PeerSends, answer)
 }
 
-func (r *Replica) takeIndex(m *wire.ReadResponse) {
+func (r *Replica) receiveReadIndex(m *wire.ReadResponse) {
 	if w := r.requests.reads.Get(commandNumber(m.Nonce)); w != nil && w.index == 0 {
 		w.index = units.Index(m.Index)
 	}
--- a/pkg/core/control/rolloutorders.go
+++ b/pkg/core/control/rolloutorders.go
@@ -11,10 +11,10 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// orderRollout takes an operator's order. It carries what this replica held when it came: a
+// submitRollout takes an operator's order. It carries what this replica held when it came: a
 // copy that waits here behind a cut must not begin a version again that was rolled back, nor
 // end a rollout that was ordered later.
-func (r *Replica) orderRollout(v RolloutOrdered, log *replication.Effects, e *Effects) {
+func (r *Replica) submitRollout(v RolloutOrdered, log *replication.Effects, e *Effects) {
 	if err := r.checkRolloutOrder(&v.Order); err != nil {
 		e.Answers = append(e.Answers, Answer{Request: v.Request, Err: err})
 		return
@@ -65,9 +65,9 @@
 	return nil
 }
 
-// noteRollouts takes what a delta changes in rollouts: when they were ordered by this
+// recordRolloutChanges takes what a delta changes in rollouts: when they were ordered by this
 // replica's own clock, and the lines for the log.
-func (r *Replica) noteRollouts(d *table.Delta, before *table.Table, e *Effects) {
+func (r *Replica) recordRolloutChanges(d *table.Delta, before *table.Table, e *Effects) {
 	for i := range d.Rollouts {
 		x := &d.Rollouts[i]
 		r.rollouts.noteRecord(x, r.now)
--- a/pkg/core/control/rollouts.go
+++ b/pkg/core/control/rollouts.go
@@ -147,7 +147,7 @@
 		if w.rollingBack || x.Stage == table.RolloutTrial && len(x.Targets) == 0 {
 			return
 		}
-		share := w.Share(r.elapsed(x), r.now.Sub(r.ledSince), r.rolloutPlan(x))
+		share := w.Share(r.elapsed(x), r.now.Sub(r.leaderSince), r.rolloutPlan(x))
 		list = append(list, wire.FromExposure(rollout.Exposure{Service: x.Service, Order: x.Order, Since: x.Since, Share: share}, exposureLease))
 	})
 	return list
@@ -173,7 +173,7 @@
 // advanceRollout proposes a rollout's next step if one is due, or else notes how much of its time is over.
 func (r *Replica) advanceRollout(x *table.Rollout, w *rolloutWatch, log *replication.Effects) {
 	facts := &rollout.Facts{
-		Elapsed: r.elapsed(x), InOffice: r.now.Sub(r.ledSince), Plan: r.rolloutPlan(x), Boxes: boxIDs(r.liveBoxes()),
+		Elapsed: r.elapsed(x), InOffice: r.now.Sub(r.leaderSince), Plan: r.rolloutPlan(x), Boxes: boxIDs(r.liveBoxes()),
 		Old: r.side(x.Service, x.From), New: r.side(x.Service, x.To),
 	}
 	step := w.Decide(facts)
--- a/pkg/core/control/sessions.go
+++ b/pkg/core/control/sessions.go
@@ -13,10 +13,10 @@
 type session struct {
 	connection ConnectionID
 	box        table.Box
-	// sent is the revision of the table that the box was sent last, or came with; table is that
-	// table where this replica sent it, or a later one of which the box's part is the same.
-	sent  units.Revision
-	table *table.Table
+	// sentRevision is the revision of the table that the box was sentRevision last, or came with; table is that
+	// table where this replica sentRevision it, or a later one of which the box's part is the same.
+	sentRevision units.Revision
+	table        *table.Table
 	// queued is set while the box waits for a whole table.
 	queued bool
 	// waiting is the box's last request for a lease while it waits for a leader.
@@ -31,16 +31,16 @@
 	s := r.attach(v.Connection, request)
 	r.push(s, true, e)
 	if !r.caughtUp {
-		r.keepWaiting(s, request, e)
+		r.deferRenewal(s, request, e)
 		return
 	}
 	r.renew(s, request, log, e)
 }
 
-// keepWaiting keeps a request until a leader can answer it, and lets the box know, so that
+// deferRenewal keeps a request until a leader can answer it, and lets the box know, so that
 // it neither asks again soon nor looks for another replica while the replicas elect a
 // leader.
-func (r *Replica) keepWaiting(s *session, request *wire.RenewRequest, e *Effects) {
+func (r *Replica) deferRenewal(s *session, request *wire.RenewRequest, e *Effects) {
 	s.waiting = request
 	// By the time a leader gets the request the box may have sent calls that its evidence leaves
 	// out. Without a revision it doesn't count as a box that has drained the old version.
@@ -56,7 +56,7 @@
 func (r *Replica) renew(s *session, request *wire.RenewRequest, log *replication.Effects, e *Effects) {
 	s.waiting = nil
 	if !r.node.IsLeader() {
-		r.passRenewal(request, log)
+		r.forwardRenewal(request, log)
 		return
 	}
 	r.grant(request, e, func(granted *wire.Envelope) {
@@ -66,9 +66,9 @@
 	})
 }
 
-// noticeCatchingUp serves the boxes that have waited for a leader: it knows the newest
+// updateCaughtUp serves the boxes that have waited for a leader: it knows the newest
 // table, and so does this replica now.
-func (r *Replica) noticeCatchingUp(log *replication.Effects, e *Effects) {
+func (r *Replica) updateCaughtUp(log *replication.Effects, e *Effects) {
 	caughtUp := r.node.CaughtUp() && (!r.node.IsLeader() || r.node.HasLease(r.now))
 	if caughtUp == r.caughtUp {
 		return
@@ -77,7 +77,7 @@
 	if !caughtUp {
 		return
 	}
-	r.noteReplayed(e)
+	r.finishReplay(e)
 	r.pushPending = true
 	r.pushAt = r.now
 	for _, c := range r.sessions.Keys() {
@@ -90,20 +90,20 @@
 func (r *Replica) attach(c ConnectionID, request *wire.RenewRequest) *session {
 	s := r.sessions.Get(c)
 	if s == nil {
-		s = &session{connection: c, sent: units.Revision(request.Revision)}
+		s = &session{connection: c, sentRevision: units.Revision(request.Revision)}
 		r.sessions.Put(c, s)
 	}
 	s.box = wire.ToBox(request.Box)
 	return s
 }
 
-func (r *Replica) passRenewal(request *wire.RenewRequest, log *replication.Effects) {
+func (r *Replica) forwardRenewal(request *wire.RenewRequest, log *replication.Effects) {
 	request.Replica = string(r.settings.Replication.ID)
-	r.sendLeader(&wire.Envelope_RenewRequest{RenewRequest: request}, log)
+	r.sendToLeader(&wire.Envelope_RenewRequest{RenewRequest: request}, log)
 }
 
-// passGrant hands a leader's grant to the box it is for, if it is still here.
-func (r *Replica) passGrant(m *wire.Envelope, e *Effects) {
+// forwardGrant hands a leader's grant to the box it is for, if it is still here.
+func (r *Replica) forwardGrant(m *wire.Envelope, e *Effects) {
 	for _, c := range r.sessions.Keys() {
 		if string(r.sessions.Get(c).box.ID) == m.GetRenewResponse().Box {
 			answer := r.boxEnvelope()
@@ -113,16 +113,16 @@
 	}
 }
 
-// tableHold is for how long after its start a replica sends no whole table that may be an
+// wholeTableDelay is for how long after its start a replica sends no whole table that may be an
 // old one: replicas that start together have a leader within it, and a box without a table
 // holds its calls for a little longer.
-const tableHold = 400 * time.Millisecond
+const wholeTableDelay = 400 * time.Millisecond
 
-// holdsTable tells whether a box had better wait for the newest table: the one on this
+// defersWholeTable tells whether a box had better wait for the newest table: the one on this
 // replica's disk is as old as its last snapshot, and a whole table takes a box's link and
 // processor as long as the newest one does.
-func (r *Replica) holdsTable(s *session) bool {
-	return !r.caughtUp && r.now < r.startedAt.Add(tableHold) && r.tableOf(s) == nil
+func (r *Replica) defersWholeTable(s *session) bool {
+	return !r.caughtUp && r.now < r.startedAt.Add(wholeTableDelay) && r.tableOf(s) == nil
 }
 
 // tableOf returns the table that a box has; nil where that isn't kept, or there is none.
@@ -130,11 +130,11 @@
 	if s.table != nil {
 		return s.table
 	}
-	missing := int(r.state.Table().Revision - s.sent)
-	if s.sent == 0 || missing > r.past.Len() {
+	missing := int(r.state.Table().Revision - s.sentRevision)
+	if s.sentRevision == 0 || missing > r.previousTables.Len() {
 		return nil
 	}
-	return r.past.At(r.past.Len() - missing)
+	return r.previousTables.At(r.previousTables.Len() - missing)
 }
 
 // boxEnvelope is a message to a box, which knows whom it is attached to: every byte of
--- a/pkg/core/control/silence.go
+++ b/pkg/core/control/silence.go
@@ -66,7 +66,7 @@
 		m.Targets = append(m.Targets, string(id))
 	}
 	clear(r.hearing.heard)
-	r.sendLeader(&wire.Envelope_HeardRequest{HeardRequest: m}, log)
+	r.sendToLeader(&wire.Envelope_HeardRequest{HeardRequest: m}, log)
 }
 
 func (r *Replica) takeHeard(m *wire.HeardRequest) {
@@ -84,16 +84,16 @@
 		return
 	}
 	h.checkAt = r.now.Add(silenceCheckPeriod)
-	if r.now.Sub(max(h.heardAny, r.ledSince)) > r.settings.SilentAfter/2 {
+	if r.now.Sub(max(h.heardAny, r.leaderSince)) > r.settings.SilentAfter/2 {
 		return
 	}
 	m := &wire.Silence{}
 	r.state.EachRegistration(func(t *table.Registration) {
-		silent := r.now.Sub(max(h.last[t.Target], r.ledSince)) > r.settings.SilentAfter
+		silent := r.now.Sub(max(h.last[t.Target], r.leaderSince)) > r.settings.SilentAfter
 		if silent && !t.Silent {
 			m.Silent = append(m.Silent, string(t.Target))
 		}
-		if !silent && t.Silent && h.last[t.Target] > r.ledSince {
+		if !silent && t.Silent && h.last[t.Target] > r.leaderSince {
 			m.Heard = append(m.Heard, string(t.Target))
 		}
 	})
