--- a/pkg/core/control/apply.go
+++ b/pkg/core/control/apply.go
@@ -112,10 +112,10 @@
 	case *wire.Command_Departure:
 		id := units.TargetID(k.Departure.Target)
 		delta = r.state.ApplyDeparture(id, units.WallTime(k.Departure.Born))
-		delete(r.hearing.last, id)
+		delete(r.liveness.lastReport, id)
 		change = Change{Kind: TargetGone, Target: id}
 	case *wire.Command_Silence:
-		r.hearing.proposing = false
+		r.liveness.proposing = false
 		delta = r.state.ApplySilence(targetIDs(k.Silence.Silent), targetIDs(k.Silence.Heard))
 		r.recordSilenceChanges(k.Silence, e)
 		return delta
--- a/pkg/core/control/leases.go
+++ b/pkg/core/control/leases.go
@@ -18,33 +18,33 @@
 	revision units.Revision
 }
 
-// leaseBook is what a leader knows of the boxes. A new leader starts with an
+// leaseTracker is what a leader knows of the boxes. A new leader starts with an
 // empty one and takes the listed boxes as renewed when it began to lead: the
 // leader before it can't have granted anything later.
-type leaseBook struct {
-	leases map[units.BoxID]*lease
+type leaseTracker struct {
+	byBox map[units.BoxID]*lease
 	// proposing is set while a change of the list of boxes is under way.
 	proposing bool
 }
 
-func newLeaseBook() leaseBook {
-	return leaseBook{leases: map[units.BoxID]*lease{}}
+func newLeaseTracker() leaseTracker {
+	return leaseTracker{byBox: map[units.BoxID]*lease{}}
 }
 
-// grant answers a box's request for a lease, if this replica may speak for the
+// grantLease answers a box's request for a lease, if this replica may speak for the
 // cluster. The lease counts from when the box sent its request, so that no
 // delay on the way makes it longer; the box uses it only once it has shown the
-// revision that the grant names.
-func (r *Replica) grant(request *wire.RenewRequest, e *Effects, send func(*wire.Envelope)) {
+// revision that the grantLease names.
+func (r *Replica) grantLease(request *wire.RenewRequest, e *Effects, send func(*wire.Envelope)) {
 	if request.Box == nil || !r.node.HasLease(r.now) {
 		return
 	}
 	box := wire.ToBox(request.Box)
-	if r.leases.leases[box.ID] == nil {
+	if r.leases.byBox[box.ID] == nil {
 		// A box that has come is listed at once.
 		r.tickAt = r.now
 	}
-	r.leases.leases[box.ID] = &lease{box: box, renewed: r.now, revision: units.Revision(request.Revision)}
+	r.leases.byBox[box.ID] = &lease{box: box, renewed: r.now, revision: units.Revision(request.Revision)}
 	r.takeEvidence(request)
 	r.takeCrashNotes(request)
 	r.takeUses(request)
@@ -58,7 +58,7 @@
 		Exposures: r.exposures(),
 		Term:      uint64(r.node.Term()), Noted: lastNote(request), Watched: r.watchedBy(box.ID),
 	}}
-	r.nameReplicas(request, m.GetRenewResponse())
+	r.addLiveReplicas(request, m.GetRenewResponse())
 	send(m)
 }
 
@@ -75,9 +75,9 @@
 	return names
 }
 
-// nameReplicas has a grant name the replicas at work and their failure domains, unless the box knows just
+// addLiveReplicas has a grant name the replicas at work and their failure domains, unless the box knows just
 // these.
-func (r *Replica) nameReplicas(request *wire.RenewRequest, answer *wire.RenewResponse) {
+func (r *Replica) addLiveReplicas(request *wire.RenewRequest, answer *wire.RenewResponse) {
 	names := r.liveReplicas()
 	domains := make([]string, 0, len(names))
 	for _, n := range names {
@@ -88,17 +88,17 @@
 	}
 }
 
-// leaseEnds returns when a box's lease has run out for sure.
-func (r *Replica) leaseEnds(id units.BoxID) units.Instant {
+// leaseExpiry returns when a box's lease has run out for sure.
+func (r *Replica) leaseExpiry(id units.BoxID) units.Instant {
 	renewed := r.leaderSince
-	if l := r.leases.leases[id]; l != nil {
+	if l := r.leases.byBox[id]; l != nil {
 		renewed = l.renewed
 	}
 	return renewed.Add(r.settings.Lease + r.settings.LeaseMargin)
 }
 
-// updateBoxes proposes a new list of boxes when the present one is out of date.
-func (r *Replica) updateBoxes(log *replication.Effects) {
+// proposeBoxes proposes a new list of boxes when the present one is out of date.
+func (r *Replica) proposeBoxes(log *replication.Effects) {
 	if !r.node.HasLease(r.now) || r.leases.proposing {
 		return
 	}
@@ -116,15 +116,15 @@
 	for _, b := range r.state.Table().Boxes {
 		known[b.ID] = b
 	}
-	for id, l := range r.leases.leases {
+	for id, l := range r.leases.byBox {
 		known[id] = l.box
 	}
 	var live []table.Box
 	for _, id := range slices.Sorted(maps.Keys(known)) {
-		if r.now < r.leaseEnds(id) {
+		if r.now < r.leaseExpiry(id) {
 			live = append(live, known[id])
 		} else {
-			delete(r.leases.leases, id)
+			delete(r.leases.byBox, id)
 		}
 	}
 	return live
@@ -136,7 +136,7 @@
 		listed[b.ID] = b
 	}
 	ids := slices.Collect(maps.Keys(listed))
-	for id := range r.leases.leases {
+	for id := range r.leases.byBox {
 		if _, ok := listed[id]; !ok {
 			ids = append(ids, id)
 		}
@@ -152,7 +152,7 @@
 func (r *Replica) boxStatus(id units.BoxID, listed map[units.BoxID]table.Box, now units.Instant) BoxStatus {
 	box, ok := listed[id]
 	s := BoxStatus{Box: box, Listed: ok}
-	l := r.leases.leases[id]
+	l := r.leases.byBox[id]
 	if l == nil {
 		return s
 	}
--- a/pkg/core/control/parts_test.go
+++ b/pkg/core/control/parts_test.go
@@ -51,7 +51,7 @@
 	for i := range changes {
 		r.state.ApplyRegistration(partsTarget(i, 2, table.Leaving))
 		for _, s := range sessions {
-			list := r.update(s, false, e)
+			list := r.updateMessages(s, false, e)
 			for _, m := range list {
 				messages++
 				bytes += proto.Size(m)
@@ -85,11 +85,11 @@
 	r.state.ApplyRegistration(partsTarget(7, 2, table.Leaving))
 	e := &Effects{}
 	for _, s := range sessions {
-		if len(r.update(s, false, e)) > 0 {
+		if len(r.updateMessages(s, false, e)) > 0 {
 			continue
 		}
 		had := s.sentRevision
-		list := r.update(s, true, e)
+		list := r.updateMessages(s, true, e)
 		if len(list) != 1 {
 			t.Fatalf("a box that asks gets %d messages", len(list))
 		}
--- a/pkg/core/control/pushing_test.go
+++ b/pkg/core/control/pushing_test.go
@@ -114,14 +114,14 @@
 		if i%together != 0 {
 			continue
 		}
-		if most := a.runFor(time.Second); most > pushSlice && a.replica.core.Table().Divided() {
+		if most := a.runFor(time.Second); most > pushBatch && a.replica.core.Table().Divided() {
 			t.Fatalf("one event tells %d boxes of their parts", most)
 		}
 	}
 	if !a.replica.core.Table().Divided() {
 		t.Fatal("the service isn't divided")
 	}
-	a.runFor(boxes * pushPerBox)
+	a.runFor(boxes * pushPeriodPerBox)
 	for i := range boxes {
 		a.renew(i)
 		want := a.replica.core.Table().Parts().For(&a.boxes[i])
@@ -156,7 +156,7 @@
 			t.Fatalf("one request takes %d whole tables", a.told)
 		}
 	}
-	if most := a.runFor(boxes * pushPause); most > 1 {
+	if most := a.runFor(boxes * pushBatchInterval); most > 1 {
 		t.Errorf("one event takes %d whole tables", most)
 	}
 	for i, n := range a.wholes {
@@ -180,7 +180,7 @@
 	for i := range boxes {
 		a.replica.give(TargetReported{Request: RequestID(i + targets + 10), Registration: partsTarget(i, 2, table.Leaving)})
 		a.renew(i)
-		differences[a.replica.core.lastUpdate.to] = true
+		differences[a.replica.core.cachedUpdate.to] = true
 	}
 	if len(differences) > 2 {
 		t.Errorf("%d differences were worked out for %d boxes within one period", len(differences), boxes)
--- a/pkg/core/control/replica.go
+++ b/pkg/core/control/replica.go
@@ -73,19 +73,19 @@
 	sessions *container.Ordered[ConnectionID, *session]
 	// previousTables are the tables before the present one, the newest last.
 	previousTables *container.Ring[*table.Table]
-	// lastUpdate is what boxes were sent last.
-	lastUpdate boxUpdate
-	lastTable  wholeTable
+	// cachedUpdate is what boxes were sent last.
+	cachedUpdate boxUpdate
+	cachedTable  wholeTable
 	// pushPending is set while boxes lack changes that wait for pushAt.
 	pushPending bool
 	pushAt      units.Instant
-	round       pushRound
-	leases      leaseBook
+	pushRound   pushRound
+	leases      leaseTracker
 	// domains are the failure domains of the other replicas.
 	domains map[units.ReplicaID]units.Domain
 	// requests are those for whole tables, registered targets and reads.
 	requests requestQueue
-	hearing  hearingBook
+	liveness livenessTracker
 	rollouts rolloutBook
 	// quarantines is filled on the leader only.
 	quarantines quarantineBook
@@ -122,10 +122,10 @@
 		edits:          newEditQueue(),
 		sessions:       container.NewOrdered[ConnectionID, *session](),
 		previousTables: container.NewRing[*table.Table](maxPreviousTables),
-		leases:         newLeaseBook(),
+		leases:         newLeaseTracker(),
 		domains:        map[units.ReplicaID]units.Domain{s.Replication.ID: s.Domain},
 		requests:       newRequestQueue(),
-		hearing:        newHearingBook(),
+		liveness:       newLivenessTracker(),
 		rollouts:       newRolloutBook(),
 		now:            now,
 
@@ -191,7 +191,7 @@
 	}
 	r.applyLogEffects(&log, e)
 	r.housekeep(e)
-	r.pushDue(e)
+	r.pushUpdates(e)
 }
 
 // housekeep does what follows from any event: changes of leadership, timeouts,
@@ -206,9 +206,9 @@
 		r.tickAt = r.now.Add(idleTickPeriod)
 		r.retryEdits(&log, e)
 		r.retryRequests(&log, e)
-		r.tellHeard(&log)
-		r.noteSilence(&log)
-		r.updateBoxes(&log)
+		r.forwardReports(&log)
+		r.proposeSilence(&log)
+		r.proposeBoxes(&log)
 		r.advanceRollouts(&log)
 		r.advanceQuarantines(&log)
 	}
@@ -253,8 +253,8 @@
 	}
 	r.leading = leads
 	r.leaderSince = r.now
-	r.leases = newLeaseBook()
-	r.hearing.proposing = false
+	r.leases = newLeaseTracker()
+	r.liveness.proposing = false
 	r.rollouts.forgetLeadership()
 	r.quarantines = newQuarantineBook()
 	r.uses = useBook{}
@@ -294,13 +294,13 @@
 	case *wire.Envelope_ProposeRequest:
 		r.receiveProposal(m, log)
 	case *wire.Envelope_HeardRequest:
-		r.takeHeard(b.HeardRequest)
+		r.receiveForwardedReports(b.HeardRequest)
 	case *wire.Envelope_ReadRequest:
 		r.answerReadIndex(m, e)
 	case *wire.Envelope_ReadResponse:
 		r.receiveReadIndex(b.ReadResponse)
 	case *wire.Envelope_RenewRequest:
-		r.grant(b.RenewRequest, e, func(answer *wire.Envelope) {
+		r.grantLease(b.RenewRequest, e, func(answer *wire.Envelope) {
 			answer.To = m.From
 			e.PeerSends = append(e.PeerSends, answer)
 		})
--- a/pkg/core/control/requests.go
+++ b/pkg/core/control/requests.go
@@ -99,7 +99,7 @@
 		return
 	}
 	if !r.state.Outdated(v.Registration) {
-		r.hear(v.Registration.Target)
+		r.recordReport(v.Registration.Target)
 	}
 	if !r.state.Fresh(v.Registration) {
 		e.Answers = append(e.Answers, Answer{Request: v.Request})
--- a/pkg/core/control/sessions.go
+++ b/pkg/core/control/sessions.go
@@ -59,7 +59,7 @@
 		r.forwardRenewal(request, log)
 		return
 	}
-	r.grant(request, e, func(granted *wire.Envelope) {
+	r.grantLease(request, e, func(granted *wire.Envelope) {
 		answer := r.boxEnvelope()
 		answer.Body = granted.Body
 		e.BoxSends = append(e.BoxSends, BoxSend{Connection: s.connection, Envelope: answer})
