--- a/pkg/core/control/crash_test.go
+++ b/pkg/core/control/crash_test.go
@@ -258,7 +258,7 @@
 	w := newCrashWorld(t, 6, 3)
 	w.crashThree()
 	w.run(time.Second)
-	w.leader().core.quarantines.sightings[badCall].refusedAt = w.now.Add(-quietLimit)
+	w.leader().core.quarantines.observations[badCall].refusedAt = w.now.Add(-quarantineIdleTimeout)
 	w.run(time.Second)
 	w.wantEverywhere(false)
 }
--- a/pkg/core/control/leases.go
+++ b/pkg/core/control/leases.go
@@ -45,9 +45,9 @@
 		r.tickAt = r.now
 	}
 	r.leases.byBox[box.ID] = &lease{box: box, renewed: r.now, revision: units.Revision(request.Revision)}
-	r.takeEvidence(request)
-	r.takeCrashNotes(request)
-	r.takeUses(request)
+	r.recordEvidence(request)
+	r.recordCrashNotes(request)
+	r.recordUsage(request)
 	m := r.envelope()
 	m.Body = &wire.Envelope_RenewResponse{RenewResponse: &wire.RenewResponse{
 		Box:       request.Box.Id,
@@ -56,7 +56,7 @@
 		Revision:  uint64(r.state.Table().Revision),
 		Duration:  int64(r.settings.Lease),
 		Exposures: r.exposures(),
-		Term:      uint64(r.node.Term()), Noted: lastNote(request), Watched: r.watchedBy(box.ID),
+		Term:      uint64(r.node.Term()), Noted: lastNoteNumber(request), Watched: r.watchedFor(box.ID),
 	}}
 	r.addLiveReplicas(request, m.GetRenewResponse())
 	send(m)
--- a/pkg/core/control/replica.go
+++ b/pkg/core/control/replica.go
@@ -86,11 +86,11 @@
 	// requests are those for whole tables, registered targets and reads.
 	requests requestQueue
 	liveness livenessTracker
-	rollouts rolloutBook
+	rollouts rolloutTracker
 	// quarantines is filled on the leader only.
-	quarantines quarantineBook
-	// uses is filled on the leader only.
-	uses useBook
+	quarantines quarantineTracker
+	// usage is filled on the leader only.
+	usage usageTracker
 	// foreignReports counts the reports that no target of the table can have sent.
 	foreignReports uint64
 	// reportedLeader and knownMembership are what was last told of in the log.
@@ -126,11 +126,11 @@
 		domains:        map[units.ReplicaID]units.Domain{s.Replication.ID: s.Domain},
 		requests:       newRequestQueue(),
 		liveness:       newLivenessTracker(),
-		rollouts:       newRolloutBook(),
+		rollouts:       newRolloutTracker(),
 		now:            now,
 
-		quarantines: newQuarantineBook(),
-		uses:        useBook{},
+		quarantines: newQuarantineTracker(),
+		usage:       usageTracker{},
 
 		startedAt: now,
 		replaying: d.Snapshot != nil,
@@ -255,9 +255,9 @@
 	r.leaderSince = r.now
 	r.leases = newLeaseTracker()
 	r.liveness.proposing = false
-	r.rollouts.forgetLeadership()
-	r.quarantines = newQuarantineBook()
-	r.uses = useBook{}
+	r.rollouts.clearLeaderState()
+	r.quarantines = newQuarantineTracker()
+	r.usage = usageTracker{}
 	r.edits.clearProposed()
 	clear(r.requests.proposed)
 }
--- a/pkg/core/control/rolloutorders.go
+++ b/pkg/core/control/rolloutorders.go
@@ -70,7 +70,7 @@
 func (r *Replica) recordRolloutChanges(d *table.Delta, before *table.Table, e *Effects) {
 	for i := range d.Rollouts {
 		x := &d.Rollouts[i]
-		r.rollouts.noteRecord(x, r.now)
+		r.rollouts.updateRecord(x, r.now)
 		if held := before.Rollout(x.Service); held == nil || held.Since != x.Since {
 			e.Changes = append(e.Changes, Change{Kind: RolloutChanged, Rollout: x, Operator: x.Operator, Revision: d.Revision})
 		}
--- a/pkg/core/control/rollouts.go
+++ b/pkg/core/control/rollouts.go
@@ -26,21 +26,21 @@
 	// more than two of the box's requests, and little beside the time in which a bad
 	// version must get its last call.
 	exposureLease = time.Second
-	// elapsedPeriod is how often a leader writes down how much of a rollout's time is over,
+	// persistPeriod is how often a leader writes down how much of a rollout's time is over,
 	// so that a loss of all replicas' processes makes the rollout at most so much longer.
-	elapsedPeriod = 2 * time.Second
+	persistPeriod = 2 * time.Second
 	// adoptPeriod is how often a leader looks for services without a version in force.
 	// Each look goes over all registered targets, and calls of a service whose version in force
 	// has no target left are refused until it is done.
 	adoptPeriod = 500 * time.Millisecond
-	// emptyLimit is how long no target of the version in force may be registered until the
+	// missingTargetsTimeout is how long no target of the version in force may be registered until the
 	// version of those that are there takes its place. Targets that are replaced one after
 	// the other, or start again together, are back sooner.
-	emptyLimit = 5 * time.Second
+	missingTargetsTimeout = 5 * time.Second
 )
 
-// rolloutBook is what a replica knows of rollouts beside the table.
-type rolloutBook struct {
+// rolloutTracker is what a replica knows of rollouts beside the table.
+type rolloutTracker struct {
 	// started is when each last rollout was ordered, by this replica's steady clock.
 	started map[units.ServiceName]startedRollout
 	// watches are the leader's, of the rollouts under way.
@@ -48,9 +48,9 @@
 	// adoptAt is when the leader next looks for services without a version in force, adopted
 	// the revision at which all had one; empty is since when no target of the one in force
 	// has been registered.
-	adoptAt units.Instant
-	adopted units.Revision
-	empty   map[units.ServiceName]units.Instant
+	adoptAt             units.Instant
+	allAdoptedAt        units.Revision
+	targetsMissingSince map[units.ServiceName]units.Instant
 }
 
 type startedRollout struct {
@@ -68,25 +68,25 @@
 	rollingBack bool
 }
 
-func newRolloutBook() rolloutBook {
-	b := rolloutBook{started: map[units.ServiceName]startedRollout{}}
-	b.forgetLeadership()
+func newRolloutTracker() rolloutTracker {
+	b := rolloutTracker{started: map[units.ServiceName]startedRollout{}}
+	b.clearLeaderState()
 	return b
 }
 
-// forgetLeadership drops what only a leader knows.
-func (b *rolloutBook) forgetLeadership() {
+// clearLeaderState drops what only a leader knows.
+func (b *rolloutTracker) clearLeaderState() {
 	b.watches = map[units.ServiceName]*rolloutWatch{}
-	b.empty = map[units.ServiceName]units.Instant{}
-	b.adopted = 0
+	b.targetsMissingSince = map[units.ServiceName]units.Instant{}
+	b.allAdoptedAt = 0
 }
 
 // busy tells whether this replica decides on a rollout under way.
-func (b *rolloutBook) busy() bool { return len(b.watches) > 0 }
+func (b *rolloutTracker) busy() bool { return len(b.watches) > 0 }
 
-// noteRecord takes a rollout's record. The earliest order that fits counts, since each
+// updateRecord takes a rollout's record. The earliest order that fits counts, since each
 // record comes a little after the time that it tells.
-func (b *rolloutBook) noteRecord(x *table.Rollout, now units.Instant) {
+func (b *rolloutTracker) updateRecord(x *table.Rollout, now units.Instant) {
 	at := now.Add(-x.Elapsed)
 	if held, known := b.started[x.Service]; known && held.order == x.Order {
 		at = min(at, held.at)
@@ -102,17 +102,17 @@
 func (r *Replica) elapsed(x *table.Rollout) time.Duration {
 	held, known := r.rollouts.started[x.Service]
 	if !known || held.order != x.Order {
-		r.rollouts.noteRecord(x, r.now)
+		r.rollouts.updateRecord(x, r.now)
 		held = r.rollouts.started[x.Service]
 	}
 	return r.now.Sub(held.at)
 }
 
-// watched returns the leader's watch of a rollout under way.
-func (r *Replica) watched(x *table.Rollout) *rolloutWatch {
+// watchOf returns the leader's watch of a rollout under way.
+func (r *Replica) watchOf(x *table.Rollout) *rolloutWatch {
 	w := r.rollouts.watches[x.Service]
 	if w == nil || w.Order() != x.Order {
-		w = &rolloutWatch{Watch: rollout.NewWatch(*x, r.settings.Rollouts.Limits), persistAt: r.now.Add(elapsedPeriod)}
+		w = &rolloutWatch{Watch: rollout.NewWatch(*x, r.settings.Rollouts.Limits), persistAt: r.now.Add(persistPeriod)}
 		r.rollouts.watches[x.Service] = w
 	}
 	return w
@@ -123,13 +123,13 @@
 	list := r.state.Table().Rollouts
 	for i := range list {
 		if list[i].Active() {
-			f(&list[i], r.watched(&list[i]))
+			f(&list[i], r.watchOf(&list[i]))
 		}
 	}
 }
 
-// takeEvidence takes what a box has seen of versions.
-func (r *Replica) takeEvidence(request *wire.RenewRequest) {
+// recordEvidence takes what a box has seen of versions.
+func (r *Replica) recordEvidence(request *wire.RenewRequest) {
 	if len(r.state.Table().Rollouts) == 0 {
 		return
 	}
@@ -183,7 +183,7 @@
 	if step == nil {
 		return
 	}
-	w.persistAt = r.now.Add(elapsedPeriod)
+	w.persistAt = r.now.Add(persistPeriod)
 	w.proposedAt = r.now
 	w.rollingBack = w.rollingBack || step.Stage == table.RolloutRolledBack
 	r.proposeCommand(&wire.Command{At: int64(r.wall), Kind: &wire.Command_RolloutStep{RolloutStep: wire.FromRolloutStep(step)}}, log)
@@ -229,35 +229,35 @@
 func (r *Replica) adoptSoftware(log *replication.Effects) {
 	b := &r.rollouts
 	t := r.state.Table()
-	if r.now < b.adoptAt || b.adopted == t.Revision {
+	if r.now < b.adoptAt || b.allAdoptedAt == t.Revision {
 		return
 	}
 	b.adoptAt = r.now.Add(adoptPeriod)
-	b.adopted = t.Revision
+	b.allAdoptedAt = t.Revision
 	registered := r.registeredSoftware()
 	for _, service := range slices.Sorted(maps.Keys(registered)) {
 		present := t.SoftwareInForce(service)
 		if t.Services[service] == nil || registered[service][present] > 0 {
-			delete(b.empty, service)
+			delete(b.targetsMissingSince, service)
 			continue
 		}
-		b.adopted = 0
-		if present != "" && !r.emptyForLong(service) {
+		b.allAdoptedAt = 0
+		if present != "" && !r.targetsMissingTooLong(service) {
 			continue
 		}
-		o := &table.RolloutOrder{Service: service, To: commonest(registered[service])}
+		o := &table.RolloutOrder{Service: service, To: mostCommon(registered[service])}
 		r.proposeCommand(&wire.Command{At: int64(r.wall), Kind: &wire.Command_Rollout{Rollout: wire.FromRolloutOrder(o)}}, log)
 	}
 }
 
-// emptyForLong tells whether no target of the version in force has been there for a while.
-func (r *Replica) emptyForLong(service units.ServiceName) bool {
-	since, known := r.rollouts.empty[service]
+// targetsMissingTooLong tells whether no target of the version in force has been there for a while.
+func (r *Replica) targetsMissingTooLong(service units.ServiceName) bool {
+	since, known := r.rollouts.targetsMissingSince[service]
 	if !known {
-		r.rollouts.empty[service] = r.now
+		r.rollouts.targetsMissingSince[service] = r.now
 		return false
 	}
-	return r.now.Sub(since) >= emptyLimit
+	return r.now.Sub(since) >= missingTargetsTimeout
 }
 
 // registeredSoftware counts the registered targets of each service by version. Targets that
@@ -276,8 +276,8 @@
 	return counts
 }
 
-// commonest is the version that most targets run; of equals the first by name.
-func commonest(versions map[units.Software]int) units.Software {
+// mostCommon is the version that most targets run; of equals the first by name.
+func mostCommon(versions map[units.Software]int) units.Software {
 	return slices.MaxFunc(slices.Sorted(maps.Keys(versions)), func(a, b units.Software) int {
 		return cmp.Compare(versions[a], versions[b])
 	})
--- a/pkg/core/control/uses_test.go
+++ b/pkg/core/control/uses_test.go
@@ -46,8 +46,8 @@
 	if u := use("idle"); u == nil || u.Admitted != 0 {
 		t.Errorf("the one that sends nothing is shown with %+v", u)
 	}
-	if use("free") != nil || len(r.core.uses) != 1 {
-		t.Errorf("%d workspaces are counted, and one without a limit is shown with %+v", len(r.core.uses), use("free"))
+	if use("free") != nil || len(r.core.usage) != 1 {
+		t.Errorf("%d workspaces are counted, and one without a limit is shown with %+v", len(r.core.usage), use("free"))
 	}
 	tellUses(r, 25)
 	if u := use("shops"); u.Admitted != 0 || u.Refused != 0 {
--- a/pkg/ctl/quarantine.go
+++ b/pkg/ctl/quarantine.go
@@ -26,8 +26,8 @@
 	var rows [][]string
 	for _, q := range list {
 		refused := "unknown"
-		if q.RefusedBefore >= 0 {
-			refused = q.RefusedBefore.Round(time.Second).String() + " ago"
+		if q.SinceRefusal >= 0 {
+			refused = q.SinceRefusal.Round(time.Second).String() + " ago"
 		}
 		rows = append(rows, []string{
 			q.Name, string(q.Service), namesOf(&q.Quarantine), time.UnixMilli(int64(q.At)).UTC().Format(time.RFC3339),
