--- a/pkg/core/control/apply.go
+++ b/pkg/core/control/apply.go
@@ -9,7 +9,7 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// applyLogEffects carries the log's effects over and applies what was committed.
+// applyLogEffects copies the log's effects to e and applies the entries that it committed.
 func (r *Replica) applyLogEffects(log *replication.Effects, e *Effects) {
 	if log.Restored != nil {
 		r.restore(log.Restored, e)
@@ -36,8 +36,9 @@
 	r.answerRestoredEdits(e)
 }
 
-// applyCommitted applies an entry. What a replica reads again after its start has been
-// logged in an earlier life; hundreds of lines at once would hold up its boxes.
+// applyCommitted applies a committed entry. Entries that are replayed after a start were already
+// logged by an earlier run of this replica, so their changes are not logged again: hundreds of
+// lines at once would delay its boxes.
 func (r *Replica) applyCommitted(entry *wire.Entry, e *Effects) {
 	changes := len(e.Changes)
 	r.apply(entry, e)
@@ -47,7 +48,7 @@
 	}
 }
 
-// finishReplay ends the time in which the log is read again.
+// finishReplay ends the replay of the log after a start and reports how many entries it read.
 func (r *Replica) finishReplay(e *Effects) {
 	if !r.replaying {
 		return
@@ -94,7 +95,8 @@
 	e.TableChanged = true
 }
 
-// applyDocumentOrTarget applies a whole table, or what registered targets have said.
+// applyDocumentOrTarget applies a document, or a change of registered targets: a registration, a
+// departure or silence.
 func (r *Replica) applyDocumentOrTarget(c *wire.Command, e *Effects) *table.Delta {
 	var delta *table.Delta
 	change := Change{}
@@ -127,8 +129,8 @@
 	return delta
 }
 
-// applyEvacuation carries out an order for a failure domain; the error is the answer to
-// one that changes nothing although something else holds.
+// applyEvacuation applies an order for a failure domain. The error is the answer to an order that
+// changed nothing although the requested state isn't in force.
 func (r *Replica) applyEvacuation(o *table.EvacuationOrder, at units.WallTime, e *Effects) (*table.Delta, error) {
 	outcome, delta := r.state.ApplyEvacuation(o, at)
 	if delta != nil {
--- a/pkg/core/control/edits.go
+++ b/pkg/core/control/edits.go
@@ -9,7 +9,7 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// waitingEdit is an edit that came to this replica and has no result yet.
+// waitingEdit is an edit that was submitted to this replica and has no result yet.
 type waitingEdit struct {
 	edit     *table.Edit
 	requests []RequestID
@@ -17,8 +17,8 @@
 	retryAt  units.Instant
 }
 
-// editQueue holds the edits that wait at this replica, and those that it has
-// proposed as a leader.
+// editQueue holds the edits that wait for a result at this replica, and the ids of those that it
+// has proposed as the leader.
 type editQueue struct {
 	waiting *container.Ordered[units.EditID, *waitingEdit]
 	// proposed keeps a leader from adding a resent edit to the log twice.
@@ -33,8 +33,8 @@
 	q.proposed = map[units.EditID]bool{}
 }
 
-// submitEdit takes an operator's edit. A result that this replica has applied is
-// committed, so a resent edit is answered from it.
+// submitEdit accepts an operator's edit. A result that this replica has applied is committed, so a
+// resent edit is answered with it.
 func (r *Replica) submitEdit(v EditSubmitted, log *replication.Effects, e *Effects) {
 	if known := r.state.Lookup(v.Edit.ID); known != nil {
 		e.Answers = append(e.Answers, Answer{Request: v.Request, Result: known})
@@ -58,7 +58,7 @@
 	return fault.New(fault.Unavailable, "form the cluster with madderctl form, or wait until this replica has joined it", "this replica belongs to no cluster yet")
 }
 
-// forwardEdit hands a waiting edit to whoever leads now.
+// forwardEdit proposes a waiting edit on the leader, or sends it to the leader.
 func (r *Replica) forwardEdit(w *waitingEdit, log *replication.Effects) {
 	w.retryAt = r.now.Add(retryPeriod)
 	if r.node.IsLeader() {
@@ -105,7 +105,7 @@
 	r.edits.waiting.Delete(id)
 }
 
-// answerRestoredEdits answers the waiting edits that a snapshot has decided.
+// answerRestoredEdits answers the waiting edits whose results came with a restored snapshot.
 func (r *Replica) answerRestoredEdits(e *Effects) {
 	for _, id := range r.edits.waiting.Keys() {
 		if known := r.state.Lookup(id); known != nil {
@@ -114,8 +114,7 @@
 	}
 }
 
-// retryEdits passes waiting edits on again, and gives up on those whose time
-// has run out.
+// retryEdits forwards the waiting edits whose retry is due, and expires those past their deadline.
 func (r *Replica) retryEdits(log *replication.Effects, e *Effects) {
 	for _, id := range r.edits.waiting.Keys() {
 		w := r.edits.waiting.Get(id)
--- a/pkg/core/control/events.go
+++ b/pkg/core/control/events.go
@@ -1,6 +1,6 @@
-// Package control is the decision logic of a control replica: it takes edits,
-// replicates them, keeps the boxes up to date and grants them leases on the
-// table. It is pure; see package replication for the log below it.
+// Package control is the decision logic of a control replica: it accepts edits, replicates them,
+// sends table updates to the boxes and grants them leases on the table. It does no I/O and reads no
+// clock: events go in, effects come out. Package replication implements the log below it.
 package control
 
 import (
@@ -11,57 +11,58 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// RequestID names a question of this process's shell; the answer carries it.
+// RequestID identifies a request of the shell, the code of this process that feeds the core with
+// events and carries out its effects. The Answer carries the same id.
 type RequestID uint64
 
-// ConnectionID names a box's connection to this replica.
+// ConnectionID identifies a box's connection to this replica.
 type ConnectionID uint64
 
-// Event is something that happened outside of the core.
+// Event is an input of the core: a message, a request, a completed write or the passing of time.
 type Event interface{ controlEvent() }
 
-// Tick says that time has passed; it is due at NextWake.
+// Tick lets the replica act on the passing of time; it is due at NextWake.
 type Tick struct{}
 
 // PeerMessage is a message from another replica.
 type PeerMessage struct {
 	Envelope *wire.Envelope
-	// Domain is the other replica's failure domain; empty where that isn't known.
+	// Domain is the sender's failure domain; empty where it isn't known.
 	Domain units.Domain
 }
 
-// DiskSynced says that all writes up to a sequence are on the disk.
+// DiskSynced reports that all writes up to a sequence are durable.
 type DiskSynced struct{ Sequence replication.WriteSequence }
 
-// DiskFailed says that a write could not be done; the replica must stop.
+// DiskFailed reports that a write failed; the replica must stop.
 type DiskFailed struct{ Cause error }
 
-// EditSubmitted is an operator's edit.
+// EditSubmitted submits an operator's edit.
 type EditSubmitted struct {
 	Request RequestID
 	Edit    *table.Edit
 }
 
-// FormRequested is an operator's word that the cluster be formed.
+// FormRequested is an operator's request to form the cluster.
 type FormRequested struct {
 	Request RequestID
-	// Cluster is the new cluster's random name.
+	// Cluster is the random name of the new cluster.
 	Cluster string
 }
 
-// DocumentSubmitted is an operator's whole table.
+// DocumentSubmitted submits a whole table, as an operator's document.
 type DocumentSubmitted struct {
 	Request  RequestID
 	Document *table.Document
 }
 
-// TargetReported is a report of a target that registers by itself.
+// TargetReported is a report of a target that registers itself.
 type TargetReported struct {
 	Request      RequestID
 	Registration *table.Registration
 }
 
-// TargetDeparted is a registered target's word that it leaves for good.
+// TargetDeparted reports that a registered target leaves for good.
 type TargetDeparted struct {
 	Request RequestID
 	Target  units.TargetID
@@ -73,8 +74,8 @@
 	Order   table.EvacuationOrder
 }
 
-// RolloutOrdered is an operator's order to move a service to another version of its software,
-// or to end that.
+// RolloutOrdered is an operator's order to move a service to another version of its software, or to
+// abort such a rollout.
 type RolloutOrdered struct {
 	Request RequestID
 	Order   table.RolloutOrder
@@ -87,23 +88,24 @@
 	Operator string
 }
 
-// ReadRequested asks for the newest state; the answer comes once this replica is
-// sure to have it.
+// ReadRequested asks for the newest state. The answer comes once this replica is sure to have
+// applied everything that was committed before the request.
 type ReadRequested struct{ Request RequestID }
 
-// BoxMessage is a message from a box on a connection of its own.
+// BoxMessage is a message from a box on its connection to this replica.
 type BoxMessage struct {
 	Connection ConnectionID
 	Envelope   *wire.Envelope
 }
 
-// BoxDetached says that a box's connection has ended.
+// BoxDetached reports that a box's connection has ended.
 type BoxDetached struct{ Connection ConnectionID }
 
-// SeedsChanged says that the settings name other replicas to report to.
+// SeedsChanged reports that the settings name other seed replicas.
 type SeedsChanged struct{ Seeds []units.ReplicaID }
 
-// StopRequested says that this replica is about to stop as planned.
+// StopRequested reports that this replica is about to shut down as planned; a leader hands over its
+// leadership.
 type StopRequested struct{}
 
 func (Tick) controlEvent()              {}
@@ -124,13 +126,13 @@
 func (SeedsChanged) controlEvent()      {}
 func (StopRequested) controlEvent()     {}
 
-// Answer is the answer to a request of this process's shell. Without an error, what was
-// asked for is on enough disks, or held already; an error is of kind Invalid, NotFound,
-// Conflict, Unavailable or, where it couldn't be learned in time, Unknown.
+// Answer is the answer to a request. Without an error, the requested change is on enough disks, or
+// was in force already. An error is of kind Invalid, NotFound, Conflict, Unavailable or, when the
+// outcome isn't known in time, Unknown.
 type Answer struct {
 	Request RequestID
 	Err     error
-	// Result is what became of an edit.
+	// Result is the result of an edit.
 	Result *table.Result
 	// Document is the document in force, for a ReadRequested.
 	Document *table.Document
@@ -144,8 +146,8 @@
 	Envelope   *wire.Envelope
 }
 
-// Effects are what the shell is to do, in this order: writes, then sends and
-// answers. Halt is set when the replica must stop.
+// Effects are what the shell must do, in this order: writes first, then sends and answers. Halt is
+// set when the replica must stop.
 type Effects struct {
 	Writes    []*replication.Write
 	PeerSends []*wire.Envelope
@@ -154,11 +156,11 @@
 	// TableChanged is set when Table returns a new table.
 	TableChanged bool
 	Halt         error
-	// Changes says what this event changed in the state, for the log.
+	// Changes describes what this event changed in the state, for the log.
 	Changes []Change
 }
 
-// ChangeKind says what a change is about.
+// ChangeKind is the kind of a Change, as logs name it.
 type ChangeKind string
 
 // The kinds of change.
@@ -181,13 +183,14 @@
 	CallReleased    ChangeKind = "call-released"
 )
 
-// Change is something that a replica has come to believe.
+// Change describes one change of a replica's state for the log. Only the fields that apply to its
+// kind are set.
 type Change struct {
 	Kind     ChangeKind
 	Revision units.Revision
 	Target   units.TargetID
 	Document units.DocumentVersion
-	// Sequence is the target's own count of its reports.
+	// Sequence is the target's own number of its report.
 	Sequence uint64
 	Domain   units.Domain
 	Operator string
@@ -198,25 +201,26 @@
 	Rollout *table.Rollout
 	// Software is the version of a service's software that is in force.
 	Software table.SoftwareInForce
-	// Call is the call that a quarantine is of, Targets are those that crashed under it, Trial
-	// numbers a trial.
+	// Call is the quarantined call, Targets are the targets that crashed while handling it, Trial
+	// is the number of a trial.
 	Call    crash.Fingerprint
 	Targets []units.TargetID
 	Trial   int
-	// Entries is how many entries of the log were read again since the start.
+	// Entries is the number of log entries that were replayed since the start.
 	Entries int
 }
 
-// BoxStatus is what the control state knows of a box.
+// BoxStatus is a replica's view of a box.
 type BoxStatus struct {
 	table.Box
-	// Listed is set when the box stands in the replicated list.
+	// Listed is set when the box is in the replicated list of boxes.
 	Listed   bool           `json:"listed"`
 	Revision units.Revision `json:"revision"`
-	// InForce is set when the box has shown the present revision.
+	// InForce is set when the box has reported the current revision.
 	InForce bool `json:"inForce"`
-	// SilentFor is how long the leader hasn't heard of the box, in ns.
+	// SilentFor is the time since the leader last received a lease request from the box, in ns.
 	SilentFor int64 `json:"silentFor"`
-	// StopsWithin is when a silent box stops by itself at the latest, in ns.
+	// StopsWithin is the remaining time of the box's lease, in ns: without a renewal it stops
+	// serving calls by then.
 	StopsWithin int64 `json:"stopsWithin"`
 }
--- a/pkg/core/control/leases.go
+++ b/pkg/core/control/leases.go
@@ -18,12 +18,12 @@
 	revision units.Revision
 }
 
-// leaseTracker is what a leader knows of the boxes. A new leader starts with an
-// empty one and takes the listed boxes as renewed when it began to lead: the
-// leader before it can't have granted anything later.
+// leaseTracker holds what a leader knows of the boxes' leases. A new leader starts with an empty
+// one and counts the listed boxes as renewed when its leadership began: the previous leader can't
+// have granted anything later.
 type leaseTracker struct {
 	byBox map[units.BoxID]*lease
-	// proposing is set while a change of the list of boxes is under way.
+	// proposing is set while a change of the list of boxes is proposed and not yet applied.
 	proposing bool
 }
 
@@ -31,17 +31,16 @@
 	return leaseTracker{byBox: map[units.BoxID]*lease{}}
 }
 
-// grantLease answers a box's request for a lease, if this replica may speak for the
-// cluster. The lease counts from when the box sent its request, so that no
-// delay on the way makes it longer; the box uses it only once it has shown the
-// revision that the grantLease names.
+// grantLease answers a box's lease request, if this replica holds the leader's lease. The box's
+// lease starts when it sent the request, so network delay doesn't extend it. The box uses the lease
+// only once it has the revision that the grant names in force.
 func (r *Replica) grantLease(request *wire.RenewRequest, e *Effects, send func(*wire.Envelope)) {
 	if request.Box == nil || !r.node.HasLease(r.now) {
 		return
 	}
 	box := wire.ToBox(request.Box)
 	if r.leases.byBox[box.ID] == nil {
-		// A box that has come is listed at once.
+		// A new box is listed at once.
 		r.tickAt = r.now
 	}
 	r.leases.byBox[box.ID] = &lease{box: box, renewed: r.now, revision: units.Revision(request.Revision)}
@@ -62,8 +61,8 @@
 	send(m)
 }
 
-// liveReplicas names the replicas that boxes may attach to. Boxes of a cluster that
-// doesn't grow have them from their settings.
+// liveReplicas returns the names of the replicas that boxes may attach to. In a cluster that
+// doesn't grow it returns nil: boxes have the names from their settings.
 func (r *Replica) liveReplicas() []string {
 	if r.settings.Replication.Growth == nil {
 		return nil
@@ -75,8 +74,8 @@
 	return names
 }
 
-// addLiveReplicas has a grant name the replicas at work and their failure domains, unless the box knows just
-// these.
+// addLiveReplicas adds the live replicas and their failure domains to a grant, unless the box
+// already knows them.
 func (r *Replica) addLiveReplicas(request *wire.RenewRequest, answer *wire.RenewResponse) {
 	names := r.liveReplicas()
 	domains := make([]string, 0, len(names))
@@ -88,7 +87,7 @@
 	}
 }
 
-// leaseExpiry returns when a box's lease has run out for sure.
+// leaseExpiry returns when a box's lease has certainly expired, including the margin.
 func (r *Replica) leaseExpiry(id units.BoxID) units.Instant {
 	renewed := r.leaderSince
 	if l := r.leases.byBox[id]; l != nil {
@@ -97,7 +96,7 @@
 	return renewed.Add(r.settings.Lease + r.settings.LeaseMargin)
 }
 
-// proposeBoxes proposes a new list of boxes when the present one is out of date.
+// proposeBoxes proposes a new list of boxes when the current one is out of date.
 func (r *Replica) proposeBoxes(log *replication.Effects) {
 	if !r.node.HasLease(r.now) || r.leases.proposing {
 		return
@@ -110,7 +109,7 @@
 	r.leases.proposing = r.proposeCommand(c, log)
 }
 
-// liveBoxes returns the boxes whose lease may still hold, sorted by id.
+// liveBoxes returns the boxes whose lease may still be valid, sorted by id.
 func (r *Replica) liveBoxes() []table.Box {
 	known := map[units.BoxID]table.Box{}
 	for _, b := range r.state.Table().Boxes {
@@ -164,9 +163,9 @@
 	return s
 }
 
-// LeaseBound returns within what time an accepted edit is in force on every box
-// that serves calls, or the box serves no more: a lease, and the time in which
-// a leader that was cut off may still have granted one.
+// LeaseBound returns the longest time from the acceptance of an edit until every box either has it
+// in force or has stopped serving calls: the duration of a lease, and the time in which a leader
+// that was cut off may still have granted one.
 func (s Settings) LeaseBound() time.Duration {
 	return s.Lease + s.Replication.ElectionTimeout
 }
--- a/pkg/core/control/pushing.go
+++ b/pkg/core/control/pushing.go
@@ -9,34 +9,38 @@
 )
 
 const (
-	// pushPeriod is the least time between two rounds. A change after a quiet time goes out at
-	// once; many in a row go together, which is far less to send, and for each box to put in force.
+	// pushPeriod is the minimum time between the starts of two push rounds. The first change after
+	// a quiet period is sent at once; many changes in a row are sent together, which is much less
+	// to send, and much less for each box to put in force.
 	pushPeriod = 40 * time.Millisecond
-	// pushPeriodPerBox makes that time longer with the boxes that are attached, so that updates take a bounded
-	// part of a replica's processor time however many there are.
+	// pushPeriodPerBox lengthens that period for every attached box, so that updates take a bounded
+	// share of a replica's processor time however many boxes there are.
 	pushPeriodPerBox = time.Millisecond
-	// pushBatch is how many boxes' own parts of a change are worked out for one event, or one part of a
-	// whole table, which takes as long; pushPause is the time until the next ones. Elections and leases
-	// don't wait for a round, which takes half of its period, nor for a third of a fleet that starts together.
+	// pushBatch is the number of boxes whose own parts of a change are computed for one event; one
+	// part of a whole table takes as long as all of them. pushBatchInterval is the time until the
+	// next batch. Elections and leases thus don't wait for a whole round, which takes half of its
+	// period, nor for the first tables when a third of a fleet starts at once.
 	pushBatch         = 8
 	pushBatchInterval = pushBatch * pushPeriodPerBox / 2
 )
 
-// pushRound brings all attached boxes to one table, so that what leads there is worked out once.
+// pushRound brings all attached boxes to the same table, so that the changes that lead to it are
+// computed once.
 type pushRound struct {
-	// to is the table of the round that began last, nil before the first.
+	// to is the table of the round that started last, nil before the first.
 	to *table.Table
-	// waiting are the boxes that the round hasn't come to, awaitingTable those that wait for their part of a
-	// whole table, the longest first.
+	// waiting are the boxes that the round hasn't served yet, awaitingTable those that wait for
+	// their part of a whole table; both with the longest wait first.
 	waiting, awaitingTable []ConnectionID
-	// nextAt is when it goes on.
+	// nextAt is when the next batch is due.
 	nextAt units.Instant
-	// batchUsed is what the present event has taken of a slice.
+	// batchUsed is how much of its batch the current event has used, in boxes.
 	batchUsed int
 }
 
-// pushUpdates begins a round when the table has changed, unless the last one was a moment ago, and goes on
-// with the one that has begun. A replica that has read its log again doesn't show boxes each step of its history.
+// pushUpdates starts a round when the table has changed and the period since the last round's start
+// is over, and continues a round in progress. A replica that has replayed its log doesn't send
+// boxes each step of its history.
 func (r *Replica) pushUpdates(e *Effects) {
 	r.pushPending = r.pushPending || e.TableChanged
 	if r.pushPending && r.now >= r.pushAt && len(r.pushRound.waiting) == 0 {
@@ -51,7 +55,8 @@
 
 func (p *pushRound) busy() bool { return len(p.waiting)+len(p.awaitingTable) > 0 }
 
-// continueRound serves the boxes without a table first: they can't serve calls.
+// continueRound serves the next batch of boxes, those without a table first: they can't serve
+// calls.
 func (r *Replica) continueRound(e *Effects) {
 	p := &r.pushRound
 	p.batchUsed = 0
@@ -71,7 +76,7 @@
 	p.nextAt = r.now.Add(pushBatchInterval)
 }
 
-// nextPush returns when pushDue has something to do, before limit.
+// nextPush returns when pushUpdates next has work, but no later than limit.
 func (r *Replica) nextPush(limit units.Instant) units.Instant {
 	if r.pushRound.busy() {
 		return min(limit, r.pushRound.nextAt)
@@ -82,8 +87,8 @@
 	return limit
 }
 
-// push brings a box up to date. A box that knows more than this replica is left alone until the replica
-// has caught up.
+// push sends a box its update; requested is set when the box has just asked for a lease. A box with
+// a later revision than this replica's is left alone until the replica has caught up.
 func (r *Replica) push(s *session, requested bool, e *Effects) {
 	if s.sentRevision >= r.state.Table().Revision || !r.node.Formed() || r.defersWholeTable(s) {
 		return
@@ -93,9 +98,10 @@
 	}
 }
 
-// updateMessages returns what brings a box to the table of the present round: what differs from the table that it has where
-// that is known, and the whole of it otherwise. What changes nothing of the box's part waits for its next request, unless it
-// is due now: most changes of large services concern few boxes.
+// updateMessages returns the messages that bring a box to the table of the current round: a delta
+// from the table that the box has if that table is known, and a whole table otherwise. A delta that
+// doesn't change the box's part is only sent when requested: most changes of large services concern
+// few boxes.
 func (r *Replica) updateMessages(s *session, requested bool, e *Effects) []*wire.Envelope {
 	from, to := r.tableOf(s), r.pushRound.to
 	if to == nil {
@@ -115,7 +121,8 @@
 	return messages
 }
 
-// wholeTableMessages returns the messages of a box's whole table. A part of its own waits for its turn.
+// wholeTableMessages returns the messages of a box's whole table. A box that needs a part of its
+// own is queued for it.
 func (r *Replica) wholeTableMessages(s *session, to *table.Table, requested bool, e *Effects) []*wire.Envelope {
 	u := r.wholeTableFor(to, e)
 	if u.parts != nil && requested {
@@ -133,8 +140,8 @@
 	return fragments(wire.TableEnvelope(u.parts.For(&s.box)), e)
 }
 
-// deltaMessages returns the messages of what a box lacks that has its part of a table. There are none where the
-// part doesn't change, unless they are due.
+// deltaMessages returns the messages that bring a box from one table to another. There are none if
+// the box's part doesn't change, unless they were requested.
 func (r *Replica) deltaMessages(s *session, from, to *table.Table, requested bool, e *Effects) []*wire.Envelope {
 	u := r.updateBetween(from, to)
 	if u.parts == nil && s.sentRevision == from.Revision {
@@ -151,8 +158,8 @@
 	return fragments(wire.DeltaEnvelope(part), e)
 }
 
-// boxUpdate is what brings boxes from one table to another. It is worked out once for all boxes,
-// and so are its messages where all boxes are told the same; parts is nil then.
+// boxUpdate is the change from one table to another. It is computed once for all boxes, and so are
+// its messages if all boxes get the same ones; parts is nil then.
 type boxUpdate struct {
 	from, to *table.Table
 	delta    *table.Delta
@@ -160,7 +167,8 @@
 	messages []*wire.Envelope
 }
 
-// partOf returns what a box is told, whose revision may be an earlier one with the same part.
+// partOf returns the delta for a box. It starts at the box's own revision, which may be an earlier
+// one than from at which the box's part was the same.
 func (u *boxUpdate) partOf(s *session) *table.Delta {
 	part := *u.delta
 	if u.parts != nil {
@@ -170,7 +178,8 @@
 	return &part
 }
 
-// wholeTable is a table for boxes that have none: its messages, where all boxes are told the same, or its parts.
+// wholeTable is a table for boxes that have none: its messages if all boxes get the same ones, or
+// else its parts.
 type wholeTable struct {
 	table    *table.Table
 	parts    *table.TableParts
@@ -191,7 +200,7 @@
 	return u
 }
 
-// updateBetween returns what leads from one table to another.
+// updateBetween returns the update from one table to another, which is cached.
 func (r *Replica) updateBetween(from, to *table.Table) *boxUpdate {
 	u := &r.cachedUpdate
 	if u.from != from || u.to != to {
@@ -204,7 +213,7 @@
 	return u
 }
 
-// fragments divides a message; one that can't be encoded stops the replica.
+// fragments splits a message into fragments; a message that can't be encoded halts the replica.
 func fragments(m *wire.Envelope, e *Effects) []*wire.Envelope {
 	list, err := wire.Fragments(m)
 	if err != nil {
--- a/pkg/core/control/quarantines.go
+++ b/pkg/core/control/quarantines.go
@@ -13,29 +13,30 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// The leader collects what boxes note of crashes, finds the calls that are to blame and puts them
-// into quarantine with a step of the log, so that the verdict outlives it. Notes that haven't
-// led to a verdict live in its memory; boxes keep theirs and send them to its successor.
+// The leader collects the boxes' crash notes, finds the calls that are to blame and quarantines them
+// with a log entry, so that the verdict outlives its leadership. Notes that haven't led to a verdict
+// are only in its memory; boxes keep their own notes and send them to its successor.
 
 const (
-	// quarantineIdleTimeout is for how long a call in quarantine must not have come until it is released:
-	// whoever sent it has stopped, and an entry for it costs every box memory.
+	// quarantineIdleTimeout is how long a quarantined call must not have been sent before it is
+	// released: its sender has stopped, and every entry costs memory on every box.
 	quarantineIdleTimeout = time.Hour
-	// maxWatchedSuspects bounds the suspects that grants name: some 30 bytes each, a few times a
-	// second to each box.
+	// maxWatchedSuspects bounds the suspects that each grant lists: about 30 bytes each, a few
+	// times a second to each box.
 	maxWatchedSuspects = 16
-	// trialWindow is how long grants name a trial to the box that may use it.
+	// trialWindow is how long grants offer a trial to the box that may use it, and how recently a
+	// box must have refused the call to get one.
 	trialWindow = 5 * time.Second
 )
 
-// trialDelays are the times from the beginning of a quarantine, and from each trial, until one
-// call is let through: if a target answers it, the verdict was wrong or the targets' software is
-// mended. There are no more, since a call that is to blame costs a target each time. The first
-// is for doubtful verdicts only: it is long enough for targets to start again, and a call
-// that many send and that isn't to blame waits for no longer.
+// trialDelays are the delays from the beginning of a quarantine, and then from each trial, until
+// one call is let through: if a target answers it, the verdict was wrong or the targets' software
+// has been fixed. There are no further trials, since a call that is to blame costs a target each
+// time. The first delay applies to doubtful verdicts only: it is long enough for targets to
+// restart, and a frequent call that isn't to blame is blocked for no longer.
 var trialDelays = []time.Duration{3 * time.Second, 2 * time.Minute, 20 * time.Minute}
 
-// nextTrialDelay returns which of the pauses comes next.
+// nextTrialDelay returns the index in trialDelays of a quarantine's next delay.
 func nextTrialDelay(q *table.Quarantine) int {
 	if q.Doubtful {
 		return q.Trials
@@ -43,23 +44,23 @@
 	return q.Trials + 1
 }
 
-// quarantineTracker is what a leader knows of crashes and quarantines beside the table.
+// quarantineTracker is what a leader knows of crashes and quarantines in addition to the table.
 type quarantineTracker struct {
 	ledger *crash.Ledger
-	// verdicts wait to stand in the table.
+	// verdicts are those that aren't in the table yet.
 	verdicts []pendingVerdict
-	// observations tell of each quarantine how the call has come since.
+	// observations are what boxes have reported of each quarantined call.
 	observations map[crash.Fingerprint]*callObservation
-	// trials are those under way.
+	// trials are those in progress.
 	trials []activeTrial
-	// watched are the calls that each grant names.
+	// watched are the calls that every grant lists.
 	watched []crash.Watched
-	// changed is set when there is something new to judge, undecided while time alone may bring
-	// a verdict.
+	// changed is set when there are new notes or quarantines to evaluate, undecided while the
+	// passing of time alone may lead to a verdict.
 	changed, undecided bool
 }
 
-// activeTrial lets one box send a call in quarantine once.
+// activeTrial lets one box send a quarantined call once.
 type activeTrial struct {
 	call   crash.Fingerprint
 	number int
@@ -67,19 +68,20 @@
 	until  units.Instant
 }
 
-// pendingVerdict is a verdict that was proposed.
+// pendingVerdict is a verdict whose quarantine isn't in the table yet.
 type pendingVerdict struct {
 	crash.Verdict
 	proposedAt units.Instant
 }
 
-// callObservation is what a leader has seen of a call in quarantine.
+// callObservation is what a leader knows of a quarantined call.
 type callObservation struct {
 	// quarantinedAt is the revision at which the quarantine began.
 	quarantinedAt units.Revision
-	// delayStart is when this leader first knew of it, or the last trial began.
+	// delayStart is when the delay before the next trial began: when this leader first knew of the
+	// quarantine, or when the last trial began.
 	delayStart units.Instant
-	// refusedAt is when a box last told that it refused the call, refusedBy that box.
+	// refusedAt is when a box last reported that it refused the call, refusedBy is that box.
 	refusedAt units.Instant
 	refusedBy units.BoxID
 	// answered is set once a target has answered the call.
@@ -92,10 +94,10 @@
 	return quarantineTracker{ledger: crash.NewLedger(crash.Enough), observations: map[crash.Fingerprint]*callObservation{}, changed: true}
 }
 
-// busy tells whether the leader has something to decide soon.
+// busy reports whether the leader may have something to decide soon.
 func (b *quarantineTracker) busy() bool { return b.undecided || len(b.verdicts) > 0 }
 
-// observationOf returns what is known of a quarantine.
+// observationOf returns the observation of a quarantined call, a new one if there is none.
 func (r *Replica) observationOf(q *table.Quarantine) *callObservation {
 	s := r.quarantines.observations[q.Call]
 	if s == nil || s.quarantinedAt != q.Since {
@@ -105,7 +107,7 @@
 	return s
 }
 
-// recordCrashNotes takes what a box has noted.
+// recordCrashNotes records the crash notes and the refused calls that a box reports.
 func (r *Replica) recordCrashNotes(request *wire.RenewRequest) {
 	if len(request.CrashNotes)+len(request.Refused) == 0 {
 		return
@@ -126,8 +128,8 @@
 	}
 }
 
-// recordAnswered takes that a target has answered a call: one that is in quarantine, or about to
-// be, isn't to blame.
+// recordAnswered records that a target has answered a call: if that call is in quarantine, or about
+// to be, it isn't to blame.
 func (r *Replica) recordAnswered(n crash.Note) {
 	for _, s := range n.Suspects {
 		b := &r.quarantines
@@ -138,7 +140,7 @@
 	}
 }
 
-// advanceQuarantines proposes the steps that are due, on the leader.
+// advanceQuarantines proposes the due steps of quarantines, on the leader.
 func (r *Replica) advanceQuarantines(log *replication.Effects) {
 	if !r.node.HasLease(r.now) {
 		return
@@ -158,8 +160,8 @@
 	b.trials = slices.DeleteFunc(b.trials, func(x activeTrial) bool { return r.now >= x.until })
 }
 
-// proposeQuarantines finds calls that are to blame, and proposes their quarantines until they stand in
-// the table.
+// proposeQuarantines finds the calls that are to blame for crashes, and proposes their quarantines
+// until they are in the table.
 func (r *Replica) proposeQuarantines(log *replication.Effects) {
 	b := &r.quarantines
 	t := r.state.Table()
@@ -209,7 +211,7 @@
 	r.proposeQuarantineStep(step, log)
 }
 
-// trialIsDue tells whether a call may be let through at the box that has just refused it.
+// trialIsDue reports whether one call may be let through at the box that has just refused it.
 func (s *callObservation) trialIsDue(q *table.Quarantine, now units.Instant) bool {
 	n := nextTrialDelay(q)
 	return n < len(trialDelays) && now.Sub(s.delayStart) >= trialDelays[n] && now.Sub(s.refusedAt) < trialWindow && s.refusedBy != ""
@@ -220,8 +222,8 @@
 	r.proposeCommand(&wire.Command{At: int64(r.wall), Kind: &wire.Command_Quarantine{Quarantine: wire.FromQuarantineStep(&x)}}, log)
 }
 
-// watchedCalls lists what every grant names. Verdicts are among it, so that a disk that stalls
-// doesn't hold them up.
+// watchedCalls returns the calls that every grant lists. Verdicts are included, so that a stalled
+// disk doesn't delay them.
 func (b *quarantineTracker) watchedCalls() []crash.Watched {
 	var list []crash.Watched
 	for i := range b.verdicts {
@@ -233,7 +235,7 @@
 	return list
 }
 
-// watchedFor lists the calls that a grant to a box names. A trial is named once it is committed.
+// watchedFor returns the calls that a grant to a box lists. A trial is listed once it is committed.
 func (r *Replica) watchedFor(box units.BoxID) []*wire.WatchedCall {
 	list := r.quarantines.watched
 	for _, x := range r.quarantines.trials {
@@ -245,7 +247,7 @@
 	return wire.FromWatched(list)
 }
 
-// lastNoteNumber is the number of the last note of a request.
+// lastNoteNumber returns the number of the last crash note of a request, or 0.
 func lastNoteNumber(request *wire.RenewRequest) uint64 {
 	if n := len(request.CrashNotes); n > 0 {
 		return request.CrashNotes[n-1].Number
@@ -253,19 +255,20 @@
 	return 0
 }
 
-// submitRelease takes an operator's order to end a quarantine.
+// submitRelease accepts an operator's order to end a quarantine.
 func (r *Replica) submitRelease(v ReleaseOrdered, log *replication.Effects, e *Effects) {
 	x := table.QuarantineStep{Call: v.Call, Action: table.EndQuarantine, Operator: v.Operator, Base: r.state.Table().Revision}
 	c := &wire.Command{Kind: &wire.Command_Quarantine{Quarantine: wire.FromQuarantineStep(&x)}}
 	r.submitCommand(v.Request, c, "release of the call "+v.Call.String(), log, e)
 }
 
-// applyQuarantine applies a step of the log; the error is the answer to an order that is refused.
+// applyQuarantine applies a committed step of a quarantine; the error is the answer to an order
+// that is refused.
 func (r *Replica) applyQuarantine(x *table.QuarantineStep, at units.WallTime, e *Effects) (*table.Delta, error) {
 	outcome, delta := r.state.ApplyQuarantine(x, at)
 	if outcome == table.QuarantineOvertaken {
-		return nil, fault.New(fault.Unavailable, "look at its present state and send the order again if it is still wanted",
-			"the quarantine of %s began anew", x.Call)
+		return nil, fault.New(fault.Unavailable, "check its current state and send the order again if it is still wanted",
+			"a new quarantine of %s has begun since", x.Call)
 	}
 	if delta == nil {
 		return nil, nil
@@ -284,17 +287,17 @@
 	return delta, nil
 }
 
-// QuarantineStatus is what a replica knows of a quarantine.
+// QuarantineStatus is a quarantine as a replica knows it.
 type QuarantineStatus struct {
 	table.Quarantine
 	// Name is the call's fingerprint as operators write it.
 	Name string `json:"name"`
-	// SinceRefusal is how long ago a box last refused the call, in ns; negative where this
-	// replica doesn't know.
+	// SinceRefusal is the time since a box last refused the call, in ns; negative where this
+	// replica doesn't know it.
 	SinceRefusal time.Duration `json:"refusedBefore"`
 }
 
-// QuarantineStatuses returns the calls in quarantine as this replica knows them.
+// QuarantineStatuses returns the quarantined calls as this replica knows them.
 func (r *Replica) QuarantineStatuses(now units.Instant) []QuarantineStatus {
 	list := []QuarantineStatus{}
 	for _, q := range r.state.Table().Quarantines {
--- a/pkg/core/control/replica.go
+++ b/pkg/core/control/replica.go
@@ -11,27 +11,27 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Settings are what a control replica needs to know.
+// Settings are the settings of a control replica.
 type Settings struct {
 	Replication replication.Settings
 	// Domain is the replica's own failure domain.
 	Domain units.Domain
-	// Lease is how long a box may go on without hearing of the leader.
+	// Lease is how long a box may serve calls after its last lease renewal.
 	Lease time.Duration
-	// LeaseMargin is added before a silent box's share is given to others.
+	// LeaseMargin is added to a silent box's lease before its share is given to other boxes.
 	LeaseMargin time.Duration
-	// ReadTimeout is how long a read may wait for the leader's word.
+	// ReadTimeout is how long a read may wait for the leader's read index.
 	ReadTimeout time.Duration
-	// SilentAfter is how long a registered target may go without a report before it
-	// counts as silent; zero never takes one for silent.
+	// SilentAfter is how long a registered target may go without a report before it counts as
+	// silent; zero disables the check.
 	SilentAfter time.Duration
 	// EditTimeout is how long an edit may wait for a quorum.
 	EditTimeout time.Duration
-	// SnapshotEvery is how many log entries go between snapshots.
+	// SnapshotEvery is the minimum number of log entries between snapshots.
 	SnapshotEvery int
-	// KeepEntries is how many entries stay in the log behind a snapshot.
+	// KeepEntries is how many entries before a snapshot stay in the log.
 	KeepEntries int
-	// Rollouts says whether and within what limits rollouts may be ordered.
+	// Rollouts says whether rollouts may be ordered, and their limits.
 	Rollouts RolloutSettings
 }
 
@@ -45,22 +45,23 @@
 	DefaultSnapshotEvery = 1000
 	DefaultKeepEntries   = 500
 	// DefaultRolloutShare is a percentage of a service's calls, DefaultRolloutSlack a number of
-	// calls beside it: what callers may lose to a bad version, and enough to judge a good one.
+	// calls in addition to it: together they bound what callers may lose to a bad version, and are
+	// enough to judge a good one.
 	DefaultRolloutShare = 10
 	DefaultRolloutSlack = 50
-	// retryPeriod is how often a waiting edit is passed to the leader again.
+	// retryPeriod is how often a waiting edit is forwarded to the leader again.
 	retryPeriod = 300 * time.Millisecond
-	// readRetryPeriod is how often the leader is asked again for a read.
+	// readRetryPeriod is how often the leader is asked again for a read index.
 	readRetryPeriod = 100 * time.Millisecond
-	// tickPeriod bounds how late timeouts are noticed; calmTickPeriod does so while no
-	// request waits.
+	// tickPeriod bounds how late timeouts are detected while requests wait; idleTickPeriod does so
+	// while none does.
 	tickPeriod     = 50 * time.Millisecond
 	idleTickPeriod = 200 * time.Millisecond
-	// maxWaitingCommands is how many commands of others may wait for a quorum at a replica. One that has
-	// as many can't keep up, and whoever comes then is better told so at once.
+	// maxWaitingCommands is how many commands may wait for a quorum at a replica. A replica with
+	// that many can't keep up, and it is better to refuse further ones at once.
 	maxWaitingCommands = 512
-	// maxPreviousTables is how many tables are kept for boxes that come from other replicas with one of them. They
-	// share what didn't change.
+	// maxPreviousTables is how many earlier tables are kept, for boxes that come from other
+	// replicas with one of them. The tables share what didn't change.
 	maxPreviousTables = 1024
 )
 
@@ -71,40 +72,41 @@
 	state    *table.State
 	edits    editQueue
 	sessions *container.Ordered[ConnectionID, *session]
-	// previousTables are the tables before the present one, the newest last.
+	// previousTables are the tables before the current one, the newest last.
 	previousTables *container.Ring[*table.Table]
-	// cachedUpdate is what boxes were sent last.
+	// cachedUpdate and cachedTable are the last computed update and whole table for boxes.
 	cachedUpdate boxUpdate
 	cachedTable  wholeTable
-	// pushPending is set while boxes lack changes that wait for pushAt.
+	// pushPending is set while the boxes lack changes that are sent at pushAt.
 	pushPending bool
 	pushAt      units.Instant
 	pushRound   pushRound
 	leases      leaseTracker
-	// domains are the failure domains of the other replicas.
+	// domains are the replicas' failure domains.
 	domains map[units.ReplicaID]units.Domain
-	// requests are those for whole tables, registered targets and reads.
+	// requests are the waiting commands and reads; edits wait in edits.
 	requests requestQueue
 	liveness livenessTracker
 	rollouts rolloutTracker
-	// quarantines is filled on the leader only.
+	// quarantines is only used on the leader.
 	quarantines quarantineTracker
-	// usage is filled on the leader only.
+	// usage is only used on the leader.
 	usage usageTracker
 	// foreignReports counts the reports that no target of the table can have sent.
 	foreignReports uint64
-	// reportedLeader and knownMembership are what was last told of in the log.
+	// reportedLeader and reportedMembership are the leader and the membership index of the last
+	// Change about them.
 	reportedLeader     units.ReplicaID
 	reportedMembership units.Index
-	// caughtUp is set while this replica knows all that was committed before the present
-	// leader stood.
+	// caughtUp is set while this replica knows everything that was committed before the current
+	// leader was elected.
 	caughtUp  bool
 	startedAt units.Instant
-	// replaying is set from the start until the replica has first caught up; replayed
-	// counts the log's entries that it has read again meanwhile.
+	// replaying is set from the start until the replica has first caught up; replayed counts the
+	// log entries that it has applied again meanwhile.
 	replaying bool
 	replayed  int
-	// leading is set while this replica leads; ledSince is when that began.
+	// leading is set while this replica is the leader; leaderSince is when that last changed.
 	leading     bool
 	leaderSince units.Instant
 	tickAt      units.Instant
@@ -112,8 +114,8 @@
 	wall        units.WallTime
 }
 
-// NewReplica returns a replica that goes on from what its disk holds. The error
-// is a Damaged fault when the snapshot can't be decoded.
+// NewReplica returns a replica that continues from its durable state. The error is a Damaged fault
+// if the snapshot can't be decoded.
 func NewReplica(s Settings, d *replication.Durable, now units.Instant) (*Replica, error) {
 	r := &Replica{
 		settings:       s,
@@ -146,8 +148,8 @@
 	return r, nil
 }
 
-// Reduce takes one event at a time of this process's clocks and adds what is to
-// be done to e.
+// Reduce handles one event, at a time of this process's monotonic and wall clocks, and adds the
+// effects to e.
 func (r *Replica) Reduce(now units.Instant, wall units.WallTime, event Event, e *Effects) {
 	r.now = max(now, r.now)
 	r.wall = wall
@@ -194,8 +196,8 @@
 	r.pushUpdates(e)
 }
 
-// housekeep does what follows from any event: changes of leadership, timeouts,
-// the list of boxes and snapshots.
+// housekeep does what may follow from any event: it handles changes of leadership, timeouts,
+// proposals that are due and snapshots.
 func (r *Replica) housekeep(e *Effects) {
 	var log replication.Effects
 	r.updateLeadership(e)
@@ -219,12 +221,12 @@
 	r.applyLogEffects(&log, e)
 }
 
-// hasWaiting tells whether anything that came to this replica is still unanswered.
+// hasWaiting reports whether any request to this replica is still unanswered.
 func (r *Replica) hasWaiting() bool {
 	return r.edits.waiting.Len()+r.requests.commands.Len()+r.requests.reads.Len() > 0
 }
 
-// bootstrap forms the cluster by itself where that is this replica's part.
+// bootstrap forms the cluster without an operator if this replica is the seed that may do so.
 func (r *Replica) bootstrap(log *replication.Effects) {
 	if !r.node.MayForm(r.now) {
 		return
@@ -233,7 +235,7 @@
 	if err != nil {
 		return
 	}
-	// A form that can't be done yet is tried again with the next event.
+	// If the cluster can't be formed yet, the next event tries again.
 	_ = r.node.Form(r.now, string(r.settings.Replication.Incarnation), empty, log)
 }
 
@@ -262,9 +264,9 @@
 	clear(r.requests.proposed)
 }
 
-// snapshotEvery is how many entries go between two snapshots: at least half as many as there are registered
-// targets, so that an entry's part of a snapshot doesn't grow with the state, and a start reads no more
-// entries than there are targets.
+// snapshotEvery returns the number of entries between two snapshots. It is at least half the number
+// of registered targets, so that the cost of snapshots per entry doesn't grow with the state, and a
+// start reads no more entries than there are targets.
 func (r *Replica) snapshotEvery() int {
 	return max(r.settings.SnapshotEvery, r.state.Registrations()/2)
 }
@@ -316,44 +318,45 @@
 	return r.nextPush(min(r.node.NextWake(), r.tickAt))
 }
 
-// Table returns the present table, which is never changed in place.
+// Table returns the current table, which is never modified in place.
 func (r *Replica) Table() *table.Table { return r.state.Table() }
 
 // History returns the last accepted edits, oldest first.
 func (r *Replica) History() []table.Result { return r.state.History() }
 
-// CaughtUp tells whether this replica knows all that was committed before the present
-// leader stood.
+// CaughtUp reports whether this replica knows everything that was committed before the current
+// leader was elected.
 func (r *Replica) CaughtUp() bool { return r.caughtUp }
 
-// Peers are the other replicas that this one knows of.
+// Peers returns the other replicas that this one knows of.
 func (r *Replica) Peers() []units.ReplicaID { return r.node.Peers() }
 
-// Formed tells whether this replica belongs to a cluster.
+// Formed reports whether this replica belongs to a cluster.
 func (r *Replica) Formed() bool { return r.node.Formed() }
 
-// Leader returns the replica that leads, or an empty id.
+// Leader returns the current leader, or an empty id.
 func (r *Replica) Leader() units.ReplicaID { return r.node.Leader() }
 
-// Status is a replica's state as the dump shows it.
+// Status is a replica's state as the status dump shows it.
 type Status struct {
 	Replica  units.ReplicaID    `json:"replica"`
 	Log      replication.Status `json:"log"`
 	Revision units.Revision     `json:"revision"`
-	// HasLease is set when this replica may speak for the cluster.
+	// HasLease is set when this replica holds the leader's lease: no other leader can exist, and it
+	// knows everything that was committed.
 	HasLease bool `json:"hasLease"`
-	// Boxes is what the leader knows; on the others only the list is known.
+	// Boxes has the leases on the leader; other replicas only know the list of boxes.
 	Boxes        []BoxStatus `json:"boxes"`
 	Attached     int         `json:"attached"`
 	WaitingEdits int         `json:"waitingEdits"`
 	KnownResults int         `json:"knownResults"`
 	// Evacuated are the failure domains that are evacuated now.
 	Evacuated []units.Domain `json:"evacuated,omitempty"`
-	// Rollouts are the last rollouts of services.
+	// Rollouts are the services' last rollouts.
 	Rollouts []RolloutStatus `json:"rollouts,omitempty"`
-	// Quarantines are the calls that no target gets.
+	// Quarantines are the calls that are sent to no target.
 	Quarantines []QuarantineStatus `json:"quarantines,omitempty"`
-	// ForeignReports counts the reports of targets that were refused here.
+	// ForeignReports counts the reports of targets that this replica refused.
 	ForeignReports uint64 `json:"foreignReports"`
 }
 
--- a/pkg/core/control/requests.go
+++ b/pkg/core/control/requests.go
@@ -12,46 +12,47 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// commandNumber names a command that this replica waits for.
+// commandNumber identifies a command or a read that waits at this replica.
 type commandNumber uint64
 
-// waitingCommand is a command that came to this replica and isn't applied yet. It
-// may be proposed more than once: applying it again changes nothing.
+// waitingCommand is a command that was submitted to this replica and isn't applied yet. It may be
+// proposed more than once: applying it again changes nothing.
 type waitingCommand struct {
 	number   commandNumber
 	requests []RequestID
 	encoded  []byte
-	// report is the target's report that the command is; nil for others.
+	// report is the target's report if the command is one, nil otherwise.
 	report      *table.Registration
 	description string
 	deadline    units.Instant
 	retryAt     units.Instant
-	// backoff is how long after it was last passed on the command is passed on again.
+	// backoff is the time from one forwarding of the command to the next.
 	backoff time.Duration
 }
 
-// waitingRead is a read that waits for the index that the leader names.
+// waitingRead is a read that waits until the leader's read index is known and applied here.
 type waitingRead struct {
 	request  RequestID
 	deadline units.Instant
 	retryAt  units.Instant
-	// index is zero until the leader has named it.
+	// index is zero until the leader has answered with it.
 	index units.Index
 }
 
-// requestQueue holds the requests that wait at this replica.
+// requestQueue holds the commands and reads that wait at this replica.
 type requestQueue struct {
 	number   commandNumber
 	commands *container.Ordered[commandNumber, *waitingCommand]
 	reads    *container.Ordered[commandNumber, *waitingRead]
-	// reports are the commands that are reports, by target.
+	// reports are the waiting commands that are reports, by target.
 	reports map[units.TargetID]*waitingCommand
-	// proposed are the commands that this leader has added to the log and that aren't applied yet, so that
-	// one which is passed on again isn't added twice.
+	// proposed are the commands that this leader has added to the log and that aren't applied yet,
+	// so that a command which is forwarded again isn't added twice.
 	proposed map[commandKey]bool
 }
 
-// commandKey names a command by the start of the replica that it came to, and its number there.
+// commandKey identifies a command across replicas: by the replica that it was submitted to, that
+// replica's start, and its number there.
 type commandKey struct {
 	origin string
 	number commandNumber
@@ -66,11 +67,11 @@
 	}
 }
 
-// submitDocument takes a whole table. An invalid one is refused whatever its
-// version; one whose version isn't above the committed one is held already.
+// submitDocument accepts a document. An invalid one is refused whatever its version; one whose
+// version isn't above the committed one is answered as in force already.
 func (r *Replica) submitDocument(v DocumentSubmitted, log *replication.Effects, e *Effects) {
 	if detail := table.CheckDocument(v.Document); detail != "" {
-		err := fault.New(fault.Invalid, "mend the document and put it again", "%s", detail)
+		err := fault.New(fault.Invalid, "fix the document and submit it again", "%s", detail)
 		e.Answers = append(e.Answers, Answer{Request: v.Request, Err: err})
 		return
 	}
@@ -82,19 +83,19 @@
 	r.submitCommand(v.Request, c, fmt.Sprintf("document %d", v.Document.Version), log, e)
 }
 
-// submitReport takes a target's report. One that says nothing new is answered from
-// the committed state.
+// submitReport accepts a target's report. A report without new content is answered from the
+// committed state.
 func (r *Replica) submitReport(v TargetReported, log *replication.Effects, e *Effects) {
 	if problems := table.CheckRegistration(v.Registration); len(problems) > 0 {
 		r.foreignReports++
-		err := fault.New(fault.Invalid, problems[0].Remedy, "the report of target %s has a bad %s", v.Registration.Target, problems[0].Column)
+		err := fault.New(fault.Invalid, problems[0].Remedy, "the report of target %s has an invalid %s", v.Registration.Target, problems[0].Column)
 		e.Answers = append(e.Answers, Answer{Request: v.Request, Err: err})
 		return
 	}
 	if r.state.Foreign(v.Registration) {
 		r.foreignReports++
-		err := fault.New(fault.Invalid, "name a service of the table, and when the target started",
-			"the report of target %s for the service %q would replace a target that is well", v.Registration.Target, v.Registration.Service)
+		err := fault.New(fault.Invalid, "name a service of the table, and the start time of the target",
+			"the report of target %s for the service %q would replace a healthy target", v.Registration.Target, v.Registration.Service)
 		e.Answers = append(e.Answers, Answer{Request: v.Request, Err: err})
 		return
 	}
@@ -106,7 +107,7 @@
 		return
 	}
 	if w := r.requests.reports[v.Registration.Target]; w != nil && w.report.SameFacts(v.Registration) {
-		// The answer to the one that waits says as much.
+		// The answer to the waiting report is valid for this one too.
 		w.requests = append(w.requests, v.Request)
 		return
 	}
@@ -125,19 +126,19 @@
 	}
 	departure := &wire.Departure{Target: string(v.Target)}
 	if held := r.state.Registration(v.Target); held != nil {
-		// A start that begins while the command is on its way stays.
+		// A later start of the target that registers while the command is in flight stays.
 		departure.Born = int64(held.Born)
 	}
 	c := &wire.Command{Kind: &wire.Command_Departure{Departure: departure}}
 	r.submitCommand(v.Request, c, fmt.Sprintf("departure of target %s", v.Target), log, e)
 }
 
-// submitEvacuation takes an order for a failure domain. The order carries what this replica
-// held when it came: one that waits here behind a cut, and is passed on after another order
-// of the same operator was acknowledged elsewhere, must not undo that one.
+// submitEvacuation accepts an order for a failure domain. The order carries the revision that this
+// replica held when it came: an order that waits here during a network partition, and is forwarded
+// after another order of the same operator was acknowledged elsewhere, must not undo that one.
 func (r *Replica) submitEvacuation(v EvacuationOrdered, log *replication.Effects, e *Effects) {
 	if problems := table.CheckEvacuation(&v.Order); len(problems) > 0 {
-		err := fault.New(fault.Invalid, problems[0].Remedy, "%q is no failure domain", v.Order.Domain)
+		err := fault.New(fault.Invalid, problems[0].Remedy, "%q is not a valid failure domain", v.Order.Domain)
 		e.Answers = append(e.Answers, Answer{Request: v.Request, Err: err})
 		return
 	}
@@ -146,11 +147,11 @@
 	r.submitCommand(v.Request, c, fmt.Sprintf("order for the failure domain %s", v.Order.Domain), log, e)
 }
 
-// evacuationError is the answer to an order that wasn't carried out, or nil.
+// evacuationError returns the answer to an order that wasn't carried out, or nil.
 func evacuationError(o *table.EvacuationOrder, outcome table.EvacuationOutcome) error {
 	switch outcome {
 	case table.EvacuationOvertaken:
-		return fault.New(fault.Unavailable, "look at its present state and send the order again if it is still wanted",
+		return fault.New(fault.Unavailable, "check its current state and send the order again if it is still wanted",
 			"another order changed the failure domain %s first", o.Domain)
 	case table.EvacuationUnknown:
 		return fault.New(fault.NotFound, "name a failure domain that has boxes or targets", "there is no failure domain %s", o.Domain)
@@ -158,8 +159,8 @@
 	return nil
 }
 
-// submitCommand has a command wait for a quorum and passes it on. It returns nil where that isn't done, and
-// the request is answered.
+// submitCommand queues a command until a quorum has committed it, and forwards it. It returns nil
+// if the command was refused; the request is then answered.
 func (r *Replica) submitCommand(id RequestID, c *wire.Command, what string, log *replication.Effects, e *Effects) *waitingCommand {
 	if !r.node.Formed() {
 		e.Answers = append(e.Answers, Answer{Request: id, Err: errNotFormed()})
@@ -185,17 +186,17 @@
 	return w
 }
 
-// origin names this start of this replica in the commands that it waits for.
+// origin identifies this start of this replica in the commands that are submitted to it.
 func (r *Replica) origin() string {
 	return originOf(r.settings.Replication.Incarnation, r.settings.Replication.Boot)
 }
 
 func originOf(i units.Incarnation, boot uint64) string { return fmt.Sprintf("%s/%d", i, boot) }
 
-// forwardCommand hands a waiting command to whoever leads now.
+// forwardCommand proposes a waiting command on the leader, or sends it to the leader.
 func (r *Replica) forwardCommand(w *waitingCommand, log *replication.Effects) {
 	w.retryAt = r.now.Add(w.backoff)
-	// A leader that can't keep up gets fewer copies, not more.
+	// A leader that can't keep up must get fewer copies, not more.
 	w.backoff *= 2
 	if r.node.IsLeader() {
 		r.proposeOnce(commandKey{origin: r.origin(), number: w.number}, w.encoded, log)
@@ -204,7 +205,8 @@
 	r.sendToLeader(&wire.Envelope_ProposeRequest{ProposeRequest: &wire.ProposeRequest{Command: w.encoded, Number: uint64(w.number)}}, log)
 }
 
-// forwardAllAgain has what waits passed on at once: another leader may not have heard of it.
+// forwardAllAgain makes everything that waits due for forwarding at once: a new leader may not have
+// received it.
 func (r *Replica) forwardAllAgain() {
 	for _, n := range r.requests.commands.Keys() {
 		w := r.requests.commands.Get(n)
@@ -218,14 +220,14 @@
 	}
 }
 
-// proposeOnce adds a command to the log, unless that was done and it isn't applied yet.
+// proposeOnce adds a command to the log, unless it was already added and isn't applied yet.
 func (r *Replica) proposeOnce(p commandKey, encoded []byte, log *replication.Effects) {
 	if !r.requests.proposed[p] && r.node.Propose(r.now, [][]byte{encoded}, log) {
 		r.requests.proposed[p] = true
 	}
 }
 
-// receiveProposal takes what another replica passes on to its leader.
+// receiveProposal proposes an edit or a command that another replica forwarded to its leader.
 func (r *Replica) receiveProposal(m *wire.Envelope, log *replication.Effects) {
 	p := m.GetProposeRequest()
 	if len(p.Command) > 0 {
@@ -248,8 +250,8 @@
 	log.Sends = append(log.Sends, m)
 }
 
-// answerCommand answers the request that an applied command came from, if it came
-// to this replica in this life; the error says why the command changed nothing.
+// answerCommand answers the requests for an applied command, if it was submitted to this replica
+// since its start. The error says why the command changed nothing.
 func (r *Replica) answerCommand(c *wire.Command, err error, e *Effects) {
 	n := commandNumber(c.Number)
 	delete(r.requests.proposed, commandKey{origin: c.Origin, number: n})
@@ -260,7 +262,7 @@
 	r.requests.answer(w, err, e)
 }
 
-// answer answers all requests of a command, which waits no more.
+// answer answers all requests for a command and removes it from the queue.
 func (b *requestQueue) answer(w *waitingCommand, err error, e *Effects) {
 	for _, id := range w.requests {
 		e.Answers = append(e.Answers, Answer{Request: id, Err: err})
@@ -271,13 +273,13 @@
 	}
 }
 
-// retryRequests passes waiting commands and reads on again, and gives up on those
-// whose time has run out.
+// retryRequests forwards the waiting commands and reads whose retry is due, and fails those past
+// their deadline.
 func (r *Replica) retryRequests(log *replication.Effects, e *Effects) {
 	for _, n := range r.requests.commands.Keys() {
 		w := r.requests.commands.Get(n)
 		if r.now >= w.deadline {
-			err := fault.New(fault.Unknown, "send it again; it takes effect once at most", "no quorum of control replicas answered in time, so it isn't known whether the %s was taken", w.description)
+			err := fault.New(fault.Unknown, "send it again; it takes effect once at most", "no quorum of control replicas answered in time, so it isn't known whether the %s was accepted", w.description)
 			r.requests.answer(w, err, e)
 			continue
 		}
@@ -288,7 +290,7 @@
 	for _, n := range r.requests.reads.Keys() {
 		w := r.requests.reads.Get(n)
 		if r.now >= w.deadline {
-			err := fault.New(fault.Unavailable, "ask again, or ask another replica", "this replica can't be sure of the newest table")
+			err := fault.New(fault.Unavailable, "ask again, or ask another replica", "this replica can't confirm that it has the newest table")
 			e.Answers = append(e.Answers, Answer{Request: w.request, Err: err})
 			r.requests.reads.Delete(n)
 			continue
@@ -299,8 +301,8 @@
 	}
 }
 
-// read answers with the newest state, at once on a leader that can be sure of its
-// office, else when the leader has said what the newest is and it is applied here.
+// read answers with the newest state: at once on a leader that holds its lease, otherwise as soon
+// as the leader has returned its commit index and this replica has applied it.
 func (r *Replica) read(v ReadRequested, log *replication.Effects, e *Effects) {
 	if r.node.HasLease(r.now) {
 		e.Answers = append(e.Answers, Answer{Request: v.Request, Document: r.state.Document(), Table: r.state.Table()})
@@ -322,7 +324,7 @@
 	r.sendToLeader(&wire.Envelope_ReadRequest{ReadRequest: &wire.ReadRequest{Nonce: uint64(n)}}, log)
 }
 
-// answerReadIndex answers another replica's question for the newest index.
+// answerReadIndex answers another replica's request for the read index.
 func (r *Replica) answerReadIndex(m *wire.Envelope, e *Effects) {
 	if !r.node.HasLease(r.now) {
 		return
--- a/pkg/core/control/rolloutorders.go
+++ b/pkg/core/control/rolloutorders.go
@@ -11,9 +11,9 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// submitRollout takes an operator's order. It carries what this replica held when it came: a
-// copy that waits here behind a cut must not begin a version again that was rolled back, nor
-// end a rollout that was ordered later.
+// submitRollout accepts an operator's rollout order. The order carries the revision that this
+// replica held when it came: a copy that waits here during a network partition must not start a
+// version again that was rolled back, nor end a rollout that was ordered later.
 func (r *Replica) submitRollout(v RolloutOrdered, log *replication.Effects, e *Effects) {
 	if err := r.checkRolloutOrder(&v.Order); err != nil {
 		e.Answers = append(e.Answers, Answer{Request: v.Request, Err: err})
@@ -24,32 +24,33 @@
 	r.submitCommand(v.Request, c, fmt.Sprintf("order of a rollout of %s", v.Order.Service), log, e)
 }
 
-// checkRolloutOrder returns what is wrong with an order by itself, or nil.
+// checkRolloutOrder returns the error of an order that is invalid in itself, or nil.
 func (r *Replica) checkRolloutOrder(o *table.RolloutOrder) error {
 	if !r.settings.Rollouts.Enabled {
 		return fault.New(fault.Invalid, "set control.rollout.enabled on all control replicas", "rollouts aren't enabled")
 	}
 	if problems := table.CheckRolloutOrder(o); len(problems) > 0 {
-		return fault.New(fault.Invalid, problems[0].Remedy, "the order has a bad %s", problems[0].Column)
+		return fault.New(fault.Invalid, problems[0].Remedy, "the order has an invalid %s", problems[0].Column)
 	}
 	if !o.Abort && (o.Duration < rollout.MinDuration || o.Duration > rollout.MaxDuration) {
-		return fault.New(fault.Invalid, fmt.Sprintf("give it %s to %s", rollout.MinDuration, rollout.MaxDuration),
-			"a rollout can't be done within %s", o.Duration)
+		return fault.New(fault.Invalid, fmt.Sprintf("set a duration of %s to %s", rollout.MinDuration, rollout.MaxDuration),
+			"a rollout can't complete within %s", o.Duration)
 	}
 	return nil
 }
 
-// applyRolloutOrder applies an order of the log; the error is the answer to one that is refused.
+// applyRolloutOrder applies a committed order; the error is the answer to an order that is refused.
 func (r *Replica) applyRolloutOrder(o *table.RolloutOrder, at units.WallTime) (*table.Delta, error) {
 	outcome, delta := r.state.ApplyRolloutOrder(o, at)
 	return delta, rolloutError(o, outcome)
 }
 
-// rolloutError is the answer to an order that was applied, by its outcome; nil where it is taken.
+// rolloutError returns the answer to an applied order by its outcome; nil if the order was
+// accepted.
 func rolloutError(o *table.RolloutOrder, outcome table.RolloutOutcome) error {
 	switch outcome {
 	case table.RolloutConflicts:
-		return fault.New(fault.Conflict, "wait for its end, or end it first", "a rollout of %s to another version is under way", o.Service)
+		return fault.New(fault.Conflict, "wait until it ends, or abort it first", "a rollout of %s to another version is in progress", o.Service)
 	case table.RolloutUnknownService:
 		return fault.New(fault.NotFound, "name a service of the table", "there is no service %s, or no rollout of it", o.Service)
 	case table.RolloutNoVersion:
@@ -57,16 +58,16 @@
 	case table.RolloutInForce:
 		return fault.New(fault.Invalid, "name another version", "version %s of %s is in force already", o.To, o.Service)
 	case table.RolloutOvertaken:
-		return fault.New(fault.Unavailable, "look at its present state and send the order again if it is still wanted",
+		return fault.New(fault.Unavailable, "check its current state and send the order again if it is still wanted",
 			"another rollout of %s began or ended first", o.Service)
 	case table.RolloutOver:
-		return fault.New(fault.Conflict, "order a rollout to the version before", "the rollout of %s is completed", o.Service)
+		return fault.New(fault.Conflict, "order a rollout to the previous version", "the rollout of %s is completed", o.Service)
 	}
 	return nil
 }
 
-// recordRolloutChanges takes what a delta changes in rollouts: when they were ordered by this
-// replica's own clock, and the lines for the log.
+// recordRolloutChanges updates the state of rollouts from a delta, and adds the delta's rollout
+// changes to e for the log.
 func (r *Replica) recordRolloutChanges(d *table.Delta, before *table.Table, e *Effects) {
 	for i := range d.Rollouts {
 		x := &d.Rollouts[i]
--- a/pkg/core/control/rollouts.go
+++ b/pkg/core/control/rollouts.go
@@ -13,41 +13,42 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// RolloutSettings say whether and within what limits rollouts may be ordered.
+// RolloutSettings say whether rollouts may be ordered, and their limits.
 type RolloutSettings struct {
-	// Enabled has the replicas note which version of each service is in force, and take
-	// orders. It must be the same on all of them.
+	// Enabled lets the replicas track which version of each service is in force, and accept orders.
+	// It must be the same on all replicas.
 	Enabled bool
 	Limits  rollout.Limits
 }
 
 const (
-	// exposureLease is how long a box may send calls to a new version after it asked. It is
-	// more than two of the box's requests, and little beside the time in which a bad
-	// version must get its last call.
+	// exposureLease is how long after its request a box may send calls to a new version. It is
+	// longer than two request intervals of the box, and short compared with the time within which a
+	// bad version must get its last call.
 	exposureLease = time.Second
-	// persistPeriod is how often a leader writes down how much of a rollout's time is over,
-	// so that a loss of all replicas' processes makes the rollout at most so much longer.
+	// persistPeriod is how often a leader replicates the elapsed time of a rollout, so that the
+	// loss of all replicas' processes makes the rollout longer by at most this period.
 	persistPeriod = 2 * time.Second
-	// adoptPeriod is how often a leader looks for services without a version in force.
-	// Each look goes over all registered targets, and calls of a service whose version in force
-	// has no target left are refused until it is done.
+	// adoptPeriod is how often a leader looks for services without a version in force. Each search
+	// iterates over all registered targets; calls of a service whose version in force has no target
+	// left are refused until a search has adopted another version.
 	adoptPeriod = 500 * time.Millisecond
-	// missingTargetsTimeout is how long no target of the version in force may be registered until the
-	// version of those that are there takes its place. Targets that are replaced one after
-	// the other, or start again together, are back sooner.
+	// missingTargetsTimeout is how long no target of the version in force may be registered before
+	// the most common registered version takes its place. Targets that are replaced one after the
+	// other, or that restart together, are back sooner.
 	missingTargetsTimeout = 5 * time.Second
 )
 
-// rolloutTracker is what a replica knows of rollouts beside the table.
+// rolloutTracker is what a replica knows of rollouts in addition to the table.
 type rolloutTracker struct {
-	// started is when each last rollout was ordered, by this replica's steady clock.
+	// started is when the last rollout of each service was ordered, on this replica's monotonic
+	// clock.
 	started map[units.ServiceName]startedRollout
-	// watches are the leader's, of the rollouts under way.
+	// watches are the leader's watches of the rollouts in progress.
 	watches map[units.ServiceName]*rolloutWatch
-	// adoptAt is when the leader next looks for services without a version in force, adopted
-	// the revision at which all had one; empty is since when no target of the one in force
-	// has been registered.
+	// adoptAt is when the leader next looks for services without a version in force. allAdoptedAt
+	// is the revision at which all services had one; targetsMissingSince is since when no target of
+	// a service's version in force has been registered.
 	adoptAt             units.Instant
 	allAdoptedAt        units.Revision
 	targetsMissingSince map[units.ServiceName]units.Instant
@@ -58,10 +59,12 @@
 	at    units.Instant
 }
 
-// rolloutWatch is a leader's watch of a rollout.
+// rolloutWatch is a leader's watch of a rollout: it collects the boxes' evidence and decides the
+// next step.
 type rolloutWatch struct {
 	*rollout.Watch
-	// proposedAt is when the last step was proposed, persistAt when the time is next noted.
+	// proposedAt is when the last step was proposed, persistAt is when the elapsed time is next
+	// replicated.
 	proposedAt, persistAt units.Instant
 	// rollingBack is set once the leader has decided to roll back: from then on it grants no
 	// exposure, however long the step takes to reach a quorum.
@@ -74,18 +77,19 @@
 	return b
 }
 
-// clearLeaderState drops what only a leader knows.
+// clearLeaderState drops the state that only a leader has.
 func (b *rolloutTracker) clearLeaderState() {
 	b.watches = map[units.ServiceName]*rolloutWatch{}
 	b.targetsMissingSince = map[units.ServiceName]units.Instant{}
 	b.allAdoptedAt = 0
 }
 
-// busy tells whether this replica decides on a rollout under way.
+// busy reports whether this replica decides on a rollout in progress.
 func (b *rolloutTracker) busy() bool { return len(b.watches) > 0 }
 
-// updateRecord takes a rollout's record. The earliest order that fits counts, since each
-// record comes a little after the time that it tells.
+// updateRecord updates the state of a rollout from its replicated record. Of the start times that
+// its records imply, the earliest is kept, since each record arrives a little after the time that
+// it states.
 func (b *rolloutTracker) updateRecord(x *table.Rollout, now units.Instant) {
 	at := now.Add(-x.Elapsed)
 	if held, known := b.started[x.Service]; known && held.order == x.Order {
@@ -98,7 +102,7 @@
 	}
 }
 
-// elapsed is how much time has passed since a rollout was ordered.
+// elapsed returns the time since a rollout was ordered.
 func (r *Replica) elapsed(x *table.Rollout) time.Duration {
 	held, known := r.rollouts.started[x.Service]
 	if !known || held.order != x.Order {
@@ -108,7 +112,7 @@
 	return r.now.Sub(held.at)
 }
 
-// watchOf returns the leader's watch of a rollout under way.
+// watchOf returns the leader's watch of a rollout in progress.
 func (r *Replica) watchOf(x *table.Rollout) *rolloutWatch {
 	w := r.rollouts.watches[x.Service]
 	if w == nil || w.Order() != x.Order {
@@ -118,7 +122,7 @@
 	return w
 }
 
-// eachActive calls f with every rollout under way.
+// eachActive calls f with every rollout in progress.
 func (r *Replica) eachActive(f func(*table.Rollout, *rolloutWatch)) {
 	list := r.state.Table().Rollouts
 	for i := range list {
@@ -128,7 +132,7 @@
 	}
 }
 
-// recordEvidence takes what a box has seen of versions.
+// recordEvidence records the answers that a box has observed from each version.
 func (r *Replica) recordEvidence(request *wire.RenewRequest) {
 	if len(r.state.Table().Rollouts) == 0 {
 		return
@@ -140,7 +144,8 @@
 	r.eachActive(func(x *table.Rollout, w *rolloutWatch) { w.Take(r.elapsed(x), report) })
 }
 
-// exposures are what a grant says of each rollout under way whose new version takes calls.
+// exposures returns the exposures that a grant carries: one for each rollout in progress whose new
+// version may get calls.
 func (r *Replica) exposures() []*wire.Exposure {
 	var list []*wire.Exposure
 	r.eachActive(func(x *table.Rollout, w *rolloutWatch) {
@@ -153,7 +158,7 @@
 	return list
 }
 
-// advanceRollouts proposes the steps of rollouts that are due, on the leader.
+// advanceRollouts proposes the due steps of rollouts, on the leader.
 func (r *Replica) advanceRollouts(log *replication.Effects) {
 	if !r.settings.Rollouts.Enabled || !r.node.HasLease(r.now) {
 		return
@@ -170,7 +175,7 @@
 	})
 }
 
-// advanceRollout proposes a rollout's next step if one is due, or else notes how much of its time is over.
+// advanceRollout proposes a rollout's next step if one is due, or else replicates its elapsed time.
 func (r *Replica) advanceRollout(x *table.Rollout, w *rolloutWatch, log *replication.Effects) {
 	facts := &rollout.Facts{
 		Elapsed: r.elapsed(x), InOffice: r.now.Sub(r.leaderSince), Plan: r.rolloutPlan(x), Boxes: boxIDs(r.liveBoxes()),
@@ -189,7 +194,7 @@
 	r.proposeCommand(&wire.Command{At: int64(r.wall), Kind: &wire.Command_RolloutStep{RolloutStep: wire.FromRolloutStep(step)}}, log)
 }
 
-// rolloutPlan plans a rollout by how long calls of the service may take.
+// rolloutPlan returns the plan of a rollout, based on the longest deadline of the service's calls.
 func (r *Replica) rolloutPlan(x *table.Rollout) rollout.Plan {
 	t := r.state.Table()
 	longest := time.Duration(0)
@@ -204,7 +209,7 @@
 	return rollout.NewPlan(x.Duration, longest)
 }
 
-// side returns the targets of a version that can take calls now.
+// side returns the targets of a version that are available now.
 func (r *Replica) side(service units.ServiceName, software units.Software) rollout.Side {
 	var side rollout.Side
 	r.state.EachRegistration(func(t *table.Registration) {
@@ -224,8 +229,8 @@
 	return ids
 }
 
-// adoptSoftware proposes a version in force for services that have none, or none whose
-// targets are still there.
+// adoptSoftware proposes a version in force for services that have none, or whose version in force
+// has had no registered target for a while.
 func (r *Replica) adoptSoftware(log *replication.Effects) {
 	b := &r.rollouts
 	t := r.state.Table()
@@ -250,7 +255,8 @@
 	}
 }
 
-// targetsMissingTooLong tells whether no target of the version in force has been there for a while.
+// targetsMissingTooLong reports whether no target of the version in force has been registered for
+// missingTargetsTimeout.
 func (r *Replica) targetsMissingTooLong(service units.ServiceName) bool {
 	since, known := r.rollouts.targetsMissingSince[service]
 	if !known {
@@ -260,8 +266,8 @@
 	return r.now.Sub(since) >= missingTargetsTimeout
 }
 
-// registeredSoftware counts the registered targets of each service by version. Targets that
-// don't say theirs have none to put in force.
+// registeredSoftware counts the registered targets of each service by version. Targets that don't
+// report a version aren't counted.
 func (r *Replica) registeredSoftware() map[units.ServiceName]map[units.Software]int {
 	counts := map[units.ServiceName]map[units.Software]int{}
 	r.state.EachRegistration(func(t *table.Registration) {
@@ -276,24 +282,24 @@
 	return counts
 }
 
-// mostCommon is the version that most targets run; of equals the first by name.
+// mostCommon returns the version that most targets run; ties go to the first by name.
 func mostCommon(versions map[units.Software]int) units.Software {
 	return slices.MaxFunc(slices.Sorted(maps.Keys(versions)), func(a, b units.Software) int {
 		return cmp.Compare(versions[a], versions[b])
 	})
 }
 
-// RolloutStatus is a rollout as a replica knows it; the answers are the leader's.
+// RolloutStatus is a rollout as a replica knows it; only the leader has the answer counts.
 type RolloutStatus struct {
 	table.Rollout
-	// ElapsedNow is the time since the order, in ns; it stands still once the rollout ended.
+	// ElapsedNow is the time since the order, in ns; it no longer grows once the rollout has ended.
 	ElapsedNow time.Duration `json:"elapsedNow"`
-	// New and Old are the answers of both versions.
+	// New and Old are the answer counts of both versions.
 	New AnswerCounts `json:"new"`
 	Old AnswerCounts `json:"old"`
 }
 
-// AnswerCounts are a version's answers during a rollout.
+// AnswerCounts are the numbers of a version's good and bad answers during a rollout.
 type AnswerCounts struct {
 	Good uint64 `json:"good"`
 	Bad  uint64 `json:"bad"`
--- a/pkg/core/control/sessions.go
+++ b/pkg/core/control/sessions.go
@@ -9,17 +9,18 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// session is a box that is attached to this replica.
+// session is the state of a box that is attached to this replica.
 type session struct {
 	connection ConnectionID
 	box        table.Box
-	// sentRevision is the revision of the table that the box was sentRevision last, or came with; table is that
-	// table where this replica sentRevision it, or a later one of which the box's part is the same.
+	// sentRevision is the revision of the table that was last sent to the box, or that it had when
+	// it attached. table is that table if this replica sent it, or a later one in which the box's
+	// part is the same.
 	sentRevision units.Revision
 	table        *table.Table
-	// queued is set while the box waits for a whole table.
+	// queued is set while the box waits for its part of a whole table.
 	queued bool
-	// waiting is the box's last request for a lease while it waits for a leader.
+	// waiting is the box's last lease request while it waits for a leader.
 	waiting *wire.RenewRequest
 }
 
@@ -37,22 +38,23 @@
 	r.renew(s, request, log, e)
 }
 
-// deferRenewal keeps a request until a leader can answer it, and lets the box know, so that
-// it neither asks again soon nor looks for another replica while the replicas elect a
+// deferRenewal keeps a lease request until a leader can answer it, and acknowledges it to the box,
+// so that the box neither asks again soon nor tries another replica while the replicas elect a
 // leader.
 func (r *Replica) deferRenewal(s *session, request *wire.RenewRequest, e *Effects) {
 	s.waiting = request
-	// By the time a leader gets the request the box may have sent calls that its evidence leaves
-	// out. Without a revision it doesn't count as a box that has drained the old version.
+	// By the time a leader gets the request, the box may have sent calls that its evidence doesn't
+	// include. Without a revision the leader doesn't count the box as one that has drained the old
+	// version of a rollout.
 	request.Revision = 0
-	// The notes' ages would no longer be true; the box sends them again.
+	// The ages of the crash notes would be out of date; the box sends the notes again.
 	request.CrashNotes = nil
 	answer := r.boxEnvelope()
 	answer.Body = &wire.Envelope_RenewResponse{RenewResponse: &wire.RenewResponse{Box: request.Box.Id, Nonce: request.Nonce, Start: request.Start}}
 	e.BoxSends = append(e.BoxSends, BoxSend{Connection: s.connection, Envelope: answer})
 }
 
-// renew has the leader answer a request for a lease.
+// renew answers a lease request on the leader, or forwards it to the leader.
 func (r *Replica) renew(s *session, request *wire.RenewRequest, log *replication.Effects, e *Effects) {
 	s.waiting = nil
 	if !r.node.IsLeader() {
@@ -66,8 +68,8 @@
 	})
 }
 
-// updateCaughtUp serves the boxes that have waited for a leader: it knows the newest
-// table, and so does this replica now.
+// updateCaughtUp updates whether this replica has caught up with a leader. Once it has, it knows
+// the newest table, sends it to the boxes and has their deferred lease requests answered.
 func (r *Replica) updateCaughtUp(log *replication.Effects, e *Effects) {
 	caughtUp := r.node.CaughtUp() && (!r.node.IsLeader() || r.node.HasLease(r.now))
 	if caughtUp == r.caughtUp {
@@ -102,7 +104,7 @@
 	r.sendToLeader(&wire.Envelope_RenewRequest{RenewRequest: request}, log)
 }
 
-// forwardGrant hands a leader's grant to the box it is for, if it is still here.
+// forwardGrant sends a leader's grant to the box that it is for, if the box is still attached.
 func (r *Replica) forwardGrant(m *wire.Envelope, e *Effects) {
 	for _, c := range r.sessions.Keys() {
 		if string(r.sessions.Get(c).box.ID) == m.GetRenewResponse().Box {
@@ -113,19 +115,19 @@
 	}
 }
 
-// wholeTableDelay is for how long after its start a replica sends no whole table that may be an
-// old one: replicas that start together have a leader within it, and a box without a table
-// holds its calls for a little longer.
+// wholeTableDelay is how long after its start a replica sends no whole table that may be outdated:
+// replicas that start together elect a leader within it, and a box without a table holds its calls
+// for a little longer.
 const wholeTableDelay = 400 * time.Millisecond
 
-// defersWholeTable tells whether a box had better wait for the newest table: the one on this
-// replica's disk is as old as its last snapshot, and a whole table takes a box's link and
-// processor as long as the newest one does.
+// defersWholeTable reports whether a box should wait for the newest table: the one on this
+// replica's disk is as old as its last snapshot, and a whole outdated table takes as much of a
+// box's link and processor time as the newest one.
 func (r *Replica) defersWholeTable(s *session) bool {
 	return !r.caughtUp && r.now < r.startedAt.Add(wholeTableDelay) && r.tableOf(s) == nil
 }
 
-// tableOf returns the table that a box has; nil where that isn't kept, or there is none.
+// tableOf returns the table that a box has, or nil if it isn't kept or the box has none.
 func (r *Replica) tableOf(s *session) *table.Table {
 	if s.table != nil {
 		return s.table
@@ -137,6 +139,6 @@
 	return r.previousTables.At(r.previousTables.Len() - missing)
 }
 
-// boxEnvelope is a message to a box, which knows whom it is attached to: every byte of
-// it goes to every box.
+// boxEnvelope returns an envelope for a box. It omits the sender, which the box knows from its
+// attachment: every byte is sent to every box.
 func (r *Replica) boxEnvelope() *wire.Envelope { return &wire.Envelope{} }
--- a/pkg/core/control/silence.go
+++ b/pkg/core/control/silence.go
@@ -11,26 +11,28 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// livenessTracker is what is known of when registered targets last reported. Reports
-// that say nothing new are in no log: each replica passes on to the leader whom it
-// has heard, and the leader alone says who has fallen silent.
+// livenessTracker records when registered targets last reported. Reports without new content aren't
+// replicated: each replica forwards to the leader which targets have reported to it, and only the
+// leader decides which have fallen silent.
 type livenessTracker struct {
-	// reported are the targets reported here since the leader was last told.
+	// reported are the targets that have reported here since the last message to the leader;
+	// forwardAt is when the next one is due.
 	reported  map[units.TargetID]bool
 	forwardAt units.Instant
-	// lastReport is when each target was lastReport heard by anybody, as the leader knows it.
+	// lastReport is when each target last reported to any replica, as the leader knows it.
 	lastReport map[units.TargetID]units.Instant
-	// lastAnyReport is when any target at all was last heard.
+	// lastAnyReport is when any target at all last reported.
 	lastAnyReport units.Instant
-	// checkAt is when the leader next looks for silent targets.
+	// checkAt is when the leader next checks for silent targets.
 	checkAt   units.Instant
 	proposing bool
 }
 
 const (
-	// reportForwardPeriod is how often a replica passes on whom it has heard.
+	// reportForwardPeriod is how often a replica forwards to the leader which targets have
+	// reported.
 	reportForwardPeriod = 250 * time.Millisecond
-	// silenceCheckPeriod is how often the leader looks for silent targets.
+	// silenceCheckPeriod is how often the leader checks for silent targets.
 	silenceCheckPeriod = 500 * time.Millisecond
 )
 
@@ -38,7 +40,7 @@
 	return livenessTracker{reported: map[units.TargetID]bool{}, lastReport: map[units.TargetID]units.Instant{}}
 }
 
-// recordReport notes that a target has reported here.
+// recordReport records that a target has reported to this replica.
 func (r *Replica) recordReport(id units.TargetID) {
 	if r.node.IsLeader() {
 		r.updateLastReport(id)
@@ -52,7 +54,7 @@
 	r.liveness.lastAnyReport = r.now
 }
 
-// forwardReports passes on to the leader whom this replica has heard.
+// forwardReports sends the leader the targets that have reported to this replica.
 func (r *Replica) forwardReports(log *replication.Effects) {
 	if r.now < r.liveness.forwardAt || len(r.liveness.reported) == 0 {
 		return
@@ -75,9 +77,9 @@
 	}
 }
 
-// proposeSilence proposes which targets have fallen silent, or are heard again. A new
-// leader takes all targets as heard when it began to lead. While no target at all is
-// heard, the fault is more likely here than with all of them.
+// proposeSilence proposes which targets have fallen silent, or have reported again. A new leader
+// treats all targets as having reported when its leadership began. While no target at all reports,
+// the fault is more likely on this side than with every target, so none is proposed as silent.
 func (r *Replica) proposeSilence(log *replication.Effects) {
 	h := &r.liveness
 	if r.settings.SilentAfter == 0 || r.now < h.checkAt || h.proposing || !r.node.HasLease(r.now) {
@@ -105,8 +107,8 @@
 	h.proposing = r.proposeCommand(&wire.Command{At: int64(r.wall), Kind: &wire.Command_Silence{Silence: m}}, log)
 }
 
-// EachTarget calls f with every registered target and how long ago this leader last
-// heard of it, which is negative where it hasn't.
+// EachTarget calls f with every registered target and the time since its last report as this leader
+// knows it; that time is negative where there was none.
 func (r *Replica) EachTarget(now units.Instant, f func(t *table.Registration, heard time.Duration)) {
 	r.state.EachRegistration(func(t *table.Registration) {
 		heard := time.Duration(-1)
--- a/pkg/core/control/uses.go
+++ b/pkg/core/control/uses.go
@@ -8,19 +8,21 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// usageWindow is over what time operators are shown the rates of workspaces: several times as long as boxes
-// take to tell, and as an operator takes to look twice.
+// usageWindow is the window over which the call rates shown to operators are averaged: several
+// times as long as boxes take to report, and about as long as an operator takes to look twice.
 const usageWindow = 10 * time.Second
 
-// usageTracker is what a leader has been told of workspaces' calls. A new leader begins with an empty one.
+// usageTracker counts the workspaces' calls as boxes report them to the leader. A new leader starts
+// with an empty one.
 type usageTracker map[units.WorkspaceName]*workspaceUsage
 
-// workspaceUsage counts the calls that boxes let in and refused.
+// workspaceUsage counts the calls that boxes admitted and refused.
 type workspaceUsage struct {
 	admitted, refused windowCounter
 }
 
-// windowCounter counts events over the last window: those of the present one, and of the one before in part.
+// windowCounter counts events over a sliding window: those of the current fixed window, plus the
+// share of the previous one that the sliding window still covers.
 type windowCounter struct {
 	windowStart       units.Instant
 	current, previous float64
@@ -31,7 +33,7 @@
 	c.current += n
 }
 
-// advance begins another window when the present one is over.
+// advance starts a new fixed window when the current one is over.
 func (c *windowCounter) advance(now units.Instant) {
 	switch passed := now.Sub(c.windowStart); {
 	case passed < usageWindow:
@@ -42,15 +44,15 @@
 	}
 }
 
-// perSecond returns how many events a second the last window had.
+// perSecond returns the average number of events per second over the sliding window.
 func (c *windowCounter) perSecond(now units.Instant) float64 {
 	c.advance(now)
 	previousWeight := 1 - now.Sub(c.windowStart).Seconds()/usageWindow.Seconds()
 	return (c.current + c.previous*previousWeight) / usageWindow.Seconds()
 }
 
-// recordUsage takes what a box tells of workspaces' calls. Those that the table doesn't limit are left out, so that the book
-// doesn't outgrow it.
+// recordUsage records the workspaces' calls that a box reports. Workspaces without a rate limit in
+// the table are left out, so that the tracker doesn't grow beyond the table.
 func (r *Replica) recordUsage(request *wire.RenewRequest) {
 	for _, x := range request.Uses {
 		name := units.WorkspaceName(x.Workspace)
@@ -67,7 +69,7 @@
 	}
 }
 
-// WorkspaceViews are what operators see of the workspaces; only the leader knows what they use.
+// WorkspaceViews returns the workspaces as operators see them; only the leader knows their usage.
 func (r *Replica) WorkspaceViews(now units.Instant) []table.WorkspaceView {
 	held := r.state.Table().Workspaces
 	list := make([]table.WorkspaceView, 0, len(held))
