--- a/pkg/core/control/crash_test.go
+++ b/pkg/core/control/crash_test.go
@@ -15,57 +15,57 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// witnessBook holds what each start of a box has noted of crashes.
-type witnessBook map[*boxFake]*witness
+// crashReporters holds what each start of a box has noted of crashes.
+type crashReporters map[*fakeBox]*crashReporter
 
-// witness is one start of a box, which keeps its notes for the next leader.
-type witness struct {
-	life    int
-	notes   []crash.Note
-	refused []crash.Fingerprint
-	term    units.Term
-	noted   uint64
+// crashReporter is one start of a box, which keeps its notes for the next leader.
+type crashReporter struct {
+	generation   int
+	notes        []crash.Note
+	refused      []crash.Fingerprint
+	term         units.Term
+	acknowledged uint64
 	// watched is what the last grant said, trials are those that the box was given.
 	watched []crash.Watched
 	trials  map[int]bool
 }
 
-func (x witnessBook) of(b *boxFake) *witness {
+func (x crashReporters) reporterOf(b *fakeBox) *crashReporter {
 	v := x[b]
-	if v == nil || v.life != b.life {
-		v = &witness{life: b.life, trials: map[int]bool{}}
+	if v == nil || v.generation != b.generation {
+		v = &crashReporter{generation: b.generation, trials: map[int]bool{}}
 		x[b] = v
 	}
 	return v
 }
 
-// take takes what a grant says.
-func (x witnessBook) take(b *boxFake, said *subscription.Watched) {
-	if x == nil || said == nil {
+// receiveGrant takes what a grant says.
+func (x crashReporters) receiveGrant(b *fakeBox, granted *subscription.Watched) {
+	if x == nil || granted == nil {
 		return
 	}
-	v := x.of(b)
-	if said.Term != v.term {
-		v.term, v.noted = said.Term, 0
+	v := x.reporterOf(b)
+	if granted.Term != v.term {
+		v.term, v.acknowledged = granted.Term, 0
 	}
-	v.noted = max(v.noted, said.Noted)
-	v.watched = said.Calls
-	for _, c := range said.Calls {
+	v.acknowledged = max(v.acknowledged, granted.Noted)
+	v.watched = granted.Calls
+	for _, c := range granted.Calls {
 		if c.Trial > 0 {
 			v.trials[c.Trial] = true
 		}
 	}
 }
 
-// tell adds the notes that the leader may lack to a box's request.
-func (x witnessBook) tell(b *boxFake, m *wire.Envelope, now units.Instant) {
+// addNotes adds the notes that the leader may lack to a box's request.
+func (x crashReporters) addNotes(b *fakeBox, m *wire.Envelope, now units.Instant) {
 	request := m.GetRenewRequest()
 	if x == nil || request == nil {
 		return
 	}
-	v := x.of(b)
+	v := x.reporterOf(b)
 	for _, n := range v.notes {
-		if n.Number > v.noted {
+		if n.Number > v.acknowledged {
 			request.CrashNotes = append(request.CrashNotes, wire.FromCrashNotes([]crash.Note{n}, now)...)
 		}
 	}
@@ -73,8 +73,8 @@
 	v.refused = nil
 }
 
-func (x witnessBook) add(b *boxFake, n crash.Note) {
-	v := x.of(b)
+func (x crashReporters) add(b *fakeBox, n crash.Note) {
+	v := x.reporterOf(b)
 	n.Number = uint64(len(v.notes) + 1)
 	v.notes = append(v.notes, n)
 }
@@ -85,41 +85,41 @@
 // newCrashWorld returns a world whose boxes note crashes.
 func newCrashWorld(t fataler, seed uint64, boxes int) *world {
 	w := newWorld(t, seed, 3, boxes)
-	w.witnesses = witnessBook{}
+	w.crashReporters = crashReporters{}
 	return w
 }
 
 // crashTarget has a target crash under calls of a box.
-func (w *world) crashTarget(b *boxFake, target units.TargetID, calls ...crash.Fingerprint) {
+func (w *world) crashTarget(b *fakeBox, target units.TargetID, calls ...crash.Fingerprint) {
 	n := crash.Note{At: w.now, Service: "s", Target: target}
 	for _, f := range calls {
 		n.Suspects = append(n.Suspects, crash.Suspect{Fingerprint: f, Sent: 20 * time.Millisecond})
 	}
-	w.witnesses.add(b, n)
+	w.crashReporters.add(b, n)
 }
 
 // crashThree has three targets crash under the bad call, at one box after the other.
-func (w *world) crashThree(beside ...crash.Fingerprint) {
+func (w *world) crashThree(others ...crash.Fingerprint) {
 	for i := range 3 {
-		w.crashTarget(w.boxes[i%len(w.boxes)], units.TargetID(fmt.Sprintf("t%d", i)), append(beside, badCall)...)
+		w.crashTarget(w.boxes[i%len(w.boxes)], units.TargetID(fmt.Sprintf("t%d", i)), append(others, badCall)...)
 		w.run(300 * time.Millisecond)
 	}
 }
 
 // answer has a target answer a call at a box.
-func (w *world) answer(b *boxFake, f crash.Fingerprint) {
-	w.witnesses.add(b, crash.Note{At: w.now, Suspects: []crash.Suspect{{Fingerprint: f}}})
+func (w *world) answer(b *fakeBox, f crash.Fingerprint) {
+	w.crashReporters.add(b, crash.Note{At: w.now, Suspects: []crash.Suspect{{Fingerprint: f}}})
 }
 
 // refuse has a box refuse the bad call for a while.
-func (w *world) refuse(b *boxFake, d time.Duration) {
+func (w *world) refuse(b *fakeBox, d time.Duration) {
 	for end := w.now.Add(d); w.now < end; w.run(100 * time.Millisecond) {
-		w.witnesses.of(b).refused = []crash.Fingerprint{badCall}
+		w.crashReporters.reporterOf(b).refused = []crash.Fingerprint{badCall}
 	}
 }
 
-// wantEverywhere fails unless the bad call is in quarantine on every replica and box, or on none.
-func (w *world) wantEverywhere(want bool) {
+// wantQuarantined fails unless the bad call is in quarantine on every replica and box, or on none.
+func (w *world) wantQuarantined(want bool) {
 	for _, r := range w.replicas {
 		if got := r.core.Table().Quarantine(badCall) != nil; got != want {
 			w.t.Fatalf("%s has the call in quarantine: %t", r.id, got)
@@ -137,8 +137,8 @@
 		w := newCrashWorld(t, seed, 3)
 		w.crashThree()
 		w.run(time.Second)
-		w.wantEverywhere(true)
-		w.checkEnd()
+		w.wantQuarantined(true)
+		w.checkRecovery()
 	}
 }
 
@@ -157,8 +157,8 @@
 		w.run(time.Second)
 		w.startReplica(old)
 		w.run(time.Second)
-		w.wantEverywhere(true)
-		w.checkEnd()
+		w.wantQuarantined(true)
+		w.checkRecovery()
 	}
 }
 
@@ -177,7 +177,7 @@
 		w.startBox(b)
 	}
 	w.run(2 * time.Second)
-	w.wantEverywhere(true)
+	w.wantQuarantined(true)
 }
 
 // While no disk answers nothing can be committed, and the verdict goes out with the grants.
@@ -189,9 +189,9 @@
 	}
 	w.crashThree()
 	w.run(500 * time.Millisecond)
-	w.wantEverywhere(false)
+	w.wantQuarantined(false)
 	for _, b := range w.boxes {
-		list := w.witnesses.of(b).watched
+		list := w.crashReporters.reporterOf(b).watched
 		if len(list) != 1 || list[0] != (crash.Watched{Call: badCall, Quarantined: true}) {
 			t.Errorf("box %s was told %+v", b.id, list)
 		}
@@ -202,16 +202,16 @@
 func TestNotesOfACutOffBoxAreTakenLater(t *testing.T) {
 	w := newCrashWorld(t, 3, 3)
 	cut := w.boxes[2]
-	cut.side = 1
+	cut.partition = 1
 	for i := range 3 {
 		w.crashTarget(cut, units.TargetID(fmt.Sprintf("t%d", i)), badCall)
 		w.run(300 * time.Millisecond)
 	}
 	w.run(3 * time.Second)
-	w.wantEverywhere(false)
-	cut.side = 0
+	w.wantQuarantined(false)
+	cut.partition = 0
 	w.run(3 * time.Second)
-	w.wantEverywhere(true)
+	w.wantQuarantined(true)
 }
 
 // A target that answers the call shows that the verdict was wrong.
@@ -219,10 +219,10 @@
 	w := newCrashWorld(t, 4, 3)
 	w.crashThree()
 	w.run(time.Second)
-	w.wantEverywhere(true)
+	w.wantQuarantined(true)
 	w.answer(w.boxes[0], badCall)
 	w.run(time.Second)
-	w.wantEverywhere(false)
+	w.wantQuarantined(false)
 }
 
 // Of a doubtful verdict one call is let through after some seconds, at one box only.
@@ -231,17 +231,17 @@
 	w := newCrashWorld(t, 5, 3)
 	w.crashThree(popular)
 	w.run(time.Second)
-	w.wantEverywhere(true)
+	w.wantQuarantined(true)
 	if w.leader().core.Table().Quarantine(popular) == nil {
 		t.Fatal("the other call isn't in quarantine")
 	}
 	for _, b := range w.boxes {
-		w.witnesses.of(b).refused = []crash.Fingerprint{badCall}
+		w.crashReporters.reporterOf(b).refused = []crash.Fingerprint{badCall}
 	}
 	w.refuse(w.boxes[1], 10*time.Second)
 	trials := 0
 	for _, b := range w.boxes {
-		trials += len(w.witnesses.of(b).trials)
+		trials += len(w.crashReporters.reporterOf(b).trials)
 	}
 	if trials != 1 {
 		t.Fatalf("%d trials were given", trials)
@@ -249,7 +249,7 @@
 	// The next one comes minutes later, whoever leads.
 	w.crash(w.leader())
 	w.refuse(w.boxes[1], 20*time.Second)
-	if n := len(w.witnesses.of(w.boxes[1]).trials); n != 1 {
+	if n := len(w.crashReporters.reporterOf(w.boxes[1]).trials); n != 1 {
 		t.Fatalf("%d trials were given", n)
 	}
 }
@@ -260,7 +260,7 @@
 	w.run(time.Second)
 	w.leader().core.quarantines.observations[badCall].refusedAt = w.now.Add(-quarantineIdleTimeout)
 	w.run(time.Second)
-	w.wantEverywhere(false)
+	w.wantQuarantined(false)
 }
 
 // An order to release a call that waits at a replica behind a cut must not end a quarantine
@@ -272,7 +272,7 @@
 		w.crashThree()
 		w.run(time.Second)
 		cut := w.followers()[0]
-		cut.side = 1
+		cut.partition = 1
 		var late Answer
 		w.order(cut, release, func(a Answer) { late = a })
 		done := fault.New(fault.Unknown, "", "no answer")
@@ -283,9 +283,9 @@
 		}
 		w.crashThree()
 		w.run(time.Second)
-		cut.side = 0
+		cut.partition = 0
 		w.run(3 * time.Second)
-		w.wantEverywhere(true)
+		w.wantQuarantined(true)
 		if kind := fault.KindOf(late.Err); late.Err != nil && kind != fault.Unavailable && kind != fault.Unknown {
 			t.Fatalf("seed %d: the late order was answered %v", seed, late.Err)
 		}
@@ -298,26 +298,26 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		w := newGrowingWorld(t, rapid.Uint64().Draw(t, "seed"), 5, 5, 3)
-		w.witnesses = witnessBook{}
+		w.crashReporters = crashReporters{}
 		steps := rapid.SliceOfN(rapid.IntRange(0, len(growthFaults)*1000-1), 1, 30).Draw(t, "faults")
 		shown := false
 		for i, s := range steps {
 			w.crashTarget(w.boxes[s%len(w.boxes)], units.TargetID(fmt.Sprintf("t%d", i)), badCall)
 			growthFaults[s%len(growthFaults)].do(w, s/len(growthFaults))
-			w.run(pause(s))
-			shown = shown || w.isShown()
+			w.run(stepDuration(s))
+			shown = shown || w.showsQuarantine()
 		}
-		w.checkEnd()
+		w.checkRecovery()
 		if len(steps) < 20 && !shown {
 			return
 		}
 		w.run(3 * time.Second)
-		w.wantEverywhere(true)
+		w.wantQuarantined(true)
 	})
 }
 
-// isShown tells whether a box that may serve calls has the bad call in quarantine.
-func (w *world) isShown() bool {
+// showsQuarantine tells whether a box that may serve calls has the bad call in quarantine.
+func (w *world) showsQuarantine() bool {
 	for _, b := range w.boxes {
 		if b.up && b.core.Table().Quarantine(badCall) != nil {
 			return true
--- a/pkg/core/control/evacuation_test.go
+++ b/pkg/core/control/evacuation_test.go
@@ -11,9 +11,9 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// evacuator is an operator who evacuates a failure domain and restores it in turns. It
+// evacuationOperator is an operator who evacuates a failure domain and restores it in turns. It
 // sends an order again, to another replica each time, until it is acknowledged.
-type evacuator struct {
+type evacuationOperator struct {
 	world  *world
 	domain units.Domain
 	// wanted is what the present order asks for; acknowledged is set once it holds.
@@ -27,12 +27,12 @@
 // a quorum, so that orders which were given up are still under way.
 const resendEvery = 120 * time.Millisecond
 
-func newEvacuator(w *world, d units.Domain) *evacuator {
-	return &evacuator{world: w, domain: d, acknowledged: true}
+func newEvacuationOperator(w *world, d units.Domain) *evacuationOperator {
+	return &evacuationOperator{world: w, domain: d, acknowledged: true}
 }
 
-// turn begins the opposite order, if the one before was acknowledged.
-func (o *evacuator) turn() {
+// orderNext begins the opposite order, if the one before was acknowledged.
+func (o *evacuationOperator) orderNext() {
 	if !o.acknowledged {
 		return
 	}
@@ -41,7 +41,7 @@
 	o.send(o.number)
 }
 
-func (o *evacuator) send(number int) {
+func (o *evacuationOperator) send(number int) {
 	if o.acknowledged || number != o.number {
 		return
 	}
@@ -61,7 +61,7 @@
 }
 
 // checkHeld makes sure that every replica and box shows what was acknowledged last.
-func (o *evacuator) checkHeld() {
+func (o *evacuationOperator) checkHeld() {
 	for _, r := range o.world.replicas {
 		if got := r.core.Table().Evacuated(o.domain); got != o.wanted {
 			o.world.t.Fatalf("%s shows %s evacuated=%t, %t was acknowledged", r.id, o.domain, got, o.wanted)
@@ -74,8 +74,8 @@
 	}
 }
 
-// inDomain has a target of the domain register.
-func (w *world) inDomain(d units.Domain) {
+// registerInDomain has a target of the domain register.
+func (w *world) registerInDomain(d units.Domain) {
 	t := &table.Registration{Target: "g99", Service: "s", Address: "127.0.0.1:99", Domain: d, State: table.Active, Sequence: 1}
 	w.order(w.leader(), func(id RequestID) Event { return TargetReported{Request: id, Registration: t} }, func(a Answer) {
 		if a.Err != nil {
@@ -90,10 +90,10 @@
 func TestADelayedEvacuationUndoesNothing(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(t, seed, 3, 1)
-		w.inDomain("d")
+		w.registerInDomain("d")
 		cut := w.followers()[0]
-		cut.side = 1
-		order := func(r *replicaFake, evacuate bool, answered func(Answer)) {
+		cut.partition = 1
+		order := func(r *fakeReplica, evacuate bool, answered func(Answer)) {
 			o := table.EvacuationOrder{Domain: "d", Evacuate: evacuate}
 			w.order(r, func(id RequestID) Event { return EvacuationOrdered{Request: id, Order: o} }, answered)
 		}
@@ -110,7 +110,7 @@
 		if done != 2 {
 			t.Fatalf("seed %d: %d of 2 orders were acknowledged", seed, done)
 		}
-		cut.side = 0
+		cut.partition = 0
 		w.run(2 * time.Second)
 		if w.leader().core.Table().Evacuated("d") {
 			t.Fatalf("seed %d: the delayed order evacuated the domain again", seed)
@@ -120,7 +120,7 @@
 
 func TestAnUnknownDomainIsNotEvacuated(t *testing.T) {
 	w := newWorld(t, 1, 3, 1)
-	w.inDomain("d")
+	w.registerInDomain("d")
 	var got Answer
 	o := table.EvacuationOrder{Domain: "elsewhere", Evacuate: true}
 	w.order(w.followers()[0], func(id RequestID) Event { return EvacuationOrdered{Request: id, Order: o} }, func(a Answer) { got = a })
@@ -136,15 +136,15 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		w := newGrowingWorld(t, rapid.Uint64().Draw(t, "seed"), 5, 5, 2)
-		w.inDomain("d")
-		o := newEvacuator(w, "d")
+		w.registerInDomain("d")
+		o := newEvacuationOperator(w, "d")
 		steps := rapid.SliceOfN(rapid.IntRange(0, len(growthFaults)*1000-1), 1, 30).Draw(t, "faults")
 		for _, s := range steps {
-			o.turn()
+			o.orderNext()
 			growthFaults[s%len(growthFaults)].do(w, s/len(growthFaults))
-			w.run(pause(s))
+			w.run(stepDuration(s))
 		}
-		w.checkEnd()
+		w.checkRecovery()
 		if !o.acknowledged {
 			t.Fatalf("an order wasn't acknowledged after all faults had ended")
 		}
--- a/pkg/core/control/faults_test.go
+++ b/pkg/core/control/faults_test.go
@@ -14,14 +14,14 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// disturbance is one thing that can happen in a schedule.
-type disturbance struct {
+// faultAction is one thing that can happen in a schedule.
+type faultAction struct {
 	name string
 	do   func(w *world, n int)
 }
 
 // faults are all that can happen; each takes a random number.
-var faults = []disturbance{
+var faults = []faultAction{
 	{"edit", func(w *world, n int) { w.raceEdits(n, 1) }},
 	{"race", func(w *world, n int) { w.raceEdits(n, 3) }},
 	{"resend", func(w *world, n int) { w.resend(n) }},
@@ -29,17 +29,17 @@
 	{"restart", func(w *world, n int) { w.restart(n) }},
 	{"crash leader", func(w *world, n int) { w.crashLeader() }},
 	{"crash all", func(w *world, n int) { w.crashAll(n) }},
-	{"cut", func(w *world, n int) { w.replicas[n%len(w.replicas)].side = 1 + n%len(w.replicas) }},
-	{"join", func(w *world, n int) { w.replicas[n%len(w.replicas)].side = 0 }},
+	{"cut", func(w *world, n int) { w.replicas[n%len(w.replicas)].partition = 1 + n%len(w.replicas) }},
+	{"join", func(w *world, n int) { w.replicas[n%len(w.replicas)].partition = 0 }},
 	{"split", func(w *world, n int) { w.split(n) }},
 	{"unsplit", func(w *world, n int) { w.split(0) }},
 	{"freeze", func(w *world, n int) { w.replicas[n%len(w.replicas)].frozen = true }},
-	{"thaw", func(w *world, n int) { w.thaw(w.replicas[n%len(w.replicas)]) }},
+	{"thaw", func(w *world, n int) { w.unfreeze(w.replicas[n%len(w.replicas)]) }},
 	{"lose disk", func(w *world, n int) { w.loseDiskSafely(n) }},
-	{"hand over", func(w *world, n int) { w.give(w.replicas[n%len(w.replicas)], StopRequested{}) }},
-	{"cut box", func(w *world, n int) { w.boxes[n%len(w.boxes)].side = n % 2 }},
+	{"hand over", func(w *world, n int) { w.deliver(w.replicas[n%len(w.replicas)], StopRequested{}) }},
+	{"cut box", func(w *world, n int) { w.boxes[n%len(w.boxes)].partition = n % 2 }},
 	{"restart box", func(w *world, n int) { w.startBox(w.boxes[n%len(w.boxes)]) }},
-	{"bad network", func(w *world, n int) { w.loss, w.twice = float64(n%4)/10, float64(n%3)/10 }},
+	{"bad network", func(w *world, n int) { w.lossRate, w.duplicateRate = float64(n%4)/10, float64(n%3)/10 }},
 }
 
 func (w *world) raceEdits(n, operators int) {
@@ -65,11 +65,11 @@
 // split cuts the network in two; each bit of n places a process.
 func (w *world) split(n int) {
 	for _, r := range w.replicas {
-		r.side = n & 1
+		r.partition = n & 1
 		n >>= 1
 	}
 	for _, b := range w.boxes {
-		b.side = n & 1
+		b.partition = n & 1
 		n >>= 1
 	}
 }
@@ -106,13 +106,13 @@
 // loss of more disks than that at a time can't be survived by anybody.
 func (w *world) loseDiskSafely(n int) {
 	r := w.replicas[n%len(w.replicas)]
-	whole := 0
+	intact := 0
 	for _, o := range w.replicas {
 		if o != r && o.up && o.halted == nil && o.core.Status(w.now).Log.Voter {
-			whole++
+			intact++
 		}
 	}
-	if whole == len(w.replicas)-1 && w.voters() == len(w.replicas) {
+	if intact == len(w.replicas)-1 && w.voters() == len(w.replicas) {
 		w.loseDisk(r)
 		w.startReplica(r)
 	}
@@ -132,9 +132,9 @@
 	}
 }
 
-// pause is how long a step lasts: often so short that the next fault meets this
+// stepDuration is how long a step lasts: often so short that the next fault meets this
 // one's work half done.
-func pause(s int) time.Duration {
+func stepDuration(s int) time.Duration {
 	if s%3 > 0 {
 		return time.Duration(s%7) * time.Millisecond
 	}
@@ -147,7 +147,7 @@
 	for _, s := range steps {
 		f := faults[s%len(faults)]
 		f.do(w, s/len(faults))
-		w.run(pause(s))
+		w.run(stepDuration(s))
 	}
-	w.checkEnd()
+	w.checkRecovery()
 }
--- a/pkg/core/control/growth_test.go
+++ b/pkg/core/control/growth_test.go
@@ -13,7 +13,7 @@
 
 // growthFaults are those of a cluster that grows by itself and may lose two of its five
 // disks at once.
-var growthFaults = append([]disturbance{
+var growthFaults = append([]faultAction{
 	{"document", func(w *world, n int) { w.putDocument(w.replicas[n%len(w.replicas)], false) }},
 	{"document again", func(w *world, n int) { w.putDocument(w.replicas[n%len(w.replicas)], n%2 == 0) }},
 	{"read", func(w *world, n int) { w.readDocument(w.replicas[n%len(w.replicas)]) }},
@@ -22,8 +22,8 @@
 			w.readDocument(r)
 		}
 	}},
-	{"target", func(w *world, n int) { w.oneTarget(n) }},
-	{"two targets", func(w *world, n int) { w.oneTarget(n); w.oneTarget(n / 3) }},
+	{"target", func(w *world, n int) { w.changeTarget(n) }},
+	{"two targets", func(w *world, n int) { w.changeTarget(n); w.changeTarget(n / 3) }},
 	{"lose two disks", func(w *world, n int) { w.loseTwoDisks(n) }},
 	{"crash all", func(w *world, n int) { w.crashAll(0) }},
 }, faults...)
@@ -78,7 +78,7 @@
 	w.run(2 * time.Second)
 	w.putDocument(w.replicas[0], false)
 	w.run(2 * time.Second)
-	if w.orders.highest != 0 {
+	if w.orders.highestDocument != 0 {
 		t.Fatal("a document was acknowledged by two replicas of five")
 	}
 	w.startReplica(w.replicas[2])
@@ -88,16 +88,16 @@
 	w.crash(w.replicas[2])
 	w.putDocument(w.replicas[0], false)
 	w.run(2 * time.Second)
-	if w.orders.highest != 0 {
+	if w.orders.highestDocument != 0 {
 		t.Fatal("a document was acknowledged that only two disks hold")
 	}
 	w.growth.Bootstrap = false
-	w.heal()
+	w.endFaults()
 	w.run(3 * time.Second)
 	w.putDocument(w.replicas[4], false)
 	w.run(time.Second)
-	if w.orders.highest != w.orders.version {
-		t.Fatalf("document %d wasn't acknowledged by a grown cluster", w.orders.version)
+	if w.orders.highestDocument != w.orders.lastVersion {
+		t.Fatalf("document %d wasn't acknowledged by a grown cluster", w.orders.lastVersion)
 	}
 }
 
@@ -200,9 +200,9 @@
 		for _, s := range steps {
 			f := growthFaults[s%len(growthFaults)]
 			f.do(w, s/len(growthFaults))
-			w.run(pause(s))
+			w.run(stepDuration(s))
 		}
-		w.checkEnd()
+		w.checkRecovery()
 		w.checkOrders()
 		for _, r := range w.replicas {
 			w.readDocument(r)
--- a/pkg/core/control/orders_test.go
+++ b/pkg/core/control/orders_test.go
@@ -9,22 +9,22 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// orderBook is what the world's operators and targets were told, and so may rely on.
-type orderBook struct {
+// acknowledgedOrders is what the world's operators and targets were told, and so may rely on.
+type acknowledgedOrders struct {
 	pending map[RequestID]func(Answer)
-	// highest is the highest document that was acknowledged; sent holds what was sent
+	// highestDocument is the highestDocument document that was acknowledged; sent holds what was sent
 	// under each version.
-	highest units.DocumentVersion
-	sent    map[units.DocumentVersion]string
-	version units.DocumentVersion
+	highestDocument units.DocumentVersion
+	sentSources     map[units.DocumentVersion]string
+	lastVersion     units.DocumentVersion
 	// leaving and gone are the targets whose word to that effect was acknowledged.
 	leaving map[units.TargetID]bool
 	gone    map[units.TargetID]bool
 }
 
-func newOrderBook() orderBook {
-	return orderBook{
-		pending: map[RequestID]func(Answer){}, sent: map[units.DocumentVersion]string{},
+func newAcknowledgedOrders() acknowledgedOrders {
+	return acknowledgedOrders{
+		pending: map[RequestID]func(Answer){}, sentSources: map[units.DocumentVersion]string{},
 		leaving: map[units.TargetID]bool{}, gone: map[units.TargetID]bool{},
 	}
 }
@@ -47,7 +47,7 @@
 }
 
 // setGrowth gives a replica its part in a cluster that grows by itself.
-func (w *world) setGrowth(r *replicaFake, s *replication.Settings) {
+func (w *world) setGrowth(r *fakeReplica, s *replication.Settings) {
 	if w.growth == nil {
 		return
 	}
@@ -59,13 +59,13 @@
 	s.MinCopies = g.Voters/2 + 1
 }
 
-func (w *world) order(r *replicaFake, event func(RequestID) Event, answered func(Answer)) {
+func (w *world) order(r *fakeReplica, event func(RequestID) Event, answered func(Answer)) {
 	w.requests++
 	w.orders.pending[w.requests] = answered
-	w.give(r, event(w.requests))
+	w.deliver(r, event(w.requests))
 }
 
-func (w *world) takeOrderAnswer(a Answer) {
+func (w *world) dispatchAnswer(a Answer) {
 	if answered := w.orders.pending[a.Request]; answered != nil {
 		delete(w.orders.pending, a.Request)
 		answered(a)
@@ -73,15 +73,15 @@
 }
 
 // putDocument puts a new version, or the one that is held again with other content.
-func (w *world) putDocument(r *replicaFake, again bool) {
-	version := w.orders.version + 1
+func (w *world) putDocument(r *fakeReplica, again bool) {
+	version := w.orders.lastVersion + 1
 	source := fmt.Sprintf("document %d", version)
-	if again && w.orders.highest > 0 {
-		version = w.orders.highest
+	if again && w.orders.highestDocument > 0 {
+		version = w.orders.highestDocument
 		source += " with other content"
 	} else {
-		w.orders.version = version
-		w.orders.sent[version] = source
+		w.orders.lastVersion = version
+		w.orders.sentSources[version] = source
 	}
 	d := &table.Document{Version: version, Source: []byte(source), Services: []table.Service{
 		{Name: "s", Work: table.Once, Deadline: time.Second},
@@ -91,15 +91,15 @@
 	}}}
 	w.order(r, func(id RequestID) Event { return DocumentSubmitted{Request: id, Document: d} }, func(a Answer) {
 		if a.Err == nil {
-			w.orders.highest = max(w.orders.highest, version)
+			w.orders.highestDocument = max(w.orders.highestDocument, version)
 		}
 	})
 }
 
 // readDocument makes sure that what is read is no older than what was acknowledged when
 // the question was put, and is what was sent under its version.
-func (w *world) readDocument(r *replicaFake) {
-	least := w.orders.highest
+func (w *world) readDocument(r *fakeReplica) {
+	least := w.orders.highestDocument
 	w.order(r, func(id RequestID) Event { return ReadRequested{Request: id} }, func(a Answer) {
 		if a.Err != nil {
 			return
@@ -117,13 +117,13 @@
 	})
 }
 
-func (w *world) checkDocument(r *replicaFake, d *table.Document) {
-	if sent := w.orders.sent[d.Version]; string(d.Source) != sent {
+func (w *world) checkDocument(r *fakeReplica, d *table.Document) {
+	if sent := w.orders.sentSources[d.Version]; string(d.Source) != sent {
 		w.t.Fatalf("%s holds %q under version %d; first sent was %q", r.id, d.Source, d.Version, sent)
 	}
 }
 
-func (w *world) report(r *replicaFake, id units.TargetID, state table.RowState, sequence uint64) {
+func (w *world) report(r *fakeReplica, id units.TargetID, state table.RowState, sequence uint64) {
 	t := &table.Registration{
 		Target: id, Service: "s", Address: "127.0.0.1:" + string(id[1:]), State: state, Sequence: sequence, Slots: 3,
 	}
@@ -134,7 +134,7 @@
 	})
 }
 
-func (w *world) depart(r *replicaFake, id units.TargetID) {
+func (w *world) depart(r *fakeReplica, id units.TargetID) {
 	w.order(r, func(q RequestID) Event { return TargetDeparted{Request: q, Target: id} }, func(a Answer) {
 		if a.Err == nil {
 			w.orders.gone[id] = true
@@ -142,8 +142,8 @@
 	})
 }
 
-// oneTarget lets a target report, drain, leave, or send an old report late.
-func (w *world) oneTarget(n int) {
+// changeTarget lets a target report, drain, leave, or send an old report late.
+func (w *world) changeTarget(n int) {
 	r := w.replicas[n%len(w.replicas)]
 	id := units.TargetID(fmt.Sprintf("g%d", 1+n/7%12))
 	switch n % 4 {
@@ -164,8 +164,8 @@
 		if d := r.core.state.Document(); d != nil {
 			w.checkDocument(r, d)
 		}
-		if have := r.core.Table().Document; have < w.orders.highest {
-			w.t.Fatalf("%s holds document %d, %d was acknowledged", r.id, have, w.orders.highest)
+		if have := r.core.Table().Document; have < w.orders.highestDocument {
+			w.t.Fatalf("%s holds document %d, %d was acknowledged", r.id, have, w.orders.highestDocument)
 		}
 		for _, e := range r.core.Table().Services {
 			for row := range e.Rows.All() {
--- a/pkg/core/control/parts_test.go
+++ b/pkg/core/control/parts_test.go
@@ -14,8 +14,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// partsReplica is a replica with boxes attached and targets of one service, whose table the boxes have.
-func partsReplica(t *testing.T, boxes, targets int) (*Replica, []*session) {
+// replicaWithBoxes is a replica with boxes attached and targets of one service, whose table the boxes have.
+func replicaWithBoxes(t *testing.T, boxes, targets int) (*Replica, []*session) {
 	t.Helper()
 	r, err := NewReplica(Settings{Replication: replication.Settings{ID: "r", ElectionTimeout: time.Second, Heartbeat: time.Second}}, &replication.Durable{}, 0)
 	if err != nil {
@@ -28,7 +28,7 @@
 	}
 	r.state.ApplyBoxes(table.BoxChange{Put: list})
 	for i := range targets {
-		r.state.ApplyRegistration(partsTarget(i, 1, table.Active))
+		r.state.ApplyRegistration(testRegistration(i, 1, table.Active))
 	}
 	var sessions []*session
 	for i := range list {
@@ -37,7 +37,7 @@
 	return r, sessions
 }
 
-func partsTarget(i int, sequence uint64, state table.RowState) *table.Registration {
+func testRegistration(i int, sequence uint64, state table.RowState) *table.Registration {
 	return &table.Registration{
 		Target: units.TargetID(fmt.Sprintf("i-%08x", i*2654435761%(1<<31))), Service: "s", Address: fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250),
 		Domain: units.Domain(fmt.Sprint("d", i%6)), State: state, Sequence: sequence, Slots: 3,
@@ -49,7 +49,7 @@
 func sendChanges(r *Replica, sessions []*session, changes int) (messages, bytes int) {
 	e := &Effects{}
 	for i := range changes {
-		r.state.ApplyRegistration(partsTarget(i, 2, table.Leaving))
+		r.state.ApplyRegistration(testRegistration(i, 2, table.Leaving))
 		for _, s := range sessions {
 			list := r.updateMessages(s, false, e)
 			for _, m := range list {
@@ -65,9 +65,9 @@
 // with the fleet. While the service was told of whole each change went to every box.
 func TestAChangeGoesToTheBoxesThatHoldTheTarget(t *testing.T) {
 	const changes = 40
-	r, sessions := partsReplica(t, 500, 3_000)
+	r, sessions := replicaWithBoxes(t, 500, 3_000)
 	messages, bytes := sendChanges(r, sessions, changes)
-	r, sessions = partsReplica(t, 1_000, 6_000)
+	r, sessions = replicaWithBoxes(t, 1_000, 6_000)
 	messagesOfTwice, bytesOfTwice := sendChanges(r, sessions, changes)
 	t.Logf("%d changes take %d and %d messages, %d and %d bytes", changes, messages, messagesOfTwice, bytes, bytesOfTwice)
 	if messagesOfTwice > 2*messages*3/4 || messages > changes*len(sessions)/8 {
@@ -81,8 +81,8 @@
 // What doesn't concern a box comes with its next request, so that its leases, which name a revision,
 // come in force.
 func TestABoxIsBroughtUpToDateWhenItRenews(t *testing.T) {
-	r, sessions := partsReplica(t, 500, 3_000)
-	r.state.ApplyRegistration(partsTarget(7, 2, table.Leaving))
+	r, sessions := replicaWithBoxes(t, 500, 3_000)
+	r.state.ApplyRegistration(testRegistration(7, 2, table.Leaving))
 	e := &Effects{}
 	for _, s := range sessions {
 		if len(r.updateMessages(s, false, e)) > 0 {
@@ -104,11 +104,11 @@
 
 // A replica that can't keep up says so at once, and takes commands again when others are through.
 func TestAReplicaThatCantKeepUpSaysSo(t *testing.T) {
-	r := newLoneReplica(t)
-	r.give(DocumentSubmitted{Request: 1, Document: &table.Document{Version: 1, Services: []table.Service{{Name: "s", Work: table.Repeatable, Deadline: time.Second}}}})
+	r := newSingleReplica(t)
+	r.deliver(DocumentSubmitted{Request: 1, Document: &table.Document{Version: 1, Services: []table.Service{{Name: "s", Work: table.Repeatable, Deadline: time.Second}}}})
 	var e Effects
 	for i := range maxWaitingCommands + 1 {
-		r.core.Reduce(r.now, 1, TargetReported{Request: RequestID(i + 2), Registration: partsTarget(i, 1, table.Active)}, &e)
+		r.core.Reduce(r.now, 1, TargetReported{Request: RequestID(i + 2), Registration: testRegistration(i, 1, table.Active)}, &e)
 	}
 	last := RequestID(maxWaitingCommands + 2)
 	if len(e.Answers) != 1 || e.Answers[0].Request != last || fault.KindOf(e.Answers[0].Err) != fault.Unavailable {
@@ -119,7 +119,7 @@
 	if len(e.Answers) != maxWaitingCommands {
 		t.Fatalf("%d commands are answered", len(e.Answers))
 	}
-	r.core.Reduce(r.now, 1, TargetReported{Request: last + 1, Registration: partsTarget(maxWaitingCommands+1, 1, table.Active)}, &e)
+	r.core.Reduce(r.now, 1, TargetReported{Request: last + 1, Registration: testRegistration(maxWaitingCommands+1, 1, table.Active)}, &e)
 	if len(e.Answers) != maxWaitingCommands {
 		t.Fatalf("a command is refused though none waits: %v", e.Answers[len(e.Answers)-1].Err)
 	}
@@ -128,15 +128,15 @@
 // Reports of a target that say the same while the first still waits are one command, and a command that is passed
 // on again is one entry of the log; all who reported are answered.
 func TestWhatIsSentAgainIsNoMoreWork(t *testing.T) {
-	r := newLoneReplica(t)
-	r.give(DocumentSubmitted{Request: 1, Document: &table.Document{Version: 1, Services: []table.Service{{Name: "s", Work: table.Repeatable, Deadline: time.Second}}}})
+	r := newSingleReplica(t)
+	r.deliver(DocumentSubmitted{Request: 1, Document: &table.Document{Version: 1, Services: []table.Service{{Name: "s", Work: table.Repeatable, Deadline: time.Second}}}})
 	last := r.core.node.Status(r.now).LastIndex
 	var e Effects
 	for i := range 5 {
-		r.core.Reduce(r.now, 1, TargetReported{Request: RequestID(i + 2), Registration: partsTarget(1, uint64(i+1), table.Active)}, &e)
+		r.core.Reduce(r.now, 1, TargetReported{Request: RequestID(i + 2), Registration: testRegistration(1, uint64(i+1), table.Active)}, &e)
 	}
 	command, err := wire.EncodeCommand(&wire.Command{
-		Origin: originOf("other", 3), Number: 7, Kind: &wire.Command_Registration{Registration: wire.FromRegistration(partsTarget(2, 1, table.Active))},
+		Origin: originOf("other", 3), Number: 7, Kind: &wire.Command_Registration{Registration: wire.FromRegistration(testRegistration(2, 1, table.Active))},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -157,14 +157,14 @@
 
 // snapshotBytes is how many bytes of snapshots a replica writes while targets register.
 func snapshotBytes(t *testing.T, targets int) int {
-	r := newLoneReplica(t)
-	r.give(DocumentSubmitted{Request: 1, Document: &table.Document{Version: 1, Services: []table.Service{{Name: "s", Work: table.Repeatable, Deadline: time.Second}}}})
+	r := newSingleReplica(t)
+	r.deliver(DocumentSubmitted{Request: 1, Document: &table.Document{Version: 1, Services: []table.Service{{Name: "s", Work: table.Repeatable, Deadline: time.Second}}}})
 	for i := range targets {
-		x := partsTarget(i, 1, table.Active)
+		x := testRegistration(i, 1, table.Active)
 		x.Address = fmt.Sprintf("10.%d.%d.%d:8080", 1+i/62500, i/250%250, i%250)
-		r.give(TargetReported{Request: RequestID(i + 2), Registration: x})
+		r.deliver(TargetReported{Request: RequestID(i + 2), Registration: x})
 	}
-	return r.snapshots
+	return r.snapshotBytes
 }
 
 // What snapshots cost an entry of the log mustn't grow with the targets that there are.
--- a/pkg/core/control/promises_test.go
+++ b/pkg/core/control/promises_test.go
@@ -10,7 +10,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-func (w *world) takeAnswer(id units.EditID, a Answer) {
+func (w *world) recordEditAnswer(id units.EditID, a Answer) {
 	if a.Err != nil {
 		return
 	}
@@ -30,16 +30,16 @@
 	w.accepted[a.Result.Revision] = acceptedEdit{id: id, at: w.now}
 }
 
-// checkContent compares a replica's table with what others showed at the same
+// checkReplicaTable compares a replica's table with what others showed at the same
 // revision.
-func (w *world) checkContent(r *replicaFake) {
-	w.compareContent("replica "+string(r.id), r.core.Table())
+func (w *world) checkReplicaTable(r *fakeReplica) {
+	w.checkTable("replica "+string(r.id), r.core.Table())
 }
 
-func (w *world) compareContent(who string, t *table.Table) {
-	first, seen := w.contents[t.Revision]
+func (w *world) checkTable(who string, t *table.Table) {
+	first, seen := w.tablesByRevision[t.Revision]
 	if !seen {
-		w.contents[t.Revision] = t
+		w.tablesByRevision[t.Revision] = t
 		if w.traffic != nil {
 			w.traffic.checkCompletion(t)
 		}
@@ -67,7 +67,7 @@
 		}
 	}
 	for _, b := range w.boxes {
-		w.checkForward(b)
+		w.checkMonotonicRevision(b)
 		if b.up && w.now < b.core.LeaseUntil() && b.core.Table().Revision < latest {
 			w.t.Fatalf("box %s holds a lease at revision %d, %s after revision %d was accepted",
 				b.id, b.core.Table().Revision, w.now.Sub(w.accepted[latest].at), latest)
@@ -75,19 +75,19 @@
 	}
 }
 
-// checkForward makes sure that a box never has an earlier revision in force than
+// checkMonotonicRevision makes sure that a box never has an earlier revision in force than
 // before, through its own restarts as well.
-func (w *world) checkForward(b *boxFake) {
+func (w *world) checkMonotonicRevision(b *fakeBox) {
 	if !b.up || w.now >= b.core.LeaseUntil() {
 		return
 	}
-	if revision := b.core.Table().Revision; revision < b.shown {
-		w.t.Fatalf("box %s went back from revision %d to %d", b.id, b.shown, revision)
+	if revision := b.core.Table().Revision; revision < b.highestRevision {
+		w.t.Fatalf("box %s went back from revision %d to %d", b.id, b.highestRevision, revision)
 	}
-	b.shown = b.core.Table().Revision
+	b.highestRevision = b.core.Table().Revision
 }
 
-func (w *world) checkLeader(r *replicaFake) {
+func (w *world) checkLeader(r *fakeReplica) {
 	if !r.up || r.halted != nil || !r.core.node.IsLeader() {
 		return
 	}
@@ -100,7 +100,7 @@
 
 // checkLease makes sure that no two replicas may speak for the cluster at once.
 func (w *world) checkLease() {
-	var holder *replicaFake
+	var holder *fakeReplica
 	for _, r := range w.replicas {
 		if !r.up || r.halted != nil || !r.core.node.HasLease(w.now) {
 			continue
@@ -112,10 +112,10 @@
 	}
 }
 
-// checkEnd heals the world and makes sure that nothing accepted is missing and
+// checkRecovery heals the world and makes sure that nothing accepted is missing and
 // edits go on.
-func (w *world) checkEnd() {
-	w.heal()
+func (w *world) checkRecovery() {
+	w.endFaults()
 	w.run(3 * time.Second)
 	last := newEdit("last", "end", 0, 1)
 	for _, r := range w.replicas {
--- a/pkg/core/control/pushing_test.go
+++ b/pkg/core/control/pushing_test.go
@@ -15,24 +15,24 @@
 
 // attachedBoxes are boxes at a lone replica, with the tables that it has told them.
 type attachedBoxes struct {
-	t       *testing.T
-	replica *loneReplica
-	boxes   []table.Box
-	tables  []*table.Table
-	pieces  []wire.Assembly
-	// told counts the changes that one event tells, wholes the whole tables of each box.
-	told   int
-	wholes []int
+	t          *testing.T
+	replica    *singleReplica
+	boxes      []table.Box
+	tables     []*table.Table
+	assemblies []wire.Assembly
+	// updatesSent counts the changes that one event tells, wholes the whole tables of each box.
+	updatesSent int
+	wholeTables []int
 }
 
 func attachBoxes(t *testing.T, n int) *attachedBoxes {
 	t.Helper()
-	a := &attachedBoxes{t: t, replica: newLoneReplica(t), tables: make([]*table.Table, n), pieces: make([]wire.Assembly, n), wholes: make([]int, n)}
-	a.replica.give(DocumentSubmitted{Request: 2, Document: &table.Document{Version: 1, Services: []table.Service{{Name: "s", Work: table.Repeatable, Deadline: time.Second}}}})
+	a := &attachedBoxes{t: t, replica: newSingleReplica(t), tables: make([]*table.Table, n), assemblies: make([]wire.Assembly, n), wholeTables: make([]int, n)}
+	a.replica.deliver(DocumentSubmitted{Request: 2, Document: &table.Document{Version: 1, Services: []table.Service{{Name: "s", Work: table.Repeatable, Deadline: time.Second}}}})
 	for i := range n {
 		a.boxes = append(a.boxes, table.Box{ID: units.BoxID(fmt.Sprintf("box-%04d", i)), Domain: units.Domain(fmt.Sprint("d", i%6)), Address: "10.0.0.1:7000"})
 	}
-	a.replica.toBox = a.take
+	a.replica.onBoxSend = a.receive
 	return a
 }
 
@@ -53,11 +53,11 @@
 	}
 }
 
-// take has a box put in force what it is told.
-func (a *attachedBoxes) take(s BoxSend) {
+// receive has a box put in force what it is told.
+func (a *attachedBoxes) receive(s BoxSend) {
 	i, m := int(s.Connection)-1, s.Envelope
 	if f := m.GetFragment(); f != nil {
-		whole, err := a.pieces[i].Add(f)
+		whole, err := a.assemblies[i].Add(f)
 		if err != nil {
 			a.t.Fatal(err)
 		}
@@ -68,11 +68,11 @@
 	}
 	switch body := m.Body.(type) {
 	case *wire.Envelope_Table:
-		a.told++
-		a.wholes[i]++
+		a.updatesSent++
+		a.wholeTables[i]++
 		a.tables[i] = wire.ToTable(body.Table)
 	case *wire.Envelope_DeltaBatch:
-		a.told++
+		a.updatesSent++
 		a.patch(i, wire.ToDelta(body.DeltaBatch.Deltas[0]))
 	}
 }
@@ -95,9 +95,9 @@
 			renewAt = r.now.Add(DefaultLease / 2)
 			a.renewAll()
 		}
-		a.told = 0
-		r.give(Tick{})
-		most = max(most, a.told)
+		a.updatesSent = 0
+		r.deliver(Tick{})
+		most = max(most, a.updatesSent)
 		r.now = max(r.core.NextWake(), r.now.Add(time.Millisecond))
 	}
 	return most
@@ -110,7 +110,7 @@
 	a := attachBoxes(t, boxes)
 	a.runFor(time.Second)
 	for i := range targets {
-		a.replica.give(TargetReported{Request: RequestID(i + 10), Registration: partsTarget(i, 1, table.Active)})
+		a.replica.deliver(TargetReported{Request: RequestID(i + 10), Registration: testRegistration(i, 1, table.Active)})
 		if i%together != 0 {
 			continue
 		}
@@ -138,28 +138,28 @@
 	a := attachBoxes(t, boxes)
 	a.runFor(time.Second)
 	for i := range targets {
-		a.replica.give(TargetReported{Request: RequestID(i + 10), Registration: partsTarget(i, 1, table.Active)})
+		a.replica.deliver(TargetReported{Request: RequestID(i + 10), Registration: testRegistration(i, 1, table.Active)})
 	}
 	a.runFor(time.Second)
 	if !a.replica.core.Table().Divided() {
 		t.Fatal("the service isn't divided")
 	}
-	clear(a.wholes)
+	clear(a.wholeTables)
 	for i := range boxes {
-		a.replica.give(BoxDetached{Connection: ConnectionID(i + 1)})
+		a.replica.deliver(BoxDetached{Connection: ConnectionID(i + 1)})
 		a.tables[i] = nil
 	}
 	for i := range boxes {
-		a.told = 0
+		a.updatesSent = 0
 		a.renew(i)
-		if a.told > 1 {
-			t.Fatalf("one request takes %d whole tables", a.told)
+		if a.updatesSent > 1 {
+			t.Fatalf("one request takes %d whole tables", a.updatesSent)
 		}
 	}
 	if most := a.runFor(boxes * pushBatchInterval); most > 1 {
 		t.Errorf("one event takes %d whole tables", most)
 	}
-	for i, n := range a.wholes {
+	for i, n := range a.wholeTables {
 		if n != 1 {
 			t.Fatalf("box %d is sent %d whole tables", i, n)
 		}
@@ -173,12 +173,12 @@
 	a := attachBoxes(t, boxes)
 	a.renewAll()
 	for i := range targets {
-		a.replica.give(TargetReported{Request: RequestID(i + 10), Registration: partsTarget(i, 1, table.Active)})
+		a.replica.deliver(TargetReported{Request: RequestID(i + 10), Registration: testRegistration(i, 1, table.Active)})
 	}
 	a.runFor(time.Second)
 	differences := map[*table.Table]bool{}
 	for i := range boxes {
-		a.replica.give(TargetReported{Request: RequestID(i + targets + 10), Registration: partsTarget(i, 2, table.Leaving)})
+		a.replica.deliver(TargetReported{Request: RequestID(i + targets + 10), Registration: testRegistration(i, 2, table.Leaving)})
 		a.renew(i)
 		differences[a.replica.core.cachedUpdate.to] = true
 	}
--- a/pkg/core/control/recovery_test.go
+++ b/pkg/core/control/recovery_test.go
@@ -49,7 +49,7 @@
 				if took := w.timeToLeader(3 * testElection); took > 3*testElection/2 {
 					t.Errorf("seed %d: no leader for %s", seed, took)
 				}
-				w.checkEnd()
+				w.checkRecovery()
 			}
 		})
 	}
@@ -169,18 +169,18 @@
 	w.startReplica(w.replicas[0])
 	w.run(2 * time.Second)
 	for w.leader() != w.replicas[0] {
-		w.give(w.leader(), StopRequested{})
+		w.deliver(w.leader(), StopRequested{})
 		w.run(500 * time.Millisecond)
 	}
 	follower, candidate := w.replicas[1], w.replicas[2]
-	w.give(follower, PeerMessage{Envelope: w.copyMessage(late)})
+	w.deliver(follower, PeerMessage{Envelope: w.copyMessage(late)})
 	if !follower.core.node.LeaderIsFresh(w.now) {
 		t.Fatalf("%s would vote for %s while %s holds the lease", follower.id, candidate.id, w.replicas[0].id)
 	}
 }
 
 // revisionsSeen runs the world and returns the revisions that a box showed meanwhile.
-func (w *world) revisionsSeen(b *boxFake, d time.Duration) map[units.Revision]bool {
+func (w *world) revisionsSeen(b *fakeBox, d time.Duration) map[units.Revision]bool {
 	seen := map[units.Revision]bool{}
 	for end := w.now.Add(d); w.now < end; {
 		w.run(time.Millisecond)
@@ -231,7 +231,7 @@
 		stood := w.now
 		for b.core.Table().Revision < newest || b.core.LeaseUntil() == 0 {
 			w.run(time.Millisecond)
-			if w.now.Sub(stood) > 4*slowestMessage {
+			if w.now.Sub(stood) > 4*maxLatency {
 				t.Errorf("seed %d: %s after the leader stood the box is at revision %d, its lease ends at %d",
 					seed, w.now.Sub(stood), b.core.Table().Revision, b.core.LeaseUntil())
 				break
--- a/pkg/core/control/regression_test.go
+++ b/pkg/core/control/regression_test.go
@@ -35,9 +35,9 @@
 			for _, s := range r.steps {
 				f := faults[s%len(faults)]
 				f.do(w, s/len(faults))
-				w.run(pause(s))
+				w.run(stepDuration(s))
 			}
-			w.checkEnd()
+			w.checkRecovery()
 		})
 	}
 }
@@ -51,7 +51,7 @@
 		{Reason: "test", Boot: r.boot + 1, Incarnation: string(r.core.settings.Replication.Incarnation)},
 		{Reason: "test", Boot: r.boot, Incarnation: "another"},
 	} {
-		w.give(r, PeerMessage{Envelope: &wire.Envelope{
+		w.deliver(r, PeerMessage{Envelope: &wire.Envelope{
 			From: string(w.replicas[1].id), To: string(r.id), Incarnation: "r1.0", Boot: 1,
 			Body: &wire.Envelope_Refusal{Refusal: refusal},
 		}})
--- a/pkg/core/control/rollout_test.go
+++ b/pkg/core/control/rollout_test.go
@@ -44,8 +44,8 @@
 	w.after(200*time.Millisecond, func() { w.keepReporting(&next) })
 }
 
-// newRolloutWorld returns a world with a service whose targets are of version v1, and calls.
-func newRolloutWorld(t fataler, w *world, bad func(units.Software) float64) *traffic {
+// startTraffic returns a world with a service whose targets are of version v1, and calls.
+func startTraffic(t fataler, w *world, bad func(units.Software) float64) *traffic {
 	w.putDocument(w.leader(), false)
 	w.run(500 * time.Millisecond)
 	w.registerSoftware("v1", 6)
@@ -66,7 +66,7 @@
 	return 0
 }
 
-func (w *world) orderRollout(r *replicaFake, o table.RolloutOrder, answered func(Answer)) {
+func (w *world) orderRollout(r *fakeReplica, o table.RolloutOrder, answered func(Answer)) {
 	w.order(r, func(id RequestID) Event { return RolloutOrdered{Request: id, Order: o} }, answered)
 }
 
@@ -78,7 +78,7 @@
 	return err
 }
 
-func order(to units.Software) table.RolloutOrder {
+func rolloutTo(to units.Software) table.RolloutOrder {
 	return table.RolloutOrder{Service: testService, To: to, Duration: testDuration, Operator: "test"}
 }
 
@@ -87,9 +87,9 @@
 func TestAGoodVersionIsCompleted(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newWorld(t, seed, 3, 4)
-		x := newRolloutWorld(t, w, badIfNamed)
+		x := startTraffic(t, w, badIfNamed)
 		w.registerSoftware("v2", 6)
-		if err := w.orderNow(order("v2")); err != nil {
+		if err := w.orderNow(rolloutTo("v2")); err != nil {
 			t.Fatal(err)
 		}
 		w.run(testDuration - 100*time.Millisecond)
@@ -101,16 +101,16 @@
 		if x.sent["v1"] != sent {
 			t.Fatalf("seed %d: calls go to the old version after the end", seed)
 		}
-		w.checkEnd()
+		w.checkRecovery()
 	}
 }
 
 func TestABadVersionIsRolledBackSoon(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newWorld(t, seed, 3, 4)
-		x := newRolloutWorld(t, w, badIfNamed)
+		x := startTraffic(t, w, badIfNamed)
 		w.registerSoftware("v2bad", 6)
-		if err := w.orderNow(order("v2bad")); err != nil {
+		if err := w.orderNow(rolloutTo("v2bad")); err != nil {
 			t.Fatal(err)
 		}
 		w.run(testDuration / 2)
@@ -125,7 +125,7 @@
 		if x.sent["v2bad"] != sent {
 			t.Fatalf("seed %d: the bad version got calls after its end", seed)
 		}
-		w.checkEnd()
+		w.checkRecovery()
 	}
 }
 
@@ -134,9 +134,9 @@
 func TestARolloutOutlivesItsLeader(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newWorld(t, seed, 3, 4)
-		newRolloutWorld(t, w, badIfNamed)
+		startTraffic(t, w, badIfNamed)
 		w.registerSoftware("v2", 6)
-		o := order("v2")
+		o := rolloutTo("v2")
 		o.Duration = 2 * testDuration
 		if err := w.orderNow(o); err != nil {
 			t.Fatal(err)
@@ -148,14 +148,14 @@
 		if r := w.rollout(); r.Stage != table.RolloutCompleted {
 			t.Fatalf("seed %d: the rollout is %+v", seed, r)
 		}
-		w.checkEnd()
+		w.checkRecovery()
 	}
 }
 
 func TestRolloutOrdersGetClearAnswers(t *testing.T) {
 	w := newWorld(t, 1, 3, 2)
-	newRolloutWorld(t, w, badIfNamed)
-	short, unknown, abort := order("v2"), order("v2"), order("")
+	startTraffic(t, w, badIfNamed)
+	short, unknown, abort := rolloutTo("v2"), rolloutTo("v2"), rolloutTo("")
 	short.Duration, unknown.Service, abort.Abort = time.Second, "elsewhere", true
 	cases := []struct {
 		what  string
@@ -164,15 +164,15 @@
 	}{
 		{"too short", short, fault.Invalid},
 		{"unknown service", unknown, fault.NotFound},
-		{"in force already", order("v1"), fault.Invalid},
-		{"without a version", order(""), fault.Invalid},
+		{"in force already", rolloutTo("v1"), fault.Invalid},
+		{"without a version", rolloutTo(""), fault.Invalid},
 		{"nothing to end", abort, fault.NotFound},
-		{"proper", order("v2"), ""},
-		{"the same again", order("v2"), ""},
-		{"another one", order("v3"), fault.Conflict},
+		{"proper", rolloutTo("v2"), ""},
+		{"the same again", rolloutTo("v2"), ""},
+		{"another one", rolloutTo("v3"), fault.Conflict},
 		{"end it", abort, ""},
 		{"end it again", abort, ""},
-		{"the same, late", order("v2"), ""},
+		{"the same, late", rolloutTo("v2"), ""},
 	}
 	for _, c := range cases {
 		err := w.orderNow(c.order)
@@ -185,17 +185,17 @@
 	}
 }
 
-// mover is an operator who orders one rollout after the other and sends each order again, to
+// rolloutOperator is an operator who orders one rollout after the other and sends each order again, to
 // another replica each time, until it is acknowledged.
-type mover struct {
+type rolloutOperator struct {
 	world        *world
 	number, next int
 	to           units.Software
 	acknowledged bool
 }
 
-// turn orders the next version once the present rollout has ended; every other one is bad.
-func (o *mover) turn() {
+// orderNext orders the next version once the present rollout has ended; every other one is bad.
+func (o *rolloutOperator) orderNext() {
 	leader := o.world.leader()
 	if o.to != "" && (!o.acknowledged || leader == nil || leader.core.Table().Rollout(testService).Active()) {
 		return
@@ -209,14 +209,14 @@
 	o.send(o.number)
 }
 
-func (o *mover) send(number int) {
+func (o *rolloutOperator) send(number int) {
 	if o.acknowledged || number != o.number {
 		return
 	}
 	w := o.world
 	r := w.replicas[o.next%len(w.replicas)]
 	o.next++
-	w.orderRollout(r, order(o.to), func(a Answer) {
+	w.orderRollout(r, rolloutTo(o.to), func(a Answer) {
 		if a.Err == nil && number == o.number {
 			o.acknowledged = true
 		}
@@ -231,8 +231,8 @@
 // ended rollout never goes on, and that no bad version was completed.
 func (w *world) checkRollouts(acknowledged units.Software) map[units.Revision]table.RolloutStage {
 	ended := map[units.Revision]table.RolloutStage{}
-	for _, revision := range slices.Sorted(maps.Keys(w.contents)) {
-		r := w.contents[revision].Rollout(testService)
+	for _, revision := range slices.Sorted(maps.Keys(w.tablesByRevision)) {
+		r := w.tablesByRevision[revision].Rollout(testService)
 		if r == nil {
 			continue
 		}
@@ -260,7 +260,7 @@
 }
 
 // rolloutFaults are what befalls rollouts beside all else.
-var rolloutFaults = append([]disturbance{
+var rolloutFaults = append([]faultAction{
 	{"abort", func(w *world, n int) {
 		w.orderRollout(w.replicas[n%len(w.replicas)], table.RolloutOrder{Service: testService, Abort: true}, func(Answer) {})
 	}},
@@ -281,20 +281,20 @@
 	ends := map[table.RolloutStage]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		w := newGrowingWorld(t, rapid.Uint64().Draw(t, "seed"), 5, 5, 3)
-		newRolloutWorld(t, w, badIfNamed)
-		evacuations := newEvacuator(w, "d")
-		w.inDomain("d")
-		o := &mover{world: w}
+		startTraffic(t, w, badIfNamed)
+		evacuations := newEvacuationOperator(w, "d")
+		w.registerInDomain("d")
+		o := &rolloutOperator{world: w}
 		steps := rapid.SliceOfN(rapid.IntRange(0, len(rolloutFaults)*1000-1), 1, 20).Draw(t, "faults")
 		for _, s := range steps {
-			o.turn()
+			o.orderNext()
 			if s%5 == 0 {
-				evacuations.turn()
+				evacuations.orderNext()
 			}
 			rolloutFaults[s%len(rolloutFaults)].do(w, s/len(rolloutFaults))
-			w.run(pause(s) + time.Duration(s%7)*200*time.Millisecond)
+			w.run(stepDuration(s) + time.Duration(s%7)*200*time.Millisecond)
 		}
-		w.checkEnd()
+		w.checkRecovery()
 		if !o.acknowledged {
 			t.Fatalf("the order of %s wasn't acknowledged after all faults had ended", o.to)
 		}
--- a/pkg/core/control/starts_test.go
+++ b/pkg/core/control/starts_test.go
@@ -10,9 +10,9 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// starter is a target that crashes and starts again under its id. Each start reports on, to any
+// restartingTarget is a target that crashes and starts again under its id. Each start reports on, to any
 // replica, until it has left or the next one begins; reports of earlier starts come late.
-type starter struct {
+type restartingTarget struct {
 	world *world
 	// born is that of the present start, acknowledged the last start that was.
 	born, acknowledged units.WallTime
@@ -20,21 +20,21 @@
 	left units.WallTime
 }
 
-const starterID = units.TargetID("starter")
+const restartingTargetID = units.TargetID("starter")
 
-func (x *starter) registration(born units.WallTime, sequence uint64, state table.RowState) *table.Registration {
+func (x *restartingTarget) registration(born units.WallTime, sequence uint64, state table.RowState) *table.Registration {
 	return &table.Registration{
-		Target: starterID, Service: testService, Address: "127.0.0.77:80", State: state, Born: born, Sequence: sequence,
+		Target: restartingTargetID, Service: testService, Address: "127.0.0.77:80", State: state, Born: born, Sequence: sequence,
 	}
 }
 
-// start begins a start, whose first reports have low numbers.
-func (x *starter) start() {
+// startAgain begins a startAgain, whose first reports have low numbers.
+func (x *restartingTarget) startAgain() {
 	x.born += 1000
 	x.report(x.born, 1)
 }
 
-func (x *starter) report(born units.WallTime, sequence uint64) {
+func (x *restartingTarget) report(born units.WallTime, sequence uint64) {
 	if born != x.born || x.left == born {
 		return
 	}
@@ -50,8 +50,8 @@
 	w.after(200*time.Millisecond, func() { x.report(born, sequence+1) })
 }
 
-// late has reports of all earlier starts come now, with numbers far above those of the present one.
-func (x *starter) late() {
+// sendLateReports has reports of all earlier starts come now, with numbers far above those of the present one.
+func (x *restartingTarget) sendLateReports() {
 	w := x.world
 	for born := units.WallTime(1000); born < x.born; born += 1000 {
 		r := w.replicas[w.random.IntN(len(w.replicas))]
@@ -62,13 +62,13 @@
 }
 
 // depart has the present start leave for good, if it is known to be registered.
-func (x *starter) depart() {
+func (x *restartingTarget) depart() {
 	if x.acknowledged != x.born || x.left == x.born {
 		return
 	}
 	w, born := x.world, x.born
 	w.order(w.replicas[w.random.IntN(len(w.replicas))], func(id RequestID) Event {
-		return TargetDeparted{Request: id, Target: starterID}
+		return TargetDeparted{Request: id, Target: restartingTargetID}
 	}, func(a Answer) {
 		if a.Err == nil && x.born == born {
 			x.left = born
@@ -77,9 +77,9 @@
 }
 
 // check makes sure that the present start is the one in force, unless it has left.
-func (x *starter) check(t *rapid.T) {
+func (x *restartingTarget) check(t *rapid.T) {
 	for _, r := range x.world.replicas {
-		held := r.core.state.Registration(starterID)
+		held := r.core.state.Registration(restartingTargetID)
 		switch {
 		case x.left == x.born:
 			if held != nil {
@@ -99,27 +99,27 @@
 		w := newGrowingWorld(t, rapid.Uint64().Draw(t, "seed"), 5, 5, 1)
 		w.putDocument(w.leader(), false)
 		w.run(500 * time.Millisecond)
-		x := &starter{world: w}
-		x.start()
+		x := &restartingTarget{world: w}
+		x.startAgain()
 		steps := rapid.SliceOfN(rapid.IntRange(0, len(growthFaults)*1000-1), 1, 25).Draw(t, "faults")
 		for i, s := range steps {
 			switch i % 4 {
 			case 1:
-				x.late()
+				x.sendLateReports()
 			case 2:
-				x.start()
+				x.startAgain()
 			}
 			growthFaults[s%len(growthFaults)].do(w, s/len(growthFaults))
-			w.run(pause(s))
+			w.run(stepDuration(s))
 		}
-		w.checkEnd()
+		w.checkRecovery()
 		if s := steps[0]; s%3 == 0 {
 			// An order that was given up must not be under way any more when the next start begins.
 			w.run(w.settings.EditTimeout)
 			x.depart()
 		}
 		w.run(time.Second)
-		x.late()
+		x.sendLateReports()
 		w.run(3 * time.Second)
 		x.check(t)
 	})
--- a/pkg/core/control/storm_bench_test.go
+++ b/pkg/core/control/storm_bench_test.go
@@ -13,19 +13,19 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// loneReplica is a replica that is its own quorum, with a disk that syncs at once.
-type loneReplica struct {
-	core *Replica
-	now  units.Instant
-	sent int
-	// snapshots counts the bytes of snapshots that it wrote.
-	snapshots int
-	// toBox takes what is sent to boxes, where it is set.
-	toBox func(BoxSend)
-	e     Effects
+// singleReplica is a replica that is its own quorum, with a disk that syncs at once.
+type singleReplica struct {
+	core      *Replica
+	now       units.Instant
+	sentBytes int
+	// snapshotBytes counts the bytes of snapshotBytes that it wrote.
+	snapshotBytes int
+	// onBoxSend takes what is sent to boxes, where it is set.
+	onBoxSend func(BoxSend)
+	e         Effects
 }
 
-func newLoneReplica(b testing.TB) *loneReplica {
+func newSingleReplica(b testing.TB) *singleReplica {
 	s := Settings{
 		Replication: replication.Settings{ID: "r", Incarnation: "i", Boot: 1, ElectionTimeout: 400 * time.Millisecond, Heartbeat: 100 * time.Millisecond},
 		Lease:       DefaultLease, LeaseMargin: DefaultLeaseMargin, EditTimeout: DefaultEditTimeout, SnapshotEvery: DefaultSnapshotEvery,
@@ -35,11 +35,11 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := &loneReplica{core: core, now: units.Instant(time.Second)}
-	r.give(FormRequested{Request: 1, Cluster: "c"})
+	r := &singleReplica{core: core, now: units.Instant(time.Second)}
+	r.deliver(FormRequested{Request: 1, Cluster: "c"})
 	for range 100 {
 		r.now = r.now.Add(20 * time.Millisecond)
-		r.give(Tick{})
+		r.deliver(Tick{})
 	}
 	if !core.node.IsLeader() {
 		b.Fatal("the replica doesn't lead")
@@ -47,37 +47,37 @@
 	return r
 }
 
-// give gives the replica an event and syncs what it writes.
-func (r *loneReplica) give(event Event) {
+// deliver gives the replica an event and syncs what it writes.
+func (r *singleReplica) deliver(event Event) {
 	r.core.Reduce(r.now, 1, event, &r.e)
 	for len(r.e.Writes) > 0 {
 		for _, w := range r.e.Writes {
 			if w.Snapshot != nil {
-				r.snapshots += len(w.Snapshot.State)
+				r.snapshotBytes += len(w.Snapshot.State)
 			}
 		}
 		last := r.e.Writes[len(r.e.Writes)-1].Sequence
-		r.count()
+		r.countSends()
 		r.core.Reduce(r.now, 1, DiskSynced{Sequence: last}, &r.e)
 	}
-	r.count()
+	r.countSends()
 }
 
 // renew gives the replica a box's request for a lease.
-func (r *loneReplica) renew(c ConnectionID, request *wire.RenewRequest) {
+func (r *singleReplica) renew(c ConnectionID, request *wire.RenewRequest) {
 	request.Nonce, request.Start = uint64(r.now), 1
-	r.give(BoxMessage{Connection: c, Envelope: &wire.Envelope{Body: &wire.Envelope_RenewRequest{RenewRequest: request}}})
+	r.deliver(BoxMessage{Connection: c, Envelope: &wire.Envelope{Body: &wire.Envelope_RenewRequest{RenewRequest: request}}})
 }
 
-// count counts the bytes for boxes, which are encoded as for a connection.
-func (r *loneReplica) count() {
+// countSends counts the bytes for boxes, which are encoded as for a connection.
+func (r *singleReplica) countSends() {
 	for _, s := range r.e.BoxSends {
 		data, err := proto.Marshal(s.Envelope)
 		if err == nil {
-			r.sent += len(data)
+			r.sentBytes += len(data)
 		}
-		if r.toBox != nil {
-			r.toBox(s)
+		if r.onBoxSend != nil {
+			r.onBoxSend(s)
 		}
 	}
 	r.e = Effects{}
@@ -98,8 +98,8 @@
 	var longest time.Duration
 	for range b.N {
 		b.StopTimer()
-		r := newLoneReplica(b)
-		r.give(DocumentSubmitted{Request: 2, Document: &table.Document{Version: 1, Services: []table.Service{
+		r := newSingleReplica(b)
+		r.deliver(DocumentSubmitted{Request: 2, Document: &table.Document{Version: 1, Services: []table.Service{
 			{Name: "s0", Work: table.Repeatable, Deadline: time.Second}, {Name: "s1", Work: table.Repeatable, Deadline: time.Second},
 			{Name: "s2", Work: table.Repeatable, Deadline: time.Second},
 		}}})
@@ -114,12 +114,12 @@
 		b.StartTimer()
 		for i := range targets {
 			r.now = r.now.Add(625 * time.Microsecond)
-			t := partsTarget(i, 1, table.Active)
+			t := testRegistration(i, 1, table.Active)
 			t.Service = units.ServiceName([]string{"s0", "s1", "s2", "s2"}[i%4])
 			t.Domain = units.Domain(fmt.Sprint("d", i%domains))
 			t.Address = fmt.Sprintf("10.%d.%d.%d:8080", 1+i/62500, i/250%250, i%250)
 			began := time.Now()
-			r.give(TargetReported{Request: RequestID(i + 10), Registration: t})
+			r.deliver(TargetReported{Request: RequestID(i + 10), Registration: t})
 			longest = max(longest, time.Since(began))
 			if i%6 == 0 {
 				renew(i / 6 % boxes)
--- a/pkg/core/control/traffic_test.go
+++ b/pkg/core/control/traffic_test.go
@@ -18,22 +18,22 @@
 	world   *world
 	service units.ServiceName
 	// bad tells the share of a version's answers that fail at a time.
-	bad     func(units.Software) float64
-	callers map[*boxFake]*caller
+	bad   func(units.Software) float64
+	byBox map[*fakeBox]*boxTraffic
 	// sent counts the calls to each version.
 	sent map[units.Software]int
 	// replaced are the versions that completed rollouts have replaced.
 	replaced map[units.Software]bool
 }
 
-// caller is what one start of a box has sent and been granted.
-type caller struct {
-	life    int
-	asked   map[uint64]units.Instant
-	granted map[units.Revision]rollout.Exposure
-	counts  map[units.Software]*rollout.Evidence
-	// underWay are the ends of calls by the version that they went to.
-	underWay map[units.Software][]units.Instant
+// boxTraffic is what one start of a box has sent and been granted.
+type boxTraffic struct {
+	generation  int
+	requestedAt map[uint64]units.Instant
+	granted     map[units.Revision]rollout.Exposure
+	counts      map[units.Software]*rollout.Evidence
+	// inFlight are the ends of calls by the version that they went to.
+	inFlight map[units.Software][]units.Instant
 }
 
 const (
@@ -42,40 +42,40 @@
 )
 
 func newTraffic(w *world, service units.ServiceName, bad func(units.Software) float64) *traffic {
-	x := &traffic{world: w, service: service, bad: bad, callers: map[*boxFake]*caller{}, sent: map[units.Software]int{}, replaced: map[units.Software]bool{}}
+	x := &traffic{world: w, service: service, bad: bad, byBox: map[*fakeBox]*boxTraffic{}, sent: map[units.Software]int{}, replaced: map[units.Software]bool{}}
 	w.traffic = x
 	w.after(callEvery, x.tick)
 	return x
 }
 
-func (x *traffic) caller(b *boxFake) *caller {
-	c := x.callers[b]
-	if c == nil || c.life != b.life {
-		c = &caller{
-			life: b.life, asked: map[uint64]units.Instant{}, granted: map[units.Revision]rollout.Exposure{},
-			counts: map[units.Software]*rollout.Evidence{}, underWay: map[units.Software][]units.Instant{},
+func (x *traffic) trafficOf(b *fakeBox) *boxTraffic {
+	c := x.byBox[b]
+	if c == nil || c.generation != b.generation {
+		c = &boxTraffic{
+			generation: b.generation, requestedAt: map[uint64]units.Instant{}, granted: map[units.Revision]rollout.Exposure{},
+			counts: map[units.Software]*rollout.Evidence{}, inFlight: map[units.Software][]units.Instant{},
 		}
-		x.callers[b] = c
+		x.byBox[b] = c
 	}
 	return c
 }
 
 func (x *traffic) tick() {
 	for i, b := range x.world.boxes {
-		for software, ends := range x.caller(b).underWay {
-			x.caller(b).underWay[software] = slices.DeleteFunc(ends, func(at units.Instant) bool { return at <= x.world.now })
+		for software, ends := range x.trafficOf(b).inFlight {
+			x.trafficOf(b).inFlight[software] = slices.DeleteFunc(ends, func(at units.Instant) bool { return at <= x.world.now })
 		}
 		// Boxes with few calls have none under way most of the time.
 		if b.up && x.world.random.IntN(1+i*i*10) == 0 {
-			x.call(b, x.caller(b))
+			x.call(b, x.trafficOf(b))
 		}
 	}
 	x.world.after(callEvery, x.tick)
 }
 
-func (x *traffic) call(b *boxFake, c *caller) {
+func (x *traffic) call(b *fakeBox, c *boxTraffic) {
 	w := x.world
-	to := x.choose(b, c)
+	to := x.chooseVersion(b, c)
 	if to == "" {
 		return
 	}
@@ -83,7 +83,7 @@
 		w.t.Fatalf("box %s sends a call to %s, whose targets have stopped", b.id, to)
 	}
 	x.sent[to]++
-	c.underWay[to] = append(c.underWay[to], w.now.Add(time.Duration(w.random.Int64N(int64(longestCall)))))
+	c.inFlight[to] = append(c.inFlight[to], w.now.Add(time.Duration(w.random.Int64N(int64(longestCall)))))
 	e := c.counts[to]
 	if e == nil {
 		e = &rollout.Evidence{Service: x.service, Software: to, Route: "h/"}
@@ -97,8 +97,8 @@
 	e.Times.Add(time.Duration(20+w.random.IntN(40)) * time.Millisecond)
 }
 
-// choose returns the version that a call goes to, as a box does.
-func (x *traffic) choose(b *boxFake, c *caller) units.Software {
+// chooseVersion returns the version that a call goes to, as a box does.
+func (x *traffic) chooseVersion(b *fakeBox, c *boxTraffic) units.Software {
 	t := b.core.Table()
 	r := t.Rollout(x.service)
 	if !r.Active() {
@@ -117,13 +117,13 @@
 	return r.From
 }
 
-// tell adds the evidence to a box's request.
-func (x *traffic) tell(b *boxFake, m *wire.Envelope) {
-	request, c := m.GetRenewRequest(), x.caller(b)
+// addEvidence adds the evidence to a box's request.
+func (x *traffic) addEvidence(b *fakeBox, m *wire.Envelope) {
+	request, c := m.GetRenewRequest(), x.trafficOf(b)
 	if request == nil {
 		return
 	}
-	c.asked[request.Nonce] = x.world.now
+	c.requestedAt[request.Nonce] = x.world.now
 	r := b.core.Table().Rollout(x.service)
 	if !r.Active() {
 		return
@@ -131,19 +131,19 @@
 	for _, software := range slices.Sorted(maps.Keys(c.counts)) {
 		e := *c.counts[software]
 		e.Order = r.Order
-		e.UnderWay = uint32(len(c.underWay[software]))
+		e.UnderWay = uint32(len(c.inFlight[software]))
 		request.Evidence = append(request.Evidence, wire.FromEvidence([]rollout.Evidence{e})...)
 	}
 }
 
-// take takes the exposures that a box is granted.
-func (x *traffic) take(b *boxFake, e subscription.Event) {
+// recordExposures takes the exposures that a box is granted.
+func (x *traffic) recordExposures(b *fakeBox, e subscription.Event) {
 	v, received := e.(subscription.Received)
 	if !received || v.Envelope.GetRenewResponse() == nil {
 		return
 	}
-	c, m := x.caller(b), v.Envelope.GetRenewResponse()
-	for _, g := range wire.ToExposures(m.Exposures, c.asked[m.Nonce]) {
+	c, m := x.trafficOf(b), v.Envelope.GetRenewResponse()
+	for _, g := range wire.ToExposures(m.Exposures, c.requestedAt[m.Nonce]) {
 		c.granted[g.Order] = g
 	}
 }
@@ -157,10 +157,10 @@
 	}
 	x.replaced[r.From] = true
 	for _, b := range x.world.boxes {
-		if !b.up || b.side != 0 || x.world.now >= b.core.LeaseUntil() {
+		if !b.up || b.partition != 0 || x.world.now >= b.core.LeaseUntil() {
 			continue
 		}
-		for _, end := range x.caller(b).underWay[r.From] {
+		for _, end := range x.trafficOf(b).inFlight[r.From] {
 			if end > x.world.now {
 				x.world.t.Fatalf("box %s waits for a call at %s when %s completes", b.id, r.From, r.To)
 			}
--- a/pkg/core/control/uses_test.go
+++ b/pkg/core/control/uses_test.go
@@ -11,8 +11,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// tellUses has a box tell of calls once a second for a time.
-func tellUses(r *loneReplica, seconds int, uses ...*wire.WorkspaceUse) {
+// reportUses has a box tell of calls once a second for a time.
+func reportUses(r *singleReplica, seconds int, uses ...*wire.WorkspaceUse) {
 	for range seconds {
 		r.now = r.now.Add(time.Second)
 		r.renew(1, &wire.RenewRequest{Box: &wire.Box{Id: "b", Domain: "d", Address: "10.0.0.1:7000"}, Uses: uses})
@@ -22,9 +22,9 @@
 // Operators see at the leader what a workspace with a limit is let in and refused a second; what boxes
 // say of others, or of none that there is, isn't kept.
 func TestOperatorsSeeWhatWorkspacesUse(t *testing.T) {
-	r := newLoneReplica(t)
+	r := newSingleReplica(t)
 	keys := func(name string) []apikey.Digest { return []apikey.Digest{apikey.DigestOf([]byte(name))} }
-	r.give(DocumentSubmitted{Request: 1, Document: &table.Document{
+	r.deliver(DocumentSubmitted{Request: 1, Document: &table.Document{
 		Version: 1, Services: []table.Service{{Name: "s", Work: table.Repeatable, Deadline: time.Second}},
 		Workspaces: table.Workspaces{
 			{Name: "free", Keys: keys("free")}, {Name: "idle", Keys: keys("idle"), Rate: 5}, {Name: "shops", Keys: keys("shops"), Rate: 20, Burst: 20},
@@ -39,7 +39,7 @@
 		}
 		return nil
 	}
-	tellUses(r, 25, told...)
+	reportUses(r, 25, told...)
 	if u := use("shops"); u == nil || math.Abs(float64(u.Admitted)-16) > 2 || math.Abs(float64(u.Refused)-3) > 1 {
 		t.Errorf("the workspace is shown with %+v", u)
 	}
@@ -49,7 +49,7 @@
 	if use("free") != nil || len(r.core.usage) != 1 {
 		t.Errorf("%d workspaces are counted, and one without a limit is shown with %+v", len(r.core.usage), use("free"))
 	}
-	tellUses(r, 25)
+	reportUses(r, 25)
 	if u := use("shops"); u.Admitted != 0 || u.Refused != 0 {
 		t.Errorf("25 s after its last call it is shown with %+v", u)
 	}
--- a/pkg/core/control/world_test.go
+++ b/pkg/core/control/world_test.go
@@ -27,34 +27,34 @@
 	now      units.Instant
 	events   *container.Heap[event]
 	sequence int
-	replicas []*replicaFake
-	boxes    []*boxFake
+	replicas []*fakeReplica
+	boxes    []*fakeBox
 	// boxRate is how many bytes a second a box's link takes; zero for any number.
 	boxRate float64
 	// updates counts the messages to boxes that change their table.
-	updates  int
-	loss     float64
-	twice    float64
-	settings Settings
+	updates       int
+	lossRate      float64
+	duplicateRate float64
+	settings      Settings
 	// renewEvery and silence are the boxes' timings.
 	renewEvery, silence time.Duration
 
 	answers  map[units.EditID]table.Result
 	accepted map[units.Revision]acceptedEdit
-	// contents remembers what each revision looked like, on whichever replica
+	// tablesByRevision remembers what each revision looked like, on whichever replica
 	// showed it first.
-	contents map[units.Revision]*table.Table
-	leaders  map[units.Term]units.ReplicaID
-	requests RequestID
+	tablesByRevision map[units.Revision]*table.Table
+	leaders          map[units.Term]units.ReplicaID
+	requests         RequestID
 
 	// growth is set for a cluster that forms from seeds and grows by itself.
 	growth *replication.Growth
 	seeds  int
-	orders orderBook
+	orders acknowledgedOrders
 	// traffic is set where boxes send calls.
 	traffic *traffic
-	// witnesses are what boxes have noted of crashes.
-	witnesses witnessBook
+	// crashReporters are what boxes have noted of crashes.
+	crashReporters crashReporters
 }
 
 type fataler interface {
@@ -73,37 +73,37 @@
 	run      func()
 }
 
-// replicaFake is a replica's core with a fake disk.
-type replicaFake struct {
+// fakeReplica is a replica's core with a fake disk.
+type fakeReplica struct {
 	id          units.ReplicaID
 	core        *Replica
 	disk        replication.Durable
 	pending     []*replication.Write
 	incarnation int
 	boot        uint64
-	life        int
+	generation  int
 	up          bool
 	frozen      bool
 	// stalled is set while the disk answers nothing.
-	stalled bool
-	held    []func()
-	// side is the part of a cut network that this process is in.
-	side   int
-	halted error
+	stalled    bool
+	heldEvents []func()
+	// partition is the part of a cut network that this process is in.
+	partition int
+	halted    error
 }
 
-type boxFake struct {
+type fakeBox struct {
 	id         units.BoxID
 	core       *subscription.Subscription
-	life       int
+	generation int
 	up         bool
-	side       int
+	partition  int
 	attachment subscription.Attachment
 	replica    units.ReplicaID
-	// linkFree is when the last message on its connection has come through.
-	linkFree units.Instant
-	// shown is the last revision that the box had in force, in any of its lives.
-	shown units.Revision
+	// linkFreeAt is when the last message on its connection has come through.
+	linkFreeAt units.Instant
+	// highestRevision is the last revision that the box had in force, in any of its lives.
+	highestRevision units.Revision
 }
 
 const (
@@ -127,12 +127,12 @@
 func emptyWorld(t fataler, seed uint64, replicas, boxes int) *world {
 	w := &world{
 		t: t, random: rand.New(rand.NewPCG(seed, 7)), now: units.Instant(time.Second),
-		events:     container.NewHeap(func(a, b event) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }),
-		answers:    map[units.EditID]table.Result{},
-		accepted:   map[units.Revision]acceptedEdit{},
-		contents:   map[units.Revision]*table.Table{},
-		leaders:    map[units.Term]units.ReplicaID{},
-		renewEvery: 50 * time.Millisecond, silence: 150 * time.Millisecond,
+		events:           container.NewHeap(func(a, b event) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }),
+		answers:          map[units.EditID]table.Result{},
+		accepted:         map[units.Revision]acceptedEdit{},
+		tablesByRevision: map[units.Revision]*table.Table{},
+		leaders:          map[units.Term]units.ReplicaID{},
+		renewEvery:       50 * time.Millisecond, silence: 150 * time.Millisecond,
 		settings: Settings{
 			Lease: testLease, LeaseMargin: 100 * time.Millisecond, EditTimeout: time.Second,
 			SnapshotEvery: 20, KeepEntries: 5, ReadTimeout: 300 * time.Millisecond, SilentAfter: time.Second,
@@ -140,12 +140,12 @@
 		},
 	}
 	for i := range replicas {
-		w.replicas = append(w.replicas, &replicaFake{id: replicaName(i)})
+		w.replicas = append(w.replicas, &fakeReplica{id: replicaName(i)})
 	}
 	for i := range boxes {
-		w.boxes = append(w.boxes, &boxFake{id: units.BoxID(fmt.Sprintf("b%d", i))})
+		w.boxes = append(w.boxes, &fakeBox{id: units.BoxID(fmt.Sprintf("b%d", i))})
 	}
-	w.orders = newOrderBook()
+	w.orders = newAcknowledgedOrders()
 	return w
 }
 
@@ -183,9 +183,9 @@
 	w.now = end
 }
 
-func (w *world) startReplica(r *replicaFake) {
+func (w *world) startReplica(r *fakeReplica) {
 	r.boot++
-	r.life++
+	r.generation++
 	r.up, r.frozen, r.halted = true, false, nil
 	s := w.settings
 	s.Replication = replication.Settings{
@@ -203,7 +203,7 @@
 		w.t.Fatalf("%s can't start: %v", r.id, err)
 	}
 	r.core = core
-	w.tickReplica(r, r.life)
+	w.tickReplica(r, r.generation)
 }
 
 func copyDurable(d *replication.Durable) *replication.Durable {
@@ -212,30 +212,30 @@
 	return c
 }
 
-func (w *world) tickReplica(r *replicaFake, life int) {
-	if !r.up || r.life != life {
+func (w *world) tickReplica(r *fakeReplica, generation int) {
+	if !r.up || r.generation != generation {
 		return
 	}
-	w.give(r, Tick{})
+	w.deliver(r, Tick{})
 	wait := max(r.core.NextWake().Sub(w.now), time.Millisecond)
-	w.after(wait, func() { w.tickReplica(r, life) })
+	w.after(wait, func() { w.tickReplica(r, generation) })
 }
 
-// give hands an event to a replica's core; a frozen one gets it when it wakes.
-func (w *world) give(r *replicaFake, e Event) {
+// deliver hands an event to a replica's core; a frozen one gets it when it wakes.
+func (w *world) deliver(r *fakeReplica, e Event) {
 	if !r.up || r.halted != nil {
 		return
 	}
 	if r.frozen {
-		r.held = append(r.held, func() { w.give(r, e) })
+		r.heldEvents = append(r.heldEvents, func() { w.deliver(r, e) })
 		return
 	}
 	var effects Effects
 	r.core.Reduce(w.now, units.WallTime(w.now/1e6), e, &effects)
-	w.carryOut(r, &effects)
+	w.applyEffects(r, &effects)
 }
 
-func (w *world) carryOut(r *replicaFake, e *Effects) {
+func (w *world) applyEffects(r *fakeReplica, e *Effects) {
 	if e.Halt != nil {
 		r.halted = e.Halt
 		return
@@ -251,25 +251,25 @@
 		w.sendBox(r, s)
 	}
 	for _, a := range e.Answers {
-		w.takeOrderAnswer(a)
+		w.dispatchAnswer(a)
 	}
 	if e.TableChanged {
-		w.checkContent(r)
+		w.checkReplicaTable(r)
 	}
 }
 
-func (w *world) scheduleSync(r *replicaFake) {
-	life := r.life
+func (w *world) scheduleSync(r *fakeReplica) {
+	generation := r.generation
 	last := r.pending[len(r.pending)-1].Sequence
 	w.after(w.syncTime(), func() {
-		if r.life != life || !r.up || r.stalled {
+		if r.generation != generation || !r.up || r.stalled {
 			return
 		}
 		for len(r.pending) > 0 && r.pending[0].Sequence <= last {
 			applyWrite(&r.disk, r.pending[0])
 			r.pending = r.pending[1:]
 		}
-		w.give(r, DiskSynced{Sequence: last})
+		w.deliver(r, DiskSynced{Sequence: last})
 	})
 }
 
@@ -323,8 +323,8 @@
 	return c
 }
 
-// slowestMessage is the longest that a message takes.
-const slowestMessage = 42 * time.Millisecond
+// maxLatency is the longest that a message takes.
+const maxLatency = 42 * time.Millisecond
 
 func (w *world) latency() time.Duration {
 	d := time.Duration(200+w.random.IntN(1500)) * time.Microsecond
@@ -334,31 +334,31 @@
 	return d
 }
 
-// deliveries is how often a message arrives.
-func (w *world) deliveries() int {
+// copyCount is how often a message arrives.
+func (w *world) copyCount() int {
 	x := w.random.Float64()
 	switch {
-	case x < w.loss:
+	case x < w.lossRate:
 		return 0
-	case x < w.loss+w.twice:
+	case x < w.lossRate+w.duplicateRate:
 		return 2
 	}
 	return 1
 }
 
-func (w *world) sendPeer(r *replicaFake, m *wire.Envelope) {
+func (w *world) sendPeer(r *fakeReplica, m *wire.Envelope) {
 	to := w.replica(units.ReplicaID(m.To))
-	for range w.deliveries() {
+	for range w.copyCount() {
 		c := w.copyMessage(m)
 		w.after(w.latency(), func() {
-			if r.side == to.side {
-				w.give(to, PeerMessage{Envelope: c})
+			if r.partition == to.partition {
+				w.deliver(to, PeerMessage{Envelope: c})
 			}
 		})
 	}
 }
 
-func (w *world) replica(id units.ReplicaID) *replicaFake {
+func (w *world) replica(id units.ReplicaID) *fakeReplica {
 	for _, r := range w.replicas {
 		if r.id == id {
 			return r
@@ -369,35 +369,35 @@
 }
 
 // connectionOf names a box's attachment on the replica's side.
-func connectionOf(box, life int, a subscription.Attachment) ConnectionID {
-	return ConnectionID(box)<<48 | ConnectionID(life)<<32 | ConnectionID(a)
+func connectionOf(box, generation int, a subscription.Attachment) ConnectionID {
+	return ConnectionID(box)<<48 | ConnectionID(generation)<<32 | ConnectionID(a)
 }
 
-func (w *world) sendBox(r *replicaFake, s BoxSend) {
+func (w *world) sendBox(r *fakeReplica, s BoxSend) {
 	b := w.boxes[int(s.Connection>>48)]
-	life := int(s.Connection>>32) & 0xffff
+	generation := int(s.Connection>>32) & 0xffff
 	attachment := subscription.Attachment(uint32(s.Connection))
 	c := w.copyMessage(s.Envelope)
 	if c.GetRenewResponse() == nil {
 		w.updates++
 	}
-	b.linkFree = max(b.linkFree, w.now.Add(w.latency()))
+	b.linkFreeAt = max(b.linkFreeAt, w.now.Add(w.latency()))
 	if w.boxRate > 0 {
-		b.linkFree = b.linkFree.Add(time.Duration(float64(proto.Size(c)) / w.boxRate * float64(time.Second)))
+		b.linkFreeAt = b.linkFreeAt.Add(time.Duration(float64(proto.Size(c)) / w.boxRate * float64(time.Second)))
 	}
-	w.after(b.linkFree.Sub(w.now), func() {
+	w.after(b.linkFreeAt.Sub(w.now), func() {
 		// A connection keeps its order and loses nothing, but it may be cut.
-		if r.side != b.side || b.life != life {
+		if r.partition != b.partition || b.generation != generation {
 			return
 		}
-		w.giveBox(b, subscription.Received{Attachment: attachment, Envelope: c})
+		w.deliverToBox(b, subscription.Received{Attachment: attachment, Envelope: c})
 	})
 }
 
-func (w *world) startBox(b *boxFake) {
-	b.life++
+func (w *world) startBox(b *fakeBox) {
+	b.generation++
 	b.up = true
-	b.linkFree = 0
+	b.linkFreeAt = 0
 	var ids []units.ReplicaID
 	for i, r := range w.replicas {
 		if w.growth == nil || i < w.seeds {
@@ -406,75 +406,75 @@
 	}
 	b.core = subscription.NewSubscription(subscription.Settings{
 		Box: table.Box{ID: b.id, Address: "127.0.0.1:1"}, Replicas: ids, RenewEvery: w.renewEvery,
-		Silence: w.silence, Start: uint64(b.life), Seed: w.random.Uint64(),
+		Silence: w.silence, Start: uint64(b.generation), Seed: w.random.Uint64(),
 	}, w.now)
-	w.tickBox(b, b.life)
+	w.tickBox(b, b.generation)
 }
 
-func (w *world) tickBox(b *boxFake, life int) {
-	if b.life != life || !b.up {
+func (w *world) tickBox(b *fakeBox, generation int) {
+	if b.generation != generation || !b.up {
 		return
 	}
-	w.giveBox(b, subscription.Tick{})
-	w.after(10*time.Millisecond, func() { w.tickBox(b, life) })
+	w.deliverToBox(b, subscription.Tick{})
+	w.after(10*time.Millisecond, func() { w.tickBox(b, generation) })
 }
 
-func (w *world) giveBox(b *boxFake, e subscription.Event) {
+func (w *world) deliverToBox(b *fakeBox, e subscription.Event) {
 	if !b.up {
 		return
 	}
 	if w.traffic != nil {
-		w.traffic.take(b, e)
+		w.traffic.recordExposures(b, e)
 	}
 	var effects subscription.Effects
 	b.core.Reduce(w.now, e, &effects)
-	w.witnesses.take(b, effects.Watched)
+	w.crashReporters.receiveGrant(b, effects.Watched)
 	if effects.Attach {
-		b.linkFree = 0
+		b.linkFreeAt = 0
 		b.attachment = effects.Attachment
-		w.connectBox(b, b.life, &effects)
+		w.connectBox(b, b.generation, &effects)
 	}
 	for _, m := range effects.Sends {
 		w.sendFromBox(b, w.copyMessage(m))
 	}
 	if effects.Table != nil {
-		w.compareContent("box "+string(b.id), effects.Table)
+		w.checkTable("box "+string(b.id), effects.Table)
 	}
 }
 
 // connectBox connects a box to the first of the replicas it dials that is up and on its
 // side of the network.
-func (w *world) connectBox(b *boxFake, life int, e *subscription.Effects) {
+func (w *world) connectBox(b *fakeBox, generation int, e *subscription.Effects) {
 	n, dialled := e.Attachment, e.Replicas
 	w.after(w.latency()+w.latency(), func() {
-		if b.life != life || b.attachment != n {
+		if b.generation != generation || b.attachment != n {
 			return
 		}
 		for _, id := range dialled {
-			if r := w.replica(id); r.up && r.side == b.side {
+			if r := w.replica(id); r.up && r.partition == b.partition {
 				b.replica = id
-				w.giveBox(b, subscription.Attached{Attachment: n, Replica: id})
+				w.deliverToBox(b, subscription.Attached{Attachment: n, Replica: id})
 				return
 			}
 		}
 	})
 }
 
-func (w *world) sendFromBox(b *boxFake, m *wire.Envelope) {
+func (w *world) sendFromBox(b *fakeBox, m *wire.Envelope) {
 	if w.traffic != nil {
-		w.traffic.tell(b, m)
+		w.traffic.addEvidence(b, m)
 	}
-	w.witnesses.tell(b, m, w.now)
+	w.crashReporters.addNotes(b, m, w.now)
 	r := w.replica(b.replica)
-	c := connectionOf(w.boxIndex(b), b.life, b.attachment)
+	c := connectionOf(w.boxIndex(b), b.generation, b.attachment)
 	w.after(w.latency(), func() {
-		if r.side == b.side {
-			w.give(r, BoxMessage{Connection: c, Envelope: m})
+		if r.partition == b.partition {
+			w.deliver(r, BoxMessage{Connection: c, Envelope: m})
 		}
 	})
 }
 
-func (w *world) boxIndex(b *boxFake) int {
+func (w *world) boxIndex(b *fakeBox) int {
 	for i, x := range w.boxes {
 		if x == b {
 			return i
@@ -484,30 +484,30 @@
 }
 
 // submit sends an edit to a replica; resending the same edit is a second submit.
-func (w *world) submit(r *replicaFake, e *table.Edit) {
-	w.order(r, func(id RequestID) Event { return EditSubmitted{Request: id, Edit: e} }, func(a Answer) { w.takeAnswer(e.ID, a) })
+func (w *world) submit(r *fakeReplica, e *table.Edit) {
+	w.order(r, func(id RequestID) Event { return EditSubmitted{Request: id, Edit: e} }, func(a Answer) { w.recordEditAnswer(e.ID, a) })
 }
 
 // crash ends a replica; what wasn't synced is gone.
-func (w *world) crash(r *replicaFake) {
+func (w *world) crash(r *fakeReplica) {
 	r.up = false
-	r.life++
+	r.generation++
 	r.pending = nil
-	r.held = nil
+	r.heldEvents = nil
 }
 
 // loseDisk ends a replica for good with all it had; it comes back empty.
-func (w *world) loseDisk(r *replicaFake) {
+func (w *world) loseDisk(r *fakeReplica) {
 	w.crash(r)
 	r.disk = replication.Durable{}
 	r.incarnation++
 	r.boot = 0
 }
 
-func (w *world) thaw(r *replicaFake) {
+func (w *world) unfreeze(r *fakeReplica) {
 	r.frozen = false
-	held := r.held
-	r.held = nil
+	held := r.heldEvents
+	r.heldEvents = nil
 	for _, f := range held {
 		f()
 	}
@@ -517,19 +517,19 @@
 func (w *world) voters() int {
 	n := 0
 	for _, r := range w.replicas {
-		if r.up && r.side == 0 && !r.frozen && r.halted == nil && r.core.Status(w.now).Log.Voter {
+		if r.up && r.partition == 0 && !r.frozen && r.halted == nil && r.core.Status(w.now).Log.Voter {
 			n++
 		}
 	}
 	return n
 }
 
-// heal ends every fault.
-func (w *world) heal() {
-	w.loss, w.twice = 0, 0
+// endFaults ends every fault.
+func (w *world) endFaults() {
+	w.lossRate, w.duplicateRate = 0, 0
 	for _, r := range w.replicas {
-		r.side = 0
-		w.thaw(r)
+		r.partition = 0
+		w.unfreeze(r)
 		if r.halted != nil {
 			w.t.Fatalf("%s has halted: %v", r.id, r.halted)
 		}
@@ -538,7 +538,7 @@
 		}
 	}
 	for _, b := range w.boxes {
-		b.side = 0
+		b.partition = 0
 		if !b.up {
 			w.startBox(b)
 		}
@@ -562,7 +562,7 @@
 }
 
 // versionAt is the version of a service as a replica knows it.
-func versionAt(r *replicaFake, service string) units.Version {
+func versionAt(r *fakeReplica, service string) units.Version {
 	if e := r.core.Table().Services[units.ServiceName(service)]; e != nil {
 		return e.Version
 	}
@@ -579,11 +579,11 @@
 	if n := len(w.accepted); n < 45 {
 		t.Fatalf("only %d of 50 edits were accepted without any fault", n)
 	}
-	w.checkEnd()
+	w.checkRecovery()
 }
 
 // leader returns the replica that leads, or nil.
-func (w *world) leader() *replicaFake {
+func (w *world) leader() *fakeReplica {
 	for _, r := range w.replicas {
 		if r.up && r.core.node.IsLeader() {
 			return r
@@ -596,13 +596,13 @@
 	for seed := range uint64(20) {
 		w := newWorld(t, seed, 3, 1)
 		old := w.leader()
-		w.give(old, StopRequested{})
+		w.deliver(old, StopRequested{})
 		// An election that nobody asked for can't have happened by then.
 		w.run(testElection * 9 / 10)
 		if next := w.leader(); next == nil || next == old {
 			t.Fatalf("seed %d: nobody took over from %s", seed, old.id)
 		}
-		w.checkEnd()
+		w.checkRecovery()
 	}
 }
 
@@ -610,14 +610,14 @@
 	w := newWorld(t, 1, 3, 1)
 	r := w.leader()
 	w.submit(r, newEdit("doomed", "s", 0, 1))
-	w.give(r, DiskFailed{Cause: errors.New("no space left")})
+	w.deliver(r, DiskFailed{Cause: errors.New("no space left")})
 	if r.halted == nil {
 		t.Fatal("the replica went on without its disk")
 	}
 	if answer, ok := w.answers["doomed"]; ok {
 		t.Fatalf("an edit that was never synced got the answer %+v", answer)
 	}
-	w.give(r, DiskSynced{Sequence: 1 << 40})
+	w.deliver(r, DiskSynced{Sequence: 1 << 40})
 	if _, ok := w.answers["doomed"]; ok {
 		t.Fatal("a halted replica answered")
 	}
@@ -630,7 +630,7 @@
 	old := w.leader()
 	r := w.followers()[0]
 	w.startFromOlderCopy(r, func() {})
-	w.give(old, PeerMessage{Envelope: &wire.Envelope{
+	w.deliver(old, PeerMessage{Envelope: &wire.Envelope{
 		From: string(r.id), To: string(old.id), Incarnation: fmt.Sprintf("%s.%d", r.id, r.incarnation), Boot: r.boot,
 		Body: &wire.Envelope_Presence{Presence: &wire.Presence{Formed: true}},
 	}})
@@ -649,7 +649,7 @@
 		r := w.followers()[0]
 		w.startFromOlderCopy(r, func() { old.frozen = true })
 		w.run(time.Second)
-		w.thaw(old)
+		w.unfreeze(old)
 		w.run(2 * time.Second)
 		if r.halted == nil {
 			t.Fatalf("seed %d: %s goes on with an older copy: %+v", seed, r.id, r.core.Status(w.now).Log)
@@ -671,8 +671,8 @@
 }
 
 // followers returns the replicas that don't lead.
-func (w *world) followers() []*replicaFake {
-	var list []*replicaFake
+func (w *world) followers() []*fakeReplica {
+	var list []*fakeReplica
 	leader := w.leader()
 	for _, r := range w.replicas {
 		if r != leader {
@@ -684,7 +684,7 @@
 
 // startFromOlderCopy has ten edits accepted, then puts a copy of a replica's disk from
 // before them in its place. The replica is down while meanwhile runs.
-func (w *world) startFromOlderCopy(r *replicaFake, meanwhile func()) {
+func (w *world) startFromOlderCopy(r *fakeReplica, meanwhile func()) {
 	leader := w.leader()
 	older := copyDurable(&r.disk)
 	for i := range 10 {
