--- a/pkg/core/control/crash_test.go
+++ b/pkg/core/control/crash_test.go
@@ -15,7 +15,7 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// crashReporters holds what each start of a box has noted of crashes.
+// crashReporters holds what the current start of each box has noted of crashes.
 type crashReporters map[*fakeBox]*crashReporter
 
 // crashReporter is one start of a box, which keeps its notes for the next leader.
@@ -25,7 +25,7 @@
 	refused      []crash.Fingerprint
 	term         units.Term
 	acknowledged uint64
-	// watched is what the last grant said, trials are those that the box was given.
+	// watched are the calls that the last grant listed, trials those that the box was granted.
 	watched []crash.Watched
 	trials  map[int]bool
 }
@@ -39,7 +39,7 @@
 	return v
 }
 
-// receiveGrant takes what a grant says.
+// receiveGrant records what a grant says about quarantines.
 func (x crashReporters) receiveGrant(b *fakeBox, granted *subscription.Watched) {
 	if x == nil || granted == nil {
 		return
@@ -57,7 +57,7 @@
 	}
 }
 
-// addNotes adds the notes that the leader may lack to a box's request.
+// addNotes adds the notes that the leader may lack to a box's lease request.
 func (x crashReporters) addNotes(b *fakeBox, m *wire.Envelope, now units.Instant) {
 	request := m.GetRenewRequest()
 	if x == nil || request == nil {
@@ -82,14 +82,14 @@
 // badCall is a call that is to blame.
 var badCall = crash.Fingerprint{Head: 7, Body: 8, Caller: 9}
 
-// newCrashWorld returns a world whose boxes note crashes.
+// newCrashWorld returns a world whose boxes report crashes.
 func newCrashWorld(t fataler, seed uint64, boxes int) *world {
 	w := newWorld(t, seed, 3, boxes)
 	w.crashReporters = crashReporters{}
 	return w
 }
 
-// crashTarget has a target crash under calls of a box.
+// crashTarget has a box note the crash of a target that was handling calls.
 func (w *world) crashTarget(b *fakeBox, target units.TargetID, calls ...crash.Fingerprint) {
 	n := crash.Note{At: w.now, Service: "s", Target: target}
 	for _, f := range calls {
@@ -98,7 +98,7 @@
 	w.crashReporters.add(b, n)
 }
 
-// crashThree has three targets crash under the bad call, at one box after the other.
+// crashThree has three targets crash while handling the bad call, each seen by another box.
 func (w *world) crashThree(others ...crash.Fingerprint) {
 	for i := range 3 {
 		w.crashTarget(w.boxes[i%len(w.boxes)], units.TargetID(fmt.Sprintf("t%d", i)), append(others, badCall)...)
@@ -106,19 +106,20 @@
 	}
 }
 
-// answer has a target answer a call at a box.
+// answer has a box note that a target answered a call.
 func (w *world) answer(b *fakeBox, f crash.Fingerprint) {
 	w.crashReporters.add(b, crash.Note{At: w.now, Suspects: []crash.Suspect{{Fingerprint: f}}})
 }
 
-// refuse has a box refuse the bad call for a while.
+// refuse has a box report for a while that it refuses the bad call.
 func (w *world) refuse(b *fakeBox, d time.Duration) {
 	for end := w.now.Add(d); w.now < end; w.run(100 * time.Millisecond) {
 		w.crashReporters.reporterOf(b).refused = []crash.Fingerprint{badCall}
 	}
 }
 
-// wantQuarantined fails unless the bad call is in quarantine on every replica and box, or on none.
+// wantQuarantined fails the test unless the bad call is in quarantine on every replica and box, or
+// on none.
 func (w *world) wantQuarantined(want bool) {
 	for _, r := range w.replicas {
 		if got := r.core.Table().Quarantine(badCall) != nil; got != want {
@@ -142,7 +143,7 @@
 	}
 }
 
-// The leader that heard of the first crashes is lost; the boxes tell its successor.
+// The leader that knew of the first crashes is lost; the boxes send their notes to its successor.
 func TestNotesOutliveTheLeader(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newCrashWorld(t, seed, 3)
@@ -162,7 +163,7 @@
 	}
 }
 
-// A verdict is on the disks: it holds after all replicas and boxes have started anew.
+// A verdict is durable: it holds after all replicas and boxes have restarted.
 func TestAQuarantineOutlivesALossOfPower(t *testing.T) {
 	w := newCrashWorld(t, 1, 3)
 	w.crashThree()
@@ -180,7 +181,8 @@
 	w.wantQuarantined(true)
 }
 
-// While no disk answers nothing can be committed, and the verdict goes out with the grants.
+// While no disk completes a write, nothing can be committed; the verdict is sent with the grants
+// instead.
 func TestAVerdictDoesNotWaitForADisk(t *testing.T) {
 	w := newCrashWorld(t, 2, 3)
 	w.run(time.Second)
@@ -193,12 +195,12 @@
 	for _, b := range w.boxes {
 		list := w.crashReporters.reporterOf(b).watched
 		if len(list) != 1 || list[0] != (crash.Watched{Call: badCall, Quarantined: true}) {
-			t.Errorf("box %s was told %+v", b.id, list)
+			t.Errorf("the grants to box %s list %+v", b.id, list)
 		}
 	}
 }
 
-// Boxes that were cut off from the leader when the targets crashed tell it afterwards.
+// A box that was disconnected from the leader when the targets crashed sends its notes afterwards.
 func TestNotesOfACutOffBoxAreTakenLater(t *testing.T) {
 	w := newCrashWorld(t, 3, 3)
 	cut := w.boxes[2]
@@ -225,7 +227,7 @@
 	w.wantQuarantined(false)
 }
 
-// Of a doubtful verdict one call is let through after some seconds, at one box only.
+// In a doubtful quarantine one call is let through after a few seconds, at one box only.
 func TestADoubtfulVerdictIsTriedOnce(t *testing.T) {
 	popular := crash.Fingerprint{Head: 1, Body: 2, Caller: 3}
 	w := newCrashWorld(t, 5, 3)
@@ -244,13 +246,13 @@
 		trials += len(w.crashReporters.reporterOf(b).trials)
 	}
 	if trials != 1 {
-		t.Fatalf("%d trials were given", trials)
+		t.Fatalf("%d trials were granted", trials)
 	}
-	// The next one comes minutes later, whoever leads.
+	// The next trial is due minutes later, whichever replica leads.
 	w.crash(w.leader())
 	w.refuse(w.boxes[1], 20*time.Second)
 	if n := len(w.crashReporters.reporterOf(w.boxes[1]).trials); n != 1 {
-		t.Fatalf("%d trials were given", n)
+		t.Fatalf("%d trials were granted", n)
 	}
 }
 
@@ -263,8 +265,8 @@
 	w.wantQuarantined(false)
 }
 
-// An order to release a call that waits at a replica behind a cut must not end a quarantine
-// that begins meanwhile.
+// An order to release a call that is delayed at a partitioned replica must not end a quarantine
+// that began in the meantime.
 func TestADelayedReleaseEndsNoLaterQuarantine(t *testing.T) {
 	release := func(id RequestID) Event { return ReleaseOrdered{Request: id, Call: badCall, Operator: "test"} }
 	for seed := range uint64(10) {
@@ -279,7 +281,7 @@
 		w.order(w.leader(), release, func(a Answer) { done = a.Err })
 		w.run(300 * time.Millisecond)
 		if done != nil || w.leader().core.Table().Quarantine(badCall) != nil {
-			t.Fatalf("seed %d: the call isn't released: %v", seed, done)
+			t.Fatalf("seed %d: the call wasn't released: %v", seed, done)
 		}
 		w.crashThree()
 		w.run(time.Second)
@@ -287,13 +289,13 @@
 		w.run(3 * time.Second)
 		w.wantQuarantined(true)
 		if kind := fault.KindOf(late.Err); late.Err != nil && kind != fault.Unavailable && kind != fault.Unknown {
-			t.Fatalf("seed %d: the late order was answered %v", seed, late.Err)
+			t.Fatalf("seed %d: the delayed order was answered with %v", seed, late.Err)
 		}
 	}
 }
 
-// Under any faults that the cluster bears, a call that is shown in quarantine stays there, and
-// the verdict is the same everywhere in the end.
+// Under any faults that the cluster tolerates, a call that was shown in quarantine stays there, and
+// the verdict is the same on all replicas and boxes in the end.
 func TestQuarantinesHold(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -316,7 +318,7 @@
 	})
 }
 
-// showsQuarantine tells whether a box that may serve calls has the bad call in quarantine.
+// showsQuarantine reports whether a running box has the bad call in quarantine.
 func (w *world) showsQuarantine() bool {
 	for _, b := range w.boxes {
 		if b.up && b.core.Table().Quarantine(badCall) != nil {
@@ -326,7 +328,7 @@
 	return false
 }
 
-// The oldest makes room where as many calls are in quarantine as may be.
+// When the maximum number of calls is in quarantine, a new one replaces the oldest.
 func TestQuarantinesAreBounded(t *testing.T) {
 	s := table.NewState()
 	for i := range uint64(table.MaxQuarantines + 5) {
@@ -345,7 +347,7 @@
 	}
 	again, err := wire.DecodeState(data)
 	if err != nil || len(again.Table().Quarantines) != len(list) || again.Table().QuarantineOf(list[3].Call) == nil {
-		t.Errorf("read again there are %d: %v", len(again.Table().Quarantines), err)
+		t.Errorf("after decoding there are %d: %v", len(again.Table().Quarantines), err)
 	}
 	t.Logf("%d calls in quarantine take %d bytes of a snapshot", len(list), len(data))
 }
--- a/pkg/core/control/evacuation_test.go
+++ b/pkg/core/control/evacuation_test.go
@@ -11,27 +11,27 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// evacuationOperator is an operator who evacuates a failure domain and restores it in turns. It
-// sends an order again, to another replica each time, until it is acknowledged.
+// evacuationOperator alternately evacuates and restores a failure domain. It resends an order, to
+// another replica each time, until it is acknowledged.
 type evacuationOperator struct {
 	world  *world
 	domain units.Domain
-	// wanted is what the present order asks for; acknowledged is set once it holds.
+	// wanted is what the current order asks for; acknowledged is set once it was acknowledged.
 	wanted       bool
 	acknowledged bool
 	next         int
 	number       int
 }
 
-// resendEvery is how long the operator waits for an answer; replicas wait much longer for
-// a quorum, so that orders which were given up are still under way.
+// resendEvery is how long the operator waits for an answer. Replicas wait much longer for a quorum,
+// so orders that the operator gave up on are still in flight.
 const resendEvery = 120 * time.Millisecond
 
 func newEvacuationOperator(w *world, d units.Domain) *evacuationOperator {
 	return &evacuationOperator{world: w, domain: d, acknowledged: true}
 }
 
-// orderNext begins the opposite order, if the one before was acknowledged.
+// orderNext sends the opposite order, if the previous one was acknowledged.
 func (o *evacuationOperator) orderNext() {
 	if !o.acknowledged {
 		return
@@ -54,13 +54,13 @@
 			o.acknowledged = true
 		}
 		if k := fault.KindOf(a.Err); a.Err != nil && (k == fault.NotFound || k == fault.Invalid) {
-			w.t.Fatalf("a proper order was refused: %v", a.Err)
+			w.t.Fatalf("a valid order was refused: %v", a.Err)
 		}
 	})
 	w.after(resendEvery, func() { o.send(number) })
 }
 
-// checkHeld makes sure that every replica and box shows what was acknowledged last.
+// checkHeld checks that every replica and box shows what was acknowledged last.
 func (o *evacuationOperator) checkHeld() {
 	for _, r := range o.world.replicas {
 		if got := r.core.Table().Evacuated(o.domain); got != o.wanted {
@@ -85,8 +85,8 @@
 	w.run(time.Second)
 }
 
-// An order that waits at a replica which was cut off must not undo a later one that was
-// acknowledged elsewhere.
+// An order that is delayed at a partitioned replica must not undo a later one that was acknowledged
+// elsewhere.
 func TestADelayedEvacuationUndoesNothing(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(t, seed, 3, 1)
@@ -130,8 +130,8 @@
 	}
 }
 
-// Under any faults that the cluster bears, the last acknowledged order holds everywhere in
-// the end, whatever becomes of those that were given up.
+// Under any faults that the cluster tolerates, the last acknowledged order is in force on all
+// replicas and boxes in the end, whatever becomes of the orders that were given up.
 func TestAcknowledgedEvacuationsHold(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
--- a/pkg/core/control/faults_test.go
+++ b/pkg/core/control/faults_test.go
@@ -14,13 +14,13 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// faultAction is one thing that can happen in a schedule.
+// faultAction is one action of a random schedule.
 type faultAction struct {
 	name string
 	do   func(w *world, n int)
 }
 
-// faults are all that can happen; each takes a random number.
+// faults are all actions of a schedule; each gets a random number.
 var faults = []faultAction{
 	{"edit", func(w *world, n int) { w.raceEdits(n, 1) }},
 	{"race", func(w *world, n int) { w.raceEdits(n, 3) }},
@@ -53,7 +53,7 @@
 	}
 }
 
-// resend sends an edit again that was answered before, to any replica.
+// resend sends an edit that was already answered again, to any replica.
 func (w *world) resend(n int) {
 	ids := slices.Sorted(maps.Keys(w.answers))
 	if len(ids) == 0 {
@@ -62,7 +62,7 @@
 	w.submit(w.replicas[n%len(w.replicas)], newEdit(string(ids[n%len(ids)]), "shared", 0, 1))
 }
 
-// split cuts the network in two; each bit of n places a process.
+// split partitions the network; each bit of n assigns a process to a side.
 func (w *world) split(n int) {
 	for _, r := range w.replicas {
 		r.partition = n & 1
@@ -83,7 +83,7 @@
 	}
 }
 
-// crashAll ends all replicas at once and starts them again, some of them later.
+// crashAll crashes all replicas at once and restarts some of them; each bit of n keeps one down.
 func (w *world) crashAll(n int) {
 	for _, r := range w.replicas {
 		w.crash(r)
@@ -102,8 +102,8 @@
 	}
 }
 
-// loseDiskSafely takes a disk while all other replicas count in the quorum; the
-// loss of more disks than that at a time can't be survived by anybody.
+// loseDiskSafely replaces a replica's disk by an empty one while all other replicas are intact
+// voters; no cluster survives the loss of more disks at a time.
 func (w *world) loseDiskSafely(n int) {
 	r := w.replicas[n%len(w.replicas)]
 	intact := 0
@@ -132,8 +132,8 @@
 	}
 }
 
-// stepDuration is how long a step lasts: often so short that the next fault meets this
-// one's work half done.
+// stepDuration is how long a step lasts: often so short that the next fault happens before the
+// effects of this one are complete.
 func stepDuration(s int) time.Duration {
 	if s%3 > 0 {
 		return time.Duration(s%7) * time.Millisecond
--- a/pkg/core/control/growth_test.go
+++ b/pkg/core/control/growth_test.go
@@ -11,7 +11,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// growthFaults are those of a cluster that grows by itself and may lose two of its five
+// growthFaults are the actions for a cluster that grows by itself and may lose two of its five
 // disks at once.
 var growthFaults = append([]faultAction{
 	{"document", func(w *world, n int) { w.putDocument(w.replicas[n%len(w.replicas)], false) }},
@@ -28,7 +28,8 @@
 	{"crash all", func(w *world, n int) { w.crashAll(0) }},
 }, faults...)
 
-// loseTwoDisks takes two disks at once, while all others lose power or not.
+// loseTwoDisks replaces two disks by empty ones at once; depending on n, all other replicas crash
+// at the same time.
 func (w *world) loseTwoDisks(n int) {
 	if w.voters() < w.growth.Voters {
 		return
@@ -63,7 +64,7 @@
 			clusters[r.core.Status(w.now).Log.Cluster] = true
 		}
 		if len(clusters) != 1 {
-			t.Fatalf("seed %d: there are the clusters %v", seed, clusters)
+			t.Fatalf("seed %d: several clusters formed: %v", seed, clusters)
 		}
 	}
 }
@@ -83,8 +84,8 @@
 	}
 	w.startReplica(w.replicas[2])
 	w.run(2 * time.Second)
-	// One of the three voters falls: a quorum of the young cluster is still there, but
-	// its two disks could both be lost.
+	// One of the three voters is down: the other two are still a quorum of the new cluster, but
+	// their two disks could both be lost.
 	w.crash(w.replicas[2])
 	w.putDocument(w.replicas[0], false)
 	w.run(2 * time.Second)
@@ -129,7 +130,7 @@
 	}
 	w.run(6 * time.Second)
 	if n := w.voters(); n != 5 {
-		t.Fatalf("%d voters after one has been gone for long, not 5", n)
+		t.Fatalf("%d voters long after one was lost, not 5", n)
 	}
 }
 
@@ -143,7 +144,7 @@
 	w.depart(w.replicas[3], "t2")
 	w.run(200 * time.Millisecond)
 	if !w.orders.leaving["t1"] || !w.orders.gone["t2"] {
-		t.Fatal("draining and leaving weren't acknowledged")
+		t.Fatal("draining and departure weren't acknowledged")
 	}
 	w.report(w.replicas[4], "t1", table.Active, 6)
 	w.report(w.replicas[4], "t2", table.Active, 9)
@@ -160,7 +161,7 @@
 	}
 	w.run(3 * time.Second)
 	if n := w.silent(); n != 0 {
-		t.Fatalf("%d targets count as silent while nobody reports at all", n)
+		t.Fatalf("%d targets count as silent while no target reports at all", n)
 	}
 	for i := range 30 {
 		w.report(w.replicas[2], "t1", table.Active, uint64(i+2))
@@ -179,7 +180,7 @@
 	}
 }
 
-// silent counts the targets that the leader's state has as silent.
+// silent counts the targets that are silent in the leader's state.
 func (w *world) silent() int {
 	n := 0
 	w.leader().core.state.EachRegistration(func(r *table.Registration) {
--- a/pkg/core/control/orders_test.go
+++ b/pkg/core/control/orders_test.go
@@ -9,15 +9,16 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// acknowledgedOrders is what the world's operators and targets were told, and so may rely on.
+// acknowledgedOrders holds the pending requests of the world's operators and targets, and what was
+// acknowledged to them and must hold.
 type acknowledgedOrders struct {
 	pending map[RequestID]func(Answer)
-	// highestDocument is the highestDocument document that was acknowledged; sent holds what was sent
-	// under each version.
+	// highestDocument is the highest document version that was acknowledged; sentSources holds the
+	// source that was sent for each version, lastVersion is the last version that was sent.
 	highestDocument units.DocumentVersion
 	sentSources     map[units.DocumentVersion]string
 	lastVersion     units.DocumentVersion
-	// leaving and gone are the targets whose word to that effect was acknowledged.
+	// leaving and gone are the targets whose draining or departure was acknowledged.
 	leaving map[units.TargetID]bool
 	gone    map[units.TargetID]bool
 }
@@ -29,8 +30,8 @@
 	}
 }
 
-// newGrowingWorld returns a world whose cluster forms by itself from three seeds and has
-// grown to as many voters as it may.
+// newGrowingWorld returns a world whose cluster formed by itself from three seeds and has grown to
+// the maximum number of voters.
 func newGrowingWorld(t fataler, seed uint64, replicas, voters, boxes int) *world {
 	w := emptyWorld(t, seed, replicas, boxes)
 	w.seeds = 3
@@ -46,7 +47,7 @@
 	return w
 }
 
-// setGrowth gives a replica its part in a cluster that grows by itself.
+// setGrowth sets a replica's growth settings in a cluster that grows by itself.
 func (w *world) setGrowth(r *fakeReplica, s *replication.Settings) {
 	if w.growth == nil {
 		return
@@ -72,7 +73,7 @@
 	}
 }
 
-// putDocument puts a new version, or the one that is held again with other content.
+// putDocument submits a new version, or the acknowledged version again with different content.
 func (w *world) putDocument(r *fakeReplica, again bool) {
 	version := w.orders.lastVersion + 1
 	source := fmt.Sprintf("document %d", version)
@@ -96,8 +97,8 @@
 	})
 }
 
-// readDocument makes sure that what is read is no older than what was acknowledged when
-// the question was put, and is what was sent under its version.
+// readDocument checks that a read returns a document that is no older than what was acknowledged
+// when the read was sent, and that has the content first sent for its version.
 func (w *world) readDocument(r *fakeReplica) {
 	least := w.orders.highestDocument
 	w.order(r, func(id RequestID) Event { return ReadRequested{Request: id} }, func(a Answer) {
@@ -142,7 +143,7 @@
 	})
 }
 
-// changeTarget lets a target report, drain, leave, or send an old report late.
+// changeTarget has a target report, drain, depart, or send an old report late.
 func (w *world) changeTarget(n int) {
 	r := w.replicas[n%len(w.replicas)]
 	id := units.TargetID(fmt.Sprintf("g%d", 1+n/7%12))
@@ -158,7 +159,7 @@
 	}
 }
 
-// checkOrders makes sure that every replica holds what was acknowledged.
+// checkOrders checks that every replica holds what was acknowledged.
 func (w *world) checkOrders() {
 	for _, r := range w.replicas {
 		if d := r.core.state.Document(); d != nil {
@@ -170,10 +171,10 @@
 		for _, e := range r.core.Table().Services {
 			for row := range e.Rows.All() {
 				if w.orders.gone[row.Target] {
-					w.t.Fatalf("%s has target %s again, whose leaving was acknowledged", r.id, row.Target)
+					w.t.Fatalf("%s has target %s again, whose departure was acknowledged", r.id, row.Target)
 				}
 				if w.orders.leaving[row.Target] && row.State != table.Leaving {
-					w.t.Fatalf("%s gives work to target %s, whose draining was acknowledged", r.id, row.Target)
+					w.t.Fatalf("%s keeps target %s active, whose draining was acknowledged", r.id, row.Target)
 				}
 			}
 		}
--- a/pkg/core/control/parts_test.go
+++ b/pkg/core/control/parts_test.go
@@ -14,7 +14,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// replicaWithBoxes is a replica with boxes attached and targets of one service, whose table the boxes have.
+// replicaWithBoxes returns a replica and the sessions of its boxes, which have the current table
+// with the targets of one service.
 func replicaWithBoxes(t *testing.T, boxes, targets int) (*Replica, []*session) {
 	t.Helper()
 	r, err := NewReplica(Settings{Replication: replication.Settings{ID: "r", ElectionTimeout: time.Second, Heartbeat: time.Second}}, &replication.Durable{}, 0)
@@ -44,8 +45,8 @@
 	}
 }
 
-// sendChanges lets targets change one after the other, and returns how many messages and bytes bring the
-// boxes each change.
+// sendChanges changes targets one after the other, and returns how many messages and bytes are sent
+// to the boxes in total.
 func sendChanges(r *Replica, sessions []*session, changes int) (messages, bytes int) {
 	e := &Effects{}
 	for i := range changes {
@@ -61,8 +62,9 @@
 	return messages, bytes
 }
 
-// A change of one target of a large service goes to the boxes that hold it, and they don't become more
-// with the fleet. While the service was told of whole each change went to every box.
+// A change of one target of a large service is sent only to the boxes that have the target, and
+// their number doesn't grow with the fleet. When boxes got the whole service, each change was sent
+// to every box.
 func TestAChangeGoesToTheBoxesThatHoldTheTarget(t *testing.T) {
 	const changes = 40
 	r, sessions := replicaWithBoxes(t, 500, 3_000)
@@ -78,8 +80,8 @@
 	}
 }
 
-// What doesn't concern a box comes with its next request, so that its leases, which name a revision,
-// come in force.
+// A change that doesn't concern a box is sent with its next lease request: a lease names a
+// revision, and the box must have that revision in force to use it.
 func TestABoxIsBroughtUpToDateWhenItRenews(t *testing.T) {
 	r, sessions := replicaWithBoxes(t, 500, 3_000)
 	r.state.ApplyRegistration(testRegistration(7, 2, table.Leaving))
@@ -91,18 +93,19 @@
 		had := s.sentRevision
 		list := r.updateMessages(s, true, e)
 		if len(list) != 1 {
-			t.Fatalf("a box that asks gets %d messages", len(list))
+			t.Fatalf("a box that requests a lease gets %d messages", len(list))
 		}
 		d := wire.ToDelta(list[0].GetDeltaBatch().Deltas[0])
 		if d.From != had || d.Revision != r.Table().Revision || !d.Empty() {
-			t.Fatalf("it is told %+v", d)
+			t.Fatalf("it gets the delta %+v", d)
 		}
 		return
 	}
-	t.Fatal("every box holds the target")
+	t.Fatal("every box has the target")
 }
 
-// A replica that can't keep up says so at once, and takes commands again when others are through.
+// A replica with too many waiting commands refuses further ones at once, and accepts commands again
+// when the waiting ones are applied.
 func TestAReplicaThatCantKeepUpSaysSo(t *testing.T) {
 	r := newSingleReplica(t)
 	r.deliver(DocumentSubmitted{Request: 1, Document: &table.Document{Version: 1, Services: []table.Service{{Name: "s", Work: table.Repeatable, Deadline: time.Second}}}})
@@ -117,16 +120,16 @@
 	e.Answers = nil
 	r.core.Reduce(r.now, 1, DiskSynced{Sequence: e.Writes[len(e.Writes)-1].Sequence}, &e)
 	if len(e.Answers) != maxWaitingCommands {
-		t.Fatalf("%d commands are answered", len(e.Answers))
+		t.Fatalf("%d commands were answered", len(e.Answers))
 	}
 	r.core.Reduce(r.now, 1, TargetReported{Request: last + 1, Registration: testRegistration(maxWaitingCommands+1, 1, table.Active)}, &e)
 	if len(e.Answers) != maxWaitingCommands {
-		t.Fatalf("a command is refused though none waits: %v", e.Answers[len(e.Answers)-1].Err)
+		t.Fatalf("a command was refused although none waits: %v", e.Answers[len(e.Answers)-1].Err)
 	}
 }
 
-// Reports of a target that say the same while the first still waits are one command, and a command that is passed
-// on again is one entry of the log; all who reported are answered.
+// Reports of a target with the same content are one command while the first one waits, and a
+// command that is forwarded again is one log entry; all reporters are answered.
 func TestWhatIsSentAgainIsNoMoreWork(t *testing.T) {
 	r := newSingleReplica(t)
 	r.deliver(DocumentSubmitted{Request: 1, Document: &table.Document{Version: 1, Services: []table.Service{{Name: "s", Work: table.Repeatable, Deadline: time.Second}}}})
@@ -155,7 +158,7 @@
 	}
 }
 
-// snapshotBytes is how many bytes of snapshots a replica writes while targets register.
+// snapshotBytes returns how many bytes of snapshots a replica writes while targets register.
 func snapshotBytes(t *testing.T, targets int) int {
 	r := newSingleReplica(t)
 	r.deliver(DocumentSubmitted{Request: 1, Document: &table.Document{Version: 1, Services: []table.Service{{Name: "s", Work: table.Repeatable, Deadline: time.Second}}}})
@@ -167,7 +170,7 @@
 	return r.snapshotBytes
 }
 
-// What snapshots cost an entry of the log mustn't grow with the targets that there are.
+// The cost of snapshots per log entry must not grow with the number of targets.
 func TestSnapshotsGrowAsTheLogDoes(t *testing.T) {
 	half, whole := snapshotBytes(t, 5_000), snapshotBytes(t, 10_000)
 	t.Logf("%d bytes of snapshots for 5,000 targets, %d for 10,000", half, whole)
--- a/pkg/core/control/promises_test.go
+++ b/pkg/core/control/promises_test.go
@@ -30,7 +30,7 @@
 	w.accepted[a.Result.Revision] = acceptedEdit{id: id, at: w.now}
 }
 
-// checkReplicaTable compares a replica's table with what others showed at the same
+// checkReplicaTable compares a replica's table with the first one that was seen at the same
 // revision.
 func (w *world) checkReplicaTable(r *fakeReplica) {
 	w.checkTable("replica "+string(r.id), r.core.Table())
@@ -46,15 +46,15 @@
 		return
 	}
 	if d := cmp.Diff(first, t); d != "" {
-		w.t.Fatalf("%s shows another revision %d:\n%s", who, t.Revision, d)
+		w.t.Fatalf("%s has a different revision %d:\n%s", who, t.Revision, d)
 	}
 }
 
-// leaseBound is how long an accepted edit may be out of force on a box that
-// still holds a lease.
+// leaseBound is how long after its acceptance an edit may not yet be in force on a box that still
+// holds a lease.
 const leaseBound = testLease + testElection
 
-// check looks at what must hold at every moment.
+// check checks the invariants that must hold after every event.
 func (w *world) check() {
 	for _, r := range w.replicas {
 		w.checkLeader(r)
@@ -75,8 +75,8 @@
 	}
 }
 
-// checkMonotonicRevision makes sure that a box never has an earlier revision in force than
-// before, through its own restarts as well.
+// checkMonotonicRevision checks that a box with a lease never has an earlier revision in force than
+// before, also across its own restarts.
 func (w *world) checkMonotonicRevision(b *fakeBox) {
 	if !b.up || w.now >= b.core.LeaseUntil() {
 		return
@@ -98,7 +98,7 @@
 	w.leaders[term] = r.id
 }
 
-// checkLease makes sure that no two replicas may speak for the cluster at once.
+// checkLease checks that no two replicas hold the leader's lease at once.
 func (w *world) checkLease() {
 	var holder *fakeReplica
 	for _, r := range w.replicas {
@@ -112,8 +112,8 @@
 	}
 }
 
-// checkRecovery heals the world and makes sure that nothing accepted is missing and
-// edits go on.
+// checkRecovery ends all faults and checks that no accepted edit is lost and that new edits are
+// accepted.
 func (w *world) checkRecovery() {
 	w.endFaults()
 	w.run(3 * time.Second)
@@ -124,12 +124,12 @@
 	w.run(3 * time.Second)
 	result, ok := w.answers["last"]
 	if !ok || result.Outcome != table.Accepted {
-		w.t.Fatalf("after all faults have ended no edit is accepted: %+v", result)
+		w.t.Fatalf("no edit was accepted after all faults had ended: %+v", result)
 	}
 	w.checkHistory()
 	for _, b := range w.boxes {
 		if b.core.Table().Revision < result.Revision || w.now >= b.core.LeaseUntil() {
-			w.t.Fatalf("box %s isn't in force at revision %d: %+v", b.id, result.Revision, b.core.Status(w.now))
+			w.t.Fatalf("box %s doesn't have revision %d in force under a lease: %+v", b.id, result.Revision, b.core.Status(w.now))
 		}
 	}
 }
@@ -142,7 +142,7 @@
 		}
 		for id, answer := range w.answers {
 			if d := cmp.Diff(&answer, r.core.state.Lookup(id)); d != "" {
-				w.t.Fatalf("%s remembers another answer to edit %s:\n%s", r.id, id, d)
+				w.t.Fatalf("%s has a different result of edit %s:\n%s", r.id, id, d)
 			}
 		}
 		var revisions []int
--- a/pkg/core/control/pushing.go
+++ b/pkg/core/control/pushing.go
@@ -27,8 +27,8 @@
 // pushRound brings all attached boxes to the same table, so that the changes that lead to it are
 // computed once.
 type pushRound struct {
-	// to is the table of the round that started last, nil before the first.
-	to *table.Table
+	// table is the table of the round that started last, nil before the first.
+	table *table.Table
 	// waiting are the boxes that the round hasn't served yet, awaitingTable those that wait for
 	// their part of a whole table; both with the longest wait first.
 	waiting, awaitingTable []ConnectionID
@@ -46,7 +46,7 @@
 	if r.pushPending && r.now >= r.pushAt && len(r.pushRound.waiting) == 0 {
 		r.pushPending = false
 		r.pushAt = r.now.Add(max(pushPeriod, time.Duration(r.sessions.Len())*pushPeriodPerBox))
-		r.pushRound.to, r.pushRound.waiting = r.state.Table(), r.sessions.Keys()
+		r.pushRound.table, r.pushRound.waiting = r.state.Table(), r.sessions.Keys()
 	}
 	if r.pushRound.busy() && r.now >= r.pushRound.nextAt {
 		r.continueRound(e)
@@ -103,7 +103,7 @@
 // doesn't change the box's part is only sent when requested: most changes of large services concern
 // few boxes.
 func (r *Replica) updateMessages(s *session, requested bool, e *Effects) []*wire.Envelope {
-	from, to := r.tableOf(s), r.pushRound.to
+	from, to := r.tableOf(s), r.pushRound.table
 	if to == nil {
 		to = r.state.Table()
 	}
--- a/pkg/core/control/pushing_test.go
+++ b/pkg/core/control/pushing_test.go
@@ -13,14 +13,15 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// attachedBoxes are boxes at a lone replica, with the tables that it has told them.
+// attachedBoxes are boxes attached to a single replica, with the tables that it has sent them.
 type attachedBoxes struct {
 	t          *testing.T
 	replica    *singleReplica
 	boxes      []table.Box
 	tables     []*table.Table
 	assemblies []wire.Assembly
-	// updatesSent counts the changes that one event tells, wholes the whole tables of each box.
+	// updatesSent counts the tables and deltas that one event sends, wholeTables the whole tables
+	// sent to each box.
 	updatesSent int
 	wholeTables []int
 }
@@ -36,7 +37,7 @@
 	return a
 }
 
-// renew has a box ask for a lease.
+// renew has a box request a lease.
 func (a *attachedBoxes) renew(i int) {
 	b, revision := &a.boxes[i], units.Revision(0)
 	if a.tables[i] != nil {
@@ -53,7 +54,7 @@
 	}
 }
 
-// receive has a box put in force what it is told.
+// receive has a box put a received update in force.
 func (a *attachedBoxes) receive(s BoxSend) {
 	i, m := int(s.Connection)-1, s.Envelope
 	if f := m.GetFragment(); f != nil {
@@ -80,13 +81,13 @@
 func (a *attachedBoxes) patch(i int, d *table.Delta) {
 	next, ok := a.tables[i].Patch(d)
 	if !ok {
-		a.t.Fatalf("box %d at revision %d is told a change from %d", i, a.tables[i].Revision, d.From)
+		a.t.Fatalf("box %d at revision %d got a delta from %d", i, a.tables[i].Revision, d.From)
 	}
 	a.tables[i] = next
 }
 
-// runFor lets the replica do what is due, event by event, while boxes renew their leases, and returns the
-// most boxes that one event told.
+// runFor advances the clock and ticks the replica whenever it is due, while boxes renew their
+// leases. It returns the maximum number of boxes that one event sent updates to.
 func (a *attachedBoxes) runFor(d time.Duration) (most int) {
 	r := a.replica
 	renewAt := r.now
@@ -103,8 +104,9 @@
 	return most
 }
 
-// Targets of a large service that register together are told to 300 boxes a few at a time, so that
-// elections and leases don't wait for all parts; each box has its own when the round's period is over.
+// When targets of a large service register together, 300 boxes are updated a few at a time, so that
+// elections and leases don't wait until all parts are computed. Each box has its own part when the
+// round's period is over.
 func TestARoundGoesSliceBySlice(t *testing.T) {
 	const boxes, targets, together = 300, 1_200, 100
 	a := attachBoxes(t, boxes)
@@ -115,7 +117,7 @@
 			continue
 		}
 		if most := a.runFor(time.Second); most > pushBatch && a.replica.core.Table().Divided() {
-			t.Fatalf("one event tells %d boxes of their parts", most)
+			t.Fatalf("one event updates %d boxes", most)
 		}
 	}
 	if !a.replica.core.Table().Divided() {
@@ -126,13 +128,14 @@
 		a.renew(i)
 		want := a.replica.core.Table().Parts().For(&a.boxes[i])
 		if d := cmp.Diff(want, a.tables[i], cmpopts.EquateEmpty(), cmpopts.IgnoreFields(table.Entry{}, "Version")); d != "" {
-			t.Fatalf("box %d holds another part than is its own (-want +got):\n%s", i, d)
+			t.Fatalf("box %d has a wrong part (-want +got):\n%s", i, d)
 		}
 	}
 }
 
-// A third of a fleet that starts together asks for whole tables at once, and again while it waits. The replica works
-// out one part an event, and one a box, and has time for elections and leases between them.
+// A third of a fleet that starts at once requests whole tables, and requests them again while it
+// waits. The replica computes one part per event and one per box, and has time for elections and
+// leases in between.
 func TestBoxesThatStartTogetherAreServedOneByOne(t *testing.T) {
 	const boxes, targets = 300, 1_200
 	a := attachBoxes(t, boxes)
@@ -153,21 +156,21 @@
 		a.updatesSent = 0
 		a.renew(i)
 		if a.updatesSent > 1 {
-			t.Fatalf("one request takes %d whole tables", a.updatesSent)
+			t.Fatalf("one request sends %d whole tables", a.updatesSent)
 		}
 	}
 	if most := a.runFor(boxes * pushBatchInterval); most > 1 {
-		t.Errorf("one event takes %d whole tables", most)
+		t.Errorf("one event sends %d whole tables", most)
 	}
 	for i, n := range a.wholeTables {
 		if n != 1 {
-			t.Fatalf("box %d is sent %d whole tables", i, n)
+			t.Fatalf("box %d got %d whole tables", i, n)
 		}
 	}
 }
 
-// A box that asks in the middle of a round is brought to the round's table, as all others are: what leads
-// there is worked out once, however many commits come meanwhile.
+// A box that sends a request during a round is updated to the round's table, like all others: the
+// difference is computed once, however many entries are committed meanwhile.
 func TestARoundLeadsToOneTable(t *testing.T) {
 	const boxes, targets = 300, 1_200
 	a := attachBoxes(t, boxes)
@@ -183,6 +186,6 @@
 		differences[a.replica.core.cachedUpdate.to] = true
 	}
 	if len(differences) > 2 {
-		t.Errorf("%d differences were worked out for %d boxes within one period", len(differences), boxes)
+		t.Errorf("%d differences were computed for %d boxes within one period", len(differences), boxes)
 	}
 }
--- a/pkg/core/control/quarantines.go
+++ b/pkg/core/control/quarantines.go
@@ -95,7 +95,7 @@
 }
 
 // busy reports whether the leader may have something to decide soon.
-func (b *quarantineTracker) busy() bool { return b.undecided || len(b.verdicts) > 0 }
+func (t *quarantineTracker) busy() bool { return t.undecided || len(t.verdicts) > 0 }
 
 // observationOf returns the observation of a quarantined call, a new one if there is none.
 func (r *Replica) observationOf(q *table.Quarantine) *callObservation {
@@ -132,8 +132,8 @@
 // to be, it isn't to blame.
 func (r *Replica) recordAnswered(n crash.Note) {
 	for _, s := range n.Suspects {
-		b := &r.quarantines
-		b.verdicts = slices.DeleteFunc(b.verdicts, func(v pendingVerdict) bool { return v.Fingerprint.Covers(s.Fingerprint) })
+		tracker := &r.quarantines
+		tracker.verdicts = slices.DeleteFunc(tracker.verdicts, func(v pendingVerdict) bool { return v.Fingerprint.Covers(s.Fingerprint) })
 		if q := r.state.Table().QuarantineOf(s.Fingerprint); q != nil {
 			r.observationOf(q).answered = true
 		}
@@ -145,38 +145,38 @@
 	if !r.node.HasLease(r.now) {
 		return
 	}
-	b := &r.quarantines
-	if b.changed || b.busy() {
-		b.changed = false
+	tracker := &r.quarantines
+	if tracker.changed || tracker.busy() {
+		tracker.changed = false
 		r.proposeQuarantines(log)
-		b.undecided = b.ledger.Undecided()
-		b.watched = b.watchedCalls()
+		tracker.undecided = tracker.ledger.Undecided()
+		tracker.watched = tracker.watchedCalls()
 	}
 	list := r.state.Table().Quarantines
 	for i := range list {
 		r.advanceQuarantine(&list[i], log)
 	}
-	maps.DeleteFunc(b.observations, func(f crash.Fingerprint, _ *callObservation) bool { return r.state.Table().Quarantine(f) == nil })
-	b.trials = slices.DeleteFunc(b.trials, func(x activeTrial) bool { return r.now >= x.until })
+	maps.DeleteFunc(tracker.observations, func(f crash.Fingerprint, _ *callObservation) bool { return r.state.Table().Quarantine(f) == nil })
+	tracker.trials = slices.DeleteFunc(tracker.trials, func(x activeTrial) bool { return r.now >= x.until })
 }
 
 // proposeQuarantines finds the calls that are to blame for crashes, and proposes their quarantines
 // until they are in the table.
 func (r *Replica) proposeQuarantines(log *replication.Effects) {
-	b := &r.quarantines
+	tracker := &r.quarantines
 	t := r.state.Table()
 	for i := range t.Quarantines {
-		b.ledger.Explain(t.Quarantines[i].Call)
+		tracker.ledger.Explain(t.Quarantines[i].Call)
 	}
-	b.verdicts = slices.DeleteFunc(b.verdicts, func(v pendingVerdict) bool { return t.Quarantine(v.Fingerprint) != nil })
-	for i := range b.verdicts {
-		b.ledger.Explain(b.verdicts[i].Fingerprint)
+	tracker.verdicts = slices.DeleteFunc(tracker.verdicts, func(v pendingVerdict) bool { return t.Quarantine(v.Fingerprint) != nil })
+	for i := range tracker.verdicts {
+		tracker.ledger.Explain(tracker.verdicts[i].Fingerprint)
 	}
-	for _, v := range b.ledger.Judge(r.now) {
-		b.verdicts = append(b.verdicts, pendingVerdict{Verdict: v})
+	for _, v := range tracker.ledger.Judge(r.now) {
+		tracker.verdicts = append(tracker.verdicts, pendingVerdict{Verdict: v})
 	}
-	for i := range b.verdicts {
-		v := &b.verdicts[i]
+	for i := range tracker.verdicts {
+		v := &tracker.verdicts[i]
 		if v.proposedAt != 0 && r.now.Sub(v.proposedAt) < retryPeriod {
 			continue
 		}
@@ -224,12 +224,12 @@
 
 // watchedCalls returns the calls that every grant lists. Verdicts are included, so that a stalled
 // disk doesn't delay them.
-func (b *quarantineTracker) watchedCalls() []crash.Watched {
+func (t *quarantineTracker) watchedCalls() []crash.Watched {
 	var list []crash.Watched
-	for i := range b.verdicts {
-		list = append(list, crash.Watched{Call: b.verdicts[i].Fingerprint, Quarantined: true})
+	for i := range t.verdicts {
+		list = append(list, crash.Watched{Call: t.verdicts[i].Fingerprint, Quarantined: true})
 	}
-	for _, f := range b.ledger.Suspects(maxWatchedSuspects) {
+	for _, f := range t.ledger.Suspects(maxWatchedSuspects) {
 		list = append(list, crash.Watched{Call: f})
 	}
 	return list
--- a/pkg/core/control/recovery_test.go
+++ b/pkg/core/control/recovery_test.go
@@ -12,7 +12,7 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// powerOff ends all replicas at once; each starts again after its own delay.
+// powerOff crashes all replicas at once; each restarts after its own delay.
 func (w *world) powerOff(delays ...time.Duration) {
 	for _, r := range w.replicas {
 		w.crash(r)
@@ -22,7 +22,7 @@
 	}
 }
 
-// timeToLeader is how long it takes until a replica may speak for the cluster.
+// timeToLeader returns the time until a replica holds the leader's lease, at most limit.
 func (w *world) timeToLeader(limit time.Duration) time.Duration {
 	began := w.now
 	for w.now.Sub(began) < limit {
@@ -34,8 +34,8 @@
 	return w.now.Sub(began)
 }
 
-// A lease dies with the process that held it: once its holder has started again, and
-// the others have heard so, there is nothing to wait for.
+// A leader's lease ends with its process: once the leader has restarted, and the others have heard
+// of it, an election needn't wait for the lease to expire.
 func TestAClusterThatLostPowerElectsAtOnce(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		t.Run(fmt.Sprintf("%d replicas", size), func(t *testing.T) {
@@ -44,8 +44,8 @@
 				w.submit(w.leader(), newEdit("before", "s", 0, 1))
 				w.run(200 * time.Millisecond)
 				w.powerOff(10*time.Millisecond, 25*time.Millisecond, 40*time.Millisecond)
-				// The last one starts after 40 ms; the rest is for slow syncs and for
-				// candidates that meet.
+				// The last replica starts after 40 ms; the rest of the time allows for slow syncs
+				// and split votes.
 				if took := w.timeToLeader(3 * testElection); took > 3*testElection/2 {
 					t.Errorf("seed %d: no leader for %s", seed, took)
 				}
@@ -55,7 +55,8 @@
 	}
 }
 
-// While the leader that held the lease hasn't come back the wait is owed in full.
+// While the leader that held the lease hasn't restarted, an election must wait until the lease has
+// expired.
 func TestNobodyLeadsBeforeALostLeadersLeaseHasRunOut(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(t, seed, 5, 1)
@@ -73,15 +74,14 @@
 			w.run(time.Millisecond)
 			for _, r := range w.replicas {
 				if r != old && r.core.node.IsLeader() {
-					t.Fatalf("seed %d: %s leads after %s, beside a lease", seed, r.id, w.now.Sub(began))
+					t.Fatalf("seed %d: %s leads after %s, before the lease has expired", seed, r.id, w.now.Sub(began))
 				}
 			}
 		}
 	}
 }
 
-// A box is sent the table once when a replica has read its log again, not each step of
-// its history.
+// After replaying its log a replica sends a box the table once, not each step of its history.
 func TestAReplicaThatReadsItsLogSendsTheTableOnce(t *testing.T) {
 	w := newWorld(t, 1, 3, 1)
 	for i := range 12 {
@@ -103,8 +103,8 @@
 	}
 }
 
-// A table that takes a box's link longer to carry than a box without a lease is patient
-// comes through all the same, and the box doesn't have it sent again and again.
+// A table whose transfer takes longer than a box without a lease waits for an answer arrives
+// nevertheless, and isn't sent again and again.
 func TestALargeTableComesThroughASlowLink(t *testing.T) {
 	w := newGrowingWorld(t, 1, 3, 3, 1)
 	w.run(2 * time.Second)
@@ -112,7 +112,7 @@
 		{Name: "s", Work: table.Once, Deadline: time.Second},
 	}}
 	for i := range 1500 {
-		// Names that no compression makes small.
+		// Random names, which don't compress.
 		name := fmt.Sprintf("%016x%016x", w.random.Uint64(), w.random.Uint64())
 		large.Routes = append(large.Routes, &table.Route{
 			Name: fmt.Sprintf("r%d", i), Host: name, PathPrefix: "/" + name + "/", Work: table.Once,
@@ -125,17 +125,17 @@
 		}
 	})
 	w.run(time.Second)
-	// Half a second for the whole table, where patience is a tenth of that.
+	// The whole table takes half a second; the box waits a tenth of that for an answer.
 	w.boxRate = float64(proto.Size(wire.FromTable(w.leader().core.Table()))) * 2
 	w.startBox(w.boxes[0])
 	w.run(time.Second)
 	if got := w.boxes[0].core.Table().Document; got != 1 {
-		t.Errorf("after a second the box has version %d: %+v", got, w.boxes[0].core.Status(w.now))
+		t.Errorf("after a second the box has document %d: %+v", got, w.boxes[0].core.Status(w.now))
 	}
 }
 
-// Many changes in a row reach the boxes together: each costs every box a message and the
-// work of putting a table in force.
+// Many changes in a row are sent to the boxes together: each update costs every box a message and
+// the work of putting a table in force.
 func TestChangesInARowReachTheBoxesTogether(t *testing.T) {
 	const targets = 60
 	w := newGrowingWorld(t, 1, 3, 3, 2)
@@ -158,7 +158,7 @@
 	}
 }
 
-// A message of a leader's earlier disk that comes late ends no lease of the later one.
+// A delayed message from a leader's previous disk doesn't end the lease that the leader holds now.
 func TestALateMessageOfAnEarlierDiskEndsNoLease(t *testing.T) {
 	w := newWorld(t, 1, 3, 1)
 	late := &wire.Envelope{
@@ -179,7 +179,7 @@
 	}
 }
 
-// revisionsSeen runs the world and returns the revisions that a box showed meanwhile.
+// revisionsSeen runs the world and returns the revisions that a box had meanwhile.
 func (w *world) revisionsSeen(b *fakeBox, d time.Duration) map[units.Revision]bool {
 	seen := map[units.Revision]bool{}
 	for end := w.now.Add(d); w.now < end; {
@@ -198,9 +198,9 @@
 	return w.leader().core.Table().Revision
 }
 
-// After a loss of power the snapshots on the disks are older than what was accepted. A box
-// that gets them first spends its link and its processor on them, and sends calls to
-// targets that have gone.
+// After a power loss the snapshots on the disks are older than what was accepted. A box that got
+// one of them first would spend its link and processor time on it, and send calls to targets that
+// no longer exist.
 func TestABoxGetsTheNewestTableFirst(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newWorld(t, seed, 5, 1)
@@ -218,7 +218,7 @@
 	}
 }
 
-// The box needn't ask again once there is a leader.
+// A box gets its table and lease as soon as there is a leader, without asking again.
 func TestABoxGetsTableAndLeaseAsSoonAsALeaderStands(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newWorld(t, seed, 3, 1)
@@ -228,19 +228,19 @@
 		w.renewEvery, w.silence = 4*time.Second, 4*time.Second
 		w.startBox(b)
 		w.timeToLeader(3 * testElection)
-		stood := w.now
+		elected := w.now
 		for b.core.Table().Revision < newest || b.core.LeaseUntil() == 0 {
 			w.run(time.Millisecond)
-			if w.now.Sub(stood) > 4*maxLatency {
-				t.Errorf("seed %d: %s after the leader stood the box is at revision %d, its lease ends at %d",
-					seed, w.now.Sub(stood), b.core.Table().Revision, b.core.LeaseUntil())
+			if w.now.Sub(elected) > 4*maxLatency {
+				t.Errorf("seed %d: %s after the leader's election the box is at revision %d, its lease ends at %d",
+					seed, w.now.Sub(elected), b.core.Table().Revision, b.core.LeaseUntil())
 				break
 			}
 		}
 	}
 }
 
-// Without a quorum nobody knows the newest table; then an older one is better than none.
+// Without a quorum no replica can know the newest table; an older one is better than none then.
 func TestABoxGetsAnOlderTableWhereNoLeaderStands(t *testing.T) {
 	w := newWorld(t, 1, 3, 1)
 	w.acceptEdits(30)
--- a/pkg/core/control/regression_test.go
+++ b/pkg/core/control/regression_test.go
@@ -6,8 +6,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Schedules that once broke a promise, each with its cause. They are played again as
-// they were found.
+// Schedules that once violated an invariant, each with its cause. They run exactly as they were
+// found.
 var regressions = []struct {
 	testName string
 	size     int
@@ -15,14 +15,13 @@
 	steps    []int
 }{
 	{
-		// A box list that had become empty was an empty list on replicas and none on
-		// boxes.
+		// A list of boxes that had become empty was an empty list on replicas and no list on boxes.
 		testName: "the last box leaves the list", size: 3, seed: 0,
 		steps: []int{0, 1, 12, 1, 135, 0, 1023, 0, 1, 66, 12, 0, 0, 0, 70, 12582, 9, 55, 590, 15},
 	},
 	{
-		// A refusal meant for the replica's old disk, whose starts had the same number,
-		// stopped the new one.
+		// A refusal meant for the replica's previous disk, whose start had the same boot number,
+		// stopped the replica on its new disk.
 		testName: "a refusal finds another disk", size: 5, seed: 0x14,
 		steps: []int{187, 9516, 4680, 9, 1, 0, 12, 4, 11, 1, 6, 1, 7, 2, 1, 8, 17222, 229},
 	},
@@ -42,8 +41,7 @@
 	}
 }
 
-// A refusal that speaks of another start or another disk of a replica is no reason for
-// this one to stop.
+// A refusal that names another start or another disk of a replica must not stop this one.
 func TestARefusalConcernsOneStartOfOneDisk(t *testing.T) {
 	w := newWorld(t, 1, 3, 1)
 	r := w.replicas[0]
@@ -56,7 +54,7 @@
 			Body: &wire.Envelope_Refusal{Refusal: refusal},
 		}})
 		if r.halted != nil {
-			t.Fatalf("%+v stopped a replica that it doesn't concern", refusal)
+			t.Fatalf("%+v stopped another start or disk", refusal)
 		}
 	}
 }
--- a/pkg/core/control/requests.go
+++ b/pkg/core/control/requests.go
@@ -41,9 +41,9 @@
 
 // requestQueue holds the commands and reads that wait at this replica.
 type requestQueue struct {
-	number   commandNumber
-	commands *container.Ordered[commandNumber, *waitingCommand]
-	reads    *container.Ordered[commandNumber, *waitingRead]
+	lastNumber commandNumber
+	commands   *container.Ordered[commandNumber, *waitingCommand]
+	reads      *container.Ordered[commandNumber, *waitingRead]
 	// reports are the waiting commands that are reports, by target.
 	reports map[units.TargetID]*waitingCommand
 	// proposed are the commands that this leader has added to the log and that aren't applied yet,
@@ -161,7 +161,7 @@
 
 // submitCommand queues a command until a quorum has committed it, and forwards it. It returns nil
 // if the command was refused; the request is then answered.
-func (r *Replica) submitCommand(id RequestID, c *wire.Command, what string, log *replication.Effects, e *Effects) *waitingCommand {
+func (r *Replica) submitCommand(id RequestID, c *wire.Command, description string, log *replication.Effects, e *Effects) *waitingCommand {
 	if !r.node.Formed() {
 		e.Answers = append(e.Answers, Answer{Request: id, Err: errNotFormed()})
 		return nil
@@ -171,8 +171,8 @@
 		e.Answers = append(e.Answers, Answer{Request: id, Err: err})
 		return nil
 	}
-	r.requests.number++
-	c.Number = uint64(r.requests.number)
+	r.requests.lastNumber++
+	c.Number = uint64(r.requests.lastNumber)
 	c.Origin = r.origin()
 	c.At = int64(r.wall)
 	encoded, err := wire.EncodeCommand(c)
@@ -180,8 +180,8 @@
 		e.Answers = append(e.Answers, Answer{Request: id, Err: err})
 		return nil
 	}
-	w := &waitingCommand{number: r.requests.number, requests: []RequestID{id}, encoded: encoded, description: what, deadline: r.now.Add(r.settings.EditTimeout), backoff: retryPeriod}
-	r.requests.commands.Put(r.requests.number, w)
+	w := &waitingCommand{number: r.requests.lastNumber, requests: []RequestID{id}, encoded: encoded, description: description, deadline: r.now.Add(r.settings.EditTimeout), backoff: retryPeriod}
+	r.requests.commands.Put(r.requests.lastNumber, w)
 	r.forwardCommand(w, log)
 	return w
 }
@@ -263,13 +263,13 @@
 }
 
 // answer answers all requests for a command and removes it from the queue.
-func (b *requestQueue) answer(w *waitingCommand, err error, e *Effects) {
+func (q *requestQueue) answer(w *waitingCommand, err error, e *Effects) {
 	for _, id := range w.requests {
 		e.Answers = append(e.Answers, Answer{Request: id, Err: err})
 	}
-	b.commands.Delete(w.number)
-	if w.report != nil && b.reports[w.report.Target] == w {
-		delete(b.reports, w.report.Target)
+	q.commands.Delete(w.number)
+	if w.report != nil && q.reports[w.report.Target] == w {
+		delete(q.reports, w.report.Target)
 	}
 }
 
@@ -308,8 +308,8 @@
 		e.Answers = append(e.Answers, Answer{Request: v.Request, Document: r.state.Document(), Table: r.state.Table()})
 		return
 	}
-	r.requests.number++
-	n := r.requests.number
+	r.requests.lastNumber++
+	n := r.requests.lastNumber
 	w := &waitingRead{request: v.Request, deadline: r.now.Add(r.settings.ReadTimeout)}
 	r.requests.reads.Put(n, w)
 	r.requestReadIndex(n, w, log)
--- a/pkg/core/control/rollout_test.go
+++ b/pkg/core/control/rollout_test.go
@@ -20,8 +20,7 @@
 	testDuration = 4 * time.Second
 )
 
-// registerSoftware has targets of a version of the service register, until each is told
-// that it stands in the table.
+// registerSoftware has targets of a version of the service register and keep reporting.
 func (w *world) registerSoftware(software units.Software, count int) {
 	for i := range count {
 		t := &table.Registration{
@@ -32,7 +31,8 @@
 	}
 }
 
-// keepReporting has a target report on, to any replica, until it has left.
+// keepReporting has a target report periodically, each time to a random replica, until its
+// departure was acknowledged.
 func (w *world) keepReporting(t *table.Registration) {
 	next := *t
 	next.Sequence++
@@ -44,7 +44,8 @@
 	w.after(200*time.Millisecond, func() { w.keepReporting(&next) })
 }
 
-// startTraffic returns a world with a service whose targets are of version v1, and calls.
+// startTraffic registers targets of version v1, waits until that version is in force and starts
+// calls to the service.
 func startTraffic(t fataler, w *world, bad func(units.Software) float64) *traffic {
 	w.putDocument(w.leader(), false)
 	w.run(500 * time.Millisecond)
@@ -58,7 +59,8 @@
 	return x
 }
 
-// badIfNamed has the answers of versions whose name ends so fail.
+// badIfNamed returns the share of a version's answers that fail: all for versions whose name ends
+// in "bad", none for others.
 func badIfNamed(software units.Software) float64 {
 	if strings.HasSuffix(string(software), "bad") {
 		return 1
@@ -70,7 +72,7 @@
 	w.order(r, func(id RequestID) Event { return RolloutOrdered{Request: id, Order: o} }, answered)
 }
 
-// orderNow has an order carried out by the leader's word.
+// orderNow sends an order to the leader and returns its answer.
 func (w *world) orderNow(o table.RolloutOrder) error {
 	err := fault.New(fault.Unknown, "", "no answer")
 	w.orderRollout(w.leader(), o, func(a Answer) { err = a.Err })
@@ -99,7 +101,7 @@
 		sent := x.sent["v1"]
 		w.run(time.Second)
 		if x.sent["v1"] != sent {
-			t.Fatalf("seed %d: calls go to the old version after the end", seed)
+			t.Fatalf("seed %d: the old version got calls after the rollout was completed", seed)
 		}
 		w.checkRecovery()
 	}
@@ -123,14 +125,14 @@
 		}
 		w.run(testDuration)
 		if x.sent["v2bad"] != sent {
-			t.Fatalf("seed %d: the bad version got calls after its end", seed)
+			t.Fatalf("seed %d: the bad version got calls after it was rolled back", seed)
 		}
 		w.checkRecovery()
 	}
 }
 
-// A leader that is lost in the trial or in the shift holds up nothing: its successor knows
-// how much time is over, and what boxes have seen.
+// The loss of a leader in the trial or the shift doesn't delay a rollout: its successor knows the
+// elapsed time and what boxes have observed.
 func TestARolloutOutlivesItsLeader(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newWorld(t, seed, 3, 4)
@@ -181,12 +183,12 @@
 		}
 	}
 	if r := w.rollout(); r.Stage != table.RolloutRolledBack {
-		t.Fatalf("an order that came late has begun another rollout: %+v", r)
+		t.Fatalf("a late order started another rollout: %+v", r)
 	}
 }
 
-// rolloutOperator is an operator who orders one rollout after the other and sends each order again, to
-// another replica each time, until it is acknowledged.
+// rolloutOperator orders one rollout after the other and resends each order, to another replica
+// each time, until it is acknowledged.
 type rolloutOperator struct {
 	world        *world
 	number, next int
@@ -194,7 +196,7 @@
 	acknowledged bool
 }
 
-// orderNext orders the next version once the present rollout has ended; every other one is bad.
+// orderNext orders the next version once the current rollout has ended; every other version is bad.
 func (o *rolloutOperator) orderNext() {
 	leader := o.world.leader()
 	if o.to != "" && (!o.acknowledged || leader == nil || leader.core.Table().Rollout(testService).Active()) {
@@ -221,14 +223,15 @@
 			o.acknowledged = true
 		}
 		if k := fault.KindOf(a.Err); a.Err != nil && (k == fault.NotFound || k == fault.Invalid) {
-			w.t.Fatalf("a proper order was refused: %v", a.Err)
+			w.t.Fatalf("a valid order was refused: %v", a.Err)
 		}
 	})
 	w.after(resendEvery, func() { o.send(number) })
 }
 
-// checkRollouts makes sure that nothing acknowledged is lost on any replica or box, that an
-// ended rollout never goes on, and that no bad version was completed.
+// checkRollouts checks that the acknowledged rollout is known to all replicas and boxes, that no
+// ended rollout continued, and that no bad version was completed. It returns the stages in which
+// rollouts ended.
 func (w *world) checkRollouts(acknowledged units.Software) map[units.Revision]table.RolloutStage {
 	ended := map[units.Revision]table.RolloutStage{}
 	for _, revision := range slices.Sorted(maps.Keys(w.tablesByRevision)) {
@@ -259,7 +262,7 @@
 	return ended
 }
 
-// rolloutFaults are what befalls rollouts beside all else.
+// rolloutFaults are the actions that concern rollouts, in addition to all others.
 var rolloutFaults = append([]faultAction{
 	{"abort", func(w *world, n int) {
 		w.orderRollout(w.replicas[n%len(w.replicas)], table.RolloutOrder{Service: testService, Abort: true}, func(Answer) {})
@@ -272,10 +275,10 @@
 	}},
 }, growthFaults...)
 
-// Under any faults that the cluster bears, beside documents, evacuations, edits and targets
-// that come and go, acknowledged rollouts are known everywhere in the end and have ended,
-// none that was rolled back goes on, and none completes while a box in touch waits for the
-// old version.
+// Under any faults that the cluster tolerates, along with documents, evacuations, edits and targets
+// that come and go: acknowledged rollouts are known to all replicas and boxes in the end and have
+// ended, none that was rolled back continues, and none completes while a connected box waits for an
+// answer of the old version.
 func TestAcknowledgedRolloutsHold(t *testing.T) {
 	t.Parallel()
 	ends := map[table.RolloutStage]int{}
@@ -303,7 +306,7 @@
 			ends[stage]++
 		}
 		if r := w.rollout(); r.Active() {
-			t.Fatalf("the rollout is under way after its deadline: %+v", r)
+			t.Fatalf("the rollout is still in progress after its deadline: %+v", r)
 		}
 	})
 	t.Logf("%d rollouts were completed, %d rolled back", ends[table.RolloutCompleted], ends[table.RolloutRolledBack])
--- a/pkg/core/control/rollouts.go
+++ b/pkg/core/control/rollouts.go
@@ -72,31 +72,31 @@
 }
 
 func newRolloutTracker() rolloutTracker {
-	b := rolloutTracker{started: map[units.ServiceName]startedRollout{}}
-	b.clearLeaderState()
-	return b
+	t := rolloutTracker{started: map[units.ServiceName]startedRollout{}}
+	t.clearLeaderState()
+	return t
 }
 
 // clearLeaderState drops the state that only a leader has.
-func (b *rolloutTracker) clearLeaderState() {
-	b.watches = map[units.ServiceName]*rolloutWatch{}
-	b.targetsMissingSince = map[units.ServiceName]units.Instant{}
-	b.allAdoptedAt = 0
+func (t *rolloutTracker) clearLeaderState() {
+	t.watches = map[units.ServiceName]*rolloutWatch{}
+	t.targetsMissingSince = map[units.ServiceName]units.Instant{}
+	t.allAdoptedAt = 0
 }
 
 // busy reports whether this replica decides on a rollout in progress.
-func (b *rolloutTracker) busy() bool { return len(b.watches) > 0 }
+func (t *rolloutTracker) busy() bool { return len(t.watches) > 0 }
 
 // updateRecord updates the state of a rollout from its replicated record. Of the start times that
 // its records imply, the earliest is kept, since each record arrives a little after the time that
 // it states.
-func (b *rolloutTracker) updateRecord(x *table.Rollout, now units.Instant) {
+func (t *rolloutTracker) updateRecord(x *table.Rollout, now units.Instant) {
 	at := now.Add(-x.Elapsed)
-	if held, known := b.started[x.Service]; known && held.order == x.Order {
+	if held, known := t.started[x.Service]; known && held.order == x.Order {
 		at = min(at, held.at)
 	}
-	b.started[x.Service] = startedRollout{order: x.Order, at: at}
-	if w := b.watches[x.Service]; w != nil && w.Order() == x.Order {
+	t.started[x.Service] = startedRollout{order: x.Order, at: at}
+	if w := t.watches[x.Service]; w != nil && w.Order() == x.Order {
 		w.Update(*x)
 		w.proposedAt = 0
 	}
@@ -232,21 +232,21 @@
 // adoptSoftware proposes a version in force for services that have none, or whose version in force
 // has had no registered target for a while.
 func (r *Replica) adoptSoftware(log *replication.Effects) {
-	b := &r.rollouts
+	tracker := &r.rollouts
 	t := r.state.Table()
-	if r.now < b.adoptAt || b.allAdoptedAt == t.Revision {
+	if r.now < tracker.adoptAt || tracker.allAdoptedAt == t.Revision {
 		return
 	}
-	b.adoptAt = r.now.Add(adoptPeriod)
-	b.allAdoptedAt = t.Revision
+	tracker.adoptAt = r.now.Add(adoptPeriod)
+	tracker.allAdoptedAt = t.Revision
 	registered := r.registeredSoftware()
 	for _, service := range slices.Sorted(maps.Keys(registered)) {
 		present := t.SoftwareInForce(service)
 		if t.Services[service] == nil || registered[service][present] > 0 {
-			delete(b.targetsMissingSince, service)
+			delete(tracker.targetsMissingSince, service)
 			continue
 		}
-		b.allAdoptedAt = 0
+		tracker.allAdoptedAt = 0
 		if present != "" && !r.targetsMissingTooLong(service) {
 			continue
 		}
--- a/pkg/core/control/silence.go
+++ b/pkg/core/control/silence.go
@@ -81,21 +81,21 @@
 // treats all targets as having reported when its leadership began. While no target at all reports,
 // the fault is more likely on this side than with every target, so none is proposed as silent.
 func (r *Replica) proposeSilence(log *replication.Effects) {
-	h := &r.liveness
-	if r.settings.SilentAfter == 0 || r.now < h.checkAt || h.proposing || !r.node.HasLease(r.now) {
+	tracker := &r.liveness
+	if r.settings.SilentAfter == 0 || r.now < tracker.checkAt || tracker.proposing || !r.node.HasLease(r.now) {
 		return
 	}
-	h.checkAt = r.now.Add(silenceCheckPeriod)
-	if r.now.Sub(max(h.lastAnyReport, r.leaderSince)) > r.settings.SilentAfter/2 {
+	tracker.checkAt = r.now.Add(silenceCheckPeriod)
+	if r.now.Sub(max(tracker.lastAnyReport, r.leaderSince)) > r.settings.SilentAfter/2 {
 		return
 	}
 	m := &wire.Silence{}
 	r.state.EachRegistration(func(t *table.Registration) {
-		silent := r.now.Sub(max(h.lastReport[t.Target], r.leaderSince)) > r.settings.SilentAfter
+		silent := r.now.Sub(max(tracker.lastReport[t.Target], r.leaderSince)) > r.settings.SilentAfter
 		if silent && !t.Silent {
 			m.Silent = append(m.Silent, string(t.Target))
 		}
-		if !silent && t.Silent && h.lastReport[t.Target] > r.leaderSince {
+		if !silent && t.Silent && tracker.lastReport[t.Target] > r.leaderSince {
 			m.Heard = append(m.Heard, string(t.Target))
 		}
 	})
@@ -104,18 +104,18 @@
 	}
 	slices.Sort(m.Silent)
 	slices.Sort(m.Heard)
-	h.proposing = r.proposeCommand(&wire.Command{At: int64(r.wall), Kind: &wire.Command_Silence{Silence: m}}, log)
+	tracker.proposing = r.proposeCommand(&wire.Command{At: int64(r.wall), Kind: &wire.Command_Silence{Silence: m}}, log)
 }
 
 // EachTarget calls f with every registered target and the time since its last report as this leader
 // knows it; that time is negative where there was none.
-func (r *Replica) EachTarget(now units.Instant, f func(t *table.Registration, heard time.Duration)) {
+func (r *Replica) EachTarget(now units.Instant, f func(t *table.Registration, sinceReport time.Duration)) {
 	r.state.EachRegistration(func(t *table.Registration) {
-		heard := time.Duration(-1)
+		sinceReport := time.Duration(-1)
 		if last := r.liveness.lastReport[t.Target]; last != 0 && r.node.IsLeader() {
-			heard = now.Sub(last)
+			sinceReport = now.Sub(last)
 		}
-		f(t, heard)
+		f(t, sinceReport)
 	})
 }
 
--- a/pkg/core/control/starts_test.go
+++ b/pkg/core/control/starts_test.go
@@ -10,11 +10,13 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// restartingTarget is a target that crashes and starts again under its id. Each start reports on, to any
-// replica, until it has left or the next one begins; reports of earlier starts come late.
+// restartingTarget is a target that crashes and restarts under the same id. Each start keeps
+// reporting, to any replica, until it has left or the next start begins; reports of earlier starts
+// arrive late.
 type restartingTarget struct {
 	world *world
-	// born is that of the present start, acknowledged the last start that was.
+	// born identifies the current start, acknowledged is the last start whose report was
+	// acknowledged.
 	born, acknowledged units.WallTime
 	// left is the last start whose departure was acknowledged.
 	left units.WallTime
@@ -28,7 +30,7 @@
 	}
 }
 
-// startAgain begins a startAgain, whose first reports have low numbers.
+// startAgain begins a new start, whose first reports have low sequence numbers.
 func (x *restartingTarget) startAgain() {
 	x.born += 1000
 	x.report(x.born, 1)
@@ -50,7 +52,8 @@
 	w.after(200*time.Millisecond, func() { x.report(born, sequence+1) })
 }
 
-// sendLateReports has reports of all earlier starts come now, with numbers far above those of the present one.
+// sendLateReports sends reports of all earlier starts, with far higher sequence numbers than those
+// of the current one.
 func (x *restartingTarget) sendLateReports() {
 	w := x.world
 	for born := units.WallTime(1000); born < x.born; born += 1000 {
@@ -61,7 +64,7 @@
 	}
 }
 
-// depart has the present start leave for good, if it is known to be registered.
+// depart has the current start leave for good, if its registration was acknowledged.
 func (x *restartingTarget) depart() {
 	if x.acknowledged != x.born || x.left == x.born {
 		return
@@ -76,23 +79,23 @@
 	})
 }
 
-// check makes sure that the present start is the one in force, unless it has left.
+// check checks that the current start is registered on all replicas, unless it has left.
 func (x *restartingTarget) check(t *rapid.T) {
 	for _, r := range x.world.replicas {
 		held := r.core.state.Registration(restartingTargetID)
 		switch {
 		case x.left == x.born:
 			if held != nil {
-				t.Fatalf("%s holds the start of %d, whose leaving was acknowledged", r.id, held.Born)
+				t.Fatalf("%s has the start of %d, whose departure was acknowledged", r.id, held.Born)
 			}
 		case held == nil || held.Born != x.born || held.State != table.Active:
-			t.Fatalf("%s holds %+v, the present start is that of %d", r.id, held, x.born)
+			t.Fatalf("%s has %+v, the current start is that of %d", r.id, held, x.born)
 		}
 	}
 }
 
-// Under any faults that the cluster bears, the last start of a target holds in the end, whatever
-// comes late of the starts before.
+// Under any faults that the cluster tolerates, the last start of a target is in force in the end,
+// whatever arrives late from earlier starts.
 func TestTheLastStartHolds(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -114,7 +117,7 @@
 		}
 		w.checkRecovery()
 		if s := steps[0]; s%3 == 0 {
-			// An order that was given up must not be under way any more when the next start begins.
+			// An order that was given up must no longer be in flight when the next start begins.
 			w.run(w.settings.EditTimeout)
 			x.depart()
 		}
--- a/pkg/core/control/storm_bench_test.go
+++ b/pkg/core/control/storm_bench_test.go
@@ -13,14 +13,14 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// singleReplica is a replica that is its own quorum, with a disk that syncs at once.
+// singleReplica is a replica that forms a cluster of its own, with a disk that syncs at once.
 type singleReplica struct {
 	core      *Replica
 	now       units.Instant
 	sentBytes int
-	// snapshotBytes counts the bytes of snapshotBytes that it wrote.
+	// snapshotBytes counts the bytes of the snapshots that it wrote.
 	snapshotBytes int
-	// onBoxSend takes what is sent to boxes, where it is set.
+	// onBoxSend is called with each message to a box, if it is set.
 	onBoxSend func(BoxSend)
 	e         Effects
 }
@@ -47,7 +47,7 @@
 	return r
 }
 
-// deliver gives the replica an event and syncs what it writes.
+// deliver has the replica handle an event, and syncs what it writes.
 func (r *singleReplica) deliver(event Event) {
 	r.core.Reduce(r.now, 1, event, &r.e)
 	for len(r.e.Writes) > 0 {
@@ -63,13 +63,13 @@
 	r.countSends()
 }
 
-// renew gives the replica a box's request for a lease.
+// renew delivers a box's lease request.
 func (r *singleReplica) renew(c ConnectionID, request *wire.RenewRequest) {
 	request.Nonce, request.Start = uint64(r.now), 1
 	r.deliver(BoxMessage{Connection: c, Envelope: &wire.Envelope{Body: &wire.Envelope_RenewRequest{RenewRequest: request}}})
 }
 
-// countSends counts the bytes for boxes, which are encoded as for a connection.
+// countSends counts the bytes sent to boxes, encoded as for a connection.
 func (r *singleReplica) countSends() {
 	for _, s := range r.e.BoxSends {
 		data, err := proto.Marshal(s.Envelope)
@@ -83,10 +83,10 @@
 	r.e = Effects{}
 }
 
-// BenchmarkRegistrations is what a replica's decisions cost for each of 10,000 targets that register at
-// 1,600 a second while boxes are attached, which renew their leases, and the longest that an event takes:
-// 104 us and 27 ms with 100 boxes (215 us and 240 ms while a round was one event), 212 us and 90 ms with 300 (580 us and
-// 1.1 s).
+// BenchmarkRegistrations measures the time that a replica spends per target while 10,000 targets
+// register at 1,600 a second and attached boxes renew their leases, and the longest time for one
+// event: 104 us and 27 ms with 100 boxes (215 us and 240 ms while a round was one event), 212 us
+// and 90 ms with 300 (580 us and 1.1 s).
 func BenchmarkRegistrations(b *testing.B) {
 	for _, boxes := range []int{100, 300} {
 		b.Run(fmt.Sprint(boxes, "-boxes"), func(b *testing.B) { registerMany(b, boxes) })
--- a/pkg/core/control/traffic_test.go
+++ b/pkg/core/control/traffic_test.go
@@ -12,12 +12,12 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// traffic has the boxes send calls to a service by the table that they hold and by the
-// exposures that they were granted, and tell of the answers.
+// traffic has the boxes send calls to a service according to the tables that they have and the
+// exposures that they were granted, and report the answers as evidence.
 type traffic struct {
 	world   *world
 	service units.ServiceName
-	// bad tells the share of a version's answers that fail at a time.
+	// bad returns the share of a version's answers that fail.
 	bad   func(units.Software) float64
 	byBox map[*fakeBox]*boxTraffic
 	// sent counts the calls to each version.
@@ -26,13 +26,13 @@
 	replaced map[units.Software]bool
 }
 
-// boxTraffic is what one start of a box has sent and been granted.
+// boxTraffic is the calls of one start of a box and the exposures that it was granted.
 type boxTraffic struct {
 	generation  int
 	requestedAt map[uint64]units.Instant
 	granted     map[units.Revision]rollout.Exposure
 	counts      map[units.Software]*rollout.Evidence
-	// inFlight are the ends of calls by the version that they went to.
+	// inFlight has the end times of calls by the version that they were sent to.
 	inFlight map[units.Software][]units.Instant
 }
 
@@ -65,7 +65,7 @@
 		for software, ends := range x.trafficOf(b).inFlight {
 			x.trafficOf(b).inFlight[software] = slices.DeleteFunc(ends, func(at units.Instant) bool { return at <= x.world.now })
 		}
-		// Boxes with few calls have none under way most of the time.
+		// Boxes with few calls have none in flight most of the time.
 		if b.up && x.world.random.IntN(1+i*i*10) == 0 {
 			x.call(b, x.trafficOf(b))
 		}
@@ -97,7 +97,7 @@
 	e.Times.Add(time.Duration(20+w.random.IntN(40)) * time.Millisecond)
 }
 
-// chooseVersion returns the version that a call goes to, as a box does.
+// chooseVersion returns the version that a call is sent to, by the rules that a box follows.
 func (x *traffic) chooseVersion(b *fakeBox, c *boxTraffic) units.Software {
 	t := b.core.Table()
 	r := t.Rollout(x.service)
@@ -117,7 +117,7 @@
 	return r.From
 }
 
-// addEvidence adds the evidence to a box's request.
+// addEvidence adds the evidence to a box's lease request.
 func (x *traffic) addEvidence(b *fakeBox, m *wire.Envelope) {
 	request, c := m.GetRenewRequest(), x.trafficOf(b)
 	if request == nil {
@@ -136,7 +136,7 @@
 	}
 }
 
-// recordExposures takes the exposures that a box is granted.
+// recordExposures records the exposures that a box is granted.
 func (x *traffic) recordExposures(b *fakeBox, e subscription.Event) {
 	v, received := e.(subscription.Received)
 	if !received || v.Envelope.GetRenewResponse() == nil {
@@ -148,8 +148,8 @@
 	}
 }
 
-// checkCompletion makes sure that no box in touch has a call under way at the old version
-// when a rollout is completed, or sends one there later.
+// checkCompletion checks, when a rollout is completed, that no connected box has a call in flight
+// to the old version, and marks that version so that a later call to it fails the test.
 func (x *traffic) checkCompletion(t *table.Table) {
 	r := t.Rollout(x.service)
 	if r == nil || r.Stage != table.RolloutCompleted || r.Since != t.Revision {
@@ -162,7 +162,7 @@
 		}
 		for _, end := range x.trafficOf(b).inFlight[r.From] {
 			if end > x.world.now {
-				x.world.t.Fatalf("box %s waits for a call at %s when %s completes", b.id, r.From, r.To)
+				x.world.t.Fatalf("box %s has a call in flight to %s when %s is completed", b.id, r.From, r.To)
 			}
 		}
 	}
--- a/pkg/core/control/uses_test.go
+++ b/pkg/core/control/uses_test.go
@@ -11,7 +11,7 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// reportUses has a box tell of calls once a second for a time.
+// reportUses has a box report calls once a second for a number of seconds.
 func reportUses(r *singleReplica, seconds int, uses ...*wire.WorkspaceUse) {
 	for range seconds {
 		r.now = r.now.Add(time.Second)
@@ -19,8 +19,8 @@
 	}
 }
 
-// Operators see at the leader what a workspace with a limit is let in and refused a second; what boxes
-// say of others, or of none that there is, isn't kept.
+// The leader shows operators how many calls of a workspace with a limit were admitted and refused
+// per second. What boxes report of workspaces without a limit, or of unknown ones, isn't kept.
 func TestOperatorsSeeWhatWorkspacesUse(t *testing.T) {
 	r := newSingleReplica(t)
 	keys := func(name string) []apikey.Digest { return []apikey.Digest{apikey.DigestOf([]byte(name))} }
@@ -30,7 +30,7 @@
 			{Name: "free", Keys: keys("free")}, {Name: "idle", Keys: keys("idle"), Rate: 5}, {Name: "shops", Keys: keys("shops"), Rate: 20, Burst: 20},
 		},
 	}})
-	told := []*wire.WorkspaceUse{{Workspace: "shops", Admitted: 16, Refused: 3}, {Workspace: "free", Admitted: 9}, {Workspace: "foreign", Admitted: 9}}
+	uses := []*wire.WorkspaceUse{{Workspace: "shops", Admitted: 16, Refused: 3}, {Workspace: "free", Admitted: 9}, {Workspace: "foreign", Admitted: 9}}
 	use := func(name units.WorkspaceName) *table.WorkspaceUse {
 		for _, v := range r.core.WorkspaceViews(r.now) {
 			if v.Name == name {
@@ -39,18 +39,18 @@
 		}
 		return nil
 	}
-	reportUses(r, 25, told...)
+	reportUses(r, 25, uses...)
 	if u := use("shops"); u == nil || math.Abs(float64(u.Admitted)-16) > 2 || math.Abs(float64(u.Refused)-3) > 1 {
-		t.Errorf("the workspace is shown with %+v", u)
+		t.Errorf("the workspace's use is %+v", u)
 	}
 	if u := use("idle"); u == nil || u.Admitted != 0 {
-		t.Errorf("the one that sends nothing is shown with %+v", u)
+		t.Errorf("the use of a workspace without calls is %+v", u)
 	}
 	if use("free") != nil || len(r.core.usage) != 1 {
-		t.Errorf("%d workspaces are counted, and one without a limit is shown with %+v", len(r.core.usage), use("free"))
+		t.Errorf("%d workspaces are counted, and the use of one without a limit is %+v", len(r.core.usage), use("free"))
 	}
 	reportUses(r, 25)
 	if u := use("shops"); u.Admitted != 0 || u.Refused != 0 {
-		t.Errorf("25 s after its last call it is shown with %+v", u)
+		t.Errorf("25 s after its last call its use is %+v", u)
 	}
 }
--- a/pkg/core/control/world_test.go
+++ b/pkg/core/control/world_test.go
@@ -18,9 +18,9 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// world runs real cores of replicas and boxes in virtual time, over a network
-// that loses, doubles, delays and reorders, and disks that forget what wasn't
-// synced. It checks the promises after every step.
+// world is a simulated cluster: it runs the real cores of replicas and boxes in virtual time, over
+// a network that loses, duplicates, delays and reorders messages, and with disks that lose what
+// wasn't synced. It checks the cluster's invariants after every event.
 type world struct {
 	t        fataler
 	random   *rand.Rand
@@ -29,20 +29,19 @@
 	sequence int
 	replicas []*fakeReplica
 	boxes    []*fakeBox
-	// boxRate is how many bytes a second a box's link takes; zero for any number.
+	// boxRate is the rate of a box's link in bytes per second; zero for no limit.
 	boxRate float64
 	// updates counts the messages to boxes that change their table.
 	updates       int
 	lossRate      float64
 	duplicateRate float64
 	settings      Settings
-	// renewEvery and silence are the boxes' timings.
+	// renewEvery and silence are the boxes' settings RenewEvery and Silence.
 	renewEvery, silence time.Duration
 
 	answers  map[units.EditID]table.Result
 	accepted map[units.Revision]acceptedEdit
-	// tablesByRevision remembers what each revision looked like, on whichever replica
-	// showed it first.
+	// tablesByRevision holds the table of each revision as the first replica or box showed it.
 	tablesByRevision map[units.Revision]*table.Table
 	leaders          map[units.Term]units.ReplicaID
 	requests         RequestID
@@ -51,9 +50,9 @@
 	growth *replication.Growth
 	seeds  int
 	orders acknowledgedOrders
-	// traffic is set where boxes send calls.
+	// traffic is set if the boxes send calls.
 	traffic *traffic
-	// crashReporters are what boxes have noted of crashes.
+	// crashReporters hold the crashes that boxes have noted.
 	crashReporters crashReporters
 }
 
@@ -73,7 +72,7 @@
 	run      func()
 }
 
-// fakeReplica is a replica's core with a fake disk.
+// fakeReplica is a replica's core with a simulated disk.
 type fakeReplica struct {
 	id          units.ReplicaID
 	core        *Replica
@@ -84,10 +83,10 @@
 	generation  int
 	up          bool
 	frozen      bool
-	// stalled is set while the disk answers nothing.
+	// stalled is set while the disk completes no writes.
 	stalled    bool
 	heldEvents []func()
-	// partition is the part of a cut network that this process is in.
+	// partition is the side of a network partition that this process is on.
 	partition int
 	halted    error
 }
@@ -100,9 +99,9 @@
 	partition  int
 	attachment subscription.Attachment
 	replica    units.ReplicaID
-	// linkFreeAt is when the last message on its connection has come through.
+	// linkFreeAt is when the last message on its connection has been transferred.
 	linkFreeAt units.Instant
-	// highestRevision is the last revision that the box had in force, in any of its lives.
+	// highestRevision is the last revision that the box had in force, across its restarts.
 	highestRevision units.Revision
 }
 
@@ -151,7 +150,7 @@
 
 func replicaName(i int) units.ReplicaID { return units.ReplicaID(fmt.Sprintf("r%d", i)) }
 
-// form forms the cluster with all replicas present.
+// form forms the cluster from all replicas.
 func (w *world) form() {
 	w.run(500 * time.Millisecond)
 	w.order(w.replicas[0], func(id RequestID) Event { return FormRequested{Request: id, Cluster: "test"} }, func(a Answer) {
@@ -167,7 +166,7 @@
 	w.events.Push(event{at: w.now.Add(d), sequence: w.sequence, run: run})
 }
 
-// run lets virtual time pass.
+// run advances virtual time.
 func (w *world) run(d time.Duration) {
 	end := w.now.Add(d)
 	for {
@@ -221,7 +220,7 @@
 	w.after(wait, func() { w.tickReplica(r, generation) })
 }
 
-// deliver hands an event to a replica's core; a frozen one gets it when it wakes.
+// deliver has a replica's core handle an event; a frozen replica handles it when it is unfrozen.
 func (w *world) deliver(r *fakeReplica, e Event) {
 	if !r.up || r.halted != nil {
 		return
@@ -273,7 +272,8 @@
 	})
 }
 
-// syncTime is mostly short, and now and then as long as on a busy disk.
+// syncTime returns how long a sync takes: mostly a short time, and sometimes as long as on a busy
+// disk.
 func (w *world) syncTime() time.Duration {
 	if w.random.IntN(10) == 0 {
 		return time.Duration(w.random.IntN(40)) * time.Millisecond
@@ -281,7 +281,7 @@
 	return time.Duration(w.random.IntN(3000)) * time.Microsecond
 }
 
-// applyWrite is what a store does with a write.
+// applyWrite applies a write to a disk, as the store does.
 func applyWrite(d *replication.Durable, x *replication.Write) {
 	if x.HardState != nil {
 		d.HardState.Term, d.HardState.Vote = x.HardState.Term, x.HardState.Vote
@@ -310,7 +310,7 @@
 	}
 }
 
-// copyMessage puts a message through its encoding, as the network does.
+// copyMessage encodes and decodes a message, as the network does.
 func (w *world) copyMessage(m *wire.Envelope) *wire.Envelope {
 	data, err := proto.Marshal(m)
 	if err != nil {
@@ -323,7 +323,7 @@
 	return c
 }
 
-// maxLatency is the longest that a message takes.
+// maxLatency is the longest time that the delivery of a message takes.
 const maxLatency = 42 * time.Millisecond
 
 func (w *world) latency() time.Duration {
@@ -334,7 +334,7 @@
 	return d
 }
 
-// copyCount is how often a message arrives.
+// copyCount returns how many copies of a message are delivered.
 func (w *world) copyCount() int {
 	x := w.random.Float64()
 	switch {
@@ -368,7 +368,7 @@
 	return nil
 }
 
-// connectionOf names a box's attachment on the replica's side.
+// connectionOf returns the id that a box's attachment has on the replica.
 func connectionOf(box, generation int, a subscription.Attachment) ConnectionID {
 	return ConnectionID(box)<<48 | ConnectionID(generation)<<32 | ConnectionID(a)
 }
@@ -386,7 +386,7 @@
 		b.linkFreeAt = b.linkFreeAt.Add(time.Duration(float64(proto.Size(c)) / w.boxRate * float64(time.Second)))
 	}
 	w.after(b.linkFreeAt.Sub(w.now), func() {
-		// A connection keeps its order and loses nothing, but it may be cut.
+		// A connection keeps the order of messages and loses none, but it may be cut.
 		if r.partition != b.partition || b.generation != generation {
 			return
 		}
@@ -442,8 +442,8 @@
 	}
 }
 
-// connectBox connects a box to the first of the replicas it dials that is up and on its
-// side of the network.
+// connectBox attaches a box to the first replica of its list that is up and on its side of the
+// network.
 func (w *world) connectBox(b *fakeBox, generation int, e *subscription.Effects) {
 	n, dialled := e.Attachment, e.Replicas
 	w.after(w.latency()+w.latency(), func() {
@@ -483,12 +483,12 @@
 	return -1
 }
 
-// submit sends an edit to a replica; resending the same edit is a second submit.
+// submit sends an edit to a replica; submitting the same edit again resends it.
 func (w *world) submit(r *fakeReplica, e *table.Edit) {
 	w.order(r, func(id RequestID) Event { return EditSubmitted{Request: id, Edit: e} }, func(a Answer) { w.recordEditAnswer(e.ID, a) })
 }
 
-// crash ends a replica; what wasn't synced is gone.
+// crash stops a replica; what wasn't synced is lost.
 func (w *world) crash(r *fakeReplica) {
 	r.up = false
 	r.generation++
@@ -496,7 +496,7 @@
 	r.heldEvents = nil
 }
 
-// loseDisk ends a replica for good with all it had; it comes back empty.
+// loseDisk crashes a replica and replaces its disk by an empty one.
 func (w *world) loseDisk(r *fakeReplica) {
 	w.crash(r)
 	r.disk = replication.Durable{}
@@ -513,7 +513,7 @@
 	}
 }
 
-// voters counts the replicas that are up, whole and part of a quorum.
+// voters counts the voters that are up, connected and not halted.
 func (w *world) voters() int {
 	n := 0
 	for _, r := range w.replicas {
@@ -524,7 +524,7 @@
 	return n
 }
 
-// endFaults ends every fault.
+// endFaults ends all faults.
 func (w *world) endFaults() {
 	w.lossRate, w.duplicateRate = 0, 0
 	for _, r := range w.replicas {
@@ -561,7 +561,7 @@
 	}
 }
 
-// versionAt is the version of a service as a replica knows it.
+// versionAt returns the version of a service on a replica.
 func versionAt(r *fakeReplica, service string) units.Version {
 	if e := r.core.Table().Services[units.ServiceName(service)]; e != nil {
 		return e.Version
@@ -597,10 +597,10 @@
 		w := newWorld(t, seed, 3, 1)
 		old := w.leader()
 		w.deliver(old, StopRequested{})
-		// An election that nobody asked for can't have happened by then.
+		// An election after a timeout can't have happened by then.
 		w.run(testElection * 9 / 10)
 		if next := w.leader(); next == nil || next == old {
-			t.Fatalf("seed %d: nobody took over from %s", seed, old.id)
+			t.Fatalf("seed %d: no replica took over from %s", seed, old.id)
 		}
 		w.checkRecovery()
 	}
@@ -612,7 +612,7 @@
 	w.submit(r, newEdit("doomed", "s", 0, 1))
 	w.deliver(r, DiskFailed{Cause: errors.New("no space left")})
 	if r.halted == nil {
-		t.Fatal("the replica went on without its disk")
+		t.Fatal("the replica didn't halt after its disk failed")
 	}
 	if answer, ok := w.answers["doomed"]; ok {
 		t.Fatalf("an edit that was never synced got the answer %+v", answer)
@@ -623,8 +623,8 @@
 	}
 }
 
-// An older copy of a disk must be noticed whatever message its replica is first
-// heard by.
+// A replica that restarts with an older copy of its disk must be detected whichever of its messages
+// arrives first.
 func TestAnOlderCopyIsRefusedWhateverComesFirst(t *testing.T) {
 	w := newWorld(t, 3, 3, 1)
 	old := w.leader()
@@ -636,12 +636,12 @@
 	}})
 	w.run(2 * time.Second)
 	if r.halted == nil {
-		t.Fatalf("%s goes on with an older copy: %+v", r.id, r.core.Status(w.now).Log)
+		t.Fatalf("%s keeps running with an older copy of its disk: %+v", r.id, r.core.Status(w.now).Log)
 	}
 }
 
-// An older copy must be noticed by a leader that never had an answer of its replica
-// before: the one that knew what had been acknowledged is frozen when it starts.
+// An older copy must be detected by a leader that never had an answer from its replica before: the
+// leader that knew what the replica had acknowledged is frozen when the replica starts.
 func TestAnOlderCopyIsRefusedAfterAChangeOfLeader(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(t, seed, 3, 1)
@@ -652,12 +652,12 @@
 		w.unfreeze(old)
 		w.run(2 * time.Second)
 		if r.halted == nil {
-			t.Fatalf("seed %d: %s goes on with an older copy: %+v", seed, r.id, r.core.Status(w.now).Log)
+			t.Fatalf("seed %d: %s keeps running with an older copy of its disk: %+v", seed, r.id, r.core.Status(w.now).Log)
 		}
 	}
 }
 
-// A leader that comes back with an older copy of its own disk is noticed as well.
+// A leader that restarts with an older copy of its own disk is detected as well.
 func TestAnOlderCopyOfTheLeaderIsRefused(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(t, seed, 3, 1)
@@ -665,7 +665,7 @@
 		w.startFromOlderCopy(old, func() { w.run(time.Second) })
 		w.run(2 * time.Second)
 		if old.halted == nil {
-			t.Fatalf("seed %d: %s goes on with an older copy: %+v", seed, old.id, old.core.Status(w.now).Log)
+			t.Fatalf("seed %d: %s keeps running with an older copy of its disk: %+v", seed, old.id, old.core.Status(w.now).Log)
 		}
 	}
 }
@@ -682,8 +682,8 @@
 	return list
 }
 
-// startFromOlderCopy has ten edits accepted, then puts a copy of a replica's disk from
-// before them in its place. The replica is down while meanwhile runs.
+// startFromOlderCopy has ten edits accepted, then replaces a replica's disk by a copy from before
+// them and restarts the replica. The replica is down while meanwhile runs.
 func (w *world) startFromOlderCopy(r *fakeReplica, meanwhile func()) {
 	leader := w.leader()
 	older := copyDurable(&r.disk)
