--- a/pkg/core/control/edits.go
+++ b/pkg/core/control/edits.go
@@ -36,8 +36,8 @@
 // submitEdit accepts an operator's edit. A result that this replica has applied is committed, so a
 // resent edit is answered with it.
 func (r *Replica) submitEdit(v EditSubmitted, log *replication.Effects, e *Effects) {
-	if known := r.state.Lookup(v.Edit.ID); known != nil {
-		e.Answers = append(e.Answers, Answer{Request: v.Request, Result: known})
+	if result := r.state.Lookup(v.Edit.ID); result != nil {
+		e.Answers = append(e.Answers, Answer{Request: v.Request, Result: result})
 		return
 	}
 	if !r.node.Formed() {
@@ -108,8 +108,8 @@
 // answerRestoredEdits answers the waiting edits whose results came with a restored snapshot.
 func (r *Replica) answerRestoredEdits(e *Effects) {
 	for _, id := range r.edits.waiting.Keys() {
-		if known := r.state.Lookup(id); known != nil {
-			r.answerEdit(id, known, e)
+		if result := r.state.Lookup(id); result != nil {
+			r.answerEdit(id, result, e)
 		}
 	}
 }
--- a/pkg/core/control/leases.go
+++ b/pkg/core/control/leases.go
@@ -111,17 +111,17 @@
 
 // liveBoxes returns the boxes whose lease may still be valid, sorted by id.
 func (r *Replica) liveBoxes() []table.Box {
-	known := map[units.BoxID]table.Box{}
+	boxes := map[units.BoxID]table.Box{}
 	for _, b := range r.state.Table().Boxes {
-		known[b.ID] = b
+		boxes[b.ID] = b
 	}
 	for id, l := range r.leases.byBox {
-		known[id] = l.box
+		boxes[id] = l.box
 	}
 	var live []table.Box
-	for _, id := range slices.Sorted(maps.Keys(known)) {
+	for _, id := range slices.Sorted(maps.Keys(boxes)) {
 		if r.now < r.leaseExpiry(id) {
-			live = append(live, known[id])
+			live = append(live, boxes[id])
 		} else {
 			delete(r.leases.byBox, id)
 		}
--- a/pkg/core/control/pushing.go
+++ b/pkg/core/control/pushing.go
@@ -167,8 +167,8 @@
 	messages []*wire.Envelope
 }
 
-// partOf returns the delta for a box. It starts at the box's own revision, which may be an earlier
-// one than from at which the box's part was the same.
+// partOf returns the delta for a box. It starts at the box's own revision, which may be earlier
+// than that of from if the box's part is the same in both.
 func (u *boxUpdate) partOf(s *session) *table.Delta {
 	part := *u.delta
 	if u.parts != nil {
--- a/pkg/core/control/requests.go
+++ b/pkg/core/control/requests.go
@@ -75,7 +75,7 @@
 		e.Answers = append(e.Answers, Answer{Request: v.Request, Err: err})
 		return
 	}
-	if held := r.state.Document(); held != nil && v.Document.Version <= held.Version {
+	if committed := r.state.Document(); committed != nil && v.Document.Version <= committed.Version {
 		e.Answers = append(e.Answers, Answer{Request: v.Request})
 		return
 	}
@@ -125,9 +125,9 @@
 		return
 	}
 	departure := &wire.Departure{Target: string(v.Target)}
-	if held := r.state.Registration(v.Target); held != nil {
+	if registered := r.state.Registration(v.Target); registered != nil {
 		// A later start of the target that registers while the command is in flight stays.
-		departure.Born = int64(held.Born)
+		departure.Born = int64(registered.Born)
 	}
 	c := &wire.Command{Kind: &wire.Command_Departure{Departure: departure}}
 	r.submitCommand(v.Request, c, fmt.Sprintf("departure of target %s", v.Target), log, e)
--- a/pkg/core/control/rolloutorders.go
+++ b/pkg/core/control/rolloutorders.go
@@ -72,7 +72,7 @@
 	for i := range d.Rollouts {
 		x := &d.Rollouts[i]
 		r.rollouts.updateRecord(x, r.now)
-		if held := before.Rollout(x.Service); held == nil || held.Since != x.Since {
+		if previous := before.Rollout(x.Service); previous == nil || previous.Since != x.Since {
 			e.Changes = append(e.Changes, Change{Kind: RolloutChanged, Rollout: x, Operator: x.Operator, Revision: d.Revision})
 		}
 		// The next step may be due at once.
--- a/pkg/core/control/rollouts.go
+++ b/pkg/core/control/rollouts.go
@@ -92,8 +92,8 @@
 // it states.
 func (t *rolloutTracker) updateRecord(x *table.Rollout, now units.Instant) {
 	at := now.Add(-x.Elapsed)
-	if held, known := t.started[x.Service]; known && held.order == x.Order {
-		at = min(at, held.at)
+	if start, ok := t.started[x.Service]; ok && start.order == x.Order {
+		at = min(at, start.at)
 	}
 	t.started[x.Service] = startedRollout{order: x.Order, at: at}
 	if w := t.watches[x.Service]; w != nil && w.Order() == x.Order {
@@ -104,12 +104,12 @@
 
 // elapsed returns the time since a rollout was ordered.
 func (r *Replica) elapsed(x *table.Rollout) time.Duration {
-	held, known := r.rollouts.started[x.Service]
-	if !known || held.order != x.Order {
+	start, ok := r.rollouts.started[x.Service]
+	if !ok || start.order != x.Order {
 		r.rollouts.updateRecord(x, r.now)
-		held = r.rollouts.started[x.Service]
+		start = r.rollouts.started[x.Service]
 	}
-	return r.now.Sub(held.at)
+	return r.now.Sub(start.at)
 }
 
 // watchOf returns the leader's watch of a rollout in progress.
@@ -241,13 +241,13 @@
 	tracker.allAdoptedAt = t.Revision
 	registered := r.registeredSoftware()
 	for _, service := range slices.Sorted(maps.Keys(registered)) {
-		present := t.SoftwareInForce(service)
-		if t.Services[service] == nil || registered[service][present] > 0 {
+		current := t.SoftwareInForce(service)
+		if t.Services[service] == nil || registered[service][current] > 0 {
 			delete(tracker.targetsMissingSince, service)
 			continue
 		}
 		tracker.allAdoptedAt = 0
-		if present != "" && !r.targetsMissingTooLong(service) {
+		if current != "" && !r.targetsMissingTooLong(service) {
 			continue
 		}
 		o := &table.RolloutOrder{Service: service, To: mostCommon(registered[service])}
@@ -258,8 +258,8 @@
 // targetsMissingTooLong reports whether no target of the version in force has been registered for
 // missingTargetsTimeout.
 func (r *Replica) targetsMissingTooLong(service units.ServiceName) bool {
-	since, known := r.rollouts.targetsMissingSince[service]
-	if !known {
+	since, ok := r.rollouts.targetsMissingSince[service]
+	if !ok {
 		r.rollouts.targetsMissingSince[service] = r.now
 		return false
 	}
@@ -309,8 +309,8 @@
 	var list []RolloutStatus
 	for _, x := range r.state.Table().Rollouts {
 		s := RolloutStatus{Rollout: x, ElapsedNow: x.Elapsed}
-		if held, known := r.rollouts.started[x.Service]; known && held.order == x.Order && x.Active() {
-			s.ElapsedNow = now.Sub(held.at)
+		if start, ok := r.rollouts.started[x.Service]; ok && start.order == x.Order && x.Active() {
+			s.ElapsedNow = now.Sub(start.at)
 		}
 		if w := r.rollouts.watches[x.Service]; w != nil && w.Order() == x.Order {
 			total := w.Total()
--- a/pkg/core/control/sessions.go
+++ b/pkg/core/control/sessions.go
@@ -132,11 +132,11 @@
 	if s.table != nil {
 		return s.table
 	}
-	missing := int(r.state.Table().Revision - s.sentRevision)
-	if s.sentRevision == 0 || missing > r.previousTables.Len() {
+	behind := int(r.state.Table().Revision - s.sentRevision)
+	if s.sentRevision == 0 || behind > r.previousTables.Len() {
 		return nil
 	}
-	return r.previousTables.At(r.previousTables.Len() - missing)
+	return r.previousTables.At(r.previousTables.Len() - behind)
 }
 
 // boxEnvelope returns an envelope for a box. It omits the sender, which the box knows from its
--- a/pkg/core/control/uses.go
+++ b/pkg/core/control/uses.go
@@ -71,10 +71,10 @@
 
 // WorkspaceViews returns the workspaces as operators see them; only the leader knows their usage.
 func (r *Replica) WorkspaceViews(now units.Instant) []table.WorkspaceView {
-	held := r.state.Table().Workspaces
-	list := make([]table.WorkspaceView, 0, len(held))
-	for i := range held {
-		v := held[i].View()
+	workspaces := r.state.Table().Workspaces
+	list := make([]table.WorkspaceView, 0, len(workspaces))
+	for i := range workspaces {
+		v := workspaces[i].View()
 		if r.node.IsLeader() && v.Rate > 0 {
 			v.Use = r.usageOf(v.Name, now)
 		}
