--- a/pkg/core/control/evacuation_test.go
+++ b/pkg/core/control/evacuation_test.go
@@ -11,28 +11,28 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// evacuator is an operator who evacuates a failure domain and restores it in turns. It
-// sends an order again, to another replica each time, until it is acknowledged.
-type evacuator struct {
+// evacuationOperator alternately evacuates and restores a failure domain. It resends an order, to
+// another replica each time, until it is acknowledged.
+type evacuationOperator struct {
 	world  *world
 	domain units.Domain
-	// wanted is what the present order asks for; acknowledged is set once it holds.
+	// wanted is what the current order asks for; acknowledged is set once it was acknowledged.
 	wanted       bool
 	acknowledged bool
 	next         int
 	number       int
 }
 
-// resendEvery is how long the operator waits for an answer; replicas wait much longer for
-// a quorum, so that orders which were given up are still under way.
+// resendEvery is how long the operator waits for an answer. Replicas wait much longer for a quorum,
+// so orders that the operator gave up on are still in flight.
 const resendEvery = 120 * time.Millisecond
 
-func newEvacuator(w *world, d units.Domain) *evacuator {
-	return &evacuator{world: w, domain: d, acknowledged: true}
+func newEvacuationOperator(w *world, d units.Domain) *evacuationOperator {
+	return &evacuationOperator{world: w, domain: d, acknowledged: true}
 }
 
-// turn begins the opposite order, if the one before was acknowledged.
-func (o *evacuator) turn() {
+// orderNext sends the opposite order, if the previous one was acknowledged.
+func (o *evacuationOperator) orderNext() {
 	if !o.acknowledged {
 		return
 	}
@@ -41,7 +41,7 @@
 	o.send(o.number)
 }
 
-func (o *evacuator) send(number int) {
+func (o *evacuationOperator) send(number int) {
 	if o.acknowledged || number != o.number {
 		return
 	}
@@ -54,14 +54,14 @@
 			o.acknowledged = true
 		}
 		if k := fault.KindOf(a.Err); a.Err != nil && (k == fault.NotFound || k == fault.Invalid) {
-			w.t.Fatalf("a proper order was refused: %v", a.Err)
+			w.t.Fatalf("a valid order was refused: %v", a.Err)
 		}
 	})
 	w.after(resendEvery, func() { o.send(number) })
 }
 
-// checkHeld makes sure that every replica and box shows what was acknowledged last.
-func (o *evacuator) checkHeld() {
+// checkHeld checks that every replica and box shows what was acknowledged last.
+func (o *evacuationOperator) checkHeld() {
 	for _, r := range o.world.replicas {
 		if got := r.core.Table().Evacuated(o.domain); got != o.wanted {
 			o.world.t.Fatalf("%s shows %s evacuated=%t, %t was acknowledged", r.id, o.domain, got, o.wanted)
@@ -74,8 +74,8 @@
 	}
 }
 
-// inDomain has a target of the domain register.
-func (w *world) inDomain(d units.Domain) {
+// registerInDomain has a target of the domain register.
+func (w *world) registerInDomain(d units.Domain) {
 	t := &table.Registration{Target: "g99", Service: "s", Address: "127.0.0.1:99", Domain: d, State: table.Active, Sequence: 1}
 	w.order(w.leader(), func(id RequestID) Event { return TargetReported{Request: id, Registration: t} }, func(a Answer) {
 		if a.Err != nil {
@@ -85,15 +85,15 @@
 	w.run(time.Second)
 }
 
-// An order that waits at a replica which was cut off must not undo a later one that was
-// acknowledged elsewhere.
+// An order that is delayed at a partitioned replica must not undo a later one that was acknowledged
+// elsewhere.
 func TestADelayedEvacuationUndoesNothing(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(t, seed, 3, 1)
-		w.inDomain("d")
+		w.registerInDomain("d")
 		cut := w.followers()[0]
-		cut.side = 1
-		order := func(r *replicaFake, evacuate bool, answered func(Answer)) {
+		cut.partition = 1
+		order := func(r *fakeReplica, evacuate bool, answered func(Answer)) {
 			o := table.EvacuationOrder{Domain: "d", Evacuate: evacuate}
 			w.order(r, func(id RequestID) Event { return EvacuationOrdered{Request: id, Order: o} }, answered)
 		}
@@ -110,7 +110,7 @@
 		if done != 2 {
 			t.Fatalf("seed %d: %d of 2 orders were acknowledged", seed, done)
 		}
-		cut.side = 0
+		cut.partition = 0
 		w.run(2 * time.Second)
 		if w.leader().core.Table().Evacuated("d") {
 			t.Fatalf("seed %d: the delayed order evacuated the domain again", seed)
@@ -120,7 +120,7 @@
 
 func TestAnUnknownDomainIsNotEvacuated(t *testing.T) {
 	w := newWorld(t, 1, 3, 1)
-	w.inDomain("d")
+	w.registerInDomain("d")
 	var got Answer
 	o := table.EvacuationOrder{Domain: "elsewhere", Evacuate: true}
 	w.order(w.followers()[0], func(id RequestID) Event { return EvacuationOrdered{Request: id, Order: o} }, func(a Answer) { got = a })
@@ -130,21 +130,21 @@
 	}
 }
 
-// Under any faults that the cluster bears, the last acknowledged order holds everywhere in
-// the end, whatever becomes of those that were given up.
+// Under any faults that the cluster tolerates, the last acknowledged order is in force on all
+// replicas and boxes in the end, whatever becomes of the orders that were given up.
 func TestAcknowledgedEvacuationsHold(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		w := newGrowingWorld(t, rapid.Uint64().Draw(t, "seed"), 5, 5, 2)
-		w.inDomain("d")
-		o := newEvacuator(w, "d")
+		w.registerInDomain("d")
+		o := newEvacuationOperator(w, "d")
 		steps := rapid.SliceOfN(rapid.IntRange(0, len(growthFaults)*1000-1), 1, 30).Draw(t, "faults")
 		for _, s := range steps {
-			o.turn()
+			o.orderNext()
 			growthFaults[s%len(growthFaults)].do(w, s/len(growthFaults))
-			w.run(pause(s))
+			w.run(stepDuration(s))
 		}
-		w.checkEnd()
+		w.checkRecovery()
 		if !o.acknowledged {
 			t.Fatalf("an order wasn't acknowledged after all faults had ended")
 		}
--- a/pkg/core/control/leases.go
+++ b/pkg/core/control/leases.go
@@ -18,36 +18,35 @@
 	revision units.Revision
 }
 
-// leaseBook is what a leader knows of the boxes. A new leader starts with an
-// empty one and takes the listed boxes as renewed when it began to lead: the
-// leader before it can't have granted anything later.
-type leaseBook struct {
-	leases map[units.BoxID]*lease
-	// proposing is set while a change of the list of boxes is under way.
+// leaseTracker holds what a leader knows of the boxes' leases. A new leader starts with an empty
+// one and counts the listed boxes as renewed when its leadership began: the previous leader can't
+// have granted anything later.
+type leaseTracker struct {
+	byBox map[units.BoxID]*lease
+	// proposing is set while a change of the list of boxes is proposed and not yet applied.
 	proposing bool
 }
 
-func newLeaseBook() leaseBook {
-	return leaseBook{leases: map[units.BoxID]*lease{}}
+func newLeaseTracker() leaseTracker {
+	return leaseTracker{byBox: map[units.BoxID]*lease{}}
 }
 
-// grant answers a box's request for a lease, if this replica may speak for the
-// cluster. The lease counts from when the box sent its request, so that no
-// delay on the way makes it longer; the box uses it only once it has shown the
-// revision that the grant names.
-func (r *Replica) grant(request *wire.RenewRequest, e *Effects, send func(*wire.Envelope)) {
+// grantLease answers a box's lease request, if this replica holds the leader's lease. The box's
+// lease starts when it sent the request, so network delay doesn't extend it. The box uses the lease
+// only once it has the revision that the grant names in force.
+func (r *Replica) grantLease(request *wire.RenewRequest, e *Effects, send func(*wire.Envelope)) {
 	if request.Box == nil || !r.node.HasLease(r.now) {
 		return
 	}
 	box := wire.ToBox(request.Box)
-	if r.leases.leases[box.ID] == nil {
-		// A box that has come is listed at once.
+	if r.leases.byBox[box.ID] == nil {
+		// A new box is listed at once.
 		r.tickAt = r.now
 	}
-	r.leases.leases[box.ID] = &lease{box: box, renewed: r.now, revision: units.Revision(request.Revision)}
-	r.takeEvidence(request)
-	r.takeCrashNotes(request)
-	r.takeUses(request)
+	r.leases.byBox[box.ID] = &lease{box: box, renewed: r.now, revision: units.Revision(request.Revision)}
+	r.recordEvidence(request)
+	r.recordCrashNotes(request)
+	r.recordUsage(request)
 	m := r.envelope()
 	m.Body = &wire.Envelope_RenewResponse{RenewResponse: &wire.RenewResponse{
 		Box:       request.Box.Id,
@@ -56,14 +55,14 @@
 		Revision:  uint64(r.state.Table().Revision),
 		Duration:  int64(r.settings.Lease),
 		Exposures: r.exposures(),
-		Term:      uint64(r.node.Term()), Noted: lastNote(request), Watched: r.watchedBy(box.ID),
+		Term:      uint64(r.node.Term()), Noted: lastNoteNumber(request), Watched: r.watchedFor(box.ID),
 	}}
-	r.nameReplicas(request, m.GetRenewResponse())
+	r.addLiveReplicas(request, m.GetRenewResponse())
 	send(m)
 }
 
-// liveReplicas names the replicas that boxes may attach to. Boxes of a cluster that
-// doesn't grow have them from their settings.
+// liveReplicas returns the names of the replicas that boxes may attach to. In a cluster that
+// doesn't grow it returns nil: boxes have the names from their settings.
 func (r *Replica) liveReplicas() []string {
 	if r.settings.Replication.Growth == nil {
 		return nil
@@ -75,9 +74,9 @@
 	return names
 }
 
-// nameReplicas has a grant name the replicas at work and their failure domains, unless the box knows just
-// these.
-func (r *Replica) nameReplicas(request *wire.RenewRequest, answer *wire.RenewResponse) {
+// addLiveReplicas adds the live replicas and their failure domains to a grant, unless the box
+// already knows them.
+func (r *Replica) addLiveReplicas(request *wire.RenewRequest, answer *wire.RenewResponse) {
 	names := r.liveReplicas()
 	domains := make([]string, 0, len(names))
 	for _, n := range names {
@@ -88,17 +87,17 @@
 	}
 }
 
-// leaseEnds returns when a box's lease has run out for sure.
-func (r *Replica) leaseEnds(id units.BoxID) units.Instant {
-	renewed := r.ledSince
-	if l := r.leases.leases[id]; l != nil {
+// leaseExpiry returns when a box's lease has certainly expired, including the margin.
+func (r *Replica) leaseExpiry(id units.BoxID) units.Instant {
+	renewed := r.leaderSince
+	if l := r.leases.byBox[id]; l != nil {
 		renewed = l.renewed
 	}
 	return renewed.Add(r.settings.Lease + r.settings.LeaseMargin)
 }
 
-// updateBoxes proposes a new list of boxes when the present one is out of date.
-func (r *Replica) updateBoxes(log *replication.Effects) {
+// proposeBoxes proposes a new list of boxes when the current one is out of date.
+func (r *Replica) proposeBoxes(log *replication.Effects) {
 	if !r.node.HasLease(r.now) || r.leases.proposing {
 		return
 	}
@@ -110,21 +109,21 @@
 	r.leases.proposing = r.proposeCommand(c, log)
 }
 
-// liveBoxes returns the boxes whose lease may still hold, sorted by id.
+// liveBoxes returns the boxes whose lease may still be valid, sorted by id.
 func (r *Replica) liveBoxes() []table.Box {
-	known := map[units.BoxID]table.Box{}
+	boxes := map[units.BoxID]table.Box{}
 	for _, b := range r.state.Table().Boxes {
-		known[b.ID] = b
+		boxes[b.ID] = b
 	}
-	for id, l := range r.leases.leases {
-		known[id] = l.box
+	for id, l := range r.leases.byBox {
+		boxes[id] = l.box
 	}
 	var live []table.Box
-	for _, id := range slices.Sorted(maps.Keys(known)) {
-		if r.now < r.leaseEnds(id) {
-			live = append(live, known[id])
+	for _, id := range slices.Sorted(maps.Keys(boxes)) {
+		if r.now < r.leaseExpiry(id) {
+			live = append(live, boxes[id])
 		} else {
-			delete(r.leases.leases, id)
+			delete(r.leases.byBox, id)
 		}
 	}
 	return live
@@ -136,7 +135,7 @@
 		listed[b.ID] = b
 	}
 	ids := slices.Collect(maps.Keys(listed))
-	for id := range r.leases.leases {
+	for id := range r.leases.byBox {
 		if _, ok := listed[id]; !ok {
 			ids = append(ids, id)
 		}
@@ -152,7 +151,7 @@
 func (r *Replica) boxStatus(id units.BoxID, listed map[units.BoxID]table.Box, now units.Instant) BoxStatus {
 	box, ok := listed[id]
 	s := BoxStatus{Box: box, Listed: ok}
-	l := r.leases.leases[id]
+	l := r.leases.byBox[id]
 	if l == nil {
 		return s
 	}
@@ -164,9 +163,9 @@
 	return s
 }
 
-// LeaseBound returns within what time an accepted edit is in force on every box
-// that serves calls, or the box serves no more: a lease, and the time in which
-// a leader that was cut off may still have granted one.
+// LeaseBound returns the longest time from the acceptance of an edit until every box either has it
+// in force or has stopped serving calls: the duration of a lease, and the time in which a leader
+// that was cut off may still have granted one.
 func (s Settings) LeaseBound() time.Duration {
 	return s.Lease + s.Replication.ElectionTimeout
 }
--- a/pkg/core/control/promises_test.go
+++ b/pkg/core/control/promises_test.go
@@ -10,7 +10,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-func (w *world) takeAnswer(id units.EditID, a Answer) {
+func (w *world) recordEditAnswer(id units.EditID, a Answer) {
 	if a.Err != nil {
 		return
 	}
@@ -30,31 +30,31 @@
 	w.accepted[a.Result.Revision] = acceptedEdit{id: id, at: w.now}
 }
 
-// checkContent compares a replica's table with what others showed at the same
+// checkReplicaTable compares a replica's table with the first one that was seen at the same
 // revision.
-func (w *world) checkContent(r *replicaFake) {
-	w.compareContent("replica "+string(r.id), r.core.Table())
+func (w *world) checkReplicaTable(r *fakeReplica) {
+	w.checkTable("replica "+string(r.id), r.core.Table())
 }
 
-func (w *world) compareContent(who string, t *table.Table) {
-	first, seen := w.contents[t.Revision]
+func (w *world) checkTable(who string, t *table.Table) {
+	first, seen := w.tablesByRevision[t.Revision]
 	if !seen {
-		w.contents[t.Revision] = t
+		w.tablesByRevision[t.Revision] = t
 		if w.traffic != nil {
 			w.traffic.checkCompletion(t)
 		}
 		return
 	}
 	if d := cmp.Diff(first, t); d != "" {
-		w.t.Fatalf("%s shows another revision %d:\n%s", who, t.Revision, d)
+		w.t.Fatalf("%s has a different revision %d:\n%s", who, t.Revision, d)
 	}
 }
 
-// leaseBound is how long an accepted edit may be out of force on a box that
-// still holds a lease.
+// leaseBound is how long after its acceptance an edit may not yet be in force on a box that still
+// holds a lease.
 const leaseBound = testLease + testElection
 
-// check looks at what must hold at every moment.
+// check checks the invariants that must hold after every event.
 func (w *world) check() {
 	for _, r := range w.replicas {
 		w.checkLeader(r)
@@ -67,7 +67,7 @@
 		}
 	}
 	for _, b := range w.boxes {
-		w.checkForward(b)
+		w.checkMonotonicRevision(b)
 		if b.up && w.now < b.core.LeaseUntil() && b.core.Table().Revision < latest {
 			w.t.Fatalf("box %s holds a lease at revision %d, %s after revision %d was accepted",
 				b.id, b.core.Table().Revision, w.now.Sub(w.accepted[latest].at), latest)
@@ -75,19 +75,19 @@
 	}
 }
 
-// checkForward makes sure that a box never has an earlier revision in force than
-// before, through its own restarts as well.
-func (w *world) checkForward(b *boxFake) {
+// checkMonotonicRevision checks that a box with a lease never has an earlier revision in force than
+// before, also across its own restarts.
+func (w *world) checkMonotonicRevision(b *fakeBox) {
 	if !b.up || w.now >= b.core.LeaseUntil() {
 		return
 	}
-	if revision := b.core.Table().Revision; revision < b.shown {
-		w.t.Fatalf("box %s went back from revision %d to %d", b.id, b.shown, revision)
+	if revision := b.core.Table().Revision; revision < b.highestRevision {
+		w.t.Fatalf("box %s went back from revision %d to %d", b.id, b.highestRevision, revision)
 	}
-	b.shown = b.core.Table().Revision
+	b.highestRevision = b.core.Table().Revision
 }
 
-func (w *world) checkLeader(r *replicaFake) {
+func (w *world) checkLeader(r *fakeReplica) {
 	if !r.up || r.halted != nil || !r.core.node.IsLeader() {
 		return
 	}
@@ -98,9 +98,9 @@
 	w.leaders[term] = r.id
 }
 
-// checkLease makes sure that no two replicas may speak for the cluster at once.
+// checkLease checks that no two replicas hold the leader's lease at once.
 func (w *world) checkLease() {
-	var holder *replicaFake
+	var holder *fakeReplica
 	for _, r := range w.replicas {
 		if !r.up || r.halted != nil || !r.core.node.HasLease(w.now) {
 			continue
@@ -112,10 +112,10 @@
 	}
 }
 
-// checkEnd heals the world and makes sure that nothing accepted is missing and
-// edits go on.
-func (w *world) checkEnd() {
-	w.heal()
+// checkRecovery ends all faults and checks that no accepted edit is lost and that new edits are
+// accepted.
+func (w *world) checkRecovery() {
+	w.endFaults()
 	w.run(3 * time.Second)
 	last := newEdit("last", "end", 0, 1)
 	for _, r := range w.replicas {
@@ -124,12 +124,12 @@
 	w.run(3 * time.Second)
 	result, ok := w.answers["last"]
 	if !ok || result.Outcome != table.Accepted {
-		w.t.Fatalf("after all faults have ended no edit is accepted: %+v", result)
+		w.t.Fatalf("no edit was accepted after all faults had ended: %+v", result)
 	}
 	w.checkHistory()
 	for _, b := range w.boxes {
 		if b.core.Table().Revision < result.Revision || w.now >= b.core.LeaseUntil() {
-			w.t.Fatalf("box %s isn't in force at revision %d: %+v", b.id, result.Revision, b.core.Status(w.now))
+			w.t.Fatalf("box %s doesn't have revision %d in force under a lease: %+v", b.id, result.Revision, b.core.Status(w.now))
 		}
 	}
 }
@@ -142,7 +142,7 @@
 		}
 		for id, answer := range w.answers {
 			if d := cmp.Diff(&answer, r.core.state.Lookup(id)); d != "" {
-				w.t.Fatalf("%s remembers another answer to edit %s:\n%s", r.id, id, d)
+				w.t.Fatalf("%s has a different result of edit %s:\n%s", r.id, id, d)
 			}
 		}
 		var revisions []int
--- a/pkg/core/control/pushing.go
+++ b/pkg/core/control/pushing.go
@@ -9,56 +9,61 @@
 )
 
 const (
-	// pushPeriod is the least time between two rounds. A change after a quiet time goes out at
-	// once; many in a row go together, which is far less to send, and for each box to put in force.
+	// pushPeriod is the minimum time between the starts of two push rounds. The first change after
+	// a quiet period is sent at once; many changes in a row are sent together, which is much less
+	// to send, and much less for each box to put in force.
 	pushPeriod = 40 * time.Millisecond
-	// pushPerBox makes that time longer with the boxes that are attached, so that updates take a bounded
-	// part of a replica's processor time however many there are.
-	pushPerBox = time.Millisecond
-	// pushSlice is how many boxes' own parts of a change are worked out for one event, or one part of a
-	// whole table, which takes as long; pushPause is the time until the next ones. Elections and leases
-	// don't wait for a round, which takes half of its period, nor for a third of a fleet that starts together.
-	pushSlice = 8
-	pushPause = pushSlice * pushPerBox / 2
+	// pushPeriodPerBox lengthens that period for every attached box, so that updates take a bounded
+	// share of a replica's processor time however many boxes there are.
+	pushPeriodPerBox = time.Millisecond
+	// pushBatch is the number of boxes whose own parts of a change are computed for one event; one
+	// part of a whole table takes as long as all of them. pushBatchInterval is the time until the
+	// next batch. Elections and leases thus don't wait for a whole round, which takes half of its
+	// period, nor for the first tables when a third of a fleet starts at once.
+	pushBatch         = 8
+	pushBatchInterval = pushBatch * pushPeriodPerBox / 2
 )
 
-// pushRound brings all attached boxes to one table, so that what leads there is worked out once.
+// pushRound brings all attached boxes to the same table, so that the changes that lead to it are
+// computed once.
 type pushRound struct {
-	// to is the table of the round that began last, nil before the first.
-	to *table.Table
-	// waiting are the boxes that the round hasn't come to, empty those that wait for their part of a
-	// whole table, the longest first.
-	waiting, empty []ConnectionID
-	// nextAt is when it goes on.
+	// table is the table of the round that started last, nil before the first.
+	table *table.Table
+	// waiting are the boxes that the round hasn't served yet, awaitingTable those that wait for
+	// their part of a whole table; both with the longest wait first.
+	waiting, awaitingTable []ConnectionID
+	// nextAt is when the next batch is due.
 	nextAt units.Instant
-	// spent is what the present event has taken of a slice.
-	spent int
+	// batchUsed is how much of its batch the current event has used, in boxes.
+	batchUsed int
 }
 
-// pushDue begins a round when the table has changed, unless the last one was a moment ago, and goes on
-// with the one that has begun. A replica that has read its log again doesn't show boxes each step of its history.
-func (r *Replica) pushDue(e *Effects) {
+// pushUpdates starts a round when the table has changed and the period since the last round's start
+// is over, and continues a round in progress. A replica that has replayed its log doesn't send
+// boxes each step of its history.
+func (r *Replica) pushUpdates(e *Effects) {
 	r.pushPending = r.pushPending || e.TableChanged
-	if r.pushPending && r.now >= r.pushAt && len(r.round.waiting) == 0 {
+	if r.pushPending && r.now >= r.pushAt && len(r.pushRound.waiting) == 0 {
 		r.pushPending = false
-		r.pushAt = r.now.Add(max(pushPeriod, time.Duration(r.sessions.Len())*pushPerBox))
-		r.round.to, r.round.waiting = r.state.Table(), r.sessions.Keys()
+		r.pushAt = r.now.Add(max(pushPeriod, time.Duration(r.sessions.Len())*pushPeriodPerBox))
+		r.pushRound.table, r.pushRound.waiting = r.state.Table(), r.sessions.Keys()
 	}
-	if r.round.busy() && r.now >= r.round.nextAt {
+	if r.pushRound.busy() && r.now >= r.pushRound.nextAt {
 		r.continueRound(e)
 	}
 }
 
-func (p *pushRound) busy() bool { return len(p.waiting)+len(p.empty) > 0 }
+func (p *pushRound) busy() bool { return len(p.waiting)+len(p.awaitingTable) > 0 }
 
-// continueRound serves the boxes without a table first: they can't serve calls.
+// continueRound serves the next batch of boxes, those without a table first: they can't serve
+// calls.
 func (r *Replica) continueRound(e *Effects) {
-	p := &r.round
-	p.spent = 0
-	for p.busy() && p.spent < pushSlice {
+	p := &r.pushRound
+	p.batchUsed = 0
+	for p.busy() && p.batchUsed < pushBatch {
 		queue := &p.waiting
-		if len(p.empty) > 0 {
-			queue = &p.empty
+		if len(p.awaitingTable) > 0 {
+			queue = &p.awaitingTable
 		}
 		s := r.sessions.Get((*queue)[0])
 		*queue = (*queue)[1:]
@@ -68,13 +73,13 @@
 		s.queued = false
 		r.push(s, false, e)
 	}
-	p.nextAt = r.now.Add(pushPause)
+	p.nextAt = r.now.Add(pushBatchInterval)
 }
 
-// nextPush returns when pushDue has something to do, before limit.
+// nextPush returns when pushUpdates next has work, but no later than limit.
 func (r *Replica) nextPush(limit units.Instant) units.Instant {
-	if r.round.busy() {
-		return min(limit, r.round.nextAt)
+	if r.pushRound.busy() {
+		return min(limit, r.pushRound.nextAt)
 	}
 	if r.pushPending {
 		return min(limit, r.pushAt)
@@ -82,77 +87,79 @@
 	return limit
 }
 
-// push brings a box up to date. A box that knows more than this replica is left alone until the replica
-// has caught up.
-func (r *Replica) push(s *session, due bool, e *Effects) {
-	if s.sent >= r.state.Table().Revision || !r.node.Formed() || r.holdsTable(s) {
+// push sends a box its update; requested is set when the box has just asked for a lease. A box with
+// a later revision than this replica's is left alone until the replica has caught up.
+func (r *Replica) push(s *session, requested bool, e *Effects) {
+	if s.sentRevision >= r.state.Table().Revision || !r.node.Formed() || r.defersWholeTable(s) {
 		return
 	}
-	for _, m := range r.update(s, due, e) {
+	for _, m := range r.updateMessages(s, requested, e) {
 		e.BoxSends = append(e.BoxSends, BoxSend{Connection: s.connection, Envelope: m})
 	}
 }
 
-// update returns what brings a box to the table of the present round: what differs from the table that it has where
-// that is known, and the whole of it otherwise. What changes nothing of the box's part waits for its next request, unless it
-// is due now: most changes of large services concern few boxes.
-func (r *Replica) update(s *session, due bool, e *Effects) []*wire.Envelope {
-	from, to := r.tableOf(s), r.round.to
+// updateMessages returns the messages that bring a box to the table of the current round: a delta
+// from the table that the box has if that table is known, and a whole table otherwise. A delta that
+// doesn't change the box's part is only sent when requested: most changes of large services concern
+// few boxes.
+func (r *Replica) updateMessages(s *session, requested bool, e *Effects) []*wire.Envelope {
+	from, to := r.tableOf(s), r.pushRound.table
 	if to == nil {
 		to = r.state.Table()
 	}
-	if s.sent >= to.Revision {
+	if s.sentRevision >= to.Revision {
 		return nil
 	}
 	if from == nil {
-		return r.firstTable(s, to, due, e)
+		return r.wholeTableMessages(s, to, requested, e)
 	}
 	s.table = to
-	messages := r.difference(s, from, to, due, e)
+	messages := r.deltaMessages(s, from, to, requested, e)
 	if len(messages) > 0 {
-		s.sent = to.Revision
+		s.sentRevision = to.Revision
 	}
 	return messages
 }
 
-// firstTable returns the messages of a box's whole table. A part of its own waits for its turn.
-func (r *Replica) firstTable(s *session, to *table.Table, asked bool, e *Effects) []*wire.Envelope {
-	u := r.tableToSend(to, e)
-	if u.parts != nil && asked {
+// wholeTableMessages returns the messages of a box's whole table. A box that needs a part of its
+// own is queued for it.
+func (r *Replica) wholeTableMessages(s *session, to *table.Table, requested bool, e *Effects) []*wire.Envelope {
+	u := r.wholeTableFor(to, e)
+	if u.parts != nil && requested {
 		if !s.queued {
 			s.queued = true
-			r.round.empty = append(r.round.empty, s.connection)
+			r.pushRound.awaitingTable = append(r.pushRound.awaitingTable, s.connection)
 		}
 		return nil
 	}
-	s.sent, s.table = to.Revision, to
+	s.sentRevision, s.table = to.Revision, to
 	if u.parts == nil {
 		return u.messages
 	}
-	r.round.spent += pushSlice
+	r.pushRound.batchUsed += pushBatch
 	return fragments(wire.TableEnvelope(u.parts.For(&s.box)), e)
 }
 
-// difference returns the messages of what a box lacks that has its part of a table. There are none where the
-// part doesn't change, unless they are due.
-func (r *Replica) difference(s *session, from, to *table.Table, due bool, e *Effects) []*wire.Envelope {
-	u := r.updateFrom(from, to)
-	if u.parts == nil && s.sent == from.Revision {
+// deltaMessages returns the messages that bring a box from one table to another. There are none if
+// the box's part doesn't change, unless they were requested.
+func (r *Replica) deltaMessages(s *session, from, to *table.Table, requested bool, e *Effects) []*wire.Envelope {
+	u := r.updateBetween(from, to)
+	if u.parts == nil && s.sentRevision == from.Revision {
 		if u.messages == nil {
 			u.messages = fragments(wire.DeltaEnvelope(u.delta), e)
 		}
 		return u.messages
 	}
-	r.round.spent++
+	r.pushRound.batchUsed++
 	part := u.partOf(s)
-	if part.Empty() && !due {
+	if part.Empty() && !requested {
 		return nil
 	}
 	return fragments(wire.DeltaEnvelope(part), e)
 }
 
-// boxUpdate is what brings boxes from one table to another. It is worked out once for all boxes,
-// and so are its messages where all boxes are told the same; parts is nil then.
+// boxUpdate is the change from one table to another. It is computed once for all boxes, and so are
+// its messages if all boxes get the same ones; parts is nil then.
 type boxUpdate struct {
 	from, to *table.Table
 	delta    *table.Delta
@@ -160,25 +167,27 @@
 	messages []*wire.Envelope
 }
 
-// partOf returns what a box is told, whose revision may be an earlier one with the same part.
+// partOf returns the delta for a box. It starts at the box's own revision, which may be earlier
+// than that of from if the box's part is the same in both.
 func (u *boxUpdate) partOf(s *session) *table.Delta {
 	part := *u.delta
 	if u.parts != nil {
 		part = *u.parts.For(&s.box)
 	}
-	part.From = s.sent
+	part.From = s.sentRevision
 	return &part
 }
 
-// wholeTable is a table for boxes that have none: its messages, where all boxes are told the same, or its parts.
+// wholeTable is a table for boxes that have none: its messages if all boxes get the same ones, or
+// else its parts.
 type wholeTable struct {
 	table    *table.Table
 	parts    *table.TableParts
 	messages []*wire.Envelope
 }
 
-func (r *Replica) tableToSend(to *table.Table, e *Effects) *wholeTable {
-	u := &r.lastTable
+func (r *Replica) wholeTableFor(to *table.Table, e *Effects) *wholeTable {
+	u := &r.cachedTable
 	if u.table == to {
 		return u
 	}
@@ -191,9 +200,9 @@
 	return u
 }
 
-// updateFrom returns what leads from one table to another.
-func (r *Replica) updateFrom(from, to *table.Table) *boxUpdate {
-	u := &r.lastUpdate
+// updateBetween returns the update from one table to another, which is cached.
+func (r *Replica) updateBetween(from, to *table.Table) *boxUpdate {
+	u := &r.cachedUpdate
 	if u.from != from || u.to != to {
 		delta := table.Difference(from, to)
 		*u = boxUpdate{from: from, to: to, delta: delta}
@@ -204,7 +213,7 @@
 	return u
 }
 
-// fragments divides a message; one that can't be encoded stops the replica.
+// fragments splits a message into fragments; a message that can't be encoded halts the replica.
 func fragments(m *wire.Envelope, e *Effects) []*wire.Envelope {
 	list, err := wire.Fragments(m)
 	if err != nil {
--- a/pkg/core/control/replica.go
+++ b/pkg/core/control/replica.go
@@ -11,27 +11,27 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Settings are what a control replica needs to know.
+// Settings are the settings of a control replica.
 type Settings struct {
 	Replication replication.Settings
 	// Domain is the replica's own failure domain.
 	Domain units.Domain
-	// Lease is how long a box may go on without hearing of the leader.
+	// Lease is how long a box may serve calls after its last lease renewal.
 	Lease time.Duration
-	// LeaseMargin is added before a silent box's share is given to others.
+	// LeaseMargin is added to a silent box's lease before its share is given to other boxes.
 	LeaseMargin time.Duration
-	// ReadTimeout is how long a read may wait for the leader's word.
+	// ReadTimeout is how long a read may wait for the leader's read index.
 	ReadTimeout time.Duration
-	// SilentAfter is how long a registered target may go without a report before it
-	// counts as silent; zero never takes one for silent.
+	// SilentAfter is how long a registered target may go without a report before it counts as
+	// silent; zero disables the check.
 	SilentAfter time.Duration
 	// EditTimeout is how long an edit may wait for a quorum.
 	EditTimeout time.Duration
-	// SnapshotEvery is how many log entries go between snapshots.
+	// SnapshotEvery is the minimum number of log entries between snapshots.
 	SnapshotEvery int
-	// KeepEntries is how many entries stay in the log behind a snapshot.
+	// KeepEntries is how many entries before a snapshot stay in the log.
 	KeepEntries int
-	// Rollouts says whether and within what limits rollouts may be ordered.
+	// Rollouts says whether rollouts may be ordered, and their limits.
 	Rollouts RolloutSettings
 }
 
@@ -45,23 +45,24 @@
 	DefaultSnapshotEvery = 1000
 	DefaultKeepEntries   = 500
 	// DefaultRolloutShare is a percentage of a service's calls, DefaultRolloutSlack a number of
-	// calls beside it: what callers may lose to a bad version, and enough to judge a good one.
+	// calls in addition to it: together they bound what callers may lose to a bad version, and are
+	// enough to judge a good one.
 	DefaultRolloutShare = 10
 	DefaultRolloutSlack = 50
-	// retryPeriod is how often a waiting edit is passed to the leader again.
+	// retryPeriod is how often a waiting edit is forwarded to the leader again.
 	retryPeriod = 300 * time.Millisecond
-	// readRetryPeriod is how often the leader is asked again for a read.
+	// readRetryPeriod is how often the leader is asked again for a read index.
 	readRetryPeriod = 100 * time.Millisecond
-	// tickPeriod bounds how late timeouts are noticed; calmTickPeriod does so while no
-	// request waits.
+	// tickPeriod bounds how late timeouts are detected while requests wait; idleTickPeriod does so
+	// while none does.
 	tickPeriod     = 50 * time.Millisecond
-	calmTickPeriod = 200 * time.Millisecond
-	// maxWaitingCommands is how many commands of others may wait for a quorum at a replica. One that has
-	// as many can't keep up, and whoever comes then is better told so at once.
+	idleTickPeriod = 200 * time.Millisecond
+	// maxWaitingCommands is how many commands may wait for a quorum at a replica. A replica with
+	// that many can't keep up, and it is better to refuse further ones at once.
 	maxWaitingCommands = 512
-	// maxPast is how many tables are kept for boxes that come from other replicas with one of them. They
-	// share what didn't change.
-	maxPast = 1024
+	// maxPreviousTables is how many earlier tables are kept, for boxes that come from other
+	// replicas with one of them. The tables share what didn't change.
+	maxPreviousTables = 1024
 )
 
 // Replica is the decision logic of one control replica.
@@ -71,66 +72,67 @@
 	state    *table.State
 	edits    editQueue
 	sessions *container.Ordered[ConnectionID, *session]
-	// past are the tables before the present one, the newest last.
-	past *container.Ring[*table.Table]
-	// lastUpdate is what boxes were sent last.
-	lastUpdate boxUpdate
-	lastTable  wholeTable
-	// pushPending is set while boxes lack changes that wait for pushAt.
+	// previousTables are the tables before the current one, the newest last.
+	previousTables *container.Ring[*table.Table]
+	// cachedUpdate and cachedTable are the last computed update and whole table for boxes.
+	cachedUpdate boxUpdate
+	cachedTable  wholeTable
+	// pushPending is set while the boxes lack changes that are sent at pushAt.
 	pushPending bool
 	pushAt      units.Instant
-	round       pushRound
-	leases      leaseBook
-	// domains are the failure domains of the other replicas.
+	pushRound   pushRound
+	leases      leaseTracker
+	// domains are the replicas' failure domains.
 	domains map[units.ReplicaID]units.Domain
-	// requests are those for whole tables, registered targets and reads.
-	requests requestBook
-	hearing  hearingBook
-	rollouts rolloutBook
-	// quarantines is filled on the leader only.
-	quarantines quarantineBook
-	// uses is filled on the leader only.
-	uses useBook
+	// requests are the waiting commands and reads; edits wait in edits.
+	requests requestQueue
+	liveness livenessTracker
+	rollouts rolloutTracker
+	// quarantines is only used on the leader.
+	quarantines quarantineTracker
+	// usage is only used on the leader.
+	usage usageTracker
 	// foreignReports counts the reports that no target of the table can have sent.
 	foreignReports uint64
-	// knownLeader and knownMembership are what was last told of in the log.
-	knownLeader     units.ReplicaID
-	knownMembership units.Index
-	// caughtUp is set while this replica knows all that was committed before the present
-	// leader stood.
+	// reportedLeader and reportedMembership are the leader and the membership index of the last
+	// Change about them.
+	reportedLeader     units.ReplicaID
+	reportedMembership units.Index
+	// caughtUp is set while this replica knows everything that was committed before the current
+	// leader was elected.
 	caughtUp  bool
 	startedAt units.Instant
-	// replaying is set from the start until the replica has first caught up; replayed
-	// counts the log's entries that it has read again meanwhile.
+	// replaying is set from the start until the replica has first caught up; replayed counts the
+	// log entries that it has applied again meanwhile.
 	replaying bool
 	replayed  int
-	// leading is set while this replica leads; ledSince is when that began.
-	leading  bool
-	ledSince units.Instant
-	tickAt   units.Instant
-	now      units.Instant
-	wall     units.WallTime
+	// leading is set while this replica is the leader; leaderSince is when that last changed.
+	leading     bool
+	leaderSince units.Instant
+	tickAt      units.Instant
+	now         units.Instant
+	wall        units.WallTime
 }
 
-// NewReplica returns a replica that goes on from what its disk holds. The error
-// is a Damaged fault when the snapshot can't be decoded.
+// NewReplica returns a replica that continues from its durable state. The error is a Damaged fault
+// if the snapshot can't be decoded.
 func NewReplica(s Settings, d *replication.Durable, now units.Instant) (*Replica, error) {
 	r := &Replica{
-		settings: s,
-		state:    table.NewState(),
-		node:     replication.NewNode(s.Replication, d, now),
-		edits:    newEditQueue(),
-		sessions: container.NewOrdered[ConnectionID, *session](),
-		past:     container.NewRing[*table.Table](maxPast),
-		leases:   newLeaseBook(),
-		domains:  map[units.ReplicaID]units.Domain{s.Replication.ID: s.Domain},
-		requests: newRequestBook(),
-		hearing:  newHearingBook(),
-		rollouts: newRolloutBook(),
-		now:      now,
+		settings:       s,
+		state:          table.NewState(),
+		node:           replication.NewNode(s.Replication, d, now),
+		edits:          newEditQueue(),
+		sessions:       container.NewOrdered[ConnectionID, *session](),
+		previousTables: container.NewRing[*table.Table](maxPreviousTables),
+		leases:         newLeaseTracker(),
+		domains:        map[units.ReplicaID]units.Domain{s.Replication.ID: s.Domain},
+		requests:       newRequestQueue(),
+		liveness:       newLivenessTracker(),
+		rollouts:       newRolloutTracker(),
+		now:            now,
 
-		quarantines: newQuarantineBook(),
-		uses:        useBook{},
+		quarantines: newQuarantineTracker(),
+		usage:       usageTracker{},
 
 		startedAt: now,
 		replaying: d.Snapshot != nil,
@@ -146,8 +148,8 @@
 	return r, nil
 }
 
-// Reduce takes one event at a time of this process's clocks and adds what is to
-// be done to e.
+// Reduce handles one event, at a time of this process's monotonic and wall clocks, and adds the
+// effects to e.
 func (r *Replica) Reduce(now units.Instant, wall units.WallTime, event Event, e *Effects) {
 	r.now = max(now, r.now)
 	r.wall = wall
@@ -163,21 +165,21 @@
 	case DiskFailed:
 		e.Halt = fault.Wrap(v.Cause, fault.Damaged, "make room or replace the disk, then start the replica again", "the data folder can't be written")
 	case EditSubmitted:
-		r.submit(v, &log, e)
+		r.submitEdit(v, &log, e)
 	case FormRequested:
 		r.form(v, &log, e)
 	case DocumentSubmitted:
 		r.submitDocument(v, &log, e)
 	case TargetReported:
-		r.reportTarget(v, &log, e)
+		r.submitReport(v, &log, e)
 	case TargetDeparted:
-		r.departTarget(v, &log, e)
+		r.submitDeparture(v, &log, e)
 	case EvacuationOrdered:
-		r.orderEvacuation(v, &log, e)
+		r.submitEvacuation(v, &log, e)
 	case RolloutOrdered:
-		r.orderRollout(v, &log, e)
+		r.submitRollout(v, &log, e)
 	case ReleaseOrdered:
-		r.releaseCall(v, &log, e)
+		r.submitRelease(v, &log, e)
 	case ReadRequested:
 		r.read(v, &log, e)
 	case BoxMessage:
@@ -189,26 +191,26 @@
 	case StopRequested:
 		r.node.HandOver(r.now, &log)
 	}
-	r.absorb(&log, e)
+	r.applyLogEffects(&log, e)
 	r.housekeep(e)
-	r.pushDue(e)
+	r.pushUpdates(e)
 }
 
-// housekeep does what follows from any event: changes of leadership, timeouts,
-// the list of boxes and snapshots.
+// housekeep does what may follow from any event: it handles changes of leadership, timeouts,
+// proposals that are due and snapshots.
 func (r *Replica) housekeep(e *Effects) {
 	var log replication.Effects
-	r.noticeLeadership(e)
-	r.formAlone(&log)
-	r.noticeCatchingUp(&log, e)
+	r.updateLeadership(e)
+	r.bootstrap(&log)
+	r.updateCaughtUp(&log, e)
 	r.answerReads(e)
 	if r.now >= r.tickAt {
-		r.tickAt = r.now.Add(calmTickPeriod)
+		r.tickAt = r.now.Add(idleTickPeriod)
 		r.retryEdits(&log, e)
 		r.retryRequests(&log, e)
-		r.tellHeard(&log)
-		r.noteSilence(&log)
-		r.updateBoxes(&log)
+		r.forwardReports(&log)
+		r.proposeSilence(&log)
+		r.proposeBoxes(&log)
 		r.advanceRollouts(&log)
 		r.advanceQuarantines(&log)
 	}
@@ -216,16 +218,16 @@
 		r.tickAt = min(r.tickAt, r.now.Add(tickPeriod))
 	}
 	r.compact(&log, e)
-	r.absorb(&log, e)
+	r.applyLogEffects(&log, e)
 }
 
-// hasWaiting tells whether anything that came to this replica is still unanswered.
+// hasWaiting reports whether any request to this replica is still unanswered.
 func (r *Replica) hasWaiting() bool {
 	return r.edits.waiting.Len()+r.requests.commands.Len()+r.requests.reads.Len() > 0
 }
 
-// formAlone forms the cluster by itself where that is this replica's part.
-func (r *Replica) formAlone(log *replication.Effects) {
+// bootstrap forms the cluster without an operator if this replica is the seed that may do so.
+func (r *Replica) bootstrap(log *replication.Effects) {
 	if !r.node.MayForm(r.now) {
 		return
 	}
@@ -233,18 +235,18 @@
 	if err != nil {
 		return
 	}
-	// A form that can't be done yet is tried again with the next event.
+	// If the cluster can't be formed yet, the next event tries again.
 	_ = r.node.Form(r.now, string(r.settings.Replication.Incarnation), empty, log)
 }
 
-func (r *Replica) noticeLeadership(e *Effects) {
-	if leader := r.node.Leader(); leader != r.knownLeader {
-		r.knownLeader = leader
-		r.passAgain()
+func (r *Replica) updateLeadership(e *Effects) {
+	if leader := r.node.Leader(); leader != r.reportedLeader {
+		r.reportedLeader = leader
+		r.forwardAllAgain()
 		e.Changes = append(e.Changes, Change{Kind: LeaderChanged, Leader: leader, Term: r.node.Term(), Revision: r.state.Table().Revision})
 	}
-	if index := r.node.MembershipIndex(); index != r.knownMembership {
-		r.knownMembership = index
+	if index := r.node.MembershipIndex(); index != r.reportedMembership {
+		r.reportedMembership = index
 		e.Changes = append(e.Changes, Change{Kind: VotersChanged, Voters: r.node.Voters(), Term: r.node.Term(), Revision: r.state.Table().Revision})
 	}
 	leads := r.node.IsLeader()
@@ -252,19 +254,19 @@
 		return
 	}
 	r.leading = leads
-	r.ledSince = r.now
-	r.leases = newLeaseBook()
-	r.hearing.proposing = false
-	r.rollouts.forgetLeadership()
-	r.quarantines = newQuarantineBook()
-	r.uses = useBook{}
-	r.edits.forgetProposals()
+	r.leaderSince = r.now
+	r.leases = newLeaseTracker()
+	r.liveness.proposing = false
+	r.rollouts.clearLeaderState()
+	r.quarantines = newQuarantineTracker()
+	r.usage = usageTracker{}
+	r.edits.clearProposed()
 	clear(r.requests.proposed)
 }
 
-// snapshotEvery is how many entries go between two snapshots: at least half as many as there are registered
-// targets, so that an entry's part of a snapshot doesn't grow with the state, and a start reads no more
-// entries than there are targets.
+// snapshotEvery returns the number of entries between two snapshots. It is at least half the number
+// of registered targets, so that the cost of snapshots per entry doesn't grow with the state, and a
+// start reads no more entries than there are targets.
 func (r *Replica) snapshotEvery() int {
 	return max(r.settings.SnapshotEvery, r.state.Registrations()/2)
 }
@@ -294,18 +296,18 @@
 	case *wire.Envelope_ProposeRequest:
 		r.receiveProposal(m, log)
 	case *wire.Envelope_HeardRequest:
-		r.takeHeard(b.HeardRequest)
+		r.receiveForwardedReports(b.HeardRequest)
 	case *wire.Envelope_ReadRequest:
-		r.nameIndex(m, e)
+		r.answerReadIndex(m, e)
 	case *wire.Envelope_ReadResponse:
-		r.takeIndex(b.ReadResponse)
+		r.receiveReadIndex(b.ReadResponse)
 	case *wire.Envelope_RenewRequest:
-		r.grant(b.RenewRequest, e, func(answer *wire.Envelope) {
+		r.grantLease(b.RenewRequest, e, func(answer *wire.Envelope) {
 			answer.To = m.From
 			e.PeerSends = append(e.PeerSends, answer)
 		})
 	case *wire.Envelope_RenewResponse:
-		r.passGrant(m, e)
+		r.forwardGrant(m, e)
 	default:
 		r.node.Receive(r.now, m, log)
 	}
@@ -316,44 +318,45 @@
 	return r.nextPush(min(r.node.NextWake(), r.tickAt))
 }
 
-// Table returns the present table, which is never changed in place.
+// Table returns the current table, which is never modified in place.
 func (r *Replica) Table() *table.Table { return r.state.Table() }
 
 // History returns the last accepted edits, oldest first.
 func (r *Replica) History() []table.Result { return r.state.History() }
 
-// CaughtUp tells whether this replica knows all that was committed before the present
-// leader stood.
+// CaughtUp reports whether this replica knows everything that was committed before the current
+// leader was elected.
 func (r *Replica) CaughtUp() bool { return r.caughtUp }
 
-// Peers are the other replicas that this one knows of.
+// Peers returns the other replicas that this one knows of.
 func (r *Replica) Peers() []units.ReplicaID { return r.node.Peers() }
 
-// Formed tells whether this replica belongs to a cluster.
+// Formed reports whether this replica belongs to a cluster.
 func (r *Replica) Formed() bool { return r.node.Formed() }
 
-// Leader returns the replica that leads, or an empty id.
+// Leader returns the current leader, or an empty id.
 func (r *Replica) Leader() units.ReplicaID { return r.node.Leader() }
 
-// Status is a replica's state as the dump shows it.
+// Status is a replica's state as the status dump shows it.
 type Status struct {
 	Replica  units.ReplicaID    `json:"replica"`
 	Log      replication.Status `json:"log"`
 	Revision units.Revision     `json:"revision"`
-	// HasLease is set when this replica may speak for the cluster.
+	// HasLease is set when this replica holds the leader's lease: no other leader can exist, and it
+	// knows everything that was committed.
 	HasLease bool `json:"hasLease"`
-	// Boxes is what the leader knows; on the others only the list is known.
+	// Boxes has the leases on the leader; other replicas only know the list of boxes.
 	Boxes        []BoxStatus `json:"boxes"`
 	Attached     int         `json:"attached"`
 	WaitingEdits int         `json:"waitingEdits"`
 	KnownResults int         `json:"knownResults"`
 	// Evacuated are the failure domains that are evacuated now.
 	Evacuated []units.Domain `json:"evacuated,omitempty"`
-	// Rollouts are the last rollouts of services.
+	// Rollouts are the services' last rollouts.
 	Rollouts []RolloutStatus `json:"rollouts,omitempty"`
-	// Quarantines are the calls that no target gets.
+	// Quarantines are the calls that are sent to no target.
 	Quarantines []QuarantineStatus `json:"quarantines,omitempty"`
-	// ForeignReports counts the reports of targets that were refused here.
+	// ForeignReports counts the reports of targets that this replica refused.
 	ForeignReports uint64 `json:"foreignReports"`
 }
 
--- a/pkg/core/control/rollout_test.go
+++ b/pkg/core/control/rollout_test.go
@@ -20,8 +20,7 @@
 	testDuration = 4 * time.Second
 )
 
-// registerSoftware has targets of a version of the service register, until each is told
-// that it stands in the table.
+// registerSoftware has targets of a version of the service register and keep reporting.
 func (w *world) registerSoftware(software units.Software, count int) {
 	for i := range count {
 		t := &table.Registration{
@@ -32,7 +31,8 @@
 	}
 }
 
-// keepReporting has a target report on, to any replica, until it has left.
+// keepReporting has a target report periodically, each time to a random replica, until its
+// departure was acknowledged.
 func (w *world) keepReporting(t *table.Registration) {
 	next := *t
 	next.Sequence++
@@ -44,8 +44,9 @@
 	w.after(200*time.Millisecond, func() { w.keepReporting(&next) })
 }
 
-// newRolloutWorld returns a world with a service whose targets are of version v1, and calls.
-func newRolloutWorld(t fataler, w *world, bad func(units.Software) float64) *traffic {
+// startTraffic registers targets of version v1, waits until that version is in force and starts
+// calls to the service.
+func startTraffic(t fataler, w *world, bad func(units.Software) float64) *traffic {
 	w.putDocument(w.leader(), false)
 	w.run(500 * time.Millisecond)
 	w.registerSoftware("v1", 6)
@@ -58,7 +59,8 @@
 	return x
 }
 
-// badIfNamed has the answers of versions whose name ends so fail.
+// badIfNamed returns the share of a version's answers that fail: all for versions whose name ends
+// in "bad", none for others.
 func badIfNamed(software units.Software) float64 {
 	if strings.HasSuffix(string(software), "bad") {
 		return 1
@@ -66,11 +68,11 @@
 	return 0
 }
 
-func (w *world) orderRollout(r *replicaFake, o table.RolloutOrder, answered func(Answer)) {
+func (w *world) orderRollout(r *fakeReplica, o table.RolloutOrder, answered func(Answer)) {
 	w.order(r, func(id RequestID) Event { return RolloutOrdered{Request: id, Order: o} }, answered)
 }
 
-// orderNow has an order carried out by the leader's word.
+// orderNow sends an order to the leader and returns its answer.
 func (w *world) orderNow(o table.RolloutOrder) error {
 	err := fault.New(fault.Unknown, "", "no answer")
 	w.orderRollout(w.leader(), o, func(a Answer) { err = a.Err })
@@ -78,7 +80,7 @@
 	return err
 }
 
-func order(to units.Software) table.RolloutOrder {
+func rolloutTo(to units.Software) table.RolloutOrder {
 	return table.RolloutOrder{Service: testService, To: to, Duration: testDuration, Operator: "test"}
 }
 
@@ -87,9 +89,9 @@
 func TestAGoodVersionIsCompleted(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newWorld(t, seed, 3, 4)
-		x := newRolloutWorld(t, w, badIfNamed)
+		x := startTraffic(t, w, badIfNamed)
 		w.registerSoftware("v2", 6)
-		if err := w.orderNow(order("v2")); err != nil {
+		if err := w.orderNow(rolloutTo("v2")); err != nil {
 			t.Fatal(err)
 		}
 		w.run(testDuration - 100*time.Millisecond)
@@ -99,18 +101,18 @@
 		sent := x.sent["v1"]
 		w.run(time.Second)
 		if x.sent["v1"] != sent {
-			t.Fatalf("seed %d: calls go to the old version after the end", seed)
+			t.Fatalf("seed %d: the old version got calls after the rollout was completed", seed)
 		}
-		w.checkEnd()
+		w.checkRecovery()
 	}
 }
 
 func TestABadVersionIsRolledBackSoon(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newWorld(t, seed, 3, 4)
-		x := newRolloutWorld(t, w, badIfNamed)
+		x := startTraffic(t, w, badIfNamed)
 		w.registerSoftware("v2bad", 6)
-		if err := w.orderNow(order("v2bad")); err != nil {
+		if err := w.orderNow(rolloutTo("v2bad")); err != nil {
 			t.Fatal(err)
 		}
 		w.run(testDuration / 2)
@@ -123,20 +125,20 @@
 		}
 		w.run(testDuration)
 		if x.sent["v2bad"] != sent {
-			t.Fatalf("seed %d: the bad version got calls after its end", seed)
+			t.Fatalf("seed %d: the bad version got calls after it was rolled back", seed)
 		}
-		w.checkEnd()
+		w.checkRecovery()
 	}
 }
 
-// A leader that is lost in the trial or in the shift holds up nothing: its successor knows
-// how much time is over, and what boxes have seen.
+// The loss of a leader in the trial or the shift doesn't delay a rollout: its successor knows the
+// elapsed time and what boxes have observed.
 func TestARolloutOutlivesItsLeader(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newWorld(t, seed, 3, 4)
-		newRolloutWorld(t, w, badIfNamed)
+		startTraffic(t, w, badIfNamed)
 		w.registerSoftware("v2", 6)
-		o := order("v2")
+		o := rolloutTo("v2")
 		o.Duration = 2 * testDuration
 		if err := w.orderNow(o); err != nil {
 			t.Fatal(err)
@@ -148,14 +150,14 @@
 		if r := w.rollout(); r.Stage != table.RolloutCompleted {
 			t.Fatalf("seed %d: the rollout is %+v", seed, r)
 		}
-		w.checkEnd()
+		w.checkRecovery()
 	}
 }
 
 func TestRolloutOrdersGetClearAnswers(t *testing.T) {
 	w := newWorld(t, 1, 3, 2)
-	newRolloutWorld(t, w, badIfNamed)
-	short, unknown, abort := order("v2"), order("v2"), order("")
+	startTraffic(t, w, badIfNamed)
+	short, unknown, abort := rolloutTo("v2"), rolloutTo("v2"), rolloutTo("")
 	short.Duration, unknown.Service, abort.Abort = time.Second, "elsewhere", true
 	cases := []struct {
 		what  string
@@ -164,15 +166,15 @@
 	}{
 		{"too short", short, fault.Invalid},
 		{"unknown service", unknown, fault.NotFound},
-		{"in force already", order("v1"), fault.Invalid},
-		{"without a version", order(""), fault.Invalid},
+		{"in force already", rolloutTo("v1"), fault.Invalid},
+		{"without a version", rolloutTo(""), fault.Invalid},
 		{"nothing to end", abort, fault.NotFound},
-		{"proper", order("v2"), ""},
-		{"the same again", order("v2"), ""},
-		{"another one", order("v3"), fault.Conflict},
+		{"proper", rolloutTo("v2"), ""},
+		{"the same again", rolloutTo("v2"), ""},
+		{"another one", rolloutTo("v3"), fault.Conflict},
 		{"end it", abort, ""},
 		{"end it again", abort, ""},
-		{"the same, late", order("v2"), ""},
+		{"the same, late", rolloutTo("v2"), ""},
 	}
 	for _, c := range cases {
 		err := w.orderNow(c.order)
@@ -181,21 +183,21 @@
 		}
 	}
 	if r := w.rollout(); r.Stage != table.RolloutRolledBack {
-		t.Fatalf("an order that came late has begun another rollout: %+v", r)
+		t.Fatalf("a late order started another rollout: %+v", r)
 	}
 }
 
-// mover is an operator who orders one rollout after the other and sends each order again, to
-// another replica each time, until it is acknowledged.
-type mover struct {
+// rolloutOperator orders one rollout after the other and resends each order, to another replica
+// each time, until it is acknowledged.
+type rolloutOperator struct {
 	world        *world
 	number, next int
 	to           units.Software
 	acknowledged bool
 }
 
-// turn orders the next version once the present rollout has ended; every other one is bad.
-func (o *mover) turn() {
+// orderNext orders the next version once the current rollout has ended; every other version is bad.
+func (o *rolloutOperator) orderNext() {
 	leader := o.world.leader()
 	if o.to != "" && (!o.acknowledged || leader == nil || leader.core.Table().Rollout(testService).Active()) {
 		return
@@ -209,30 +211,31 @@
 	o.send(o.number)
 }
 
-func (o *mover) send(number int) {
+func (o *rolloutOperator) send(number int) {
 	if o.acknowledged || number != o.number {
 		return
 	}
 	w := o.world
 	r := w.replicas[o.next%len(w.replicas)]
 	o.next++
-	w.orderRollout(r, order(o.to), func(a Answer) {
+	w.orderRollout(r, rolloutTo(o.to), func(a Answer) {
 		if a.Err == nil && number == o.number {
 			o.acknowledged = true
 		}
 		if k := fault.KindOf(a.Err); a.Err != nil && (k == fault.NotFound || k == fault.Invalid) {
-			w.t.Fatalf("a proper order was refused: %v", a.Err)
+			w.t.Fatalf("a valid order was refused: %v", a.Err)
 		}
 	})
 	w.after(resendEvery, func() { o.send(number) })
 }
 
-// checkRollouts makes sure that nothing acknowledged is lost on any replica or box, that an
-// ended rollout never goes on, and that no bad version was completed.
+// checkRollouts checks that the acknowledged rollout is known to all replicas and boxes, that no
+// ended rollout continued, and that no bad version was completed. It returns the stages in which
+// rollouts ended.
 func (w *world) checkRollouts(acknowledged units.Software) map[units.Revision]table.RolloutStage {
 	ended := map[units.Revision]table.RolloutStage{}
-	for _, revision := range slices.Sorted(maps.Keys(w.contents)) {
-		r := w.contents[revision].Rollout(testService)
+	for _, revision := range slices.Sorted(maps.Keys(w.tablesByRevision)) {
+		r := w.tablesByRevision[revision].Rollout(testService)
 		if r == nil {
 			continue
 		}
@@ -259,8 +262,8 @@
 	return ended
 }
 
-// rolloutFaults are what befalls rollouts beside all else.
-var rolloutFaults = append([]disturbance{
+// rolloutFaults are the actions that concern rollouts, in addition to all others.
+var rolloutFaults = append([]faultAction{
 	{"abort", func(w *world, n int) {
 		w.orderRollout(w.replicas[n%len(w.replicas)], table.RolloutOrder{Service: testService, Abort: true}, func(Answer) {})
 	}},
@@ -272,29 +275,29 @@
 	}},
 }, growthFaults...)
 
-// Under any faults that the cluster bears, beside documents, evacuations, edits and targets
-// that come and go, acknowledged rollouts are known everywhere in the end and have ended,
-// none that was rolled back goes on, and none completes while a box in touch waits for the
-// old version.
+// Under any faults that the cluster tolerates, along with documents, evacuations, edits and targets
+// that come and go: acknowledged rollouts are known to all replicas and boxes in the end and have
+// ended, none that was rolled back continues, and none completes while a connected box waits for an
+// answer of the old version.
 func TestAcknowledgedRolloutsHold(t *testing.T) {
 	t.Parallel()
 	ends := map[table.RolloutStage]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		w := newGrowingWorld(t, rapid.Uint64().Draw(t, "seed"), 5, 5, 3)
-		newRolloutWorld(t, w, badIfNamed)
-		evacuations := newEvacuator(w, "d")
-		w.inDomain("d")
-		o := &mover{world: w}
+		startTraffic(t, w, badIfNamed)
+		evacuations := newEvacuationOperator(w, "d")
+		w.registerInDomain("d")
+		o := &rolloutOperator{world: w}
 		steps := rapid.SliceOfN(rapid.IntRange(0, len(rolloutFaults)*1000-1), 1, 20).Draw(t, "faults")
 		for _, s := range steps {
-			o.turn()
+			o.orderNext()
 			if s%5 == 0 {
-				evacuations.turn()
+				evacuations.orderNext()
 			}
 			rolloutFaults[s%len(rolloutFaults)].do(w, s/len(rolloutFaults))
-			w.run(pause(s) + time.Duration(s%7)*200*time.Millisecond)
+			w.run(stepDuration(s) + time.Duration(s%7)*200*time.Millisecond)
 		}
-		w.checkEnd()
+		w.checkRecovery()
 		if !o.acknowledged {
 			t.Fatalf("the order of %s wasn't acknowledged after all faults had ended", o.to)
 		}
@@ -303,7 +306,7 @@
 			ends[stage]++
 		}
 		if r := w.rollout(); r.Active() {
-			t.Fatalf("the rollout is under way after its deadline: %+v", r)
+			t.Fatalf("the rollout is still in progress after its deadline: %+v", r)
 		}
 	})
 	t.Logf("%d rollouts were completed, %d rolled back", ends[table.RolloutCompleted], ends[table.RolloutRolledBack])
