--- a/pkg/core/apikey/apikey.go
+++ b/pkg/core/apikey/apikey.go
@@ -14,9 +14,9 @@
 // MaxLength is the most bytes that a key may have.
 const MaxLength = 256
 
-// shownBytes is how much of a digest is shown: enough to tell keys apart, and of no use to
+// displayedBytes is how much of a digest is shown: enough to tell keys apart, and of no use to
 // whoever looks for a key.
-const shownBytes = 4
+const displayedBytes = 4
 
 // textPrefix names the digest's algorithm in documents.
 const textPrefix = "sha256:"
@@ -30,14 +30,14 @@
 // NewDigest returns the digest of a key that an operator has written. The error is an Invalid
 // fault, which doesn't tell the key.
 func NewDigest(key string) (Digest, error) {
-	if !readable([]byte(key)) {
+	if !validKey([]byte(key)) {
 		return Digest{}, fault.New(fault.Invalid, "write 1 to 256 visible characters of ASCII", "a key of %d bytes can't be read", len(key))
 	}
 	return DigestOf([]byte(key)), nil
 }
 
-// readable tells whether a key may stand in a header as it is.
-func readable(key []byte) bool {
+// validKey tells whether a key may stand in a header as it is.
+func validKey(key []byte) bool {
 	if len(key) == 0 || len(key) > MaxLength {
 		return false
 	}
@@ -45,7 +45,7 @@
 }
 
 // String returns the part of the digest that may be shown.
-func (d Digest) String() string { return hex.EncodeToString(d[:shownBytes]) }
+func (d Digest) String() string { return hex.EncodeToString(d[:displayedBytes]) }
 
 // MarshalText writes the part of the digest that may be shown.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
--- a/pkg/core/apikey/apikey_test.go
+++ b/pkg/core/apikey/apikey_test.go
@@ -27,7 +27,7 @@
 		for _, v := range x.values {
 			values = append(values, []byte(v))
 		}
-		c := Presented(values)
+		c := CredentialFromHeader(values)
 		d, presented := c.Digest()
 		if presented != x.presented {
 			t.Errorf("%s: presented is %v", name, presented)
@@ -40,7 +40,7 @@
 
 func TestDetachedCredentialOutlivesTheRequest(t *testing.T) {
 	buffer := []byte("akn2ftimaj3nr26tta82")
-	c := Presented([][]byte{buffer})
+	c := CredentialFromHeader([][]byte{buffer})
 	want, _ := c.Digest()
 	kept := c.Detached()
 	copy(buffer, "another caller's key")
--- a/pkg/core/apikey/credential.go
+++ b/pkg/core/apikey/credential.go
@@ -9,10 +9,10 @@
 	digested bool
 }
 
-// Presented returns the credential of a call with the given values of the key's header. A call
+// CredentialFromHeader returns the credential of a call with the given values of the key's header. A call
 // with several values presents nothing: each reader might take another one.
-func Presented(values [][]byte) Credential {
-	if len(values) != 1 || !readable(values[0]) {
+func CredentialFromHeader(values [][]byte) Credential {
+	if len(values) != 1 || !validKey(values[0]) {
 		return Credential{}
 	}
 	return Credential{key: values[0]}
--- a/pkg/core/box/exposure_test.go
+++ b/pkg/core/box/exposure_test.go
@@ -176,7 +176,7 @@
 func lastBad(m *member) uint64 {
 	bad := uint64(0)
 	for _, x := range m.effects.Subscription.Sends[0].GetRenewRequest().Evidence {
-		if units.Software(x.Software) == newSoftware {
+		if units.SoftwareVersion(x.Software) == newSoftware {
 			bad += x.Bad
 		}
 	}
--- a/pkg/core/box/fleet_test.go
+++ b/pkg/core/box/fleet_test.go
@@ -20,8 +20,8 @@
 	silence      = 850 * time.Millisecond
 	oldTargets   = 40
 	newTargets   = 40
-	oldSoftware  = units.Software("v1")
-	newSoftware  = units.Software("v2")
+	oldSoftware  = units.SoftwareVersion("v1")
+	newSoftware  = units.SoftwareVersion("v2")
 	theService   = units.ServiceName("s")
 )
 
@@ -194,7 +194,7 @@
 func (f *fleet) checkUnderWay(m *member, x *wire.RenewRequest, before int) {
 	told := 0
 	for _, v := range x.Evidence {
-		if units.Software(v.Software) == oldSoftware {
+		if units.SoftwareVersion(v.Software) == oldSoftware {
 			told += int(v.UnderWay)
 		}
 	}
@@ -261,7 +261,7 @@
 	entry := &table.Entry{Version: 1, Service: table.Service{
 		Name: theService, Work: table.Repeatable, Hosts: []string{string(theService)}, Deadline: time.Second, HoldCount: 10,
 	}}
-	add := func(prefix string, n int, v units.Software) {
+	add := func(prefix string, n int, v units.SoftwareVersion) {
 		for i := range n {
 			entry.Rows = entry.Rows.With(table.Row{
 				Service: theService, Target: units.TargetID(fmt.Sprintf("%s%02d", prefix, i)), Address: "127.0.0.1:1", Weight: 100,
@@ -370,7 +370,7 @@
 		return
 	}
 	for _, x := range request.Evidence {
-		if units.Software(x.Software) == oldSoftware && x.UnderWay > 0 {
+		if units.SoftwareVersion(x.Software) == oldSoftware && x.UnderWay > 0 {
 			return
 		}
 	}
--- a/pkg/core/control/rollout_test.go
+++ b/pkg/core/control/rollout_test.go
@@ -22,7 +22,7 @@
 
 // registerSoftware has targets of a version of the service register, until each is told
 // that it stands in the table.
-func (w *world) registerSoftware(software units.Software, count int) {
+func (w *world) registerSoftware(software units.SoftwareVersion, count int) {
 	for i := range count {
 		t := &table.Registration{
 			Target: units.TargetID(fmt.Sprintf("%s-%d", software, i)), Service: testService, Software: software,
@@ -45,7 +45,7 @@
 }
 
 // newRolloutWorld returns a world with a service whose targets are of version v1, and calls.
-func newRolloutWorld(t fataler, w *world, bad func(units.Software) float64) *traffic {
+func newRolloutWorld(t fataler, w *world, bad func(units.SoftwareVersion) float64) *traffic {
 	w.putDocument(w.leader(), false)
 	w.run(500 * time.Millisecond)
 	w.registerSoftware("v1", 6)
@@ -59,7 +59,7 @@
 }
 
 // badIfNamed has the answers of versions whose name ends so fail.
-func badIfNamed(software units.Software) float64 {
+func badIfNamed(software units.SoftwareVersion) float64 {
 	if strings.HasSuffix(string(software), "bad") {
 		return 1
 	}
@@ -78,7 +78,7 @@
 	return err
 }
 
-func order(to units.Software) table.RolloutOrder {
+func order(to units.SoftwareVersion) table.RolloutOrder {
 	return table.RolloutOrder{Service: testService, To: to, Duration: testDuration, Operator: "test"}
 }
 
@@ -190,7 +190,7 @@
 type mover struct {
 	world        *world
 	number, next int
-	to           units.Software
+	to           units.SoftwareVersion
 	acknowledged bool
 }
 
@@ -201,7 +201,7 @@
 		return
 	}
 	o.number++
-	o.to, o.acknowledged = units.Software(fmt.Sprintf("n%d", o.number)), false
+	o.to, o.acknowledged = units.SoftwareVersion(fmt.Sprintf("n%d", o.number)), false
 	if o.number%2 == 0 {
 		o.to += "bad"
 	}
@@ -229,7 +229,7 @@
 
 // checkRollouts makes sure that nothing acknowledged is lost on any replica or box, that an
 // ended rollout never goes on, and that no bad version was completed.
-func (w *world) checkRollouts(acknowledged units.Software) map[units.Revision]table.RolloutStage {
+func (w *world) checkRollouts(acknowledged units.SoftwareVersion) map[units.Revision]table.RolloutStage {
 	ended := map[units.Revision]table.RolloutStage{}
 	for _, revision := range slices.Sorted(maps.Keys(w.contents)) {
 		r := w.contents[revision].Rollout(testService)
--- a/pkg/core/control/rollouts.go
+++ b/pkg/core/control/rollouts.go
@@ -205,7 +205,7 @@
 }
 
 // side returns the targets of a version that can take calls now.
-func (r *Replica) side(service units.ServiceName, software units.Software) rollout.Side {
+func (r *Replica) side(service units.ServiceName, software units.SoftwareVersion) rollout.Side {
 	var side rollout.Side
 	r.state.EachRegistration(func(t *table.Registration) {
 		if t.Service != service || t.Software != software || t.State != table.Active || t.Silent || r.state.Table().Evacuated(t.Domain) {
@@ -262,14 +262,14 @@
 
 // registeredSoftware counts the registered targets of each service by version. Targets that
 // don't say theirs have none to put in force.
-func (r *Replica) registeredSoftware() map[units.ServiceName]map[units.Software]int {
-	counts := map[units.ServiceName]map[units.Software]int{}
+func (r *Replica) registeredSoftware() map[units.ServiceName]map[units.SoftwareVersion]int {
+	counts := map[units.ServiceName]map[units.SoftwareVersion]int{}
 	r.state.EachRegistration(func(t *table.Registration) {
 		if t.Software == "" {
 			return
 		}
 		if counts[t.Service] == nil {
-			counts[t.Service] = map[units.Software]int{}
+			counts[t.Service] = map[units.SoftwareVersion]int{}
 		}
 		counts[t.Service][t.Software]++
 	})
@@ -277,8 +277,8 @@
 }
 
 // commonest is the version that most targets run; of equals the first by name.
-func commonest(versions map[units.Software]int) units.Software {
-	return slices.MaxFunc(slices.Sorted(maps.Keys(versions)), func(a, b units.Software) int {
+func commonest(versions map[units.SoftwareVersion]int) units.SoftwareVersion {
+	return slices.MaxFunc(slices.Sorted(maps.Keys(versions)), func(a, b units.SoftwareVersion) int {
 		return cmp.Compare(versions[a], versions[b])
 	})
 }
--- a/pkg/core/control/traffic_test.go
+++ b/pkg/core/control/traffic_test.go
@@ -18,12 +18,12 @@
 	world   *world
 	service units.ServiceName
 	// bad tells the share of a version's answers that fail at a time.
-	bad     func(units.Software) float64
+	bad     func(units.SoftwareVersion) float64
 	callers map[*boxFake]*caller
 	// sent counts the calls to each version.
-	sent map[units.Software]int
+	sent map[units.SoftwareVersion]int
 	// replaced are the versions that completed rollouts have replaced.
-	replaced map[units.Software]bool
+	replaced map[units.SoftwareVersion]bool
 }
 
 // caller is what one start of a box has sent and been granted.
@@ -31,9 +31,9 @@
 	life    int
 	asked   map[uint64]units.Instant
 	granted map[units.Revision]rollout.Exposure
-	counts  map[units.Software]*rollout.Evidence
+	counts  map[units.SoftwareVersion]*rollout.Evidence
 	// underWay are the ends of calls by the version that they went to.
-	underWay map[units.Software][]units.Instant
+	underWay map[units.SoftwareVersion][]units.Instant
 }
 
 const (
@@ -41,8 +41,8 @@
 	longestCall = 300 * time.Millisecond
 )
 
-func newTraffic(w *world, service units.ServiceName, bad func(units.Software) float64) *traffic {
-	x := &traffic{world: w, service: service, bad: bad, callers: map[*boxFake]*caller{}, sent: map[units.Software]int{}, replaced: map[units.Software]bool{}}
+func newTraffic(w *world, service units.ServiceName, bad func(units.SoftwareVersion) float64) *traffic {
+	x := &traffic{world: w, service: service, bad: bad, callers: map[*boxFake]*caller{}, sent: map[units.SoftwareVersion]int{}, replaced: map[units.SoftwareVersion]bool{}}
 	w.traffic = x
 	w.after(callEvery, x.tick)
 	return x
@@ -53,7 +53,7 @@
 	if c == nil || c.life != b.life {
 		c = &caller{
 			life: b.life, asked: map[uint64]units.Instant{}, granted: map[units.Revision]rollout.Exposure{},
-			counts: map[units.Software]*rollout.Evidence{}, underWay: map[units.Software][]units.Instant{},
+			counts: map[units.SoftwareVersion]*rollout.Evidence{}, underWay: map[units.SoftwareVersion][]units.Instant{},
 		}
 		x.callers[b] = c
 	}
@@ -98,7 +98,7 @@
 }
 
 // choose returns the version that a call goes to, as a box does.
-func (x *traffic) choose(b *boxFake, c *caller) units.Software {
+func (x *traffic) choose(b *boxFake, c *caller) units.SoftwareVersion {
 	t := b.core.Table()
 	r := t.Rollout(x.service)
 	if !r.Active() {
--- a/pkg/core/limit/limit_test.go
+++ b/pkg/core/limit/limit_test.go
@@ -17,7 +17,7 @@
 		now := units.Instant(time.Second)
 		from := now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "from")) * time.Millisecond)
 		highest := units.CallRate(rapid.Float64Range(0, 50).Draw(t, "rate"))
-		a := NewAccount(highest, now, from)
+		a := NewTokenBucket(highest, now, from)
 		begin, given, out := now, 0, 0
 		t.Repeat(map[string]func(*rapid.T){
 			"pass": func(t *rapid.T) {
@@ -43,7 +43,7 @@
 				a.SetRate(now, rate)
 			},
 		})
-		rate := max(float64(highest), float64(LeastRate))
+		rate := max(float64(highest), float64(MinRate))
 		if most := rate*now.Sub(begin).Seconds() + 1 + 0.5*rate; float64(given) > most+1e-6 {
 			t.Fatalf("%d calls were permitted, the limit comes to %.2f", given, most)
 		}
@@ -65,8 +65,8 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			now := units.Instant(time.Second)
-			a := NewAccount(s.rate, now, now.Add(s.from))
-			if wait := a.Wait(now); math.Abs(float64(wait-s.expected)) > float64(time.Microsecond) {
+			a := NewTokenBucket(s.rate, now, now.Add(s.from))
+			if wait := a.WaitTime(now); math.Abs(float64(wait-s.expected)) > float64(time.Microsecond) {
 				t.Fatalf("it permits a call after %s, not %s", wait, s.expected)
 			}
 			if n := a.Permit(now.Add(s.expected-time.Millisecond), 1); n != 0 {
@@ -80,33 +80,33 @@
 }
 
 func TestWords(t *testing.T) {
-	heard := Word{Version: 3, Limited: true, Rate: 2}
+	heard := State{Version: 3, Limited: true, Rate: 2}
 	scenarios := []struct {
 		testName string
-		word     Word
+		word     State
 		// replaces tells whether the word takes heard's place.
 		replaces bool
 	}{
-		{"an absurd limit is none", heard.Naming(1e300), true},
-		{"none at all is a limit", heard.Naming(0), true},
-		{"it ends", heard.Ending(), true},
-		{"an older word says nothing", Word{Version: 2, Limited: true, Rate: 1}, false},
-		{"a change of the same word that is tighter", Word{Version: 3, Limited: true, Rate: 1}, true},
-		{"a change of the same word that is looser", Word{Version: 3, Limited: true, Rate: 3}, false},
-		{"a change of the same word that ends it", Word{Version: 3}, false},
-		{"nothing was heard", Word{}, false},
+		{"an absurd limit is none", heard.WithRate(1e300), true},
+		{"none at all is a limit", heard.WithRate(0), true},
+		{"it ends", heard.Cleared(), true},
+		{"an older word says nothing", State{Version: 2, Limited: true, Rate: 1}, false},
+		{"a change of the same word that is tighter", State{Version: 3, Limited: true, Rate: 1}, true},
+		{"a change of the same word that is looser", State{Version: 3, Limited: true, Rate: 3}, false},
+		{"a change of the same word that ends it", State{Version: 3}, false},
+		{"nothing was heard", State{}, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			if s.word.Replaces(heard) != s.replaces {
+			if s.word.Supersedes(heard) != s.replaces {
 				t.Errorf("%+v replaces %+v: %t", s.word, heard, !s.replaces)
 			}
 		})
 	}
-	if w := heard.Naming(1e300); w.Limited {
+	if w := heard.WithRate(1e300); w.Limited {
 		t.Errorf("%+v", w)
 	}
-	if w := heard.Naming(0); !w.Limited {
+	if w := heard.WithRate(0); !w.Limited {
 		t.Errorf("%+v", w)
 	}
 }
--- a/pkg/core/quota/quota.go
+++ b/pkg/core/quota/quota.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// Seats is how many holders a workspace has where there are as many boxes. With one of them out of
+	// HoldersPerGroup is how many holders a workspace has where there are as many boxes. With one of them out of
 	// reach the others still give more than a workspace usually asks for, which is below its limit.
-	Seats = 8
-	// groups is how many sets of holders there are. Workspaces share them, so that a box needs
+	HoldersPerGroup = 8
+	// groupCount is how many sets of holders there are. Workspaces share them, so that a box needs
 	// connections to few others.
-	groups = 4
+	groupCount = 4
 )
 
 // Group is the workspaces that have the same holders.
@@ -27,7 +27,7 @@
 
 // Groups returns all groups.
 func Groups() []Group {
-	all := make([]Group, groups)
+	all := make([]Group, groupCount)
 	for i := range all {
 		all[i] = Group(i)
 	}
@@ -35,22 +35,22 @@
 }
 
 // GroupOf returns a workspace's group.
-func GroupOf(w units.WorkspaceName) Group { return Group(xxhash.Sum64String(string(w)) % groups) }
+func GroupOf(w units.WorkspaceName) Group { return Group(xxhash.Sum64String(string(w)) % groupCount) }
 
 // Holders returns the holders of a group among some boxes, the first first. A box that comes or goes
 // changes one of them at the most.
 func (g Group) Holders(boxes []units.BoxID) []units.BoxID {
-	return firstBy(boxes, Seats, func(b units.BoxID) uint64 { return rendezvous.Hash(b, string(rune('0'+g))) })
+	return highestRanked(boxes, HoldersPerGroup, func(b units.BoxID) uint64 { return rendezvous.Hash(b, string(rune('0'+g))) })
 }
 
-// OrderFor returns holders in the order in which a box asks them: each box begins with another one, so
+// PreferenceOrder returns holders in the order in which a box asks them: each box begins with another one, so
 // that all are asked alike.
-func OrderFor(box units.BoxID, holders []units.BoxID) []units.BoxID {
-	return firstBy(holders, len(holders), func(h units.BoxID) uint64 { return rendezvous.Hash(box, h) })
+func PreferenceOrder(box units.BoxID, holders []units.BoxID) []units.BoxID {
+	return highestRanked(holders, len(holders), func(h units.BoxID) uint64 { return rendezvous.Hash(box, h) })
 }
 
-// firstBy returns up to n boxes, those with the highest hash first.
-func firstBy(boxes []units.BoxID, n int, hash func(units.BoxID) uint64) []units.BoxID {
+// highestRanked returns up to n boxes, those with the highest hash first.
+func highestRanked(boxes []units.BoxID, n int, hash func(units.BoxID) uint64) []units.BoxID {
 	type ranked struct {
 		box  units.BoxID
 		hash uint64
@@ -60,9 +60,9 @@
 		all = append(all, ranked{b, hash(b)})
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(a.box, b.box)) })
-	first := make([]units.BoxID, 0, n)
+	highest := make([]units.BoxID, 0, n)
 	for _, x := range all[:min(n, len(all))] {
-		first = append(first, x.box)
+		highest = append(highest, x.box)
 	}
-	return first
+	return highest
 }
--- a/pkg/core/quota/quota_test.go
+++ b/pkg/core/quota/quota_test.go
@@ -20,7 +20,7 @@
 	boxes := boxIDs(114)
 	for _, g := range Groups() {
 		before := g.Holders(boxes)
-		if len(before) != Seats {
+		if len(before) != HoldersPerGroup {
 			t.Fatalf("group %d has %d holders", g, len(before))
 		}
 		for i := range boxes {
@@ -52,8 +52,8 @@
 	holders := Group(0).Holders(boxes)
 	first := map[units.BoxID]int{}
 	for _, b := range boxes {
-		order := OrderFor(b, holders)
-		if len(order) != Seats {
+		order := PreferenceOrder(b, holders)
+		if len(order) != HoldersPerGroup {
 			t.Fatalf("%s asks %d holders", b, len(order))
 		}
 		first[order[0]]++
--- a/pkg/core/rendezvous/rendezvous.go
+++ b/pkg/core/rendezvous/rendezvous.go
@@ -9,7 +9,7 @@
 // of the names in it.
 func Hash[A, B ~string](a A, b B) uint64 {
 	// Names are short, so that nothing is allocated.
-	var room [96]byte
-	names := append(append(append(room[:0], a...), 0), b...)
-	return xxhash.Sum64(names)
+	var buffer [96]byte
+	key := append(append(append(buffer[:0], a...), 0), b...)
+	return xxhash.Sum64(key)
 }
--- a/pkg/core/rollout/decide_test.go
+++ b/pkg/core/rollout/decide_test.go
@@ -39,7 +39,7 @@
 
 // report has a box tell what it has seen so far; all answers were good.
 func (x *scene) report(id units.BoxID, revision units.Revision, fresh uint64, underWay uint32) {
-	of := func(software units.Software, good uint64) Evidence {
+	of := func(software units.SoftwareVersion, good uint64) Evidence {
 		e := Evidence{Service: "s", Order: 5, Software: software, Route: "h/", Good: good}
 		e.Times[12] = uint32(good)
 		return e
--- a/pkg/core/rollout/evidence.go
+++ b/pkg/core/rollout/evidence.go
@@ -19,7 +19,7 @@
 type Evidence struct {
 	Service  units.ServiceName
 	Order    units.Revision
-	Software units.Software
+	Software units.SoftwareVersion
 	Route    RouteID
 	// Good counts answers that aren't failures; Bad counts failures of the target: server
 	// errors, broken and wrong answers, and calls that it never answered.
--- a/pkg/core/rollout/watch.go
+++ b/pkg/core/rollout/watch.go
@@ -32,7 +32,7 @@
 }
 
 type reportKey struct {
-	software units.Software
+	software units.SoftwareVersion
 	route    RouteID
 }
 
--- a/pkg/core/routing/bench_test.go
+++ b/pkg/core/routing/bench_test.go
@@ -90,7 +90,7 @@
 	var e Effects
 	r.Reduce(now, &TableChanged{Table: &next}, &e)
 	benchCalls(b, r, now, &CallArrived{
-		Owner: r, Host: []byte("s0"), Path: []byte("/"), Credential: apikey.Presented([][]byte{[]byte("key-04711")}),
+		Owner: r, Host: []byte("s0"), Path: []byte("/"), Credential: apikey.CredentialFromHeader([][]byte{[]byte("key-04711")}),
 	})
 }
 
--- a/pkg/core/routing/coordinator.go
+++ b/pkg/core/routing/coordinator.go
@@ -44,7 +44,7 @@
 	Count int
 	// Again is how long after a grant the next permit is there.
 	Again time.Duration
-	Word  limit.Word
+	Word  limit.State
 }
 
 // PeerLimit is a LimitMessage of another box.
@@ -106,9 +106,9 @@
 }
 
 // limitWord is what is known of a target's limit.
-func (t *target) limitWord() limit.Word {
+func (t *target) limitWord() limit.State {
 	if t.notice == nil || t.notice.limit == nil {
-		return limit.Word{}
+		return limit.State{}
 	}
 	return t.notice.limit.word
 }
@@ -139,7 +139,7 @@
 }
 
 // account is what this box may permit of the target; nil where it was never asked.
-func (t *target) account() *limit.Account {
+func (t *target) account() *limit.TokenBucket {
 	if !t.notice.limited() {
 		return nil
 	}
@@ -152,10 +152,10 @@
 	if box, _ := r.coordinatorOf(t); box == r.settings.Box && t.notice.limited() && r.leased() {
 		x := t.notice.limit
 		if x.account == nil {
-			x.account = limit.NewAccount(x.word.Rate, x.changedAt, r.coordinatesFrom(t))
+			x.account = limit.NewTokenBucket(x.word.Rate, x.changedAt, r.coordinatesFrom(t))
 		}
 		answer.Count = x.account.Permit(r.now, min(m.Count, mostPermits))
-		answer.Again = x.account.Wait(r.now)
+		answer.Again = x.account.WaitTime(r.now)
 		r.permits.Permitted += uint64(answer.Count)
 	}
 	r.sendLimit(from, t, answer, e)
@@ -218,6 +218,6 @@
 // reviewAccount works out anew from when on this box may permit calls to a target.
 func (r *Router) reviewAccount(t *target) {
 	if x := t.account(); x != nil {
-		x.SetFrom(r.now, r.coordinatesFrom(t))
+		x.SetNotBefore(r.now, r.coordinatesFrom(t))
 	}
 }
--- a/pkg/core/routing/evidence.go
+++ b/pkg/core/routing/evidence.go
@@ -146,7 +146,7 @@
 }
 
 // appendEvidence appends what was seen of one version, an entry a route.
-func (v *rolloutState) appendEvidence(all []rollout.Evidence, list []routeEvidence, software units.Software) []rollout.Evidence {
+func (v *rolloutState) appendEvidence(all []rollout.Evidence, list []routeEvidence, software units.SoftwareVersion) []rollout.Evidence {
 	for i := range list {
 		x := &list[i]
 		all = append(all, rollout.Evidence{
--- a/pkg/core/routing/exposure.go
+++ b/pkg/core/routing/exposure.go
@@ -161,7 +161,7 @@
 // ExposureTurn is what the log says when a box's exposure begins or ends.
 type ExposureTurn struct {
 	Service  units.ServiceName
-	Software units.Software
+	Software units.SoftwareVersion
 	Order    units.Revision
 	Share    units.Percent
 	// On is set where it begins. Stopped is set where the box ended it by itself, after
--- a/pkg/core/routing/limit_fleet_test.go
+++ b/pkg/core/routing/limit_fleet_test.go
@@ -416,7 +416,7 @@
 const limitStep = 50 * time.Millisecond
 
 func (t *limitTarget) rateAt(at units.Instant) float64 {
-	highest := float64(limit.LeastRate)
+	highest := float64(limit.MinRate)
 	for i, r := range t.rates {
 		over := i+1 < len(t.rates) && t.rates[i+1].from.Add(limitGrace) < at
 		if (i == 0 || r.from <= at) && !over {
--- a/pkg/core/routing/namedlimit.go
+++ b/pkg/core/routing/namedlimit.go
@@ -23,7 +23,7 @@
 
 // namedLimit is what a box knows of the limit of a start of a target, and what it holds of it.
 type namedLimit struct {
-	word limit.Word
+	word limit.State
 	// heardAt is when an answer to this box last named a limit, changedAt when the word last changed.
 	heardAt, changedAt units.Instant
 	// toldAt is when the log was last told of a limit.
@@ -34,7 +34,7 @@
 	ask   permitAsk
 	again units.Instant
 	// account is kept by the target's coordinator alone; nil before the first request.
-	account *limit.Account
+	account *limit.TokenBucket
 	// handedBy is the coordinator that has handed the target over to this box, at handedAt.
 	handedBy units.BoxID
 	handedAt units.Instant
@@ -56,8 +56,8 @@
 func (r *Router) nameLimit(n *notice, endpoint *Endpoint, rate units.CallRate, base uint64, e *Effects) {
 	x := n.openLimit()
 	x.heardAt = r.now
-	w := x.word.Naming(rate)
-	if !w.Same(x.word) && (w.Tighter(x.word) || base == x.word.Version) {
+	w := x.word.WithRate(rate)
+	if !w.SameLimit(x.word) && (w.StricterThan(x.word) || base == x.word.Version) {
 		r.changeLimit(n, endpoint, w, e)
 	}
 }
@@ -74,15 +74,15 @@
 	if a.limitVersion != x.word.Version || a.sent <= x.heardAt {
 		return
 	}
-	r.changeLimit(t.notice, t.endpoint, x.word.Ending(), e)
+	r.changeLimit(t.notice, t.endpoint, x.word.Cleared(), e)
 	if to, known := r.coordinatorOf(t); known && to != r.settings.Box {
 		r.sendLimit(to, t, LimitMessage{Kind: TellLimit}, e)
 	}
 }
 
 // learnLimit takes the word on a target's limit that another box has sent.
-func (r *Router) learnLimit(t *target, w limit.Word, e *Effects) {
-	if !w.Replaces(t.limitWord()) || t.notice == nil && !w.Limited {
+func (r *Router) learnLimit(t *target, w limit.State, e *Effects) {
+	if !w.Supersedes(t.limitWord()) || t.notice == nil && !w.Limited {
 		return
 	}
 	if t.notice == nil {
@@ -94,7 +94,7 @@
 
 // changeLimit puts a word in force. The shell keeps calls without a permit from the target from now on,
 // or lets all go there again.
-func (r *Router) changeLimit(n *notice, endpoint *Endpoint, w limit.Word, e *Effects) {
+func (r *Router) changeLimit(n *notice, endpoint *Endpoint, w limit.State, e *Effects) {
 	x := n.limit
 	before := x.word
 	x.word, x.changedAt = w, r.now
@@ -105,7 +105,7 @@
 		x.account.SetRate(r.now, w.Rate)
 	}
 	begins, ends := w.Limited && !before.Limited, before.Limited && !w.Limited
-	if !begins && !ends && (w.Same(before) || r.now.Sub(x.toldAt) < retellLimit) {
+	if !begins && !ends && (w.SameLimit(before) || r.now.Sub(x.toldAt) < retellLimit) {
 		return
 	}
 	x.toldAt = r.now
--- a/pkg/core/routing/quota_fleet_test.go
+++ b/pkg/core/routing/quota_fleet_test.go
@@ -78,7 +78,7 @@
 	for i, rate := range rates {
 		key := fmt.Appendf(nil, "key-%d", i)
 		f.workspaces = append(f.workspaces, &quotaCaller{
-			key: apikey.Presented([][]byte{key}),
+			key: apikey.CredentialFromHeader([][]byte{key}),
 			workspace: table.Workspace{
 				Name: units.WorkspaceName(fmt.Sprintf("w%d", i)), Keys: []apikey.Digest{apikey.DigestOf(key)}, Rate: units.CallRate(rate), Burst: rate,
 			},
--- a/pkg/core/routing/quotaholder.go
+++ b/pkg/core/routing/quotaholder.go
@@ -63,7 +63,7 @@
 	for _, g := range quota.Groups() {
 		s := r.seatsOf(g)
 		s.holders = g.Holders(boxes)
-		s.order = quota.OrderFor(r.settings.Box, s.holders)
+		s.order = quota.PreferenceOrder(r.settings.Box, s.holders)
 		r.countParts(s)
 		held := slices.Contains(s.holders, r.settings.Box)
 		if held && !s.held {
@@ -134,10 +134,10 @@
 	slack := savedSlack * float64(r.settings.QuotaSlack) / parts
 	rate, burst := u.rate/units.CallRate(parts), u.burst/parts+slack
 	if u.account == nil {
-		u.account = limit.NewShare(rate, burst, r.heldAtFirst(s, slack), r.now, s.from)
+		u.account = limit.NewShareBucket(rate, burst, r.heldAtFirst(s, slack), r.now, s.from)
 		return
 	}
-	u.account.SetShare(r.now, rate, burst)
+	u.account.SetRateAndBurst(r.now, rate, burst)
 }
 
 // heldAtFirst is what an account begins with. Before a restart the box may have given all it had: then it
@@ -176,7 +176,7 @@
 	}
 	n = u.account.Permit(r.now, min(count, mostCredits))
 	u.status.Granted += uint64(n)
-	again = u.account.Wait(r.now)
+	again = u.account.WaitTime(r.now)
 	if n < count {
 		u.disappointed.note(r.now)
 		again = max(again, min(mostCreditPause, u.crowdPause(r.now)))
@@ -187,7 +187,7 @@
 // crowdPause is how long boxes wait with their next requests where many ask for what few credits there
 // are, so that requests don't become many times the credits.
 func (u *quotaUse) crowdPause(now units.Instant) time.Duration {
-	rate := float64(u.rate) / quota.Seats
+	rate := float64(u.rate) / quota.HoldersPerGroup
 	return time.Duration(askedPart * u.disappointed.perSecond(now) / rate * float64(time.Second))
 }
 
--- a/pkg/core/routing/quotas.go
+++ b/pkg/core/routing/quotas.go
@@ -62,7 +62,7 @@
 	came eventRate
 	// account is this box's part, where it is a holder; disappointed counts the requests that it didn't
 	// give all to.
-	account      *limit.Account
+	account      *limit.TokenBucket
 	disappointed eventRate
 	status       QuotaStatus
 	// told is the status that the leader was told of last.
--- a/pkg/core/routing/rollout.go
+++ b/pkg/core/routing/rollout.go
@@ -44,7 +44,7 @@
 
 // sideOf says which calls a row's target takes, given the version in force and the service's
 // last rollout, which may be nil.
-func sideOf(row *table.Row, current units.Software, x *table.Rollout) side {
+func sideOf(row *table.Row, current units.SoftwareVersion, x *table.Rollout) side {
 	isOld := current == "" || row.Software == current
 	isNew := x != nil && row.Software == x.To && row.Software != current
 	switch {
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -52,7 +52,7 @@
 	DefaultProbeCost   = 5 * time.Millisecond
 	DefaultColdDoubt   = 2 * time.Second
 	DefaultMaxDeadline = 5 * time.Minute
-	DefaultQuotaSlack  = 2 * quota.Seats
+	DefaultQuotaSlack  = 2 * quota.HoldersPerGroup
 )
 
 // Router is the state of a box's routing.
@@ -75,7 +75,7 @@
 	boxLists int
 	beside   map[units.Domain][]table.Box
 	// inDomain counts the boxes of the present list; nil until that is asked for.
-	inDomain scope.Boxes
+	inDomain scope.BoxCounts
 	// neverListed is set until a list of boxes names any.
 	neverListed bool
 	// pastBoxes are the lists of boxes before the present one that other boxes may still go by.
--- a/pkg/core/routing/script_rollout_test.go
+++ b/pkg/core/routing/script_rollout_test.go
@@ -18,12 +18,12 @@
 }
 
 func (s *script) addInForce(t *table.Table, words []string) {
-	t.InForce = append(t.InForce, table.SoftwareInForce{Service: units.ServiceName(words[0]), Software: units.Software(words[1])})
+	t.InForce = append(t.InForce, table.SoftwareInForce{Service: units.ServiceName(words[0]), Software: units.SoftwareVersion(words[1])})
 }
 
 func (s *script) addRollout(t *table.Table, words []string) {
 	x := table.Rollout{
-		Service: units.ServiceName(words[0]), From: units.Software(words[1]), To: units.Software(words[2]), Stage: stageWords[words[3]],
+		Service: units.ServiceName(words[0]), From: units.SoftwareVersion(words[1]), To: units.SoftwareVersion(words[2]), Stage: stageWords[words[3]],
 		Order: units.Revision(s.number(words[4])), Since: units.Revision(s.number(words[5])), Share: units.Percent(s.number(words[6])),
 	}
 	if len(words) > 7 {
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -338,7 +338,7 @@
 		return
 	}
 	if v, named := strings.CutPrefix(word, "software="); named {
-		r.Software = units.Software(v)
+		r.Software = units.SoftwareVersion(v)
 		return
 	}
 	switch word {
@@ -391,7 +391,7 @@
 		v.Identity = likeness(s.word(d, "like"))
 	}
 	if d.HasArg("key") {
-		v.Credential = apikey.Presented([][]byte{[]byte(s.word(d, "key"))})
+		v.Credential = apikey.CredentialFromHeader([][]byte{[]byte(s.word(d, "key"))})
 	}
 	s.give(v)
 }
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -93,10 +93,10 @@
 
 // RolloutStatus is what a box sees of a rollout of a service.
 type RolloutStatus struct {
-	From  units.Software     `json:"from"`
-	To    units.Software     `json:"to"`
-	Stage table.RolloutStage `json:"stage"`
-	Order units.Revision     `json:"order"`
+	From  units.SoftwareVersion `json:"from"`
+	To    units.SoftwareVersion `json:"to"`
+	Stage table.RolloutStage    `json:"stage"`
+	Order units.Revision        `json:"order"`
 	// Exposed tells whether this box may send calls to the new version, Share which part of
 	// them the last grant named, in hundredths.
 	Exposed bool          `json:"exposed"`
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -188,11 +188,11 @@
 		return all
 	}
 	step := t.service.entry.Division.Step(t.row.Domain)
-	return r.boxCounts().MostHolders(all, t.row.Domain, step)
+	return r.boxCounts().MaxHolders(all, t.row.Domain, step)
 }
 
 // boxCounts are how many boxes are in each failure domain.
-func (r *Router) boxCounts() scope.Boxes {
+func (r *Router) boxCounts() scope.BoxCounts {
 	if r.inDomain == nil {
 		r.inDomain = table.CountBoxes(r.rank.boxes)
 	}
--- a/pkg/core/scope/scope.go
+++ b/pkg/core/scope/scope.go
@@ -18,25 +18,25 @@
 type Step int
 
 const (
-	// ownSteps is how many steps less a box's own failure domain is divided by: its calls go there.
-	ownSteps = 2
-	// wholeService is up to how many registered targets a service is sent whole to every box, since fewer
+	// ownDomainSteps is how many steps less a box's own failure domain is divided by: its calls go there.
+	ownDomainSteps = 2
+	// maxUndividedTargets is up to how many registered targets a service is sent whole to every box, since fewer
 	// cost boxes little, and wholeProduct up to how many boxes times targets: that is what sending all costs.
 	// A service that was divided is sent whole again from half of that on.
-	wholeService = 250
-	wholeProduct = 250_000
-	// mostOfDomain and leastOfDomain bound how many targets of another domain a box holds, where
+	maxUndividedTargets = 250
+	maxUndividedPairs   = 250_000
+	// maxRemoteTargets and leastOfDomain bound how many targets of another domain a box holds, where
 	// there are more: enough to go to when its own domain is lost.
-	mostOfDomain  = 48
-	leastOfDomain = 12
-	// leastHolders is how many boxes are to hold a target before a step is taken, so that as good as
+	maxRemoteTargets = 48
+	minRemoteTargets = 12
+	// stepUpHolders is how many boxes are to hold a target before a step is taken, so that as good as
 	// none is held by nobody; fewestHolders is from how few on a step is taken back. Between
 	// them boxes may come and go without a change.
-	leastHolders  = 24
-	fewestHolders = 6
-	// soonPart is from which part of mostOfDomain on a domain takes a step together with another one that
+	stepUpHolders   = 24
+	stepDownHolders = 6
+	// jointStepFraction is from which part of mostOfDomain on a domain takes a step together with another one that
 	// takes it: each change of a division costs a message to every box.
-	soonPart = 0.75
+	jointStepFraction = 0.75
 )
 
 // Rank is a box's place among those that hold a target: the higher, the larger the steps at which it
@@ -62,7 +62,7 @@
 // StepOf returns the step by which a box of one domain holds the targets of another, or its own.
 func (d Division) StepOf(box, targets units.Domain) Step {
 	if box == targets {
-		return max(0, d.Step(targets)-ownSteps)
+		return max(0, d.Step(targets)-ownDomainSteps)
 	}
 	return d.Step(targets)
 }
@@ -76,17 +76,17 @@
 	return d[i].Step
 }
 
-// Count is a number in a failure domain.
-type Count struct {
+// DomainCount is a number in a failure domain.
+type DomainCount struct {
 	Domain units.Domain
 	N      int
 }
 
-// Boxes counts the boxes of each failure domain.
-type Boxes map[units.Domain]int
+// BoxCounts counts the boxes of each failure domain.
+type BoxCounts map[units.Domain]int
 
 // Total returns how many boxes there are.
-func (b Boxes) Total() int {
+func (b BoxCounts) Total() int {
 	n := 0
 	for _, x := range b {
 		n += x
@@ -94,53 +94,53 @@
 	return n
 }
 
-// Holders returns how many boxes hold a target of a domain at a step, in the mean.
-func (b Boxes) Holders(total int, d units.Domain, s Step) int {
+// MeanHolders returns how many boxes hold a target of a domain at a step, in the mean.
+func (b BoxCounts) MeanHolders(total int, d units.Domain, s Step) int {
 	own := b[d]
-	return own>>max(0, s-ownSteps) + (total-own)>>max(0, s)
+	return own>>max(0, s-ownDomainSteps) + (total-own)>>max(0, s)
 }
 
 // holdersMargin is how many times the mean of holders a target may have: the draw by hashes hardly
 // ever gives one more.
 const holdersMargin = 2
 
-// MostHolders bounds how many boxes hold a target of a domain at a step; a total is divided by it.
-func (b Boxes) MostHolders(total int, d units.Domain, s Step) int {
-	return max(1, min(total, holdersMargin*b.Holders(total, d, s)))
+// MaxHolders bounds how many boxes hold a target of a domain at a step; a total is divided by it.
+func (b BoxCounts) MaxHolders(total int, d units.Domain, s Step) int {
+	return max(1, min(total, holdersMargin*b.MeanHolders(total, d, s)))
 }
 
-// Next returns how a service is divided after a change, given how it was before and how many
+// NextDivision returns how a service is divided after a change, given how it was before and how many
 // registered targets it has in each domain, in order. A step is kept until the numbers are far from
 // what it is meant for, so that changes of a few boxes or targets move none.
-func Next(before Division, targets []Count, boxes Boxes) Division {
+func NextDivision(before Division, targets []DomainCount, boxes BoxCounts) Division {
 	registered := 0
 	for _, c := range targets {
 		registered += c.N
 	}
 	total := boxes.Total()
-	if !divides(before, registered, total) {
+	if !shouldDivide(before, registered, total) {
 		return nil
 	}
-	next := steps(before, targets, boxes, total, mostOfDomain)
+	next := domainSteps(before, targets, boxes, total, maxRemoteTargets)
 	if !slices.Equal(next, before) {
-		next = steps(before, targets, boxes, total, soonPart*mostOfDomain)
+		next = domainSteps(before, targets, boxes, total, jointStepFraction*maxRemoteTargets)
 	}
 	return next
 }
 
-// divides tells whether a service is told of in parts.
-func divides(before Division, registered, boxes int) bool {
+// shouldDivide tells whether a service is told of in parts.
+func shouldDivide(before Division, registered, boxes int) bool {
 	if before == nil {
-		return registered > wholeService && registered*boxes > wholeProduct
+		return registered > maxUndividedTargets && registered*boxes > maxUndividedPairs
 	}
-	return registered > wholeService/2 && registered*boxes > wholeProduct/2
+	return registered > maxUndividedTargets/2 && registered*boxes > maxUndividedPairs/2
 }
 
-// steps returns the steps of all domains, given how many targets of another domain a box holds at the most.
-func steps(before Division, targets []Count, boxes Boxes, total, most int) Division {
+// domainSteps returns the domainSteps of all domains, given how many targets of another domain a box holds at the most.
+func domainSteps(before Division, targets []DomainCount, boxes BoxCounts, total, maxTargets int) Division {
 	var next Division
 	for _, c := range targets {
-		step := nextStep(before.Step(c.Domain), c, boxes, total, most)
+		step := nextStep(before.Step(c.Domain), c, boxes, total, maxTargets)
 		if step > 0 {
 			next = append(next, DomainStep{Domain: c.Domain, Step: step})
 		}
@@ -148,11 +148,11 @@
 	return next
 }
 
-func nextStep(step Step, c Count, boxes Boxes, total, most int) Step {
-	for c.N>>step > most && enoughHolders(boxes, total, c.Domain, step+1) {
+func nextStep(step Step, c DomainCount, boxes BoxCounts, total, maxTargets int) Step {
+	for c.N>>step > maxTargets && enoughHolders(boxes, total, c.Domain, step+1) {
 		step++
 	}
-	for step > 0 && (c.N>>step < leastOfDomain || boxes.Holders(total, c.Domain, step) < fewestHolders) {
+	for step > 0 && (c.N>>step < minRemoteTargets || boxes.MeanHolders(total, c.Domain, step) < stepDownHolders) {
 		step--
 	}
 	return step
@@ -160,10 +160,10 @@
 
 // enoughHolders tells whether enough boxes hold a target at a step, half of them beside it where
 // there are boxes at all: those coordinate what all boxes send it.
-func enoughHolders(boxes Boxes, total int, d units.Domain, s Step) bool {
+func enoughHolders(boxes BoxCounts, total int, d units.Domain, s Step) bool {
 	own := boxes[d]
-	if own > 0 && own>>max(0, s-ownSteps) < leastHolders/2 {
+	if own > 0 && own>>max(0, s-ownDomainSteps) < stepUpHolders/2 {
 		return false
 	}
-	return boxes.Holders(total, d, s) >= leastHolders
+	return boxes.MeanHolders(total, d, s) >= stepUpHolders
 }
--- a/pkg/core/scope/scope_test.go
+++ b/pkg/core/scope/scope_test.go
@@ -15,8 +15,8 @@
 
 func (f fleet) domain(i int) units.Domain { return units.Domain(fmt.Sprintf("d%02d", i%f.domains)) }
 
-func (f fleet) counts() []Count {
-	counts := make([]Count, f.domains)
+func (f fleet) counts() []DomainCount {
+	counts := make([]DomainCount, f.domains)
 	for i := range f.targets {
 		counts[i%f.domains].Domain = f.domain(i)
 		counts[i%f.domains].N++
@@ -24,8 +24,8 @@
 	return counts
 }
 
-func (f fleet) boxCounts() Boxes {
-	b := Boxes{}
+func (f fleet) boxCounts() BoxCounts {
+	b := BoxCounts{}
 	for i := range f.boxes {
 		b[f.domain(i)]++
 	}
@@ -73,14 +73,14 @@
 func TestEveryTargetIsHeldAndNoBoxHoldsMany(t *testing.T) {
 	const leastOwn, mostHeld = 2, 450
 	for _, f := range []fleet{{6, 985, 2740}, {6, 985, 5772}, {6, 1970, 11544}, {3, 300, 1731}, {16, 1600, 16000}, {1, 100, 3000}} {
-		d := Next(nil, f.counts(), f.boxCounts())
+		d := NextDivision(nil, f.counts(), f.boxCounts())
 		holders, own, held := f.holding(d)
 		least, most := extremes(holders)
 		ownLeast, _ := extremes(own)
 		_, heldMost := extremes(held)
 		t.Logf("%+v: steps %v; a target is held by %d to %d boxes, %d or more beside it; a box holds up to %d", f, d, least, most, ownLeast, heldMost)
 		for i := range f.domains {
-			if bound := f.boxCounts().MostHolders(f.boxes, f.domain(i), d.Step(f.domain(i))); most > bound {
+			if bound := f.boxCounts().MaxHolders(f.boxes, f.domain(i), d.Step(f.domain(i))); most > bound {
 				t.Errorf("%+v: a target is held by %d boxes, its totals are divided by %d", f, most, bound)
 			}
 		}
@@ -122,7 +122,7 @@
 // Services of ordinary size, and large ones with few boxes, are told of whole.
 func TestOrdinaryServicesAreWhole(t *testing.T) {
 	for _, f := range []fleet{{6, 985, 250}, {6, 473, 415}, {3, 18, 10_000}, {1, 23, 5000}, {6, 0, 10_000}} {
-		if d := Next(nil, f.counts(), f.boxCounts()); d != nil {
+		if d := NextDivision(nil, f.counts(), f.boxCounts()); d != nil {
 			t.Errorf("%+v is divided: %v", f, d)
 		}
 	}
@@ -135,7 +135,7 @@
 	var d Division
 	changes := 0
 	next := func(x fleet) {
-		now := Next(d, x.counts(), x.boxCounts())
+		now := NextDivision(d, x.counts(), x.boxCounts())
 		if fmt.Sprint(now) != fmt.Sprint(d) {
 			changes++
 		}
--- a/pkg/core/table/registration.go
+++ b/pkg/core/table/registration.go
@@ -18,9 +18,9 @@
 	Address string       `json:"address"`
 	Domain  units.Domain `json:"domain,omitempty"`
 	// Software is the version of the target's software.
-	Software units.Software `json:"software,omitempty"`
-	Slots    int            `json:"slots,omitempty"`
-	State    RowState       `json:"state"`
+	Software units.SoftwareVersion `json:"software,omitempty"`
+	Slots    int                   `json:"slots,omitempty"`
+	State    RowState              `json:"state"`
 	// Sequence rises with each report of a start, so that a late one can be recognized.
 	Sequence uint64 `json:"sequence"`
 	// Cold is for how long the target stays cold, as it said when that last changed; zero
--- a/pkg/core/table/rollout.go
+++ b/pkg/core/table/rollout.go
@@ -36,9 +36,9 @@
 type Rollout struct {
 	Service units.ServiceName `json:"service"`
 	// From is the version in force when the rollout was ordered, To the one ordered.
-	From  units.Software `json:"from"`
-	To    units.Software `json:"to"`
-	Stage RolloutStage   `json:"stage"`
+	From  units.SoftwareVersion `json:"from"`
+	To    units.SoftwareVersion `json:"to"`
+	Stage RolloutStage          `json:"stage"`
 	// Order is the revision at which it was ordered and names it; Since is the revision of
 	// the last change.
 	Order units.Revision `json:"order"`
@@ -64,8 +64,8 @@
 
 // SoftwareInForce is the version of a service's software that takes its calls.
 type SoftwareInForce struct {
-	Service  units.ServiceName `json:"service"`
-	Software units.Software    `json:"software"`
+	Service  units.ServiceName     `json:"service"`
+	Software units.SoftwareVersion `json:"software"`
 }
 
 // Rollout returns the record of a service's last rollout, or nil.
@@ -79,7 +79,7 @@
 
 // SoftwareInForce returns the version of a service's software that takes its calls; empty
 // when targets of all versions do.
-func (t *Table) SoftwareInForce(service units.ServiceName) units.Software {
+func (t *Table) SoftwareInForce(service units.ServiceName) units.SoftwareVersion {
 	i, found := findByService(t.InForce, service, serviceInForce)
 	if !found {
 		return ""
--- a/pkg/core/table/rollout_test.go
+++ b/pkg/core/table/rollout_test.go
@@ -19,7 +19,7 @@
 func orderRollout(t *testing.T, state *State, d *datadriven.TestData) string {
 	o := &RolloutOrder{Service: units.ServiceName(d.CmdArgs[0].Key), Abort: d.Cmd == "abort", Operator: "test"}
 	if !o.Abort {
-		o.To = units.Software(d.CmdArgs[1].Key)
+		o.To = units.SoftwareVersion(d.CmdArgs[1].Key)
 	}
 	var duration, at int
 	base := int(state.Table().Revision)
@@ -68,7 +68,7 @@
 	var version string
 	d.MaybeScanArgs(t, "version", &version)
 	state.ApplyRegistration(&Registration{
-		Target: id, Service: units.ServiceName(d.CmdArgs[1].Key), Software: units.Software(version),
+		Target: id, Service: units.ServiceName(d.CmdArgs[1].Key), Software: units.SoftwareVersion(version),
 		Address: fmt.Sprintf("10.0.0.%d:80", 1+state.Registrations()), State: Active, Sequence: 1,
 	})
 	return fmt.Sprintf("revision %d\n", state.Table().Revision)
--- a/pkg/core/table/rolloutorder.go
+++ b/pkg/core/table/rolloutorder.go
@@ -10,8 +10,8 @@
 // RolloutOrder is an operator's order to move a service to another version of its software,
 // or to end the move under way.
 type RolloutOrder struct {
-	Service units.ServiceName `json:"service"`
-	To      units.Software    `json:"to"`
+	Service units.ServiceName     `json:"service"`
+	To      units.SoftwareVersion `json:"to"`
 	// Duration is the time in which the rollout is to end. Without one the version is put
 	// in force at once, which is done only where no other one takes calls.
 	Duration time.Duration `json:"duration"`
@@ -143,7 +143,7 @@
 }
 
 // hasSoftware tells whether a target of a version is registered; none is of no version.
-func (s *State) hasSoftware(service units.ServiceName, software units.Software) bool {
+func (s *State) hasSoftware(service units.ServiceName, software units.SoftwareVersion) bool {
 	if software == "" {
 		return false
 	}
--- a/pkg/core/table/row.go
+++ b/pkg/core/table/row.go
@@ -43,7 +43,7 @@
 	// Silent is set while a registered target doesn't report.
 	Silent bool `json:"silent,omitempty"`
 	// Software is the version of its software that a registered target named.
-	Software units.Software `json:"software,omitempty"`
+	Software units.SoftwareVersion `json:"software,omitempty"`
 	// Born tells the starts of a registered target apart; zero where it isn't told.
 	Born units.WallTime `json:"born,omitempty"`
 }
--- a/pkg/core/table/rows.go
+++ b/pkg/core/table/rows.go
@@ -17,7 +17,7 @@
 type Rows struct {
 	byTarget container.SortedMap[units.TargetID, *Row]
 	// registered counts the registered rows of each failure domain, in order.
-	registered []scope.Count
+	registered []scope.DomainCount
 }
 
 // RowsOf returns the given rows; of two rows of a target the later one counts.
@@ -48,16 +48,16 @@
 }
 
 // countRegistered counts the registered rows of each failure domain.
-func countRegistered(list []*Row) []scope.Count {
+func countRegistered(list []*Row) []scope.DomainCount {
 	counts := map[units.Domain]int{}
 	for _, r := range list {
 		if r.Registered {
 			counts[r.Domain]++
 		}
 	}
-	var registered []scope.Count
+	var registered []scope.DomainCount
 	for _, d := range slices.Sorted(maps.Keys(counts)) {
-		registered = append(registered, scope.Count{Domain: d, N: counts[d]})
+		registered = append(registered, scope.DomainCount{Domain: d, N: counts[d]})
 	}
 	return registered
 }
@@ -107,10 +107,10 @@
 	if row == nil || !row.Registered {
 		return
 	}
-	i, found := slices.BinarySearchFunc(r.registered, row.Domain, func(c scope.Count, d units.Domain) int { return cmp.Compare(c.Domain, d) })
+	i, found := slices.BinarySearchFunc(r.registered, row.Domain, func(c scope.DomainCount, d units.Domain) int { return cmp.Compare(c.Domain, d) })
 	r.registered = slices.Clone(r.registered)
 	if !found {
-		r.registered = slices.Insert(r.registered, i, scope.Count{Domain: row.Domain})
+		r.registered = slices.Insert(r.registered, i, scope.DomainCount{Domain: row.Domain})
 	}
 	r.registered[i].N += n
 	if r.registered[i].N == 0 {
--- a/pkg/core/table/scope.go
+++ b/pkg/core/table/scope.go
@@ -22,7 +22,7 @@
 		if old := s.table.Services[e.Service.Name]; old != nil {
 			before = old.Division
 		}
-		e.Division = scope.Next(before, e.Rows.registered, s.boxes)
+		e.Division = scope.NextDivision(before, e.Rows.registered, s.boxes)
 	}
 }
 
@@ -31,7 +31,7 @@
 	for _, n := range s.table.ServiceNames() {
 		e := s.table.Services[n]
 		changed := slices.ContainsFunc(d.Changed, func(x *Entry) bool { return x.Service.Name == n })
-		if changed || slices.Equal(e.Division, scope.Next(e.Division, e.Rows.registered, s.boxes)) {
+		if changed || slices.Equal(e.Division, scope.NextDivision(e.Division, e.Rows.registered, s.boxes)) {
 			continue
 		}
 		next := *e
@@ -41,8 +41,8 @@
 }
 
 // CountBoxes counts the boxes of each failure domain.
-func CountBoxes(boxes []Box) scope.Boxes {
-	counts := scope.Boxes{}
+func CountBoxes(boxes []Box) scope.BoxCounts {
+	counts := scope.BoxCounts{}
 	for _, b := range boxes {
 		counts[b.Domain]++
 	}
@@ -53,7 +53,7 @@
 type view struct {
 	division scope.Division
 	// trial is the version that a rollout tries: its targets are few and every box sends them calls.
-	trial units.Software
+	trial units.SoftwareVersion
 }
 
 func (t *Table) viewOf(e *Entry) view {
--- a/pkg/core/table/state.go
+++ b/pkg/core/table/state.go
@@ -28,7 +28,7 @@
 type State struct {
 	table *Table
 	// boxes counts the table's boxes by failure domain.
-	boxes   scope.Boxes
+	boxes   scope.BoxCounts
 	results map[units.EditID]*Result
 	// order holds the ids of results, oldest first.
 	order   []units.EditID
--- a/pkg/ctl/rollout.go
+++ b/pkg/ctl/rollout.go
@@ -27,7 +27,7 @@
 		return err
 	}
 	o := table.RolloutOrder{
-		Service: units.ServiceName(c.Args.Service), To: units.Software(c.Args.Version), Duration: c.Args.Duration,
+		Service: units.ServiceName(c.Args.Service), To: units.SoftwareVersion(c.Args.Version), Duration: c.Args.Duration,
 		Operator: c.tool.options.Operator,
 	}
 	if err := api.OrderRollout(o); err != nil {
--- a/pkg/entry/headers.go
+++ b/pkg/entry/headers.go
@@ -62,7 +62,7 @@
 
 // credentialOf returns the key that a request presents.
 func (e *Entry) credentialOf(ctx *fasthttp.RequestCtx) apikey.Credential {
-	return apikey.Presented(ctx.Request.Header.PeekAll(e.Settings.Entry.KeyHeader))
+	return apikey.CredentialFromHeader(ctx.Request.Header.PeekAll(e.Settings.Entry.KeyHeader))
 }
 
 // findUnsafeFraming names what makes a request's length ambiguous; such a
--- a/pkg/units/units.go
+++ b/pkg/units/units.go
@@ -29,8 +29,8 @@
 // Region names a group of failure domains that lie close together.
 type Region string
 
-// Software names a version of the software that a target runs.
-type Software string
+// SoftwareVersion names a version of the software that a target runs.
+type SoftwareVersion string
 
 // EditID is an operator's own name for an edit; a resent edit carries it again.
 type EditID string
--- a/pkg/wire/convert.go
+++ b/pkg/wire/convert.go
@@ -74,7 +74,7 @@
 		Domain: units.Domain(r.Domain), Weight: int(r.Weight), MaxInFlight: int(r.MaxInFlight),
 		MaxConnections: int(r.MaxConnections), MaxRate: r.MaxRate, State: table.RowState(r.State),
 		Registered: r.Registered, Slots: int(r.Slots), Cold: time.Duration(r.Cold), Silent: r.Silent,
-		Software: units.Software(r.Software), Born: units.WallTime(r.Born),
+		Software: units.SoftwareVersion(r.Software), Born: units.WallTime(r.Born),
 	}
 }
 
--- a/pkg/wire/convert_document.go
+++ b/pkg/wire/convert_document.go
@@ -116,7 +116,7 @@
 func ToRegistration(r *Registration) *table.Registration {
 	return &table.Registration{
 		Target: units.TargetID(r.Target), Service: units.ServiceName(r.Service), Address: r.Address,
-		Domain: units.Domain(r.Domain), Software: units.Software(r.Software), Slots: int(r.Slots), State: table.RowState(r.State),
+		Domain: units.Domain(r.Domain), Software: units.SoftwareVersion(r.Software), Slots: int(r.Slots), State: table.RowState(r.State),
 		Sequence: r.Sequence, Cold: time.Duration(r.Cold), Silent: r.Silent, Born: units.WallTime(r.Born),
 	}
 }
--- a/pkg/wire/convert_evidence.go
+++ b/pkg/wire/convert_evidence.go
@@ -32,7 +32,7 @@
 
 func toOneEvidence(x *VersionEvidence) rollout.Evidence {
 	out := rollout.Evidence{
-		Service: units.ServiceName(x.Service), Order: units.Revision(x.Order), Software: units.Software(x.Software),
+		Service: units.ServiceName(x.Service), Order: units.Revision(x.Order), Software: units.SoftwareVersion(x.Software),
 		Route: rollout.RouteID(x.Route), Good: x.Good, Bad: x.Bad, UnderWay: x.UnderWay,
 	}
 	copy(out.Times[:], x.Times)
--- a/pkg/wire/convert_limit.go
+++ b/pkg/wire/convert_limit.go
@@ -28,6 +28,6 @@
 	return routing.LimitMessage{
 		Kind: routing.LimitKind(m.Kind), Service: units.ServiceName(m.Service), Target: units.TargetID(m.Target),
 		Born: units.WallTime(m.Born), Nonce: m.Nonce, Count: max(0, int(m.Count)), Again: max(0, time.Duration(m.Again)),
-		Word: limit.Word{Version: m.Version, Limited: m.Limited, Rate: units.CallRate(rate)},
+		Word: limit.State{Version: m.Version, Limited: m.Limited, Rate: units.CallRate(rate)},
 	}
 }
--- a/pkg/wire/convert_rollout.go
+++ b/pkg/wire/convert_rollout.go
@@ -18,7 +18,7 @@
 
 func toRollout(r *Rollout) table.Rollout {
 	return table.Rollout{
-		Service: units.ServiceName(r.Service), From: units.Software(r.From), To: units.Software(r.To),
+		Service: units.ServiceName(r.Service), From: units.SoftwareVersion(r.From), To: units.SoftwareVersion(r.To),
 		Stage: table.RolloutStage(r.Stage), Order: units.Revision(r.Order), Since: units.Revision(r.Since),
 		Share: units.Percent(r.Share), Targets: toTargets(r.Targets), Duration: time.Duration(r.Duration),
 		Elapsed: time.Duration(r.Elapsed), Operator: r.Operator, At: units.WallTime(r.At), Reason: r.Reason,
@@ -38,7 +38,7 @@
 }
 
 func toInForce(x *SoftwareInForce) table.SoftwareInForce {
-	return table.SoftwareInForce{Service: units.ServiceName(x.Service), Software: units.Software(x.Software)}
+	return table.SoftwareInForce{Service: units.ServiceName(x.Service), Software: units.SoftwareVersion(x.Software)}
 }
 
 // FromRolloutOrder converts an operator's order.
@@ -52,7 +52,7 @@
 // ToRolloutOrder converts an operator's order back.
 func ToRolloutOrder(o *RolloutOrder) *table.RolloutOrder {
 	return &table.RolloutOrder{
-		Service: units.ServiceName(o.Service), To: units.Software(o.To), Duration: time.Duration(o.Duration),
+		Service: units.ServiceName(o.Service), To: units.SoftwareVersion(o.To), Duration: time.Duration(o.Duration),
 		Abort: o.Abort, Operator: o.Operator, Base: units.Revision(o.Base),
 	}
 }
--- a/test/rollout_test.go
+++ b/test/rollout_test.go
@@ -14,8 +14,8 @@
 
 const (
 	rolloutService = units.ServiceName("shop")
-	oldSoftware    = units.Software("v1")
-	newSoftware    = units.Software("v2")
+	oldSoftware    = units.SoftwareVersion("v1")
+	newSoftware    = units.SoftwareVersion("v2")
 	rolloutTime    = 10 * time.Second
 	// exposureEnd is how long after the last grant a box may still send the new version a
 	// call: the exposure's second, and room for a busy machine.
@@ -87,7 +87,7 @@
 }
 
 // keepReporting has targets of a version report themselves.
-func (x *rolloutStory) keepReporting(targets []*lab.TargetProcess, v units.Software) {
+func (x *rolloutStory) keepReporting(targets []*lab.TargetProcess, v units.SoftwareVersion) {
 	sequence := uint64(0)
 	api := x.api()
 	x.repeat(func() {
@@ -106,7 +106,7 @@
 	})
 }
 
-func (x *rolloutStory) wantInForce(v units.Software) error {
+func (x *rolloutStory) wantInForce(v units.SoftwareVersion) error {
 	t, err := x.api().Table()
 	if err == nil && t.SoftwareInForce(rolloutService) != v {
 		err = fmt.Errorf("version %q is in force", t.SoftwareInForce(rolloutService))
--- a/test/soak_rollout_test.go
+++ b/test/soak_rollout_test.go
@@ -23,7 +23,7 @@
 
 // softwareOf is the version of a target: every other one of the service is of the second, in
 // both failure domains.
-func (x *soak) softwareOf(service string, t int) units.Software {
+func (x *soak) softwareOf(service string, t int) units.SoftwareVersion {
 	switch {
 	case !x.rollsOut():
 		return ""
@@ -50,7 +50,7 @@
 // checkRollout orders a rollout, kills all replicas once it is acknowledged, and makes sure
 // that it goes on to an end, after which the version that isn't in force gets no calls.
 func (x *soak) checkRollout() {
-	var to units.Software
+	var to units.SoftwareVersion
 	x.must(lab.Eventually(patience, func() error {
 		x.keepBusy()
 		t, err := x.oneReplica(x.anyReplica()).Table()
@@ -89,7 +89,7 @@
 }
 
 // endOfRollout returns the table once every replica shows the rollout ended.
-func (x *soak) endOfRollout(to units.Software) (t *table.Table, err error) {
+func (x *soak) endOfRollout(to units.SoftwareVersion) (t *table.Table, err error) {
 	for _, n := range x.cluster.Replicas {
 		if t, err = x.oneReplica(n).Table(); err != nil {
 			return nil, err
@@ -106,7 +106,7 @@
 }
 
 // runsOfOthers counts the calls that the service's targets of other versions have run.
-func (x *soak) runsOfOthers(inForce units.Software) int {
+func (x *soak) runsOfOthers(inForce units.SoftwareVersion) int {
 	n := 0
 	for i, t := range x.targets {
 		service := soakServices[i%len(soakServices)]
