--- a/pkg/core/control/crash_test.go
+++ b/pkg/core/control/crash_test.go
@@ -344,7 +344,7 @@
 		t.Fatal(err)
 	}
 	again, err := wire.DecodeState(data)
-	if err != nil || len(again.Table().Quarantines) != len(list) || again.Table().QuarantineOf(list[3].Call) == nil {
+	if err != nil || len(again.Table().Quarantines) != len(list) || again.Table().QuarantineCovering(list[3].Call) == nil {
 		t.Errorf("read again there are %d: %v", len(again.Table().Quarantines), err)
 	}
 	t.Logf("%d calls in quarantine take %d bytes of a snapshot", len(list), len(data))
--- a/pkg/core/control/pushing.go
+++ b/pkg/core/control/pushing.go
@@ -156,7 +156,7 @@
 type boxUpdate struct {
 	from, to *table.Table
 	delta    *table.Delta
-	parts    *table.DeltaParts
+	parts    *table.DeltaDivider
 	messages []*wire.Envelope
 }
 
@@ -173,7 +173,7 @@
 // wholeTable is a table for boxes that have none: its messages, where all boxes are told the same, or its parts.
 type wholeTable struct {
 	table    *table.Table
-	parts    *table.TableParts
+	parts    *table.TableDivider
 	messages []*wire.Envelope
 }
 
@@ -184,7 +184,7 @@
 	}
 	*u = wholeTable{table: to}
 	if to.Divided() {
-		u.parts = to.Parts()
+		u.parts = to.Divider()
 	} else {
 		u.messages = fragments(wire.TableEnvelope(to), e)
 	}
@@ -198,7 +198,7 @@
 		delta := table.Difference(from, to)
 		*u = boxUpdate{from: from, to: to, delta: delta}
 		if delta.Divided(to) {
-			u.parts = delta.Parts(from, to)
+			u.parts = delta.Divider(from, to)
 		}
 	}
 	return u
--- a/pkg/core/control/pushing_test.go
+++ b/pkg/core/control/pushing_test.go
@@ -124,7 +124,7 @@
 	a.runFor(boxes * pushPerBox)
 	for i := range boxes {
 		a.renew(i)
-		want := a.replica.core.Table().Parts().For(&a.boxes[i])
+		want := a.replica.core.Table().Divider().For(&a.boxes[i])
 		if d := cmp.Diff(want, a.tables[i], cmpopts.EquateEmpty(), cmpopts.IgnoreFields(table.Entry{}, "Version")); d != "" {
 			t.Fatalf("box %d holds another part than is its own (-want +got):\n%s", i, d)
 		}
--- a/pkg/core/control/quarantines.go
+++ b/pkg/core/control/quarantines.go
@@ -132,7 +132,7 @@
 	for _, s := range n.Suspects {
 		b := &r.quarantines
 		b.verdicts = slices.DeleteFunc(b.verdicts, func(v openVerdict) bool { return v.Fingerprint.Covers(s.Fingerprint) })
-		if q := r.state.Table().QuarantineOf(s.Fingerprint); q != nil {
+		if q := r.state.Table().QuarantineCovering(s.Fingerprint); q != nil {
 			r.sightingOf(q).answered = true
 		}
 	}
@@ -197,7 +197,7 @@
 	case s.answered, r.now.Sub(s.refusedAt) >= quietLimit:
 		step.Action = table.EndQuarantine
 	case s.trialIsDue(q, r.now):
-		step.Action, step.Trial = table.TryQuarantined, q.Trials+1
+		step.Action, step.Trial = table.RecordQuarantineTrial, q.Trials+1
 		s.since = r.now
 		r.quarantines.trials = append(r.quarantines.trials, openTrial{
 			call: q.Call, number: step.Trial, box: s.refusedBy, until: r.now.Add(trialTime),
@@ -263,7 +263,7 @@
 // applyQuarantine applies a step of the log; the error is the answer to an order that is refused.
 func (r *Replica) applyQuarantine(x *table.QuarantineStep, at units.WallTime, e *Effects) (*table.Delta, error) {
 	outcome, delta := r.state.ApplyQuarantine(x, at)
-	if outcome == table.QuarantineOvertaken {
+	if outcome == table.QuarantineSuperseded {
 		return nil, fault.New(fault.Unavailable, "look at its present state and send the order again if it is still wanted",
 			"the quarantine of %s began anew", x.Call)
 	}
@@ -271,7 +271,7 @@
 		return nil, nil
 	}
 	kinds := map[table.QuarantineAction]ChangeKind{
-		table.BeginQuarantine: CallQuarantined, table.TryQuarantined: CallTried, table.EndQuarantine: CallReleased,
+		table.BeginQuarantine: CallQuarantined, table.RecordQuarantineTrial: CallTried, table.EndQuarantine: CallReleased,
 	}
 	e.Changes = append(e.Changes, Change{
 		Kind: kinds[x.Action], Call: x.Call, Targets: x.Targets, Trial: x.Trial, Operator: x.Operator, Revision: delta.Revision,
--- a/pkg/core/control/requests.go
+++ b/pkg/core/control/requests.go
@@ -149,7 +149,7 @@
 // evacuationError is the answer to an order that wasn't carried out, or nil.
 func evacuationError(o *table.EvacuationOrder, outcome table.EvacuationOutcome) error {
 	switch outcome {
-	case table.EvacuationOvertaken:
+	case table.EvacuationSuperseded:
 		return fault.New(fault.Unavailable, "look at its present state and send the order again if it is still wanted",
 			"another order changed the failure domain %s first", o.Domain)
 	case table.EvacuationUnknown:
--- a/pkg/core/control/rolloutorders.go
+++ b/pkg/core/control/rolloutorders.go
@@ -48,18 +48,18 @@
 // rolloutError is the answer to an order that was applied, by its outcome; nil where it is taken.
 func rolloutError(o *table.RolloutOrder, outcome table.RolloutOutcome) error {
 	switch outcome {
-	case table.RolloutConflicts:
+	case table.RolloutConflict:
 		return fault.New(fault.Conflict, "wait for its end, or end it first", "a rollout of %s to another version is under way", o.Service)
 	case table.RolloutUnknownService:
 		return fault.New(fault.NotFound, "name a service of the table", "there is no service %s, or no rollout of it", o.Service)
 	case table.RolloutNoVersion:
 		return fault.New(fault.Unavailable, "send it again once targets have registered", "it isn't known yet which version of %s is in force", o.Service)
-	case table.RolloutInForce:
+	case table.RolloutAlreadyInForce:
 		return fault.New(fault.Invalid, "name another version", "version %s of %s is in force already", o.To, o.Service)
-	case table.RolloutOvertaken:
+	case table.RolloutSuperseded:
 		return fault.New(fault.Unavailable, "look at its present state and send the order again if it is still wanted",
 			"another rollout of %s began or ended first", o.Service)
-	case table.RolloutOver:
+	case table.RolloutEnded:
 		return fault.New(fault.Conflict, "order a rollout to the version before", "the rollout of %s is completed", o.Service)
 	}
 	return nil
--- a/pkg/core/table/difference.go
+++ b/pkg/core/table/difference.go
@@ -39,7 +39,7 @@
 	for _, n := range to.ServiceNames() {
 		old, next := from.Services[n], to.Services[n]
 		switch {
-		case old == next && sameView(old, from, to):
+		case old == next && sameRowFilter(old, from, to):
 		case old == nil || !old.Service.equal(&next.Service):
 			d.Changed = append(d.Changed, next)
 		default:
@@ -48,9 +48,9 @@
 	}
 }
 
-// sameView tells whether a box holds the rows of an entry by the same rule in two tables.
-func sameView(e *Entry, from, to *Table) bool {
-	a, b := from.viewOf(e), to.viewOf(e)
+// sameRowFilter tells whether a box holds the rows of an entry by the same rule in two tables.
+func sameRowFilter(e *Entry, from, to *Table) bool {
+	a, b := from.rowFilterOf(e), to.rowFilterOf(e)
 	return a.equal(&b)
 }
 
--- a/pkg/core/table/document.go
+++ b/pkg/core/table/document.go
@@ -89,7 +89,7 @@
 			delta.Removed = append(delta.Removed, n)
 		}
 	}
-	s.endRollouts(delta)
+	s.rollBackRemovedServices(delta)
 	return s.commit(delta)
 }
 
@@ -127,7 +127,7 @@
 
 // commit puts a delta in force and returns it.
 func (s *State) commit(d *Delta) *Delta {
-	s.rescope(d)
+	s.updateDivisions(d)
 	s.table, _ = s.table.Patch(d)
 	return d
 }
--- a/pkg/core/table/draft.go
+++ b/pkg/core/table/draft.go
@@ -14,8 +14,8 @@
 	// changed holds the new entries; a nil entry stands for a removed service.
 	changed map[units.ServiceName]*Entry
 	order   []units.ServiceName
-	// placesChanged is set when a service may answer to other hosts or paths.
-	placesChanged bool
+	// matchesChanged is set when a service may answer to other hosts or paths.
+	matchesChanged bool
 }
 
 // draft carries out an edit's operations on the side. The detail says why it
@@ -23,17 +23,17 @@
 func (s *State) draft(e *Edit) (*draft, string) {
 	d := &draft{base: s.table, changed: map[units.ServiceName]*Entry{}}
 	for i, o := range e.Operations {
-		if detail := d.carryOut(o); detail != "" {
+		if detail := d.apply(o); detail != "" {
 			return nil, fmt.Sprintf("operation %d: %s", i+1, detail)
 		}
 	}
-	if !d.placesChanged {
+	if !d.matchesChanged {
 		return d, ""
 	}
-	return d, d.findSharedHost()
+	return d, d.findDuplicateMatch()
 }
 
-func (d *draft) carryOut(o Operation) string {
+func (d *draft) apply(o Operation) string {
 	name := o.ServiceName()
 	entry := d.entry(name)
 	if entry == nil && o.Kind != PutService {
@@ -41,7 +41,7 @@
 	}
 	switch o.Kind {
 	case PutService:
-		d.placesChanged = true
+		d.matchesChanged = true
 		next := &Entry{Service: *o.Service}
 		if entry != nil {
 			next.Rows = entry.Rows
@@ -74,10 +74,10 @@
 	d.changed[name] = e
 }
 
-// findSharedHost makes sure that a call's host and path name one service.
-func (d *draft) findSharedHost() string {
-	type place struct{ host, prefix string }
-	owners := map[place]units.ServiceName{}
+// findDuplicateMatch makes sure that a call's host and path name one service.
+func (d *draft) findDuplicateMatch() string {
+	type match struct{ host, prefix string }
+	owners := map[match]units.ServiceName{}
 	names := slices.Concat(d.base.ServiceNames(), d.order)
 	slices.Sort(names)
 	for _, n := range slices.Compact(names) {
@@ -86,11 +86,11 @@
 			continue
 		}
 		for _, h := range hostsOrAny(entry.Service.Hosts) {
-			p := place{host: h, prefix: entry.Service.PathPrefix}
-			if owner, taken := owners[p]; taken {
-				return fmt.Sprintf("services %s and %s answer to the same host %q and path prefix %q; change one of them", owner, n, h, p.prefix)
+			m := match{host: h, prefix: entry.Service.PathPrefix}
+			if owner, duplicate := owners[m]; duplicate {
+				return fmt.Sprintf("services %s and %s answer to the same host %q and path prefix %q; change one of them", owner, n, h, m.prefix)
 			}
-			owners[p] = n
+			owners[m] = n
 		}
 	}
 	return ""
--- a/pkg/core/table/evacuation.go
+++ b/pkg/core/table/evacuation.go
@@ -38,8 +38,8 @@
 const (
 	// EvacuationDone: what was ordered holds.
 	EvacuationDone EvacuationOutcome = iota + 1
-	// EvacuationOvertaken: the domain has changed since the order was taken.
-	EvacuationOvertaken
+	// EvacuationSuperseded: the domain has changed since the order was taken.
+	EvacuationSuperseded
 	// EvacuationUnknown: no box and no target is in such a domain.
 	EvacuationUnknown
 )
@@ -55,12 +55,12 @@
 // order for what holds already is done; that is how one that was sent again ends. The
 // delta is nil when the table isn't changed.
 func (s *State) ApplyEvacuation(o *EvacuationOrder, at units.WallTime) (EvacuationOutcome, *Delta) {
-	held := s.table.Evacuation(o.Domain)
+	current := s.table.Evacuation(o.Domain)
 	switch {
 	case s.table.Evacuated(o.Domain) == o.Evacuate:
 		return EvacuationDone, nil
-	case held != nil && held.Since > o.Base:
-		return EvacuationOvertaken, nil
+	case current != nil && current.Since > o.Base:
+		return EvacuationSuperseded, nil
 	case !s.knowsDomain(o.Domain):
 		return EvacuationUnknown, nil
 	}
--- a/pkg/core/table/quarantine.go
+++ b/pkg/core/table/quarantine.go
@@ -12,8 +12,8 @@
 // in every box's table; the oldest makes room for a new one.
 const MaxQuarantines = 256
 
-// maxNamedTargets bounds the targets that a quarantine names.
-const maxNamedTargets = 8
+// maxListedTargets bounds the targets that a quarantine names.
+const maxListedTargets = 8
 
 // Quarantine keeps a call from all targets, because targets crash when they run it.
 type Quarantine struct {
@@ -37,8 +37,8 @@
 const (
 	// BeginQuarantine keeps a call from targets.
 	BeginQuarantine QuarantineAction = iota + 1
-	// TryQuarantined counts one call that is let through.
-	TryQuarantined
+	// RecordQuarantineTrial counts one call that is let through.
+	RecordQuarantineTrial
 	// EndQuarantine gives the call to targets again.
 	EndQuarantine
 )
@@ -66,30 +66,30 @@
 const (
 	// QuarantineDone: what the step is for holds.
 	QuarantineDone QuarantineOutcome = iota + 1
-	// QuarantineOvertaken: the quarantine has begun anew since the step was decided.
-	QuarantineOvertaken
+	// QuarantineSuperseded: the quarantine has begun anew since the step was decided.
+	QuarantineSuperseded
 )
 
 // ApplyQuarantine applies a step at a time that the whole cluster agrees on. A step that comes
 // again is done and changes nothing. The delta is nil when the table isn't changed.
 func (s *State) ApplyQuarantine(x *QuarantineStep, at units.WallTime) (QuarantineOutcome, *Delta) {
-	held := s.table.Quarantine(x.Call)
-	if held != nil && x.Action != BeginQuarantine && held.Since > x.Base {
-		return QuarantineOvertaken, nil
+	current := s.table.Quarantine(x.Call)
+	if current != nil && x.Action != BeginQuarantine && current.Since > x.Base {
+		return QuarantineSuperseded, nil
 	}
 	delta := s.newDelta()
 	switch {
-	case x.Action == BeginQuarantine && held == nil:
-		s.makeRoom(delta)
+	case x.Action == BeginQuarantine && current == nil:
+		s.evictOldestQuarantine(delta)
 		delta.Quarantines = []Quarantine{{
-			Call: x.Call, Service: x.Service, Targets: x.Targets[:min(len(x.Targets), maxNamedTargets)], Since: delta.Revision, At: at,
+			Call: x.Call, Service: x.Service, Targets: x.Targets[:min(len(x.Targets), maxListedTargets)], Since: delta.Revision, At: at,
 			Doubtful: x.Doubtful,
 		}}
-	case x.Action == TryQuarantined && held != nil && x.Trial == held.Trials+1:
-		next := *held
+	case x.Action == RecordQuarantineTrial && current != nil && x.Trial == current.Trials+1:
+		next := *current
 		next.Trials = x.Trial
 		delta.Quarantines = []Quarantine{next}
-	case x.Action == EndQuarantine && held != nil:
+	case x.Action == EndQuarantine && current != nil:
 		delta.Released = []crash.Fingerprint{x.Call}
 	default:
 		return QuarantineDone, nil
@@ -97,8 +97,8 @@
 	return QuarantineDone, s.commit(delta)
 }
 
-// makeRoom releases the oldest quarantine where there are as many as there may be.
-func (s *State) makeRoom(delta *Delta) {
+// evictOldestQuarantine releases the oldest quarantine where there are as many as there may be.
+func (s *State) evictOldestQuarantine(delta *Delta) {
 	list := s.table.Quarantines
 	if len(list) < MaxQuarantines {
 		return
@@ -116,8 +116,8 @@
 	return &t.Quarantines[i]
 }
 
-// QuarantineOf returns the quarantine that covers a call, or nil.
-func (t *Table) QuarantineOf(f crash.Fingerprint) *Quarantine {
+// QuarantineCovering returns the quarantine that covers a call, or nil.
+func (t *Table) QuarantineCovering(f crash.Fingerprint) *Quarantine {
 	if q := t.Quarantine(f); q != nil {
 		return q
 	}
--- a/pkg/core/table/rollout.go
+++ b/pkg/core/table/rollout.go
@@ -24,12 +24,12 @@
 	RolloutRolledBack
 )
 
-var stageWords = map[RolloutStage]string{
+var stageNames = map[RolloutStage]string{
 	RolloutTrial: "trial", RolloutShifted: "shifted", RolloutCompleted: "completed", RolloutRolledBack: "rolled-back",
 }
 
 // String returns the stage's name.
-func (s RolloutStage) String() string { return stageWords[s] }
+func (s RolloutStage) String() string { return stageNames[s] }
 
 // Rollout is the move of a service's calls to another version of its software. A service
 // keeps the record of its last one.
--- a/pkg/core/table/rollout_test.go
+++ b/pkg/core/table/rollout_test.go
@@ -11,9 +11,9 @@
 )
 
 var rolloutOutcomes = map[RolloutOutcome]string{
-	RolloutTaken: "taken", RolloutConflicts: "conflicts", RolloutUnknownService: "unknown service", RolloutNoVersion: "no version in force",
-	RolloutInForce: "in force already", RolloutOver: "over",
-	RolloutOvertaken: "overtaken",
+	RolloutAccepted: "taken", RolloutConflict: "conflicts", RolloutUnknownService: "unknown service", RolloutNoVersion: "no version in force",
+	RolloutAlreadyInForce: "in force already", RolloutEnded: "over",
+	RolloutSuperseded: "overtaken",
 }
 
 func orderRollout(t *testing.T, state *State, d *datadriven.TestData) string {
@@ -40,7 +40,7 @@
 	if _, err := fmt.Sscan(d.CmdArgs[1].Key, &x.Order); err != nil {
 		d.Fatalf(t, "%v", err)
 	}
-	for stage, word := range stageWords {
+	for stage, word := range stageNames {
 		if word == d.CmdArgs[2].Key {
 			x.Stage = stage
 		}
--- a/pkg/core/table/rolloutorder.go
+++ b/pkg/core/table/rolloutorder.go
@@ -40,27 +40,27 @@
 
 // The outcomes.
 const (
-	// RolloutTaken: the rollout is under way or has ended, by this order or the same one
+	// RolloutAccepted: the rollout is under way or has ended, by this order or the same one
 	// that was sent before.
-	RolloutTaken RolloutOutcome = iota + 1
-	// RolloutConflicts: a rollout to another version is under way.
-	RolloutConflicts
+	RolloutAccepted RolloutOutcome = iota + 1
+	// RolloutConflict: a rollout to another version is under way.
+	RolloutConflict
 	// RolloutUnknownService: there is no such service.
 	RolloutUnknownService
 	// RolloutNoVersion: no version of the service is in force yet.
 	RolloutNoVersion
-	// RolloutInForce: the version is in force already.
-	RolloutInForce
-	// RolloutOver: the rollout to be ended isn't under way any more.
-	RolloutOver
-	// RolloutOvertaken: a rollout of the service has begun or ended since the order was taken.
-	RolloutOvertaken
+	// RolloutAlreadyInForce: the version is in force already.
+	RolloutAlreadyInForce
+	// RolloutEnded: the rollout to be ended isn't under way any more.
+	RolloutEnded
+	// RolloutSuperseded: a rollout of the service has begun or ended since the order was taken.
+	RolloutSuperseded
 )
 
-// rolloutRepeat is how long after a rollout was ordered an order of the same version counts
+// rolloutRetryWindow is how long after a rollout was ordered an order of the same version counts
 // as the same order, sent again. Without that, an order whose acknowledgement was lost would
 // start a version again that was rolled back meanwhile.
-const rolloutRepeat = 30 * time.Second
+const rolloutRetryWindow = 30 * time.Second
 
 // ApplyRolloutOrder carries out an order at a time that the whole cluster agrees on. The
 // delta is nil when the table isn't changed. A version that no target has yet is tried once
@@ -71,35 +71,35 @@
 	case o.Abort:
 		return s.abortRollout(held, o)
 	case o.Duration == 0:
-		return RolloutTaken, s.adoptSoftware(o)
+		return RolloutAccepted, s.setInitialSoftware(o)
 	case held.Active() && held.To == o.To:
-		return RolloutTaken, nil
+		return RolloutAccepted, nil
 	case held.Active():
-		return RolloutConflicts, nil
-	case held != nil && held.To == o.To && (held.Stage == RolloutCompleted && inForce == o.To || held.orderedJustBefore(at)):
-		return RolloutTaken, nil
+		return RolloutConflict, nil
+	case held != nil && held.To == o.To && (held.Stage == RolloutCompleted && inForce == o.To || held.orderedRecently(at)):
+		return RolloutAccepted, nil
 	case held != nil && held.Since > o.Base:
-		return RolloutOvertaken, nil
+		return RolloutSuperseded, nil
 	case s.table.Services[o.Service] == nil:
 		return RolloutUnknownService, nil
 	case inForce == "":
 		return RolloutNoVersion, nil
 	case inForce == o.To:
-		return RolloutInForce, nil
+		return RolloutAlreadyInForce, nil
 	}
 	delta := s.newDelta()
 	delta.Rollouts = []Rollout{{
 		Service: o.Service, From: inForce, To: o.To, Stage: RolloutTrial, Order: delta.Revision, Since: delta.Revision,
 		Duration: o.Duration, Operator: o.Operator, At: at, Reason: "ordered; no target is tried yet",
 	}}
-	return RolloutTaken, s.commit(delta)
+	return RolloutAccepted, s.commit(delta)
 }
 
-// orderedJustBefore tells whether the rollout was ordered within rolloutRepeat of a time, whichever
+// orderedRecently tells whether the rollout was ordered within rolloutRepeat of a time, whichever
 // replica's wall clock is ahead.
-func (r *Rollout) orderedJustBefore(at units.WallTime) bool {
+func (r *Rollout) orderedRecently(at units.WallTime) bool {
 	since := at - r.At
-	return max(since, -since) < units.WallTime(rolloutRepeat.Milliseconds())
+	return max(since, -since) < units.WallTime(rolloutRetryWindow.Milliseconds())
 }
 
 // abortRollout rolls back the rollout under way, unless it began after the order was taken.
@@ -108,11 +108,11 @@
 	case held == nil:
 		return RolloutUnknownService, nil
 	case held.Order > o.Base:
-		return RolloutOvertaken, nil
+		return RolloutSuperseded, nil
 	case held.Stage == RolloutRolledBack:
-		return RolloutTaken, nil
+		return RolloutAccepted, nil
 	case held.Stage == RolloutCompleted:
-		return RolloutOver, nil
+		return RolloutEnded, nil
 	}
 	reason := "ended by an operator"
 	if o.Operator != "" {
@@ -120,7 +120,7 @@
 	}
 	delta := s.newDelta()
 	delta.Rollouts = []Rollout{held.rolledBack(delta.Revision, reason)}
-	return RolloutTaken, s.commit(delta)
+	return RolloutAccepted, s.commit(delta)
 }
 
 // rolledBack returns the record as of a roll back at a revision.
@@ -130,9 +130,9 @@
 	return next
 }
 
-// adoptSoftware puts a version in force where none is, or where no target of the one in
+// setInitialSoftware puts a version in force where none is, or where no target of the one in
 // force is left.
-func (s *State) adoptSoftware(o *RolloutOrder) *Delta {
+func (s *State) setInitialSoftware(o *RolloutOrder) *Delta {
 	present := s.table.SoftwareInForce(o.Service)
 	if s.table.Rollout(o.Service).Active() || o.To == present || s.hasSoftware(o.Service, present) {
 		return nil
@@ -188,9 +188,9 @@
 	return r.Stage == x.Stage && r.Share == x.Share && slices.Equal(r.Targets, x.Targets)
 }
 
-// endRollouts rolls back the rollouts of services that a delta removes: nothing can be said
+// rollBackRemovedServices rolls back the rollouts of services that a delta removes: nothing can be said
 // any more about their versions.
-func (s *State) endRollouts(d *Delta) {
+func (s *State) rollBackRemovedServices(d *Delta) {
 	for _, name := range d.Removed {
 		if held := s.table.Rollout(name); held.Active() {
 			d.Rollouts = append(d.Rollouts, held.rolledBack(d.Revision, "the service was removed"))
--- a/pkg/core/table/scope.go
+++ b/pkg/core/table/scope.go
@@ -10,12 +10,12 @@
 // Boxes are sent the rows of large services in part. The table says how each service is divided; what a
 // box is sent of a table, or of a change, follows from that and from who the box is.
 
-// rescope works out how the services of a delta are divided, and adds those that are divided
+// updateDivisions works out how the services of a delta are divided, and adds those that are divided
 // otherwise because boxes came or went.
-func (s *State) rescope(d *Delta) {
+func (s *State) updateDivisions(d *Delta) {
 	if !d.Boxes.Empty() {
 		s.boxes = CountBoxes(patchBoxes(s.table.Boxes, d.Boxes))
-		s.rescopeOthers(d)
+		s.updateOtherDivisions(d)
 	}
 	for _, e := range d.Changed {
 		var before scope.Division
@@ -26,8 +26,8 @@
 	}
 }
 
-// rescopeOthers adds to a delta the services that a change of the list of boxes divides otherwise.
-func (s *State) rescopeOthers(d *Delta) {
+// updateOtherDivisions adds to a delta the services that a change of the list of boxes divides otherwise.
+func (s *State) updateOtherDivisions(d *Delta) {
 	for _, n := range s.table.ServiceNames() {
 		e := s.table.Services[n]
 		changed := slices.ContainsFunc(d.Changed, func(x *Entry) bool { return x.Service.Name == n })
@@ -49,39 +49,39 @@
 	return counts
 }
 
-// view decides which rows of a service a box holds.
-type view struct {
+// rowFilter decides which rows of a service a box holds.
+type rowFilter struct {
 	division scope.Division
 	// trial is the version that a rollout tries: its targets are few and every box sends them calls.
 	trial units.SoftwareVersion
 }
 
-func (t *Table) viewOf(e *Entry) view {
-	v := view{division: e.Division}
+func (t *Table) rowFilterOf(e *Entry) rowFilter {
+	f := rowFilter{division: e.Division}
 	if x := t.Rollout(e.Service.Name); x != nil && x.Active() {
-		v.trial = x.To
+		f.trial = x.To
 	}
-	return v
+	return f
 }
 
-func (v *view) equal(o *view) bool {
-	return slices.Equal(v.division, o.division) && (v.trial == o.trial || v.whole())
+func (f *rowFilter) equal(o *rowFilter) bool {
+	return slices.Equal(f.division, o.division) && (f.trial == o.trial || f.includesAll())
 }
 
-// whole tells whether every box holds all rows.
-func (v *view) whole() bool { return len(v.division) == 0 }
+// includesAll tells whether every box holds all rows.
+func (f *rowFilter) includesAll() bool { return len(f.division) == 0 }
 
-// shows tells whether a box holds a row.
-func (v *view) shows(b *Box, r *Row) bool {
-	if v.everywhere(r) {
+// includes tells whether a box holds a row.
+func (f *rowFilter) includes(b *Box, r *Row) bool {
+	if f.everyBoxHolds(r) {
 		return true
 	}
-	return scope.RankOf(b.ID, r.Target).Holds(v.division.StepOf(b.Domain, r.Domain))
+	return scope.RankOf(b.ID, r.Target).Holds(f.division.StepOf(b.Domain, r.Domain))
 }
 
-// everywhere tells whether every box holds a row whatever the division.
-func (v *view) everywhere(r *Row) bool {
-	return !r.Registered || v.trial != "" && r.Software == v.trial
+// everyBoxHolds tells whether every box holds a row whatever the division.
+func (f *rowFilter) everyBoxHolds(r *Row) bool {
+	return !r.Registered || f.trial != "" && r.Software == f.trial
 }
 
 // Divided tells whether boxes are told of different parts of the table.
--- a/pkg/core/table/scope_test.go
+++ b/pkg/core/table/scope_test.go
@@ -50,7 +50,7 @@
 		s.RestoreDocument(base.Document(), all, nil)
 		box := &numberedBoxes(0, 200, domains)[rapid.IntRange(0, 199).Draw(t, "box")]
 		from := s.Table()
-		held := from.Parts().For(box)
+		held := from.Divider().For(box)
 		sequence := uint64(2)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			sequence++
@@ -62,7 +62,7 @@
 		}
 		held = pushPart(t, held, box, from, s.Table())
 		// A service's version comes with the next change of the box's part.
-		if d := cmp.Diff(s.Table().Parts().For(box), held, cmpopts.EquateEmpty(), cmpopts.IgnoreFields(Entry{}, "Version")); d != "" {
+		if d := cmp.Diff(s.Table().Divider().For(box), held, cmpopts.EquateEmpty(), cmpopts.IgnoreFields(Entry{}, "Version")); d != "" {
 			t.Fatal(d)
 		}
 	})
@@ -72,7 +72,7 @@
 	if from == to {
 		return held
 	}
-	next, ok := held.Patch(Difference(from, to).Parts(from, to).For(box))
+	next, ok := held.Patch(Difference(from, to).Divider(from, to).For(box))
 	if !ok {
 		t.Fatal("the part of a change doesn't follow")
 	}
@@ -122,13 +122,13 @@
 	const domains = 6
 	s := largeService(boxes, targets, domains)
 	box := &numberedBoxes(0, 1, domains)[0]
-	held = s.Table().Parts().For(box).Services["s"].Rows.Len()
+	held = s.Table().Divider().For(box).Services["s"].Rows.Len()
 	for i := range targets {
 		from := s.Table()
 		r := numberedTarget(i, domains, 2)
 		r.State = Leaving
 		s.ApplyRegistration(r)
-		part := Difference(from, s.Table()).Parts(from, s.Table()).For(box)
+		part := Difference(from, s.Table()).Divider(from, s.Table()).For(box)
 		for _, p := range part.Patched {
 			sent += len(p.Put) + len(p.Removed)
 		}
--- a/pkg/core/table/script_test.go
+++ b/pkg/core/table/script_test.go
@@ -67,7 +67,7 @@
 }
 
 var evacuationWords = map[EvacuationOutcome]string{
-	EvacuationDone: "done", EvacuationOvertaken: "overtaken", EvacuationUnknown: "unknown domain",
+	EvacuationDone: "done", EvacuationSuperseded: "overtaken", EvacuationUnknown: "unknown domain",
 }
 
 func orderEvacuation(t *testing.T, state *State, d *datadriven.TestData) string {
--- a/pkg/core/table/state.go
+++ b/pkg/core/table/state.go
@@ -161,7 +161,7 @@
 		return reject(result, detail), nil
 	}
 	delta := draft.delta()
-	s.endRollouts(delta)
+	s.rollBackRemovedServices(delta)
 	result.Outcome = Accepted
 	result.Revision = delta.Revision
 	for _, c := range delta.Changed {
