--- a/pkg/core/control/orders_test.go
+++ b/pkg/core/control/orders_test.go
@@ -84,10 +84,10 @@
 		w.orders.sent[version] = source
 	}
 	d := &table.Document{Version: version, Source: []byte(source), Services: []table.Service{
-		{Name: "s", Work: table.Once, Deadline: time.Second},
+		{Name: "s", Work: table.AtMostOnce, Deadline: time.Second},
 	}, Routes: []*table.Route{{
-		Name: "r", Host: "h", PathPrefix: fmt.Sprintf("/%d/", version%7), Work: table.Once, Deadline: time.Second,
-		Parts: []table.Part{{Service: "s", Weight: 1}},
+		Name: "r", Host: "h", PathPrefix: fmt.Sprintf("/%d/", version%7), Work: table.AtMostOnce, Deadline: time.Second,
+		Services: []table.WeightedService{{Service: "s", Weight: 1}},
 	}}}
 	w.order(r, func(id RequestID) Event { return DocumentSubmitted{Request: id, Document: d} }, func(a Answer) {
 		if a.Err == nil {
--- a/pkg/core/control/recovery_test.go
+++ b/pkg/core/control/recovery_test.go
@@ -109,14 +109,14 @@
 	w := newGrowingWorld(t, 1, 3, 3, 1)
 	w.run(2 * time.Second)
 	large := &table.Document{Version: 1, Source: []byte("large"), Services: []table.Service{
-		{Name: "s", Work: table.Once, Deadline: time.Second},
+		{Name: "s", Work: table.AtMostOnce, Deadline: time.Second},
 	}}
 	for i := range 1500 {
 		// Names that no compression makes small.
 		name := fmt.Sprintf("%016x%016x", w.random.Uint64(), w.random.Uint64())
 		large.Routes = append(large.Routes, &table.Route{
-			Name: fmt.Sprintf("r%d", i), Host: name, PathPrefix: "/" + name + "/", Work: table.Once,
-			Deadline: time.Second, Parts: []table.Part{{Service: "s", Weight: 1}},
+			Name: fmt.Sprintf("r%d", i), Host: name, PathPrefix: "/" + name + "/", Work: table.AtMostOnce,
+			Deadline: time.Second, Services: []table.WeightedService{{Service: "s", Weight: 1}},
 		})
 	}
 	w.order(w.leader(), func(id RequestID) Event { return DocumentSubmitted{Request: id, Document: large} }, func(a Answer) {
--- a/pkg/core/control/replica.go
+++ b/pkg/core/control/replica.go
@@ -266,7 +266,7 @@
 // targets, so that an entry's part of a snapshot doesn't grow with the state, and a start reads no more
 // entries than there are targets.
 func (r *Replica) snapshotEvery() int {
-	return max(r.settings.SnapshotEvery, r.state.Registrations()/2)
+	return max(r.settings.SnapshotEvery, r.state.RegistrationCount()/2)
 }
 
 func (r *Replica) compact(log *replication.Effects, e *Effects) {
--- a/pkg/core/control/requests.go
+++ b/pkg/core/control/requests.go
@@ -101,11 +101,11 @@
 	if !r.state.Outdated(v.Registration) {
 		r.hear(v.Registration.Target)
 	}
-	if !r.state.Fresh(v.Registration) {
+	if !r.state.IsUpdate(v.Registration) {
 		e.Answers = append(e.Answers, Answer{Request: v.Request})
 		return
 	}
-	if w := r.requests.reports[v.Registration.Target]; w != nil && w.report.SameFacts(v.Registration) {
+	if w := r.requests.reports[v.Registration.Target]; w != nil && w.report.SameContent(v.Registration) {
 		// The answer to the one that waits says as much.
 		w.requests = append(w.requests, v.Request)
 		return
@@ -126,7 +126,7 @@
 	departure := &wire.Departure{Target: string(v.Target)}
 	if held := r.state.Registration(v.Target); held != nil {
 		// A start that begins while the command is on its way stays.
-		departure.Born = int64(held.Born)
+		departure.Born = int64(held.StartedAt)
 	}
 	c := &wire.Command{Kind: &wire.Command_Departure{Departure: departure}}
 	r.submitCommand(v.Request, c, fmt.Sprintf("departure of target %s", v.Target), log, e)
--- a/pkg/core/control/rollouts.go
+++ b/pkg/core/control/rollouts.go
@@ -197,7 +197,7 @@
 		longest = entry.Service.Deadline
 	}
 	for _, route := range t.Routes {
-		if slices.ContainsFunc(route.Parts, func(p table.Part) bool { return p.Service == x.Service }) {
+		if slices.ContainsFunc(route.Services, func(p table.WeightedService) bool { return p.Service == x.Service }) {
 			longest = max(longest, route.Deadline)
 		}
 	}
@@ -211,7 +211,7 @@
 		if t.Service != service || t.Software != software || t.State != table.Active || t.Silent || r.state.Table().Evacuated(t.Domain) {
 			return
 		}
-		side = append(side, rollout.Candidate{Target: t.Target, Domain: t.Domain, Slots: t.Slots, Cold: t.Cold > 0})
+		side = append(side, rollout.Candidate{Target: t.Target, Domain: t.Domain, Slots: t.Slots, Cold: t.ColdRemaining > 0})
 	})
 	return side
 }
--- a/pkg/core/control/storm_bench_test.go
+++ b/pkg/core/control/storm_bench_test.go
@@ -126,7 +126,7 @@
 			}
 		}
 		b.StopTimer()
-		if n := r.core.state.Registrations(); n != targets {
+		if n := r.core.state.RegistrationCount(); n != targets {
 			b.Fatalf("%d targets are registered", n)
 		}
 	}
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -43,7 +43,7 @@
 	t.noteColdSend(r.now)
 	e.add(Effect{
 		Kind: Send, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint,
-		Deadline: c.deadline, NotAfter: r.notAfterOf(t), Connections: t.connections, Once: c.route.work == table.Once,
+		Deadline: c.deadline, NotAfter: r.notAfterOf(t), Connections: t.connections, Once: c.route.work == table.AtMostOnce,
 		PermitUntil: a.permit, Purpose: why, Evidence: evidence, Aim: c.route.aim, LargeAnswer: c.route.largeAnswers,
 		Workspace: c.workspaceName(),
 	})
--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -126,8 +126,8 @@
 	}
 	x.Boxes = f.boxes
 	route := &table.Route{
-		Host: "s", PathPrefix: "/", Work: table.Repeatable, Deadline: 2 * time.Second, Aim: 500 * time.Millisecond, MaxAttempts: 2,
-		Parts: []table.Part{{Service: "s", Weight: 1}},
+		Host: "s", PathPrefix: "/", Work: table.Repeatable, Deadline: 2 * time.Second, LatencyObjective: 500 * time.Millisecond, MaxAttempts: 2,
+		Services: []table.WeightedService{{Service: "s", Weight: 1}},
 	}
 	x.Routes = map[table.RouteKey]*table.Route{route.Key(): route}
 	return x
--- a/pkg/core/routing/crowd_test.go
+++ b/pkg/core/routing/crowd_test.go
@@ -99,8 +99,8 @@
 	}
 	x.Services["s"] = entry
 	route := &table.Route{
-		Host: "s", PathPrefix: "/", Work: table.Repeatable, Deadline: time.Second, Aim: crowdAim, MaxAttempts: 2,
-		Parts: []table.Part{{Service: "s", Weight: 1}},
+		Host: "s", PathPrefix: "/", Work: table.Repeatable, Deadline: time.Second, LatencyObjective: crowdAim, MaxAttempts: 2,
+		Services: []table.WeightedService{{Service: "s", Weight: 1}},
 	}
 	x.Routes = map[table.RouteKey]*table.Route{route.Key(): route}
 	return x
--- a/pkg/core/routing/inbound_test.go
+++ b/pkg/core/routing/inbound_test.go
@@ -45,8 +45,8 @@
 	next.Routes = map[table.RouteKey]*table.Route{}
 	for host, large := range map[string]bool{"large": true, "small": false} {
 		r := &table.Route{
-			Name: host, Host: host, PathPrefix: "/", Work: table.Repeatable, Deadline: time.Second, Aim: 400 * time.Millisecond,
-			LargeAnswers: large, Parts: []table.Part{{Service: "s", Weight: 1}},
+			Name: host, Host: host, PathPrefix: "/", Work: table.Repeatable, Deadline: time.Second, LatencyObjective: 400 * time.Millisecond,
+			LargeResponses: large, Services: []table.WeightedService{{Service: "s", Weight: 1}},
 		}
 		next.Routes[r.Key()] = r
 	}
--- a/pkg/core/routing/limit_fleet_test.go
+++ b/pkg/core/routing/limit_fleet_test.go
@@ -36,7 +36,7 @@
 	list     []table.Box
 	revision units.Revision
 	targets  []*limitTarget
-	work     table.Work
+	work     table.WorkKind
 	// loss is the part of messages that are lost, late the part that take up to two seconds.
 	loss, late float64
 	// slow is the part of connections that take up to half a second.
@@ -161,7 +161,7 @@
 	for _, x := range f.targets {
 		entry.Rows = entry.Rows.With(table.Row{
 			Service: "s", Target: x.id, Address: string(x.id) + ":1", Domain: x.domain, Weight: 100, State: table.Active,
-			Registered: true, Slots: 6, Born: x.born,
+			Registered: true, Slots: 6, StartedAt: x.born,
 		})
 	}
 	t.Services["s"] = entry
--- a/pkg/core/routing/notice_random_test.go
+++ b/pkg/core/routing/notice_random_test.go
@@ -53,7 +53,7 @@
 		for _, service := range []units.ServiceName{"once", "read", "file"} {
 			x.rows = append(x.rows, table.Row{
 				Service: service, Target: units.TargetID(fmt.Sprintf("%s-%d", service, i)), Address: fmt.Sprintf("10.0.0.%d:80", len(x.rows)),
-				Weight: 100, State: table.Active, Registered: true, Slots: 3, Born: 1,
+				Weight: 100, State: table.Active, Registered: true, Slots: 3, StartedAt: 1,
 			})
 			x.listed = append(x.listed, true)
 		}
@@ -67,7 +67,7 @@
 	x.revision++
 	next.Revision, next.Document = x.revision, 1
 	next.Boxes = []table.Box{{ID: "me"}}
-	works := map[units.ServiceName]table.Work{"once": table.Once, "read": table.Repeatable, "file": table.Patient}
+	works := map[units.ServiceName]table.WorkKind{"once": table.AtMostOnce, "read": table.Repeatable, "file": table.Patient}
 	for name, work := range works {
 		next.Services[name] = &table.Entry{Version: units.Version(x.revision), Service: table.Service{
 			Name: name, Work: work, Hosts: []string{string(name)}, Deadline: 2 * time.Second, HoldLimit: time.Second, HoldCount: 20,
@@ -200,7 +200,7 @@
 	case 0:
 		x.listed[i] = !x.listed[i]
 	case 1:
-		x.rows[i].Born++
+		x.rows[i].StartedAt++
 	case 2:
 		x.rows[i].Address += "0"
 	case 3:
--- a/pkg/core/routing/regions_test.go
+++ b/pkg/core/routing/regions_test.go
@@ -81,8 +81,8 @@
 	f.table.Revision, f.table.Document = 1, 1
 	f.table.Services["rates"] = entry
 	f.table.Routes = map[table.RouteKey]*table.Route{{Host: "rates", PathPrefix: "/"}: {
-		Name: "rates", Host: "rates", PathPrefix: "/", Work: table.Repeatable, Deadline: time.Second, Aim: 300 * time.Millisecond,
-		Parts: []table.Part{{Service: "rates", Weight: 1}},
+		Name: "rates", Host: "rates", PathPrefix: "/", Work: table.Repeatable, Deadline: time.Second, LatencyObjective: 300 * time.Millisecond,
+		Services: []table.WeightedService{{Service: "rates", Weight: 1}},
 	}}
 	for _, d := range dark {
 		f.dark[d] = true
--- a/pkg/core/routing/residency_test.go
+++ b/pkg/core/routing/residency_test.go
@@ -136,8 +136,8 @@
 			continue
 		}
 		x := &table.Route{
-			Name: prefix, Host: "h", PathPrefix: prefix, Work: table.Work(rapid.IntRange(int(table.Repeatable), int(table.Patient)).Draw(w.T, "work")),
-			Deadline: time.Second, Aim: 100 * time.Millisecond, Parts: []table.Part{{Service: "a", Weight: 3}, {Service: "b", Weight: 1}},
+			Name: prefix, Host: "h", PathPrefix: prefix, Work: table.WorkKind(rapid.IntRange(int(table.Repeatable), int(table.Patient)).Draw(w.T, "work")),
+			Deadline: time.Second, LatencyObjective: 100 * time.Millisecond, Services: []table.WeightedService{{Service: "a", Weight: 3}, {Service: "b", Weight: 1}},
 			Regions: w.drawAllowed(),
 		}
 		next.Routes[x.Key()] = x
--- a/pkg/core/routing/routes.go
+++ b/pkg/core/routing/routes.go
@@ -21,7 +21,7 @@
 type route struct {
 	host   string
 	prefix string
-	work   table.Work
+	work   table.WorkKind
 	// deadline bounds what a caller may ask for; zero leaves that to the settings.
 	deadline time.Duration
 	// usual is the deadline of a caller that asks for none.
@@ -63,13 +63,13 @@
 // no calls.
 func (r *Router) newRoute(row *table.Route) *route {
 	x := &route{
-		host: row.Host, prefix: row.PathPrefix, work: row.Work, deadline: row.Deadline, usual: row.Deadline, aim: row.Aim,
-		maxAttempts: maxAttempts, priority: row.Priority, largeAnswers: row.LargeAnswers, public: row.Public, regions: row.Regions,
+		host: row.Host, prefix: row.PathPrefix, work: row.Work, deadline: row.Deadline, usual: row.Deadline, aim: row.LatencyObjective,
+		maxAttempts: maxAttempts, priority: row.Priority, largeAnswers: row.LargeResponses, public: row.Public, regions: row.Regions,
 	}
 	if row.MaxAttempts > 0 {
 		x.maxAttempts = min(row.MaxAttempts, maxAttempts)
 	}
-	for _, p := range row.Parts {
+	for _, p := range row.Services {
 		if s := r.services[p.Service]; s != nil && p.Weight > 0 {
 			x.parts = append(x.parts, routePart{service: s, weight: p.Weight})
 		}
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -326,7 +326,7 @@
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		r.Cold = cold
+		r.ColdRemaining = cold
 		return
 	}
 	if v, told := strings.CutPrefix(word, "born="); told {
@@ -334,7 +334,7 @@
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		r.Born = units.WallTime(born)
+		r.StartedAt = units.WallTime(born)
 		return
 	}
 	if v, named := strings.CutPrefix(word, "software="); named {
--- a/pkg/core/routing/silence_test.go
+++ b/pkg/core/routing/silence_test.go
@@ -56,7 +56,7 @@
 	hangSeed = 20261202
 )
 
-func newHangFleet(t *testing.T, work table.Work, boxes, targets int) *hangFleet {
+func newHangFleet(t *testing.T, work table.WorkKind, boxes, targets int) *hangFleet {
 	w := &hangFleet{
 		t: t, random: rand.New(rand.NewPCG(hangSeed, 1)), now: units.Instant(time.Second),
 		targets: map[units.TargetID]*hangingTarget{}, started: map[string]units.Instant{}, sent: map[string]int{},
@@ -77,8 +77,8 @@
 	}
 	next.Services["shop"] = entry
 	route := &table.Route{
-		Name: "shop", Host: "shop", PathPrefix: "/", Work: work, Deadline: hangDeadline, Aim: hangAim,
-		Parts: []table.Part{{Service: "shop", Weight: 1}},
+		Name: "shop", Host: "shop", PathPrefix: "/", Work: work, Deadline: hangDeadline, LatencyObjective: hangAim,
+		Services: []table.WeightedService{{Service: "shop", Weight: 1}},
 	}
 	next.Routes = map[table.RouteKey]*table.Route{route.Key(): route}
 	for i := range boxes {
@@ -237,7 +237,7 @@
 // TestOnceCallsAtTargetsThatHang has calls that may run once come to the same targets: none is
 // sent twice, or told not to have run after it was sent.
 func TestOnceCallsAtTargetsThatHang(t *testing.T) {
-	w := newHangFleet(t, table.Once, 10, 3)
+	w := newHangFleet(t, table.AtMostOnce, 10, 3)
 	w.run(6*time.Second, 33*time.Millisecond)
 	for name, n := range w.sent {
 		if n > 1 {
--- a/pkg/core/routing/split_test.go
+++ b/pkg/core/routing/split_test.go
@@ -20,11 +20,11 @@
 		x.Services[name] = entry
 	}
 	other := &table.Route{
-		Host: "other", PathPrefix: "/", Work: table.Repeatable, Deadline: time.Duration(revision) * time.Second, Parts: []table.Part{{Service: "a", Weight: 1}},
+		Host: "other", PathPrefix: "/", Work: table.Repeatable, Deadline: time.Duration(revision) * time.Second, Services: []table.WeightedService{{Service: "a", Weight: 1}},
 	}
 	route := &table.Route{
 		Host: "s", PathPrefix: "/", Work: table.Repeatable, Deadline: time.Second, MaxAttempts: 1,
-		Parts: []table.Part{{Service: "a", Weight: 75}, {Service: "b", Weight: 25}},
+		Services: []table.WeightedService{{Service: "a", Weight: 75}, {Service: "b", Weight: 25}},
 	}
 	x.Routes = map[table.RouteKey]*table.Route{route.Key(): route, other.Key(): other}
 	return x
--- a/pkg/core/table/document.go
+++ b/pkg/core/table/document.go
@@ -25,7 +25,7 @@
 	names := map[units.ServiceName]bool{}
 	for i := range d.Services {
 		s := &d.Services[i]
-		if problems := check(documentServiceRules, s); len(problems) > 0 {
+		if problems := findProblems(documentServiceRules, s); len(problems) > 0 {
 			return fmt.Sprintf("service %q: %s", s.Name, joinProblems(problems))
 		}
 		if names[s.Name] {
@@ -56,7 +56,7 @@
 	if problems := CheckRoute(r); len(problems) > 0 {
 		return joinProblems(problems)
 	}
-	for _, p := range r.Parts {
+	for _, p := range r.Services {
 		if !services[p.Service] {
 			return fmt.Sprintf("service %q isn't in the document; add it", p.Service)
 		}
@@ -110,7 +110,7 @@
 	entry := &Entry{Service: *service, Version: units.Version(delta.Revision)}
 	var rows []Row
 	if old != nil {
-		rows = old.Rows.entered()
+		rows = old.Rows.operatorRows()
 	}
 	for _, r := range s.targets {
 		if r.Service == service.Name {
--- a/pkg/core/table/evacuation.go
+++ b/pkg/core/table/evacuation.go
@@ -49,7 +49,7 @@
 }
 
 // CheckEvacuation returns what is wrong with an order, or nothing.
-func CheckEvacuation(o *EvacuationOrder) []Problem { return check(evacuationRules, o) }
+func CheckEvacuation(o *EvacuationOrder) []Problem { return findProblems(evacuationRules, o) }
 
 // ApplyEvacuation carries out an order at a time that the whole cluster agrees on. An
 // order for what holds already is done; that is how one that was sent again ends. The
--- a/pkg/core/table/names.go
+++ b/pkg/core/table/names.go
@@ -12,9 +12,9 @@
 	text  string
 }
 
-var workNames = []enumName[Work]{
+var workNames = []enumName[WorkKind]{
 	{Repeatable, "repeatable"},
-	{Once, "once"},
+	{AtMostOnce, "once"},
 	{Patient, "patient"},
 }
 
@@ -59,13 +59,13 @@
 }
 
 // String returns the word for a kind of work.
-func (w Work) String() string { return enumText(workNames, w) }
+func (w WorkKind) String() string { return enumText(workNames, w) }
 
 // MarshalText writes a kind of work as its word.
-func (w Work) MarshalText() ([]byte, error) { return []byte(w.String()), nil }
+func (w WorkKind) MarshalText() ([]byte, error) { return []byte(w.String()), nil }
 
 // UnmarshalText reads a kind of work; an unknown word is an Invalid fault.
-func (w *Work) UnmarshalText(text []byte) (err error) {
+func (w *WorkKind) UnmarshalText(text []byte) (err error) {
 	*w, err = parseEnum(workNames, "work", text)
 	return err
 }
--- a/pkg/core/table/patch_test.go
+++ b/pkg/core/table/patch_test.go
@@ -13,7 +13,7 @@
 )
 
 func drawEntry(t *rapid.T, label string, version units.Version) *Entry {
-	e := &Entry{Service: Service{Name: "s", Work: Once, Deadline: 1}, Version: version}
+	e := &Entry{Service: Service{Name: "s", Work: AtMostOnce, Deadline: 1}, Version: version}
 	if rapid.IntRange(0, 4).Draw(t, label+" other settings") == 0 {
 		e.Service.HoldCount = 7
 	}
--- a/pkg/core/table/quarantine.go
+++ b/pkg/core/table/quarantine.go
@@ -72,25 +72,25 @@
 
 // ApplyQuarantine applies a step at a time that the whole cluster agrees on. A step that comes
 // again is done and changes nothing. The delta is nil when the table isn't changed.
-func (s *State) ApplyQuarantine(x *QuarantineStep, at units.WallTime) (QuarantineOutcome, *Delta) {
-	current := s.table.Quarantine(x.Call)
-	if current != nil && x.Action != BeginQuarantine && current.Since > x.Base {
+func (s *State) ApplyQuarantine(step *QuarantineStep, at units.WallTime) (QuarantineOutcome, *Delta) {
+	current := s.table.Quarantine(step.Call)
+	if current != nil && step.Action != BeginQuarantine && current.Since > step.Base {
 		return QuarantineSuperseded, nil
 	}
 	delta := s.newDelta()
 	switch {
-	case x.Action == BeginQuarantine && current == nil:
+	case step.Action == BeginQuarantine && current == nil:
 		s.evictOldestQuarantine(delta)
 		delta.Quarantines = []Quarantine{{
-			Call: x.Call, Service: x.Service, Targets: x.Targets[:min(len(x.Targets), maxListedTargets)], Since: delta.Revision, At: at,
-			Doubtful: x.Doubtful,
+			Call: step.Call, Service: step.Service, Targets: step.Targets[:min(len(step.Targets), maxListedTargets)], Since: delta.Revision, At: at,
+			Doubtful: step.Doubtful,
 		}}
-	case x.Action == RecordQuarantineTrial && current != nil && x.Trial == current.Trials+1:
+	case step.Action == RecordQuarantineTrial && current != nil && step.Trial == current.Trials+1:
 		next := *current
-		next.Trials = x.Trial
+		next.Trials = step.Trial
 		delta.Quarantines = []Quarantine{next}
-	case x.Action == EndQuarantine && current != nil:
-		delta.Released = []crash.Fingerprint{x.Call}
+	case step.Action == EndQuarantine && current != nil:
+		delta.Released = []crash.Fingerprint{step.Call}
 	default:
 		return QuarantineDone, nil
 	}
--- a/pkg/core/table/registration.go
+++ b/pkg/core/table/registration.go
@@ -11,9 +11,9 @@
 // start again under the id that it had; Born tells its starts apart.
 type Registration struct {
 	Target units.TargetID `json:"target"`
-	// Born is when this start of the target began, by its own clock; zero where it isn't told.
-	Born    units.WallTime    `json:"born,omitempty"`
-	Service units.ServiceName `json:"service"`
+	// StartedAt is when this start of the target began, by its own clock; zero where it isn't told.
+	StartedAt units.WallTime    `json:"born,omitempty"`
+	Service   units.ServiceName `json:"service"`
 	// Address is an IP number and a port.
 	Address string       `json:"address"`
 	Domain  units.Domain `json:"domain,omitempty"`
@@ -23,9 +23,9 @@
 	State    RowState              `json:"state"`
 	// Sequence rises with each report of a start, so that a late one can be recognized.
 	Sequence uint64 `json:"sequence"`
-	// Cold is for how long the target stays cold, as it said when that last changed; zero
+	// ColdRemaining is for how long the target stays cold, as it said when that last changed; zero
 	// for a warm one.
-	Cold time.Duration `json:"cold,omitempty"`
+	ColdRemaining time.Duration `json:"cold,omitempty"`
 	// Silent is set while no report comes, although reports of others do.
 	Silent bool `json:"silent,omitempty"`
 }
@@ -42,11 +42,11 @@
 	{"service", func(r *Registration) bool { return validName(string(r.Service)) }, "use 1 to 64 of a-z, 0-9, '-', '.' and '_'"},
 	{"address", func(r *Registration) bool { return validAddress(r.Address) }, "write an IP number and a port, such as 10.0.0.7:8080"},
 	{"state", func(r *Registration) bool { return r.State == Active || r.State == Leaving }, "write active or leaving"},
-	{"born", func(r *Registration) bool { return r.Born >= 0 }, "give the time of the start in milliseconds since 1970"},
+	{"born", func(r *Registration) bool { return r.StartedAt >= 0 }, "give the time of the start in milliseconds since 1970"},
 	{"domain", func(r *Registration) bool { return len(r.Domain) <= MaxNameLength }, "use at most 64 characters"},
 	{"software", func(r *Registration) bool { return len(r.Software) <= MaxNameLength }, "use at most 64 characters"},
 	{"slots", func(r *Registration) bool { return r.Slots >= 0 && r.Slots <= maxSlots }, "give 0 for unknown, or a number up to 1000000"},
-	{"cold", func(r *Registration) bool { return r.Cold >= 0 && r.Cold <= maxCold }, "give the time left, up to 24h"},
+	{"cold", func(r *Registration) bool { return r.ColdRemaining >= 0 && r.ColdRemaining <= maxCold }, "give the time left, up to 24h"},
 }
 
 const (
@@ -57,25 +57,25 @@
 )
 
 // CheckRegistration returns what is wrong with a registration, or nothing.
-func CheckRegistration(r *Registration) []Problem { return check(registrationRules, r) }
+func CheckRegistration(r *Registration) []Problem { return findProblems(registrationRules, r) }
 
 // row is the registered target's row of the table.
 func (r *Registration) row(s *Service) Row {
 	return Row{
 		Service: r.Service, Target: r.Target, Address: r.Address, Domain: r.Domain, Weight: registeredWeight,
-		MaxConnections: s.TargetConnections, State: r.State, Registered: true, Slots: r.Slots, Cold: r.Cold, Silent: r.Silent,
-		Software: r.Software, Born: r.Born,
+		MaxConnections: s.TargetConnections, State: r.State, Registered: true, Slots: r.Slots, ColdRemaining: r.ColdRemaining, Silent: r.Silent,
+		Software: r.Software, StartedAt: r.StartedAt,
 	}
 }
 
-// SameFacts tells whether a later registration says nothing new. While a target is cold
+// SameContent tells whether a later registration says nothing new. While a target is cold
 // the time left gets shorter; it is news only when the target is warm at last, or has
 // become cold again.
-func (r *Registration) SameFacts(o *Registration) bool {
+func (r *Registration) SameContent(o *Registration) bool {
 	a, b := *r, *o
 	a.Sequence, b.Sequence = 0, 0
-	if a.Cold > 0 && b.Cold > 0 && b.Cold <= a.Cold {
-		b.Cold = a.Cold
+	if a.ColdRemaining > 0 && b.ColdRemaining > 0 && b.ColdRemaining <= a.ColdRemaining {
+		b.ColdRemaining = a.ColdRemaining
 	}
 	a.Silent, b.Silent = false, false
 	return a == b
@@ -84,8 +84,8 @@
 // Registration returns a registered target, or nil.
 func (s *State) Registration(id units.TargetID) *Registration { return s.targets[id] }
 
-// Registrations returns the number of registered targets.
-func (s *State) Registrations() int { return len(s.targets) }
+// RegistrationCount returns the number of registered targets.
+func (s *State) RegistrationCount() int { return len(s.targets) }
 
 // EachRegistration calls f with every registered target.
 func (s *State) EachRegistration(f func(*Registration)) {
@@ -96,21 +96,21 @@
 
 // Departed tells whether a target has left and hasn't started again.
 func (s *State) Departed(id units.TargetID) bool {
-	_, left := s.departed[id]
-	return left && s.targets[id] == nil
+	_, departed := s.departed[id]
+	return departed && s.targets[id] == nil
 }
 
-// Fresh tells whether a report says anything that the state doesn't hold. A report
+// IsUpdate tells whether a report says anything that the state doesn't hold. A report
 // that is older than what is held says nothing.
-func (s *State) Fresh(r *Registration) bool {
-	held := s.targets[r.Target]
+func (s *State) IsUpdate(r *Registration) bool {
+	current := s.targets[r.Target]
 	switch {
 	case s.Outdated(r) || s.Foreign(r):
 		return false
-	case held == nil || r.isOtherStart(held):
+	case current == nil || r.isDifferentStart(current):
 		return true
 	}
-	return r.Sequence > held.Sequence && !held.SameFacts(r)
+	return r.Sequence > current.Sequence && !current.SameContent(r)
 }
 
 // Outdated tells whether a report is of an earlier start of its target than the one that is held
@@ -118,68 +118,68 @@
 // has fallen silent is a later one, whose clock is behind: reports that a cut held up come
 // before their target is silent.
 func (s *State) Outdated(r *Registration) bool {
-	if gone, left := s.departed[r.Target]; left && (gone == 0 || r.Born <= gone) {
+	if lastStart, departed := s.departed[r.Target]; departed && (lastStart == 0 || r.StartedAt <= lastStart) {
 		return true
 	}
-	held := s.targets[r.Target]
-	if held == nil {
-		held = s.targets[s.byAddress[r.Address]]
+	current := s.targets[r.Target]
+	if current == nil {
+		current = s.targets[s.byAddress[r.Address]]
 	}
-	return held != nil && r.isOtherStart(held) && r.Born < held.Born && !held.Silent
+	return current != nil && r.isDifferentStart(current) && r.StartedAt < current.StartedAt && !current.Silent
 }
 
 // Foreign tells whether a report is one that would take away a target which is well: it names no
 // service of the table, or doesn't say when a start began that did before.
 func (s *State) Foreign(r *Registration) bool {
-	held := s.targets[r.Target]
-	if held != nil && held.Born != 0 && r.Born == 0 {
+	current := s.targets[r.Target]
+	if current != nil && current.StartedAt != 0 && r.StartedAt == 0 {
 		return true
 	}
-	if held == nil {
-		held = s.targets[s.byAddress[r.Address]]
+	if current == nil {
+		current = s.targets[s.byAddress[r.Address]]
 	}
-	return held != nil && s.table.Services[r.Service] == nil && s.table.Services[held.Service] != nil
+	return current != nil && s.table.Services[r.Service] == nil && s.table.Services[current.Service] != nil
 }
 
-// isOtherStart tells whether two reports are known to be of different starts of a target.
-func (r *Registration) isOtherStart(o *Registration) bool {
-	return r.Born != 0 && o.Born != 0 && r.Born != o.Born
+// isDifferentStart tells whether two reports are known to be of different starts of a target.
+func (r *Registration) isDifferentStart(o *Registration) bool {
+	return r.StartedAt != 0 && o.StartedAt != 0 && r.StartedAt != o.StartedAt
 }
 
 // ApplyRegistration takes a target's report. A target that registers at another
 // one's address takes its place: the other must have ended. The delta is nil when
 // the table isn't changed.
 func (s *State) ApplyRegistration(r *Registration) *Delta {
-	if !s.Fresh(r) {
+	if !s.IsUpdate(r) {
 		return nil
 	}
 	delta := s.newDelta()
-	if held := s.targets[r.Target]; held != nil {
-		if held.Service != r.Service {
-			s.dropRow(held, delta)
+	if current := s.targets[r.Target]; current != nil {
+		if current.Service != r.Service {
+			s.removeRow(current, delta)
 		}
 	}
 	if o := s.targets[s.byAddress[r.Address]]; o != nil && o.Target != r.Target {
-		s.dropRow(o, delta)
-		s.release(o)
-		s.rememberDeparted(o.Target, o.Born)
+		s.removeRow(o, delta)
+		s.removeRegistration(o)
+		s.recordDeparture(o.Target, o.StartedAt)
 	}
-	s.hold(r)
+	s.storeRegistration(r)
 	s.putRow(r, delta)
 	return s.commitIfChanged(delta)
 }
 
-// hold keeps a registration, in place of an earlier one of the same target.
-func (s *State) hold(r *Registration) {
-	if held := s.targets[r.Target]; held != nil {
-		s.release(held)
+// storeRegistration keeps a registration, in place of an earlier one of the same target.
+func (s *State) storeRegistration(r *Registration) {
+	if current := s.targets[r.Target]; current != nil {
+		s.removeRegistration(current)
 	}
 	s.targets[r.Target] = r
 	s.byAddress[r.Address] = r.Target
 }
 
-// release forgets a registration.
-func (s *State) release(r *Registration) {
+// removeRegistration forgets a registration.
+func (s *State) removeRegistration(r *Registration) {
 	delete(s.targets, r.Target)
 	if s.byAddress[r.Address] == r.Target {
 		delete(s.byAddress, r.Address)
@@ -188,16 +188,16 @@
 
 // ApplyDeparture takes a start of a target out for good, the present one where born is zero. A
 // start that has begun since stays.
-func (s *State) ApplyDeparture(id units.TargetID, born units.WallTime) *Delta {
+func (s *State) ApplyDeparture(id units.TargetID, startedAt units.WallTime) *Delta {
 	r := s.targets[id]
-	if r == nil || born != 0 && r.Born > born {
-		s.rememberDeparted(id, born)
+	if r == nil || startedAt != 0 && r.StartedAt > startedAt {
+		s.recordDeparture(id, startedAt)
 		return nil
 	}
-	s.rememberDeparted(id, max(born, r.Born))
-	s.release(r)
+	s.recordDeparture(id, max(startedAt, r.StartedAt))
+	s.removeRegistration(r)
 	delta := s.newDelta()
-	s.dropRow(r, delta)
+	s.removeRow(r, delta)
 	return s.commitIfChanged(delta)
 }
 
@@ -214,13 +214,13 @@
 }
 
 func (s *State) setSilent(id units.TargetID, silent bool, delta *Delta) {
-	held := s.targets[id]
-	if held == nil || held.Silent == silent {
+	current := s.targets[id]
+	if current == nil || current.Silent == silent {
 		return
 	}
-	r := *held
+	r := *current
 	r.Silent = silent
-	s.hold(&r)
+	s.storeRegistration(&r)
 	s.putRow(&r, delta)
 }
 
@@ -254,23 +254,23 @@
 	}
 }
 
-func (s *State) dropRow(r *Registration, delta *Delta) {
+func (s *State) removeRow(r *Registration, delta *Delta) {
 	if entry := s.draftEntry(r.Service, delta); entry != nil {
 		entry.Rows = entry.Rows.Without(r.Target)
 	}
 }
 
-// rememberDeparted remembers that the starts of a target up to one have left; without a time
+// recordDeparture remembers that the starts of a target up to one have left; without a time
 // all have, as far as nothing else is known.
-func (s *State) rememberDeparted(id units.TargetID, born units.WallTime) {
-	if gone, left := s.departed[id]; left {
-		s.departed[id] = max(gone, born)
+func (s *State) recordDeparture(id units.TargetID, startedAt units.WallTime) {
+	if lastStart, departed := s.departed[id]; departed {
+		s.departed[id] = max(lastStart, startedAt)
 		return
 	}
 	if len(s.departedOrder) >= MaxDeparted {
 		delete(s.departed, s.departedOrder[0])
 		s.departedOrder = slices.Delete(s.departedOrder, 0, 1)
 	}
-	s.departed[id] = born
+	s.departed[id] = startedAt
 	s.departedOrder = append(s.departedOrder, id)
 }
--- a/pkg/core/table/registration_test.go
+++ b/pkg/core/table/registration_test.go
@@ -12,7 +12,7 @@
 // newRegistrations returns a state with one service.
 func newRegistrations() *State {
 	s := NewState()
-	s.ApplyDocument(&Document{Version: 1, Services: []Service{{Name: "s", Work: Once, Deadline: time.Second}}})
+	s.ApplyDocument(&Document{Version: 1, Services: []Service{{Name: "s", Work: AtMostOnce, Deadline: time.Second}}})
 	return s
 }
 
@@ -36,7 +36,7 @@
 	s.ApplyRegistration(registration("old", "10.0.0.1:80", 1))
 	s.ApplyRegistration(registration("new", "10.0.0.1:80", 1))
 	late := registration("old", "10.0.0.1:80", 7)
-	if s.Fresh(late) || s.ApplyRegistration(late) != nil {
+	if s.IsUpdate(late) || s.ApplyRegistration(late) != nil {
 		t.Error("the late report changed the table")
 	}
 	if ids := rowsOf(s); len(ids) != 1 || ids[0] != "new" {
@@ -50,7 +50,7 @@
 	s := newRegistrations()
 	report := func(sequence uint64, cold time.Duration) bool {
 		r := registration("t", "10.0.0.1:80", sequence)
-		r.Cold = cold
+		r.ColdRemaining = cold
 		return s.ApplyRegistration(r) != nil
 	}
 	steps := []struct {
@@ -63,7 +63,7 @@
 		if got := report(uint64(i+1), x.cold); got != x.news {
 			t.Errorf("report %d, cold for %s: news is %t, want %t", i+1, x.cold, got, x.news)
 		}
-		if row := s.Table().Services["s"].Row("t"); x.news && row.Cold != x.cold {
+		if row := s.Table().Services["s"].Row("t"); x.news && row.ColdRemaining != x.cold {
 			t.Errorf("after report %d the row is %+v", i+1, row)
 		}
 	}
--- a/pkg/core/table/rollout_test.go
+++ b/pkg/core/table/rollout_test.go
@@ -69,7 +69,7 @@
 	d.MaybeScanArgs(t, "version", &version)
 	state.ApplyRegistration(&Registration{
 		Target: id, Service: units.ServiceName(d.CmdArgs[1].Key), Software: units.SoftwareVersion(version),
-		Address: fmt.Sprintf("10.0.0.%d:80", 1+state.Registrations()), State: Active, Sequence: 1,
+		Address: fmt.Sprintf("10.0.0.%d:80", 1+state.RegistrationCount()), State: Active, Sequence: 1,
 	})
 	return fmt.Sprintf("revision %d\n", state.Table().Revision)
 }
--- a/pkg/core/table/rolloutorder.go
+++ b/pkg/core/table/rolloutorder.go
@@ -66,19 +66,19 @@
 // delta is nil when the table isn't changed. A version that no target has yet is tried once
 // its first target has registered.
 func (s *State) ApplyRolloutOrder(o *RolloutOrder, at units.WallTime) (RolloutOutcome, *Delta) {
-	held, inForce := s.table.Rollout(o.Service), s.table.SoftwareInForce(o.Service)
+	current, inForce := s.table.Rollout(o.Service), s.table.SoftwareInForce(o.Service)
 	switch {
 	case o.Abort:
-		return s.abortRollout(held, o)
+		return s.abortRollout(current, o)
 	case o.Duration == 0:
 		return RolloutAccepted, s.setInitialSoftware(o)
-	case held.Active() && held.To == o.To:
+	case current.Active() && current.To == o.To:
 		return RolloutAccepted, nil
-	case held.Active():
+	case current.Active():
 		return RolloutConflict, nil
-	case held != nil && held.To == o.To && (held.Stage == RolloutCompleted && inForce == o.To || held.orderedRecently(at)):
+	case current != nil && current.To == o.To && (current.Stage == RolloutCompleted && inForce == o.To || current.orderedRecently(at)):
 		return RolloutAccepted, nil
-	case held != nil && held.Since > o.Base:
+	case current != nil && current.Since > o.Base:
 		return RolloutSuperseded, nil
 	case s.table.Services[o.Service] == nil:
 		return RolloutUnknownService, nil
@@ -103,15 +103,15 @@
 }
 
 // abortRollout rolls back the rollout under way, unless it began after the order was taken.
-func (s *State) abortRollout(held *Rollout, o *RolloutOrder) (RolloutOutcome, *Delta) {
+func (s *State) abortRollout(current *Rollout, o *RolloutOrder) (RolloutOutcome, *Delta) {
 	switch {
-	case held == nil:
+	case current == nil:
 		return RolloutUnknownService, nil
-	case held.Order > o.Base:
+	case current.Order > o.Base:
 		return RolloutSuperseded, nil
-	case held.Stage == RolloutRolledBack:
+	case current.Stage == RolloutRolledBack:
 		return RolloutAccepted, nil
-	case held.Stage == RolloutCompleted:
+	case current.Stage == RolloutCompleted:
 		return RolloutEnded, nil
 	}
 	reason := "ended by an operator"
@@ -119,7 +119,7 @@
 		reason = "ended by " + o.Operator
 	}
 	delta := s.newDelta()
-	delta.Rollouts = []Rollout{held.rolledBack(delta.Revision, reason)}
+	delta.Rollouts = []Rollout{current.rolledBack(delta.Revision, reason)}
 	return RolloutAccepted, s.commit(delta)
 }
 
@@ -133,8 +133,8 @@
 // setInitialSoftware puts a version in force where none is, or where no target of the one in
 // force is left.
 func (s *State) setInitialSoftware(o *RolloutOrder) *Delta {
-	present := s.table.SoftwareInForce(o.Service)
-	if s.table.Rollout(o.Service).Active() || o.To == present || s.hasSoftware(o.Service, present) {
+	current := s.table.SoftwareInForce(o.Service)
+	if s.table.Rollout(o.Service).Active() || o.To == current || s.hasSoftware(o.Service, current) {
 		return nil
 	}
 	delta := s.newDelta()
@@ -157,26 +157,26 @@
 
 // ApplyRolloutStep takes a leader's decision. One that names another rollout, or one that
 // has ended, or that leads back, changes nothing and gives no delta.
-func (s *State) ApplyRolloutStep(x *RolloutStep) *Delta {
-	held := s.table.Rollout(x.Service)
-	if !held.Active() || held.Order != x.Order || x.Stage < held.Stage {
+func (s *State) ApplyRolloutStep(step *RolloutStep) *Delta {
+	current := s.table.Rollout(step.Service)
+	if !current.Active() || current.Order != step.Order || step.Stage < current.Stage {
 		return nil
 	}
-	if x.Stage == RolloutCompleted && held.Stage != RolloutShifted {
+	if step.Stage == RolloutCompleted && current.Stage != RolloutShifted {
 		return nil
 	}
 	delta := s.newDelta()
-	next := *held
-	next.Elapsed = max(held.Elapsed, x.Elapsed)
-	if !held.sameStep(x) {
-		next.Stage, next.Since, next.Reason = x.Stage, delta.Revision, x.Reason
-		next.Share, next.Targets = x.Share, x.Targets
+	next := *current
+	next.Elapsed = max(current.Elapsed, step.Elapsed)
+	if !current.sameStep(step) {
+		next.Stage, next.Since, next.Reason = step.Stage, delta.Revision, step.Reason
+		next.Share, next.Targets = step.Share, step.Targets
 	}
 	switch next.Stage {
 	case RolloutCompleted:
-		delta.InForce = []SoftwareInForce{{Service: held.Service, Software: held.To}}
+		delta.InForce = []SoftwareInForce{{Service: current.Service, Software: current.To}}
 	case RolloutRolledBack:
-		next = next.rolledBack(delta.Revision, x.Reason)
+		next = next.rolledBack(delta.Revision, step.Reason)
 	}
 	delta.Rollouts = []Rollout{next}
 	return s.commit(delta)
@@ -184,16 +184,16 @@
 
 // sameStep tells whether a step says nothing new but the time: its stage, and the targets of
 // a trial, hold already.
-func (r *Rollout) sameStep(x *RolloutStep) bool {
-	return r.Stage == x.Stage && r.Share == x.Share && slices.Equal(r.Targets, x.Targets)
+func (r *Rollout) sameStep(step *RolloutStep) bool {
+	return r.Stage == step.Stage && r.Share == step.Share && slices.Equal(r.Targets, step.Targets)
 }
 
 // rollBackRemovedServices rolls back the rollouts of services that a delta removes: nothing can be said
 // any more about their versions.
 func (s *State) rollBackRemovedServices(d *Delta) {
 	for _, name := range d.Removed {
-		if held := s.table.Rollout(name); held.Active() {
-			d.Rollouts = append(d.Rollouts, held.rolledBack(d.Revision, "the service was removed"))
+		if current := s.table.Rollout(name); current.Active() {
+			d.Rollouts = append(d.Rollouts, current.rolledBack(d.Revision, "the service was removed"))
 		}
 	}
 }
@@ -205,4 +205,4 @@
 }
 
 // CheckRolloutOrder returns what is wrong with an order, or nothing.
-func CheckRolloutOrder(o *RolloutOrder) []Problem { return check(rolloutRules, o) }
+func CheckRolloutOrder(o *RolloutOrder) []Problem { return findProblems(rolloutRules, o) }
--- a/pkg/core/table/route.go
+++ b/pkg/core/table/route.go
@@ -12,34 +12,34 @@
 // Route sends the calls of a host and a path prefix to services. Where no route
 // matches, the hosts and prefixes of the services themselves count.
 type Route struct {
-	Name       string `json:"name"`
-	Host       string `json:"host"`
-	PathPrefix string `json:"pathPrefix"`
-	Work       Work   `json:"work"`
+	Name       string   `json:"name"`
+	Host       string   `json:"host"`
+	PathPrefix string   `json:"pathPrefix"`
+	Work       WorkKind `json:"work"`
 	// Deadline is how long a call may be held at the most, whatever its caller
 	// asks for.
 	Deadline time.Duration `json:"deadline"`
-	// Aim is the time within which an answer is worth its full value; zero means
+	// LatencyObjective is the time within which an answer is worth its full value; zero means
 	// that none is known.
-	Aim time.Duration `json:"aim,omitempty"`
+	LatencyObjective time.Duration `json:"aim,omitempty"`
 	// MaxAttempts is how many targets a call may be sent to; zero leaves it to the
 	// box.
 	MaxAttempts int `json:"maxAttempts,omitempty"`
 	// Priority ranks routes when not all calls can be served; 0 is the highest.
 	Priority int `json:"priority,omitempty"`
-	// LargeAnswers is set where answers may be many times as long as those of other routes:
+	// LargeResponses is set where answers may be many times as long as those of other routes:
 	// they yield the box's link to others.
-	LargeAnswers bool `json:"largeAnswers,omitempty"`
+	LargeResponses bool `json:"largeAnswers,omitempty"`
 	// Public is set where calls need no key of a workspace.
 	Public bool `json:"public,omitempty"`
 	// Regions restricts where calls may be served; nil allows every region.
 	Regions *AllowedRegions `json:"regions,omitempty"`
-	// Parts are the services that share the calls by weight.
-	Parts []Part `json:"parts"`
+	// Services are the services that share the calls by weight.
+	Services []WeightedService `json:"parts"`
 }
 
-// Part is one service's part of a route's calls.
-type Part struct {
+// WeightedService is one service's part of a route's calls.
+type WeightedService struct {
 	Service units.ServiceName `json:"service"`
 	Weight  int               `json:"weight"`
 }
@@ -55,9 +55,9 @@
 
 // equal tells whether two routes say the same.
 func (r *Route) equal(o *Route) bool {
-	return r.Name == o.Name && r.Key() == o.Key() && r.Work == o.Work && r.Deadline == o.Deadline && r.Aim == o.Aim &&
-		r.MaxAttempts == o.MaxAttempts && r.Priority == o.Priority && r.LargeAnswers == o.LargeAnswers && r.Public == o.Public &&
-		r.Regions.Equal(o.Regions) && slices.Equal(r.Parts, o.Parts)
+	return r.Name == o.Name && r.Key() == o.Key() && r.Work == o.Work && r.Deadline == o.Deadline && r.LatencyObjective == o.LatencyObjective &&
+		r.MaxAttempts == o.MaxAttempts && r.Priority == o.Priority && r.LargeResponses == o.LargeResponses && r.Public == o.Public &&
+		r.Regions.Equal(o.Regions) && slices.Equal(r.Services, o.Services)
 }
 
 // Compare orders routes by host and path prefix.
@@ -114,14 +114,14 @@
 	{"path_prefix", func(r *Route) bool { return strings.HasPrefix(r.PathPrefix, "/") }, "start it with a slash"},
 	{"work", func(r *Route) bool { return r.Work >= Repeatable && r.Work <= Patient }, "write repeatable, once or patient"},
 	{"deadline", func(r *Route) bool { return r.Deadline > 0 }, "give a positive duration such as 2s"},
-	{"aim", func(r *Route) bool { return r.Aim >= 0 }, "give a duration, or 0s for none"},
+	{"aim", func(r *Route) bool { return r.LatencyObjective >= 0 }, "give a duration, or 0s for none"},
 	{"max_attempts", func(r *Route) bool { return r.MaxAttempts >= 0 }, "give 0 for the box's own bound, or a positive number"},
 	{"regions", func(r *Route) bool { return r.Regions.valid() }, "name each region once, with 1 to 64 of a-z, 0-9, '-', '.' and '_'"},
-	{"parts", func(r *Route) bool { return partWeight(r.Parts) > 0 }, "give at least one service a positive weight, and none a negative one"},
+	{"parts", func(r *Route) bool { return totalWeight(r.Services) > 0 }, "give at least one service a positive weight, and none a negative one"},
 }
 
-// partWeight adds up the weights; a negative one makes the sum zero.
-func partWeight(parts []Part) int {
+// totalWeight adds up the weights; a negative one makes the sum zero.
+func totalWeight(parts []WeightedService) int {
 	sum := 0
 	for _, p := range parts {
 		if p.Weight < 0 || p.Weight > MaxWeight {
@@ -133,4 +133,4 @@
 }
 
 // CheckRoute returns what is wrong with a route, or nothing.
-func CheckRoute(r *Route) []Problem { return check(routeRules, r) }
+func CheckRoute(r *Route) []Problem { return findProblems(routeRules, r) }
--- a/pkg/core/table/rows.go
+++ b/pkg/core/table/rows.go
@@ -90,20 +90,20 @@
 	if old != nil && old.Registered == row.Registered && old.Domain == row.Domain {
 		return next
 	}
-	next.count(old, -1)
-	next.count(&row, 1)
+	next.adjustRegistered(old, -1)
+	next.adjustRegistered(&row, 1)
 	return next
 }
 
 // Without returns the rows without a target's.
 func (r Rows) Without(target units.TargetID) Rows {
 	next := Rows{byTarget: r.byTarget.Delete(target), registered: r.registered}
-	next.count(r.Get(target), -1)
+	next.adjustRegistered(r.Get(target), -1)
 	return next
 }
 
-// count counts a row in or out, in a list of its own.
-func (r *Rows) count(row *Row, n int) {
+// adjustRegistered counts a row in or out, in a list of its own.
+func (r *Rows) adjustRegistered(row *Row, n int) {
 	if row == nil || !row.Registered {
 		return
 	}
@@ -118,8 +118,8 @@
 	}
 }
 
-// entered returns a copy of the rows that operators entered, in order.
-func (r Rows) entered() []Row {
+// operatorRows returns a copy of the rows that operators operatorRows, in order.
+func (r Rows) operatorRows() []Row {
 	return slices.DeleteFunc(r.List(), func(row Row) bool { return row.Registered })
 }
 
--- a/pkg/core/table/rules.go
+++ b/pkg/core/table/rules.go
@@ -21,7 +21,7 @@
 // remedy when it doesn't.
 type rule[T any] struct {
 	column string
-	holds  func(*T) bool
+	valid  func(*T) bool
 	remedy string
 }
 
@@ -64,10 +64,10 @@
 	return fmt.Sprintf("column %s: %s", p.Column, p.Remedy)
 }
 
-func check[T any](rules []rule[T], v *T) []Problem {
+func findProblems[T any](rules []rule[T], v *T) []Problem {
 	var problems []Problem
 	for _, r := range rules {
-		if !r.holds(v) {
+		if !r.valid(v) {
 			problems = append(problems, Problem{Column: r.column, Remedy: r.remedy})
 		}
 	}
@@ -75,10 +75,10 @@
 }
 
 // CheckService returns what is wrong with a service, or nothing.
-func CheckService(s *Service) []Problem { return check(serviceRules, s) }
+func CheckService(s *Service) []Problem { return findProblems(serviceRules, s) }
 
 // CheckRow returns what is wrong with a row, or nothing.
-func CheckRow(r *Row) []Problem { return check(rowRules, r) }
+func CheckRow(r *Row) []Problem { return findProblems(rowRules, r) }
 
 func validPercent(p units.Percent) bool { return p >= 0 && p <= maxPercent }
 
--- a/pkg/core/table/service.go
+++ b/pkg/core/table/service.go
@@ -12,16 +12,16 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Work says how a service's calls may be treated.
-type Work int32
+// WorkKind says how a service's calls may be treated.
+type WorkKind int32
 
 // The kinds of work.
 const (
 	// Repeatable calls may be retried and hedged.
-	Repeatable Work = iota + 1
-	// Once calls are never sent again once a byte may have reached a target,
+	Repeatable WorkKind = iota + 1
+	// AtMostOnce calls are never sent again once a byte may have reached a target,
 	// unless that target said that it shed the call.
-	Once
+	AtMostOnce
 	// Patient calls may wait long, but must arrive complete.
 	Patient
 )
@@ -39,7 +39,7 @@
 // Service is one row of the services sheet.
 type Service struct {
 	Name       units.ServiceName `json:"name"`
-	Work       Work              `json:"work"`
+	Work       WorkKind          `json:"work"`
 	Hosts      []string          `json:"hosts,omitempty"`
 	PathPrefix string            `json:"pathPrefix,omitempty"`
 	// Deadline is how long a call may take when its caller names no deadline.
--- a/pkg/core/table/state.go
+++ b/pkg/core/table/state.go
@@ -14,8 +14,8 @@
 
 // Bounds of what the state remembers.
 const (
-	// ResultAge is how long a resent edit gets its first answer.
-	ResultAge = 24 * time.Hour
+	// ResultRetention is how long a resent edit gets its first answer.
+	ResultRetention = 24 * time.Hour
 	// MaxResults bounds the remembered answers; it covers ResultAge at twice the
 	// edits of the users' target (41,000 a day).
 	MaxResults = 82_000
@@ -30,9 +30,9 @@
 	// boxes counts the table's boxes by failure domain.
 	boxes   scope.BoxCounts
 	results map[units.EditID]*Result
-	// order holds the ids of results, oldest first.
-	order   []units.EditID
-	history *container.Ring[Result]
+	// resultOrder holds the ids of results, oldest first.
+	resultOrder []units.EditID
+	history     *container.Ring[Result]
 	// document is the whole document in force, nil before the first.
 	document *Document
 	// targets are those that registered by themselves.
@@ -63,25 +63,25 @@
 func (s *State) RestoreDocument(d *Document, targets []*Registration, departed []Departure) {
 	s.document = d
 	for _, r := range targets {
-		s.hold(r)
+		s.storeRegistration(r)
 	}
 	for _, x := range departed {
-		s.rememberDeparted(x.Target, x.Born)
+		s.recordDeparture(x.Target, x.StartedAt)
 	}
 }
 
 // Departure is a target that left for good.
 type Departure struct {
 	Target units.TargetID
-	// Born is when its last start that left began; zero where that isn't known.
-	Born units.WallTime
+	// StartedAt is when its last start that left began; zero where that isn't known.
+	StartedAt units.WallTime
 }
 
 // DepartedTargets returns the targets that left for good, oldest first.
 func (s *State) DepartedTargets() []Departure {
 	list := make([]Departure, 0, len(s.departedOrder))
 	for _, id := range s.departedOrder {
-		list = append(list, Departure{Target: id, Born: s.departed[id]})
+		list = append(list, Departure{Target: id, StartedAt: s.departed[id]})
 	}
 	return list
 }
@@ -93,7 +93,7 @@
 	s.table = t
 	s.boxes = CountBoxes(t.Boxes)
 	for i := range results {
-		s.remember(&results[i])
+		s.storeResult(&results[i])
 	}
 	for _, r := range history {
 		s.history.Push(r)
@@ -109,15 +109,15 @@
 
 // Results returns the remembered answers, oldest first.
 func (s *State) Results() []Result {
-	results := make([]Result, 0, len(s.order))
-	for _, id := range s.order {
+	results := make([]Result, 0, len(s.resultOrder))
+	for _, id := range s.resultOrder {
 		results = append(results, *s.results[id])
 	}
 	return results
 }
 
 // ResultCount returns the number of remembered answers.
-func (s *State) ResultCount() int { return len(s.order) }
+func (s *State) ResultCount() int { return len(s.resultOrder) }
 
 // Lookup returns the remembered answer to an edit, or nil.
 func (s *State) Lookup(id units.EditID) *Result { return s.results[id] }
@@ -125,12 +125,12 @@
 // ApplyEdit decides an edit at a time that the whole cluster agrees on. The
 // delta is nil when the table wasn't changed.
 func (s *State) ApplyEdit(e *Edit, at units.WallTime) (Result, *Delta) {
-	s.forgetBefore(at - units.WallTime(ResultAge.Milliseconds()))
-	if known := s.results[e.ID]; known != nil {
-		return *known, nil
+	s.expireResults(at - units.WallTime(ResultRetention.Milliseconds()))
+	if previous := s.results[e.ID]; previous != nil {
+		return *previous, nil
 	}
-	result, delta := s.decide(e, at)
-	s.remember(&result)
+	result, delta := s.evaluate(e, at)
+	s.storeResult(&result)
 	if delta != nil {
 		s.commit(delta)
 		s.history.Push(result)
@@ -145,10 +145,10 @@
 	return s.commit(d)
 }
 
-func (s *State) decide(e *Edit, at units.WallTime) (Result, *Delta) {
+func (s *State) evaluate(e *Edit, at units.WallTime) (Result, *Delta) {
 	result := Result{Edit: e.ID, Operator: e.Operator, Operations: len(e.Operations), At: at, Revision: s.table.Revision}
 	result.Versions = s.versionsOf(e)
-	if detail := checkShape(e); detail != "" {
+	if detail := validateEdit(e); detail != "" {
 		return reject(result, detail), nil
 	}
 	if detail := s.findConflict(e); detail != "" {
@@ -189,7 +189,7 @@
 	return versions
 }
 
-func checkShape(e *Edit) string {
+func validateEdit(e *Edit) string {
 	if len(e.Operations) == 0 {
 		return "the edit has no operations; add at least one"
 	}
@@ -239,32 +239,32 @@
 
 func (s *State) findConflict(e *Edit) string {
 	for _, n := range slices.Sorted(maps.Keys(e.Bases)) {
-		var present units.Version
+		var current units.Version
 		if entry := s.table.Services[n]; entry != nil {
-			present = entry.Version
+			current = entry.Version
 		}
-		if base := e.Bases[n]; base != present {
-			return fmt.Sprintf("service %s is at version %d, the edit was made from %d; read the table again, look at the difference and send a new edit", n, present, base)
+		if base := e.Bases[n]; base != current {
+			return fmt.Sprintf("service %s is at version %d, the edit was made from %d; read the table again, look at the difference and send a new edit", n, current, base)
 		}
 	}
 	return ""
 }
 
-func (s *State) remember(r *Result) {
-	if len(s.order) >= MaxResults {
-		s.forgetOldest()
+func (s *State) storeResult(r *Result) {
+	if len(s.resultOrder) >= MaxResults {
+		s.evictOldestResult()
 	}
 	s.results[r.Edit] = r
-	s.order = append(s.order, r.Edit)
+	s.resultOrder = append(s.resultOrder, r.Edit)
 }
 
-func (s *State) forgetOldest() {
-	delete(s.results, s.order[0])
-	s.order = s.order[1:]
+func (s *State) evictOldestResult() {
+	delete(s.results, s.resultOrder[0])
+	s.resultOrder = s.resultOrder[1:]
 }
 
-func (s *State) forgetBefore(oldest units.WallTime) {
-	for len(s.order) > 0 && s.results[s.order[0]].At < oldest {
-		s.forgetOldest()
+func (s *State) expireResults(oldest units.WallTime) {
+	for len(s.resultOrder) > 0 && s.results[s.resultOrder[0]].At < oldest {
+		s.evictOldestResult()
 	}
 }
--- a/pkg/core/table/workspace.go
+++ b/pkg/core/table/workspace.go
@@ -52,16 +52,16 @@
 	owners := map[apikey.Digest]units.WorkspaceName{}
 	for i := range w {
 		x := &w[i]
-		if problems := check(workspaceRules, x); len(problems) > 0 {
+		if problems := findProblems(workspaceRules, x); len(problems) > 0 {
 			return fmt.Sprintf("workspace %q: %s", x.Name, joinProblems(problems))
 		}
 		if names[x.Name] {
 			return fmt.Sprintf("workspace %q stands in the document twice; remove one of them", x.Name)
 		}
 		names[x.Name] = true
-		for place, k := range x.Keys {
+		for keyIndex, k := range x.Keys {
 			if owner, taken := owners[k]; taken {
-				return fmt.Sprintf("workspace %q: key %d is also one of workspace %q; remove one of them", x.Name, place+1, owner)
+				return fmt.Sprintf("workspace %q: key %d is also one of workspace %q; remove one of them", x.Name, keyIndex+1, owner)
 			}
 			owners[k] = x.Name
 		}
--- a/pkg/entry/link_test.go
+++ b/pkg/entry/link_test.go
@@ -111,7 +111,7 @@
 	for prefix, large := range map[string]bool{"/large": true, "/": false} {
 		r := &table.Route{
 			Name: prefix, Host: "vault", PathPrefix: prefix, Work: table.Repeatable, Deadline: time.Minute,
-			LargeAnswers: large, Parts: []table.Part{{Service: "vault", Weight: 1}}, MaxAttempts: 1,
+			LargeResponses: large, Services: []table.WeightedService{{Service: "vault", Weight: 1}}, MaxAttempts: 1,
 		}
 		v.Routes[r.Key()] = r
 	}
--- a/pkg/lab/demo.go
+++ b/pkg/lab/demo.go
@@ -95,10 +95,10 @@
 // demoServices are one service of each kind of work.
 var demoServices = []struct {
 	name string
-	work table.Work
+	work table.WorkKind
 }{
 	{"balance", table.Repeatable},
-	{"redeem", table.Once},
+	{"redeem", table.AtMostOnce},
 	{"report", table.Patient},
 }
 
@@ -138,7 +138,7 @@
 			defer workers.Done()
 			for n := range tickets {
 				x := demoServices[n%len(demoServices)]
-				d.caller.Do(Plan{Host: x.name + ".test", Once: x.work == table.Once, Size: 200 + n%5000})
+				d.caller.Do(Plan{Host: x.name + ".test", Once: x.work == table.AtMostOnce, Size: 200 + n%5000})
 			}
 		}()
 	}
--- a/pkg/lab/speed.go
+++ b/pkg/lab/speed.go
@@ -118,7 +118,7 @@
 		return err
 	}
 	v := sheet.NewService()
-	v.Name, v.Hosts, v.Work = "speed", []string{"speed.test"}, table.Once
+	v.Name, v.Hosts, v.Work = "speed", []string{"speed.test"}, table.AtMostOnce
 	row := sheet.NewRow()
 	row.Service, row.Target, row.Address = v.Name, units.TargetID("target"), x.target.Address
 	result, err := x.cluster.Apply(sheet.Sheets{Services: []table.Service{v}, Rows: []table.Row{row}})
--- a/pkg/sheet/routes.go
+++ b/pkg/sheet/routes.go
@@ -20,16 +20,16 @@
 		func(r *table.Route) string { return r.PathPrefix }},
 	{"work", true, func(r *table.Route, c string) error { return r.Work.UnmarshalText([]byte(c)) },
 		func(r *table.Route) string { return r.Work.String() }},
-	{"services", true, func(r *table.Route, c string) error { return readParts(&r.Parts, c) },
-		func(r *table.Route) string { return writeParts(r.Parts) }},
+	{"services", true, func(r *table.Route, c string) error { return readParts(&r.Services, c) },
+		func(r *table.Route) string { return writeParts(r.Services) }},
 	{"deadline", false, func(r *table.Route, c string) error { return readDuration(&r.Deadline, c) },
 		func(r *table.Route) string { return r.Deadline.String() }},
-	{"aim", false, func(r *table.Route, c string) error { return readDuration(&r.Aim, c) },
-		func(r *table.Route) string { return r.Aim.String() }},
+	{"aim", false, func(r *table.Route, c string) error { return readDuration(&r.LatencyObjective, c) },
+		func(r *table.Route) string { return r.LatencyObjective.String() }},
 	{"max_attempts", false, func(r *table.Route, c string) error { return readInt(&r.MaxAttempts, c) },
 		func(r *table.Route) string { return strconv.Itoa(r.MaxAttempts) }},
-	{"large_answers", false, func(r *table.Route, c string) error { return readBool(&r.LargeAnswers, c) },
-		func(r *table.Route) string { return strconv.FormatBool(r.LargeAnswers) }},
+	{"large_answers", false, func(r *table.Route, c string) error { return readBool(&r.LargeResponses, c) },
+		func(r *table.Route) string { return strconv.FormatBool(r.LargeResponses) }},
 	{"public", false, func(r *table.Route, c string) error { return readBool(&r.Public, c) },
 		func(r *table.Route) string { return strconv.FormatBool(r.Public) }},
 	{"priority", false, func(r *table.Route, c string) error { return readInt(&r.Priority, c) },
@@ -94,11 +94,11 @@
 
 // readParts reads services with their weights, as in "old:90 new:10"; a service alone
 // has the weight 1.
-func readParts(into *[]table.Part, cell string) error {
-	var parts []table.Part
+func readParts(into *[]table.WeightedService, cell string) error {
+	var parts []table.WeightedService
 	for _, word := range strings.Fields(cell) {
 		name, weight, weighted := strings.Cut(word, weightSeparator)
-		p := table.Part{Service: units.ServiceName(name), Weight: 1}
+		p := table.WeightedService{Service: units.ServiceName(name), Weight: 1}
 		if weighted {
 			n, err := strconv.Atoi(weight)
 			if err != nil {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func writeParts(parts []table.Part) string {
+func writeParts(parts []table.WeightedService) string {
 	words := make([]string, 0, len(parts))
 	for _, p := range parts {
 		words = append(words, fmt.Sprintf("%s%s%d", p.Service, weightSeparator, p.Weight))
--- a/pkg/sheet/sheet_test.go
+++ b/pkg/sheet/sheet_test.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !routes[0].LargeAnswers || routes[1].LargeAnswers {
+	if !routes[0].LargeResponses || routes[1].LargeResponses {
 		t.Errorf("the routes are %+v", routes)
 	}
 	var out bytes.Buffer
--- a/pkg/wire/convert_document.go
+++ b/pkg/wire/convert_document.go
@@ -15,21 +15,21 @@
 func FromRoute(r *table.Route) *Route {
 	return &Route{
 		Name: r.Name, Host: r.Host, PathPrefix: r.PathPrefix, Work: int32(r.Work), Deadline: int64(r.Deadline),
-		Aim: int64(r.Aim), MaxAttempts: int32(r.MaxAttempts), Priority: int32(r.Priority),
-		LargeAnswers: r.LargeAnswers, AllowedRegions: fromAllowedRegions(r.Regions), Restricted: r.Regions != nil,
+		Aim: int64(r.LatencyObjective), MaxAttempts: int32(r.MaxAttempts), Priority: int32(r.Priority),
+		LargeAnswers: r.LargeResponses, AllowedRegions: fromAllowedRegions(r.Regions), Restricted: r.Regions != nil,
 		Public: r.Public,
-		Parts:  mapSlice(r.Parts, func(p table.Part) *Part { return &Part{Service: string(p.Service), Weight: int32(p.Weight)} }),
+		Parts:  mapSlice(r.Services, func(p table.WeightedService) *Part { return &Part{Service: string(p.Service), Weight: int32(p.Weight)} }),
 	}
 }
 
 // ToRoute converts a route back.
 func ToRoute(r *Route) *table.Route {
 	return &table.Route{
-		Name: r.Name, Host: r.Host, PathPrefix: r.PathPrefix, Work: table.Work(r.Work), Deadline: time.Duration(r.Deadline),
-		Aim: time.Duration(r.Aim), MaxAttempts: int(r.MaxAttempts), Priority: int(r.Priority),
-		LargeAnswers: r.LargeAnswers, Regions: toAllowedRegions(r), Public: r.Public,
-		Parts: mapSlice(r.Parts, func(p *Part) table.Part {
-			return table.Part{Service: units.ServiceName(p.Service), Weight: int(p.Weight)}
+		Name: r.Name, Host: r.Host, PathPrefix: r.PathPrefix, Work: table.WorkKind(r.Work), Deadline: time.Duration(r.Deadline),
+		LatencyObjective: time.Duration(r.Aim), MaxAttempts: int(r.MaxAttempts), Priority: int(r.Priority),
+		LargeResponses: r.LargeAnswers, Regions: toAllowedRegions(r), Public: r.Public,
+		Services: mapSlice(r.Parts, func(p *Part) table.WeightedService {
+			return table.WeightedService{Service: units.ServiceName(p.Service), Weight: int(p.Weight)}
 		}),
 	}
 }
@@ -108,7 +108,7 @@
 	return &Registration{
 		Target: string(r.Target), Service: string(r.Service), Address: r.Address, Domain: string(r.Domain),
 		Software: string(r.Software), Slots: int32(r.Slots), State: int32(r.State), Sequence: r.Sequence,
-		Cold: int64(r.Cold), Silent: r.Silent, Born: int64(r.Born),
+		Cold: int64(r.ColdRemaining), Silent: r.Silent, Born: int64(r.StartedAt),
 	}
 }
 
@@ -117,7 +117,7 @@
 	return &table.Registration{
 		Target: units.TargetID(r.Target), Service: units.ServiceName(r.Service), Address: r.Address,
 		Domain: units.Domain(r.Domain), Software: units.SoftwareVersion(r.Software), Slots: int(r.Slots), State: table.RowState(r.State),
-		Sequence: r.Sequence, Cold: time.Duration(r.Cold), Silent: r.Silent, Born: units.WallTime(r.Born),
+		Sequence: r.Sequence, ColdRemaining: time.Duration(r.Cold), Silent: r.Silent, StartedAt: units.WallTime(r.Born),
 	}
 }
 
--- a/pkg/wire/convert_test.go
+++ b/pkg/wire/convert_test.go
@@ -47,14 +47,14 @@
 	s.ApplyEdit(&table.Edit{
 		ID: "e1", Operator: "o", Bases: map[units.ServiceName]units.Version{"s": 0},
 		Operations: []table.Operation{
-			{Kind: table.PutService, Service: &table.Service{Name: "s", Work: table.Once, Hosts: []string{"s.test"}, Deadline: 1}},
+			{Kind: table.PutService, Service: &table.Service{Name: "s", Work: table.AtMostOnce, Hosts: []string{"s.test"}, Deadline: 1}},
 			{Kind: table.PutRow, Row: &table.Row{Service: "s", Target: "t", Address: "10.0.0.1:1", Weight: 1, MaxRate: 2.5, State: table.Leaving}},
 		},
 	}, 5)
 	s.ApplyEdit(&table.Edit{ID: "e2"}, 6)
 	s.ApplyDocument(&table.Document{
-		Version: 3, Services: []table.Service{{Name: "s", Work: table.Once, Deadline: 1}},
-		Routes:     []*table.Route{{Name: "r", PathPrefix: "/", Public: true, Parts: []table.Part{{Service: "s", Weight: 1}}}},
+		Version: 3, Services: []table.Service{{Name: "s", Work: table.AtMostOnce, Deadline: 1}},
+		Routes:     []*table.Route{{Name: "r", PathPrefix: "/", Public: true, Services: []table.WeightedService{{Service: "s", Weight: 1}}}},
 		Workspaces: table.Workspaces{{Name: "w", Keys: []apikey.Digest{apikey.DigestOf([]byte("k"))}, Priority: 0, Ranked: true, Rate: 2.5, Burst: 0.5}},
 	})
 	s.ApplyEvacuation(&table.EvacuationOrder{Domain: "domain", Evacuate: true, Operator: "o", Base: 9}, 7)
--- a/pkg/wire/table_bench_test.go
+++ b/pkg/wire/table_bench_test.go
@@ -41,7 +41,7 @@
 	for i := range routes {
 		x := &table.Route{
 			Name: fmt.Sprintf("r-%06x", random.Uint32N(1<<24)), Host: fmt.Sprintf("host%d.example", i), PathPrefix: fmt.Sprintf("/%x/", random.Uint32()),
-			Deadline: time.Second, Aim: 400 * time.Millisecond, MaxAttempts: 2, Parts: []table.Part{{Service: "service-0", Weight: 1}},
+			Deadline: time.Second, LatencyObjective: 400 * time.Millisecond, MaxAttempts: 2, Services: []table.WeightedService{{Service: "service-0", Weight: 1}},
 		}
 		t.Routes[x.Key()] = x
 	}
--- a/test/residency_test.go
+++ b/test/residency_test.go
@@ -74,8 +74,8 @@
 
 func storyRoute(host string, regions *table.AllowedRegions) *table.Route {
 	return &table.Route{
-		Name: host, Host: host, PathPrefix: "/", Work: table.Repeatable, Deadline: 5 * time.Second, Aim: 20 * time.Millisecond,
-		Parts: []table.Part{{Service: "shop", Weight: 1}}, Regions: regions,
+		Name: host, Host: host, PathPrefix: "/", Work: table.Repeatable, Deadline: 5 * time.Second, LatencyObjective: 20 * time.Millisecond,
+		Services: []table.WeightedService{{Service: "shop", Weight: 1}}, Regions: regions,
 	}
 }
 
--- a/test/rollout_test.go
+++ b/test/rollout_test.go
@@ -70,7 +70,7 @@
 	for _, name := range []string{"shop", "menu"} {
 		d.Routes = append(d.Routes, &table.Route{
 			Name: name, Host: name + ".test", PathPrefix: "/", Work: table.Repeatable, Deadline: 2 * time.Second,
-			Aim: 200 * time.Millisecond, Parts: []table.Part{{Service: rolloutService, Weight: 1}},
+			LatencyObjective: 200 * time.Millisecond, Services: []table.WeightedService{{Service: rolloutService, Weight: 1}},
 		})
 	}
 	data, _ := json.Marshal(&d)
--- a/test/soak_residency_test.go
+++ b/test/soak_residency_test.go
@@ -21,8 +21,8 @@
 
 func residentRoute() *table.Route {
 	return &table.Route{
-		Name: "eu", Host: soakResident, PathPrefix: "/", Work: table.Repeatable, Deadline: 5 * time.Second, Aim: time.Second,
-		Parts: []table.Part{{Service: "shop", Weight: 1}}, Regions: &table.AllowedRegions{Names: []units.Region{"north"}},
+		Name: "eu", Host: soakResident, PathPrefix: "/", Work: table.Repeatable, Deadline: 5 * time.Second, LatencyObjective: time.Second,
+		Services: []table.WeightedService{{Service: "shop", Weight: 1}}, Regions: &table.AllowedRegions{Names: []units.Region{"north"}},
 	}
 }
 
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -246,14 +246,14 @@
 
 func soakDocument(version units.DocumentVersion) *table.Document {
 	d := &table.Document{Version: version}
-	for name, work := range map[units.ServiceName]table.Work{"shop": table.Repeatable, "pay": table.Once} {
+	for name, work := range map[units.ServiceName]table.WorkKind{"shop": table.Repeatable, "pay": table.AtMostOnce} {
 		d.Services = append(d.Services, table.Service{
 			Name: name, Work: work, Deadline: 5 * time.Second, HoldLimit: 2 * time.Second, HoldCount: 100,
 			RetryBudget: 10, HedgeBudget: 5, ProbeTargets: 2, MeasureBudget: 5, ProbePath: "/healthz",
 		})
 		d.Routes = append(d.Routes, &table.Route{
 			Name: string(name), Host: string(name) + ".test", PathPrefix: "/", Work: work, Deadline: 5 * time.Second,
-			Aim: time.Second, Parts: []table.Part{{Service: name, Weight: int(version%5) + 1}},
+			LatencyObjective: time.Second, Services: []table.WeightedService{{Service: name, Weight: int(version%5) + 1}},
 		})
 	}
 	d.Routes = append(d.Routes, residentRoute())
@@ -317,7 +317,7 @@
 	x.lock.Unlock()
 	return &table.Registration{
 		Target: targetID(service, x.targets[t]), Service: units.ServiceName(service), Address: x.addressOf(t), Slots: 3, State: state, Sequence: sequence,
-		Domain: x.domainOf(t), Software: x.softwareOf(service, t), Born: born,
+		Domain: x.domainOf(t), Software: x.softwareOf(service, t), StartedAt: born,
 	}
 }
 
--- a/test/steps_test.go
+++ b/test/steps_test.go
@@ -103,7 +103,7 @@
 // services are one of each kind of work, on all targets.
 func (x *story) sheets(adjust func(*table.Service, []table.Row)) sheet.Sheets {
 	var s sheet.Sheets
-	for _, work := range []table.Work{table.Repeatable, table.Once, table.Patient} {
+	for _, work := range []table.WorkKind{table.Repeatable, table.AtMostOnce, table.Patient} {
 		v := sheet.NewService()
 		v.Name = units.ServiceName(work.String())
 		v.Work = work
@@ -350,6 +350,6 @@
 
 // mixed is a plan over the three kinds of work in turn.
 func mixed(i int) lab.Plan {
-	work := []table.Work{table.Repeatable, table.Once, table.Patient}[i%3]
-	return lab.Plan{Host: work.String() + ".test", Once: work == table.Once, Size: i % 2000}
+	work := []table.WorkKind{table.Repeatable, table.AtMostOnce, table.Patient}[i%3]
+	return lab.Plan{Host: work.String() + ".test", Once: work == table.AtMostOnce, Size: i % 2000}
 }
