--- a/pkg/core/limit/limit_test.go
+++ b/pkg/core/limit/limit_test.go
@@ -15,32 +15,32 @@
 func TestAnAccountKeepsItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := units.Instant(time.Second)
-		from := now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "from")) * time.Millisecond)
+		notBefore := now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "from")) * time.Millisecond)
 		highest := units.CallRate(rapid.Float64Range(0, 50).Draw(t, "rate"))
-		a := NewTokenBucket(highest, now, from)
+		b := NewTokenBucket(highest, now, notBefore)
 		begin, given, out := now, 0, 0
 		t.Repeat(map[string]func(*rapid.T){
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"permit": func(t *rapid.T) {
-				n := a.Permit(now, rapid.IntRange(0, 5).Draw(t, "n"))
+				n := b.Permit(now, rapid.IntRange(0, 5).Draw(t, "n"))
 				given += n
 				out += n
-				if n > 0 && now < from {
-					t.Fatalf("%d calls were permitted %s too early", n, from.Sub(now))
+				if n > 0 && now < notBefore {
+					t.Fatalf("%d calls were permitted %s too early", n, notBefore.Sub(now))
 				}
 			},
 			"return": func(t *rapid.T) {
 				n := rapid.IntRange(0, out).Draw(t, "n")
-				a.Return(now, n)
+				b.Return(now, n)
 				given -= n
 				out -= n
 			},
 			"rate": func(t *rapid.T) {
 				rate := units.CallRate(rapid.Float64Range(0, 50).Draw(t, "rate"))
 				highest = max(highest, rate)
-				a.SetRate(now, rate)
+				b.SetRate(now, rate)
 			},
 		})
 		rate := max(float64(highest), float64(MinRate))
@@ -65,14 +65,14 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			now := units.Instant(time.Second)
-			a := NewTokenBucket(s.rate, now, now.Add(s.from))
-			if wait := a.WaitTime(now); math.Abs(float64(wait-s.expected)) > float64(time.Microsecond) {
+			b := NewTokenBucket(s.rate, now, now.Add(s.from))
+			if wait := b.WaitTime(now); math.Abs(float64(wait-s.expected)) > float64(time.Microsecond) {
 				t.Fatalf("it permits a call after %s, not %s", wait, s.expected)
 			}
-			if n := a.Permit(now.Add(s.expected-time.Millisecond), 1); n != 0 {
+			if n := b.Permit(now.Add(s.expected-time.Millisecond), 1); n != 0 {
 				t.Error("it permits a call before")
 			}
-			if n := a.Permit(now.Add(s.expected+time.Millisecond), 9); n != 1 {
+			if n := b.Permit(now.Add(s.expected+time.Millisecond), 9); n != 1 {
 				t.Errorf("it permits %d calls then, not one", n)
 			}
 		})
@@ -80,16 +80,16 @@
 }
 
 func TestWords(t *testing.T) {
-	heard := State{Version: 3, Limited: true, Rate: 2}
+	known := State{Version: 3, Limited: true, Rate: 2}
 	scenarios := []struct {
 		testName string
-		word     State
+		state    State
 		// replaces tells whether the word takes heard's place.
 		replaces bool
 	}{
-		{"an absurd limit is none", heard.WithRate(1e300), true},
-		{"none at all is a limit", heard.WithRate(0), true},
-		{"it ends", heard.Cleared(), true},
+		{"an absurd limit is none", known.WithRate(1e300), true},
+		{"none at all is a limit", known.WithRate(0), true},
+		{"it ends", known.Cleared(), true},
 		{"an older word says nothing", State{Version: 2, Limited: true, Rate: 1}, false},
 		{"a change of the same word that is tighter", State{Version: 3, Limited: true, Rate: 1}, true},
 		{"a change of the same word that is looser", State{Version: 3, Limited: true, Rate: 3}, false},
@@ -98,15 +98,15 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			if s.word.Supersedes(heard) != s.replaces {
-				t.Errorf("%+v replaces %+v: %t", s.word, heard, !s.replaces)
+			if s.state.Supersedes(known) != s.replaces {
+				t.Errorf("%+v replaces %+v: %t", s.state, known, !s.replaces)
 			}
 		})
 	}
-	if w := heard.WithRate(1e300); w.Limited {
+	if w := known.WithRate(1e300); w.Limited {
 		t.Errorf("%+v", w)
 	}
-	if w := heard.WithRate(0); !w.Limited {
+	if w := known.WithRate(0); !w.Limited {
 		t.Errorf("%+v", w)
 	}
 }
--- a/pkg/core/scope/scope_test.go
+++ b/pkg/core/scope/scope_test.go
@@ -60,7 +60,7 @@
 	return holders, own, held
 }
 
-func extremes(list []int) (least, most int) {
+func minAndMax(list []int) (least, most int) {
 	least = list[0]
 	for _, n := range list {
 		least, most = min(least, n), max(most, n)
@@ -75,9 +75,9 @@
 	for _, f := range []fleet{{6, 985, 2740}, {6, 985, 5772}, {6, 1970, 11544}, {3, 300, 1731}, {16, 1600, 16000}, {1, 100, 3000}} {
 		d := NextDivision(nil, f.counts(), f.boxCounts())
 		holders, own, held := f.holding(d)
-		least, most := extremes(holders)
-		ownLeast, _ := extremes(own)
-		_, heldMost := extremes(held)
+		least, most := minAndMax(holders)
+		ownLeast, _ := minAndMax(own)
+		_, heldMost := minAndMax(held)
 		t.Logf("%+v: steps %v; a target is held by %d to %d boxes, %d or more beside it; a box holds up to %d", f, d, least, most, ownLeast, heldMost)
 		for i := range f.domains {
 			if bound := f.boxCounts().MaxHolders(f.boxes, f.domain(i), d.Step(f.domain(i))); most > bound {
--- a/pkg/core/table/registration_test.go
+++ b/pkg/core/table/registration_test.go
@@ -9,8 +9,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// newRegistrations returns a state with one service.
-func newRegistrations() *State {
+// newStateWithService returns a state with one service.
+func newStateWithService() *State {
 	s := NewState()
 	s.ApplyDocument(&Document{Version: 1, Services: []Service{{Name: "s", Work: AtMostOnce, Deadline: time.Second}}})
 	return s
@@ -20,8 +20,8 @@
 	return &Registration{Target: id, Service: "s", Address: address, State: Active, Sequence: sequence, Slots: 2}
 }
 
-// rowsOf are the targets of the service's rows.
-func rowsOf(s *State) []units.TargetID {
+// rowTargets are the targets of the service's rows.
+func rowTargets(s *State) []units.TargetID {
 	var ids []units.TargetID
 	for r := range s.Table().Services["s"].Rows.All() {
 		ids = append(ids, r.Target)
@@ -32,14 +32,14 @@
 // A report that a cut held up may arrive after its target has crashed and the next one has
 // registered at the same address.
 func TestALateReportOfAnEarlierTargetChangesNothing(t *testing.T) {
-	s := newRegistrations()
+	s := newStateWithService()
 	s.ApplyRegistration(registration("old", "10.0.0.1:80", 1))
 	s.ApplyRegistration(registration("new", "10.0.0.1:80", 1))
 	late := registration("old", "10.0.0.1:80", 7)
 	if s.IsUpdate(late) || s.ApplyRegistration(late) != nil {
 		t.Error("the late report changed the table")
 	}
-	if ids := rowsOf(s); len(ids) != 1 || ids[0] != "new" {
+	if ids := rowTargets(s); len(ids) != 1 || ids[0] != "new" {
 		t.Errorf("the targets are %v", ids)
 	}
 }
@@ -47,30 +47,30 @@
 // While a target is cold the time left falls with each report; that is no news. That it is
 // warm, or cold again, is.
 func TestReportsOfAColdTargetAreNewsWhenItTurns(t *testing.T) {
-	s := newRegistrations()
+	s := newStateWithService()
 	report := func(sequence uint64, cold time.Duration) bool {
 		r := registration("t", "10.0.0.1:80", sequence)
 		r.ColdRemaining = cold
 		return s.ApplyRegistration(r) != nil
 	}
 	steps := []struct {
-		cold time.Duration
-		news bool
+		cold    time.Duration
+		changes bool
 	}{
 		{3 * time.Second, true}, {1500 * time.Millisecond, false}, {0, true}, {0, false}, {3 * time.Second, true}, {0, true},
 	}
 	for i, x := range steps {
-		if got := report(uint64(i+1), x.cold); got != x.news {
-			t.Errorf("report %d, cold for %s: news is %t, want %t", i+1, x.cold, got, x.news)
+		if changed := report(uint64(i+1), x.cold); changed != x.changes {
+			t.Errorf("report %d, cold for %s: news is %t, want %t", i+1, x.cold, changed, x.changes)
 		}
-		if row := s.Table().Services["s"].Row("t"); x.news && row.ColdRemaining != x.cold {
+		if row := s.Table().Services["s"].Row("t"); x.changes && row.ColdRemaining != x.cold {
 			t.Errorf("after report %d the row is %+v", i+1, row)
 		}
 	}
 }
 
-// newRegisteredState is a state with targets of one service.
-func newRegisteredState(targets int) *State {
+// newStateWithTargets is a state with targets of one service.
+func newStateWithTargets(targets int) *State {
 	s := NewState()
 	s.ApplyDocument(&Document{Version: 1, Services: []Service{{Name: "s", Work: Repeatable}}})
 	for i := range targets {
@@ -79,10 +79,10 @@
 	return s
 }
 
-// bytesPerChange is what a replica allocates for one target's changed state and its patch.
-func bytesPerChange(targets int) uint64 {
+// bytesAllocatedPerChange is what a replica allocates for one target's changed state and its patch.
+func bytesAllocatedPerChange(targets int) uint64 {
 	const changes = 200
-	s := newRegisteredState(targets)
+	s := newStateWithTargets(targets)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for i := range changes {
@@ -99,7 +99,7 @@
 // What a target's change costs a replica mustn't grow with the targets that there are.
 func TestAChangeCostsTheSameAmongManyTargets(t *testing.T) {
 	const most = 2
-	small, large := bytesPerChange(1_000), bytesPerChange(20_000)
+	small, large := bytesAllocatedPerChange(1_000), bytesAllocatedPerChange(20_000)
 	if large > most*small {
 		t.Errorf("a change allocates %d bytes among 1,000 targets and %d among 20,000", small, large)
 	}
--- a/pkg/core/table/rollout_test.go
+++ b/pkg/core/table/rollout_test.go
@@ -10,7 +10,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-var rolloutOutcomes = map[RolloutOutcome]string{
+var rolloutOutcomeNames = map[RolloutOutcome]string{
 	RolloutAccepted: "taken", RolloutConflict: "conflicts", RolloutUnknownService: "unknown service", RolloutNoVersion: "no version in force",
 	RolloutAlreadyInForce: "in force already", RolloutEnded: "over",
 	RolloutSuperseded: "overtaken",
@@ -32,10 +32,10 @@
 		return problems[0].String() + "\n"
 	}
 	outcome, _ := state.ApplyRolloutOrder(o, units.WallTime(at))
-	return fmt.Sprintf("%s, revision %d\n", rolloutOutcomes[outcome], state.Table().Revision)
+	return fmt.Sprintf("%s, revision %d\n", rolloutOutcomeNames[outcome], state.Table().Revision)
 }
 
-func takeRolloutStep(t *testing.T, state *State, d *datadriven.TestData) string {
+func applyRolloutStep(t *testing.T, state *State, d *datadriven.TestData) string {
 	x := &RolloutStep{Service: units.ServiceName(d.CmdArgs[0].Key), Share: 5, Reason: "step"}
 	if _, err := fmt.Sscan(d.CmdArgs[1].Key, &x.Order); err != nil {
 		d.Fatalf(t, "%v", err)
@@ -59,7 +59,7 @@
 	return fmt.Sprintf("revision %d\n", state.Table().Revision)
 }
 
-func moveTarget(t *testing.T, state *State, d *datadriven.TestData) string {
+func applyTargetCommand(t *testing.T, state *State, d *datadriven.TestData) string {
 	id := units.TargetID(d.CmdArgs[0].Key)
 	if d.Cmd == "depart" {
 		state.ApplyDeparture(id, 0)
--- a/pkg/core/table/scope_test.go
+++ b/pkg/core/table/scope_test.go
@@ -56,11 +56,11 @@
 			sequence++
 			changeLargeService(t, s, sequence, domains, targets)
 			if rapid.Bool().Draw(t, "pushed") {
-				held = pushPart(t, held, box, from, s.Table())
+				held = applyPart(t, held, box, from, s.Table())
 				from = s.Table()
 			}
 		}
-		held = pushPart(t, held, box, from, s.Table())
+		held = applyPart(t, held, box, from, s.Table())
 		// A service's version comes with the next change of the box's part.
 		if d := cmp.Diff(s.Table().Divider().For(box), held, cmpopts.EquateEmpty(), cmpopts.IgnoreFields(Entry{}, "Version")); d != "" {
 			t.Fatal(d)
@@ -68,7 +68,7 @@
 	})
 }
 
-func pushPart(t *rapid.T, held *Table, box *Box, from, to *Table) *Table {
+func applyPart(t *rapid.T, held *Table, box *Box, from, to *Table) *Table {
 	if from == to {
 		return held
 	}
@@ -116,9 +116,9 @@
 	}
 }
 
-// partSizes returns how many rows a box of a fleet is told of in whole tables, and how many rows it is
+// countRowsForBox returns how many rows a box of a fleet is told of in whole tables, and how many rows it is
 // sent while the fleet's targets change their state one after the other.
-func partSizes(boxes, targets int) (held, sent int) {
+func countRowsForBox(boxes, targets int) (held, sent int) {
 	const domains = 6
 	s := largeService(boxes, targets, domains)
 	box := &numberedBoxes(0, 1, domains)[0]
@@ -138,8 +138,8 @@
 
 // What a box holds and is sent of a fleet mustn't grow with the fleet.
 func TestABoxIsToldAsMuchOfAFleetOfTwiceTheSize(t *testing.T) {
-	held, sent := partSizes(500, 3_000)
-	heldOfTwice, sentOfTwice := partSizes(1_000, 6_000)
+	held, sent := countRowsForBox(500, 3_000)
+	heldOfTwice, sentOfTwice := countRowsForBox(1_000, 6_000)
 	t.Logf("rows held %d and %d, sent %d and %d", held, heldOfTwice, sent, sentOfTwice)
 	if heldOfTwice > held*3/2 || sentOfTwice > sent*3/2 {
 		t.Errorf("a box holds %d and %d rows and is sent %d and %d", held, heldOfTwice, sent, sentOfTwice)
--- a/pkg/core/table/script_test.go
+++ b/pkg/core/table/script_test.go
@@ -36,9 +36,9 @@
 			case "rollout", "abort":
 				return orderRollout(t, state, d)
 			case "step":
-				return takeRolloutStep(t, state, d)
+				return applyRolloutStep(t, state, d)
 			case "register", "depart":
-				return moveTarget(t, state, d)
+				return applyTargetCommand(t, state, d)
 			case "show":
 				return show(state)
 			}
@@ -66,7 +66,7 @@
 	return text + "\n"
 }
 
-var evacuationWords = map[EvacuationOutcome]string{
+var evacuationOutcomeNames = map[EvacuationOutcome]string{
 	EvacuationDone: "done", EvacuationSuperseded: "overtaken", EvacuationUnknown: "unknown domain",
 }
 
@@ -78,7 +78,7 @@
 		return problems[0].String() + "\n"
 	}
 	outcome, _ := state.ApplyEvacuation(o, 0)
-	return fmt.Sprintf("%s, revision %d\n", evacuationWords[outcome], state.Table().Revision)
+	return fmt.Sprintf("%s, revision %d\n", evacuationOutcomeNames[outcome], state.Table().Revision)
 }
 
 func show(state *State) string {
--- a/pkg/core/table/starts_test.go
+++ b/pkg/core/table/starts_test.go
@@ -25,9 +25,9 @@
 		if d.HasArg("leaving") {
 			r.State = Leaving
 		}
-		news := s.IsUpdate(r)
+		isUpdate := s.IsUpdate(r)
 		s.ApplyRegistration(r)
-		return fmt.Sprintf("news=%t, %s", news, describeTargets(s))
+		return fmt.Sprintf("news=%t, %s", isUpdate, describeTargets(s))
 	},
 	// depart TARGET [born=N]
 	"depart": func(t *testing.T, s *State, d *datadriven.TestData) string {
@@ -55,7 +55,7 @@
 
 func TestStarts(t *testing.T) {
 	datadriven.Walk(t, "testdata/starts", func(t *testing.T, path string) {
-		s := newRegistrations()
+		s := newStateWithService()
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			f := startCommands[d.Cmd]
 			if f == nil {
