--- a/pkg/core/apikey/apikey_test.go
+++ b/pkg/core/apikey/apikey_test.go
@@ -33,7 +33,7 @@
 			t.Errorf("%s: presented is %v", name, presented)
 		}
 		if presented && d != DigestOf([]byte(x.values[0])) {
-			t.Errorf("%s: the digest is another key's", name)
+			t.Errorf("%s: the digest is of a different key", name)
 		}
 	}
 }
--- a/pkg/core/apikey/credential.go
+++ b/pkg/core/apikey/credential.go
@@ -1,16 +1,16 @@
 package apikey
 
-// Credential is what a call presents to be let in. The digest of its key is worked out only
-// where one is needed.
+// Credential is the key that a call presents, if any. The digest is computed only when it is needed.
 type Credential struct {
-	// key is as long as the request lives; digest stands for it once digested is set.
+	// key refers to the request's buffer and is valid only during the request. Once digested is set,
+	// digest is used instead.
 	key      []byte
 	digest   Digest
 	digested bool
 }
 
-// CredentialFromHeader returns the credential of a call with the given values of the key's header. A call
-// with several values presents nothing: each reader might take another one.
+// CredentialFromHeader returns the credential of a call, given the values of the key's header. A call with
+// several values presents none, since other programs might read a different one of them.
 func CredentialFromHeader(values [][]byte) Credential {
 	if len(values) != 1 || !validKey(values[0]) {
 		return Credential{}
@@ -29,7 +29,7 @@
 	return DigestOf(c.key), true
 }
 
-// Detached returns a credential that outlives the request.
+// Detached returns a copy of the credential that stays valid after the request.
 func (c *Credential) Detached() Credential {
 	d, presented := c.Digest()
 	return Credential{digest: d, digested: presented}
--- a/pkg/core/limit/limit.go
+++ b/pkg/core/limit/limit.go
@@ -1,51 +1,52 @@
-// Package limit is about rates that hold for all boxes together. It keeps what was last said of the
-// limits that targets name while they run, and the account of a box that permits calls up to a rate: a
-// target's coordinator, or a holder of a workspace's quota. It is pure: time comes in as instants.
+// Package limit implements rate limits that apply to all boxes together: the versioned state of the
+// limits that targets announce while they run, and the token bucket of a box that grants calls up to a
+// rate, either as a target's coordinator or as a holder of a workspace's quota. It is pure: callers pass in
+// the current time.
 package limit
 
 import "github.com/madderpond/madderpond/pkg/units"
 
 const (
-	// MinRate stands in for limits below it: a target that takes no calls at all gets one now
-	// and then, since nothing but its answer to one shows that the limit is over.
+	// MinRate, in calls per second, replaces lower limits: even a target that accepts no calls gets one
+	// occasionally, since only its response to a call shows that the limit has ended.
 	MinRate units.CallRate = 0.2
-	// UnlimitedRate is the limit from which on it isn't one: permits for as many calls would cost boxes
-	// more than the calls, and no target answers as many.
+	// UnlimitedRate, in calls per second, is the lowest limit that is treated as none: requesting permits
+	// at that rate would cost boxes more than the calls themselves, and no target serves that many.
 	UnlimitedRate units.CallRate = 10_000
 )
 
-// State is the newest that is known of a target's limit. Boxes' clocks can't be compared, and messages between
-// them may take long; versions tell words apart: each change is made on top of the word that was known
-// as the call was sent whose answer brought it.
+// State is the latest known state of a target's announced limit. Boxes' clocks can't be compared and messages
+// between boxes may be delayed, so states are ordered by version: each change increments the version that
+// was known when the call was sent whose response announced the change.
 type State struct {
-	// Version numbers the changes; zero is the word of whoever has heard nothing.
+	// Version numbers the changes; zero means that no announcement has been received.
 	Version uint64
-	// Limited is set while the target names a limit, of Rate calls a second.
+	// Limited is set while the target announces a limit, which is Rate.
 	Limited bool
 	Rate    units.CallRate
 }
 
-// WithRate is what follows on a word when an answer names a limit.
-func (w State) WithRate(rate units.CallRate) State {
+// WithRate returns the state that follows s when a response announces a limit.
+func (s State) WithRate(rate units.CallRate) State {
 	if rate >= UnlimitedRate {
-		return w.Cleared()
+		return s.Cleared()
 	}
-	return State{Version: w.Version + 1, Limited: true, Rate: rate}
+	return State{Version: s.Version + 1, Limited: true, Rate: rate}
 }
 
-// Cleared is what follows on a word when an answer names no limit.
-func (w State) Cleared() State { return State{Version: w.Version + 1} }
+// Cleared returns the state that follows s when a response announces no limit.
+func (s State) Cleared() State { return State{Version: s.Version + 1} }
 
-// SameLimit tells whether two words say the same, whatever their versions.
-func (w State) SameLimit(o State) bool {
-	return w.Limited == o.Limited && (!w.Limited || w.Rate == o.Rate)
+// SameLimit reports whether two states have the same limit, whatever their versions.
+func (s State) SameLimit(o State) bool {
+	return s.Limited == o.Limited && (!s.Limited || s.Rate == o.Rate)
 }
 
-// StricterThan tells whether the word allows less than another.
-func (w State) StricterThan(o State) bool { return w.Limited && (!o.Limited || w.Rate < o.Rate) }
+// StricterThan reports whether s allows fewer calls than o.
+func (s State) StricterThan(o State) bool { return s.Limited && (!o.Limited || s.Rate < o.Rate) }
 
-// Supersedes tells whether the word takes the place of another. Of two changes of the same word, which two boxes
-// made by themselves, the tighter one holds.
-func (w State) Supersedes(o State) bool {
-	return w.Version > o.Version || w.Version == o.Version && w.StricterThan(o)
+// Supersedes reports whether s replaces o. When two boxes change the same version independently, the
+// stricter limit wins.
+func (s State) Supersedes(o State) bool {
+	return s.Version > o.Version || s.Version == o.Version && s.StricterThan(o)
 }
--- a/pkg/core/limit/limit_test.go
+++ b/pkg/core/limit/limit_test.go
@@ -10,8 +10,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Whatever is asked for and given back, no account permits more within a time than its highest limit comes
-// to in it, and what it may have saved up; and nothing before it may begin.
+// Whatever is permitted and returned, a bucket permits no more calls over a period than its highest rate
+// allows in it plus its burst, and none before notBefore.
 func TestAnAccountKeepsItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := units.Instant(time.Second)
@@ -84,8 +84,8 @@
 	scenarios := []struct {
 		testName string
 		state    State
-		// replaces tells whether the word takes heard's place.
-		replaces bool
+		// supersedes is whether the state supersedes known.
+		supersedes bool
 	}{
 		{"an absurd limit is none", known.WithRate(1e300), true},
 		{"none at all is a limit", known.WithRate(0), true},
@@ -98,8 +98,8 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			if s.state.Supersedes(known) != s.replaces {
-				t.Errorf("%+v replaces %+v: %t", s.state, known, !s.replaces)
+			if s.state.Supersedes(known) != s.supersedes {
+				t.Errorf("%+v replaces %+v: %t", s.state, known, !s.supersedes)
 			}
 		})
 	}
--- a/pkg/core/limit/tokenbucket.go
+++ b/pkg/core/limit/tokenbucket.go
@@ -7,17 +7,16 @@
 )
 
 const (
-	// burstWindow is for how long what the limit allows is saved up while nobody asks for it, so that
-	// calls which come in clusters find some.
+	// burstWindow is the time for which unused tokens accumulate, so that bursts of calls find some.
 	burstWindow = 500 * time.Millisecond
-	// minWait keeps whoever waits from asking again before the clock has moved.
+	// minWait keeps waiting callers from retrying before the clock has advanced.
 	minWait = time.Millisecond
-	// minBurst lets a call be permitted at any rate.
+	// minBurst is the least capacity in calls, so that a call can be permitted at any rate.
 	minBurst = 1
 )
 
-// TokenBucket is a token bucket: what its box may still permit. What the box learns of others that kept
-// the account before decides from when on it may do so.
+// TokenBucket counts the calls that its box may still permit. A box that takes over from another one
+// permits none before notBefore, since the other box may still be permitting calls until then.
 type TokenBucket struct {
 	rate       units.CallRate
 	burst      float64
@@ -26,15 +25,15 @@
 	notBefore  units.Instant
 }
 
-// NewTokenBucket begins the empty account of a target's limit, which permits nothing before an instant.
+// NewTokenBucket returns an empty bucket for a target's limit. It permits nothing before notBefore.
 func NewTokenBucket(rate units.CallRate, now, notBefore units.Instant) *TokenBucket {
 	b := &TokenBucket{refilledAt: now, notBefore: notBefore}
 	b.SetRate(now, rate)
 	return b
 }
 
-// NewShareBucket begins the account of a part of a rate, which saves up to burst, one call at the least. It holds
-// some calls, or a part of one, from the start, and permits nothing before an instant.
+// NewShareBucket returns a bucket for a share of a rate, with a capacity of burst calls but at least one. It
+// starts with initial tokens, which may be a fraction, and permits nothing before notBefore.
 func NewShareBucket(rate units.CallRate, burst, initial float64, now, notBefore units.Instant) *TokenBucket {
 	b := &TokenBucket{refilledAt: now, notBefore: notBefore}
 	b.SetRateAndBurst(now, rate, burst)
@@ -42,26 +41,26 @@
 	return b
 }
 
-// SetRate takes another limit of a target from now on.
+// SetRate sets a target's limit as the rate from now on, and the capacity that goes with it.
 func (b *TokenBucket) SetRate(now units.Instant, rate units.CallRate) {
 	rate = max(rate, MinRate)
 	b.SetRateAndBurst(now, rate, minBurst+float64(rate)*burstWindow.Seconds())
 }
 
-// SetRateAndBurst takes another rate and burst from now on.
+// SetRateAndBurst sets the rate and the capacity from now on.
 func (b *TokenBucket) SetRateAndBurst(now units.Instant, rate units.CallRate, burst float64) {
 	b.refill(now)
 	b.rate, b.burst = rate, max(minBurst, burst)
 	b.tokens = min(b.tokens, b.burst)
 }
 
-// SetNotBefore has the account permit nothing before an instant.
+// SetNotBefore sets the instant before which the bucket permits nothing.
 func (b *TokenBucket) SetNotBefore(now, notBefore units.Instant) {
 	b.refill(now)
 	b.notBefore = notBefore
 }
 
-// Permit permits up to n calls, and returns how many.
+// Permit permits up to n calls and returns how many it permitted.
 func (b *TokenBucket) Permit(now units.Instant, n int) int {
 	b.refill(now)
 	if now < b.notBefore {
@@ -72,13 +71,13 @@
 	return n
 }
 
-// Return takes permits back that weren't used.
+// Return gives back n unused permits.
 func (b *TokenBucket) Return(now units.Instant, n int) {
 	b.refill(now)
 	b.tokens = min(b.burst, b.tokens+float64(max(0, n)))
 }
 
-// WaitTime is how long it takes until a call may be permitted: at least leastWait where that isn't now.
+// WaitTime returns the time until a call can be permitted: at least minWait unless that is now.
 func (b *TokenBucket) WaitTime(now units.Instant) time.Duration {
 	b.refill(now)
 	wait := max(0, b.notBefore.Sub(now))
--- a/pkg/core/quota/quota.go
+++ b/pkg/core/quota/quota.go
@@ -1,6 +1,6 @@
-// Package quota divides what a workspace may run, over all boxes together, among a few of them: its
-// holders. A holder keeps an account of its part and gives credits from it to whichever box has
-// calls to let in.
+// Package quota divides a workspace's rate limit, which applies to all boxes together, among a few of the
+// boxes: its holders. A holder keeps a token bucket for its share and grants credits from it to the boxes
+// that have calls to admit.
 package quota
 
 import (
@@ -14,15 +14,15 @@
 )
 
 const (
-	// HoldersPerGroup is how many holders a workspace has where there are as many boxes. With one of them out of
-	// reach the others still give more than a workspace usually asks for, which is below its limit.
+	// HoldersPerGroup is the number of holders of a workspace, if there are as many boxes. With one of them
+	// unreachable, the others still grant more than the usual demand of a workspace, which is below its limit.
 	HoldersPerGroup = 8
-	// groupCount is how many sets of holders there are. Workspaces share them, so that a box needs
-	// connections to few others.
+	// groupCount is the number of sets of holders. Workspaces share them, so that a box needs connections to
+	// few other boxes.
 	groupCount = 4
 )
 
-// Group is the workspaces that have the same holders.
+// Group identifies a set of workspaces that have the same holders.
 type Group int
 
 // Groups returns all groups.
@@ -37,19 +37,19 @@
 // GroupOf returns a workspace's group.
 func GroupOf(w units.WorkspaceName) Group { return Group(xxhash.Sum64String(string(w)) % groupCount) }
 
-// Holders returns the holders of a group among some boxes, the first first. A box that comes or goes
-// changes one of them at the most.
+// Holders returns the holders of a group among the given boxes, the highest ranked first. A box that joins or
+// leaves changes at most one of them.
 func (g Group) Holders(boxes []units.BoxID) []units.BoxID {
 	return highestRanked(boxes, HoldersPerGroup, func(b units.BoxID) uint64 { return rendezvous.Hash(b, string(rune('0'+g))) })
 }
 
-// PreferenceOrder returns holders in the order in which a box asks them: each box begins with another one, so
-// that all are asked alike.
+// PreferenceOrder returns holders in the order in which a box asks them. Boxes have different orders, so that
+// requests spread evenly over the holders.
 func PreferenceOrder(box units.BoxID, holders []units.BoxID) []units.BoxID {
 	return highestRanked(holders, len(holders), func(h units.BoxID) uint64 { return rendezvous.Hash(box, h) })
 }
 
-// highestRanked returns up to n boxes, those with the highest hash first.
+// highestRanked returns the up to n boxes with the highest hashes, the highest first.
 func highestRanked(boxes []units.BoxID, n int, hash func(units.BoxID) uint64) []units.BoxID {
 	type ranked struct {
 		box  units.BoxID
--- a/pkg/core/quota/quota_test.go
+++ b/pkg/core/quota/quota_test.go
@@ -32,7 +32,7 @@
 				}
 			}
 			if wanted := slices.Contains(before, boxes[i]); gone > 1 || gone == 1 && !wanted {
-				t.Fatalf("%d of the holders of group %d change with %s", gone, g, boxes[i])
+				t.Fatalf("%d holders of group %d are replaced when %s leaves", gone, g, boxes[i])
 			}
 		}
 	}
--- a/pkg/core/rendezvous/rendezvous.go
+++ b/pkg/core/rendezvous/rendezvous.go
@@ -1,14 +1,14 @@
-// Package rendezvous ranks names for other names: the boxes that may coordinate a target, or the replicas
-// that a box may attach to. All processes work out the same ranking from names alone, and a name that comes
-// or goes changes the rank of no other.
+// Package rendezvous implements rendezvous hashing (highest random weight): it ranks, for example, the boxes
+// that may coordinate a target, or the replicas that a box may attach to. All processes compute the same
+// ranking from the names alone, and adding or removing a name doesn't change the rank of any other.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
-// Hash ranks one of two names for the other; the highest comes first. Other processes count on the order
-// of the names in it.
+// Hash returns the rank of one name for another; the highest ranks first. Other processes depend on the order
+// of the two names and on the algorithm, so neither may change.
 func Hash[A, B ~string](a A, b B) uint64 {
-	// Names are short, so that nothing is allocated.
+	// Names are short enough for the buffer, which avoids an allocation.
 	var buffer [96]byte
 	key := append(append(append(buffer[:0], a...), 0), b...)
 	return xxhash.Sum64(key)
--- a/pkg/core/scope/scope.go
+++ b/pkg/core/scope/scope.go
@@ -1,9 +1,9 @@
-// Package scope says which targets of a large service are in a box's table. A box sends its calls to a few
-// targets of such a service only; to send every target, and each change of one, to every box costs boxes
-// times targets. So the registered targets of a failure domain are divided by a step: a box holds
-// one in 2^step of them, drawn by a hash of box and target. Which box holds which target follows from
-// ids and step alone, so that everybody works it out the same, and a box that comes or goes moves no
-// other's targets.
+// Package scope decides which targets of a large service are in a box's table. A box sends its calls to only
+// a few targets of such a service, and sending every target and each of its changes to every box would cost
+// boxes times targets. So the registered targets of a failure domain are divided among the boxes by a step: a
+// box holds one in 2^step of them, selected by a hash of box and target. The selection depends on the ids and
+// the step only, so that all processes compute the same one, and a box that joins or leaves changes no other
+// box's targets.
 package scope
 
 import (
@@ -14,39 +14,41 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Step is how often the targets of a failure domain are halved for a box of another domain.
+// Step is the binary logarithm of the reduction of a failure domain's targets for boxes of other domains:
+// such a box holds one target in 2^step.
 type Step int
 
 const (
-	// ownDomainSteps is how many steps less a box's own failure domain is divided by: its calls go there.
+	// ownDomainSteps is by how much the step is lower for boxes in the targets' own failure domain, where
+	// most of their calls go.
 	ownDomainSteps = 2
-	// maxUndividedTargets is up to how many registered targets a service is sent whole to every box, since fewer
-	// cost boxes little, and wholeProduct up to how many boxes times targets: that is what sending all costs.
-	// A service that was divided is sent whole again from half of that on.
+	// A service is divided only if it has more than maxUndividedTargets registered targets, since fewer cost
+	// a box little, and if boxes times targets, which is the cost of sending everything, exceeds
+	// maxUndividedPairs. A divided service becomes whole again at half of either bound.
 	maxUndividedTargets = 250
 	maxUndividedPairs   = 250_000
-	// maxRemoteTargets and leastOfDomain bound how many targets of another domain a box holds, where
-	// there are more: enough to go to when its own domain is lost.
+	// maxRemoteTargets and minRemoteTargets bound how many of a larger number of targets in another domain
+	// a box holds: enough to fail over to when its own domain is lost.
 	maxRemoteTargets = 48
 	minRemoteTargets = 12
-	// stepUpHolders is how many boxes are to hold a target before a step is taken, so that as good as
-	// none is held by nobody; fewestHolders is from how few on a step is taken back. Between
-	// them boxes may come and go without a change.
+	// stepUpHolders is the least mean number of boxes that hold a target after the step is raised, so that
+	// hardly any target is held by no box; the step is lowered when there are fewer than stepDownHolders.
+	// Between the two, boxes may join and leave without a change of the step.
 	stepUpHolders   = 24
 	stepDownHolders = 6
-	// jointStepFraction is from which part of mostOfDomain on a domain takes a step together with another one that
-	// takes it: each change of a division costs a message to every box.
+	// jointStepFraction is the fraction of maxRemoteTargets at which a domain's step is raised together with
+	// another domain's: each change of a division costs a message to every box.
 	jointStepFraction = 0.75
 )
 
-// Rank is a box's place among those that hold a target: the higher, the larger the steps at which it
-// does. The box that comes first for a target by rendezvous.Hash holds it longest.
+// Rank is a box's rendezvous hash for a target. The higher the rank, the larger the steps at which the box
+// holds the target; the box with the highest rank holds it at the largest steps.
 type Rank uint64
 
 // RankOf returns a box's rank for a target.
 func RankOf(box units.BoxID, target units.TargetID) Rank { return Rank(rendezvous.Hash(box, target)) }
 
-// Holds tells whether a box of this rank holds the target at a step; then it does at each smaller one.
+// Holds reports whether a box of this rank holds the target at a step. It then does at every smaller step.
 func (r Rank) Holds(s Step) bool { return s <= 0 || ^r>>(64-s) == 0 }
 
 // DomainStep is the step of a failure domain's targets.
@@ -55,11 +57,11 @@
 	Step   Step
 }
 
-// Division is how the targets of a service are divided: the domains with a step, in order. It is nil
-// for a service that boxes are told of whole.
+// Division is how the targets of a service are divided among the boxes: the domains with a step above zero,
+// sorted by domain. It is nil for a service whose targets are all sent to every box.
 type Division []DomainStep
 
-// StepOf returns the step by which a box of one domain holds the targets of another, or its own.
+// StepOf returns the step at which a box in one domain holds the targets of another, or of its own.
 func (d Division) StepOf(box, targets units.Domain) Step {
 	if box == targets {
 		return max(0, d.Step(targets)-ownDomainSteps)
@@ -76,16 +78,16 @@
 	return d[i].Step
 }
 
-// DomainCount is a number in a failure domain.
+// DomainCount is the number of targets in a failure domain.
 type DomainCount struct {
 	Domain units.Domain
 	N      int
 }
 
-// BoxCounts counts the boxes of each failure domain.
+// BoxCounts holds the number of boxes in each failure domain.
 type BoxCounts map[units.Domain]int
 
-// Total returns how many boxes there are.
+// Total returns the number of boxes in all domains.
 func (b BoxCounts) Total() int {
 	n := 0
 	for _, x := range b {
@@ -94,24 +96,26 @@
 	return n
 }
 
-// MeanHolders returns how many boxes hold a target of a domain at a step, in the mean.
+// MeanHolders returns the mean number of boxes that hold a target of a domain at a step. The total is the
+// result of Total.
 func (b BoxCounts) MeanHolders(total int, d units.Domain, s Step) int {
 	own := b[d]
 	return own>>max(0, s-ownDomainSteps) + (total-own)>>max(0, s)
 }
 
-// holdersMargin is how many times the mean of holders a target may have: the draw by hashes hardly
-// ever gives one more.
+// holdersMargin is the factor by which a target's holders may exceed the mean: the hash hardly ever gives a
+// target more.
 const holdersMargin = 2
 
-// MaxHolders bounds how many boxes hold a target of a domain at a step; a total is divided by it.
+// MaxHolders returns the most boxes that are expected to hold a target of a domain at a step, at least 1. A
+// limit for all boxes together is divided by it.
 func (b BoxCounts) MaxHolders(total int, d units.Domain, s Step) int {
 	return max(1, min(total, holdersMargin*b.MeanHolders(total, d, s)))
 }
 
-// NextDivision returns how a service is divided after a change, given how it was before and how many
-// registered targets it has in each domain, in order. A step is kept until the numbers are far from
-// what it is meant for, so that changes of a few boxes or targets move none.
+// NextDivision returns the division of a service after a change, given the division before it and the number
+// of registered targets in each domain, sorted by domain. Steps have hysteresis, so that changes of a few
+// boxes or targets don't change them.
 func NextDivision(before Division, targets []DomainCount, boxes BoxCounts) Division {
 	registered := 0
 	for _, c := range targets {
@@ -128,7 +132,7 @@
 	return next
 }
 
-// shouldDivide tells whether a service is told of in parts.
+// shouldDivide reports whether a service's targets are divided among the boxes.
 func shouldDivide(before Division, registered, boxes int) bool {
 	if before == nil {
 		return registered > maxUndividedTargets && registered*boxes > maxUndividedPairs
@@ -136,7 +140,8 @@
 	return registered > maxUndividedTargets/2 && registered*boxes > maxUndividedPairs/2
 }
 
-// domainSteps returns the domainSteps of all domains, given how many targets of another domain a box holds at the most.
+// domainSteps returns the steps of all domains that have one, given the most targets of another domain that a
+// box is to hold.
 func domainSteps(before Division, targets []DomainCount, boxes BoxCounts, total, maxTargets int) Division {
 	var next Division
 	for _, c := range targets {
@@ -158,8 +163,8 @@
 	return step
 }
 
-// enoughHolders tells whether enough boxes hold a target at a step, half of them beside it where
-// there are boxes at all: those coordinate what all boxes send it.
+// enoughHolders reports whether enough boxes hold a target at a step. Where the target's own domain has boxes,
+// half of the required holders must be there: those boxes coordinate what all boxes send to the target.
 func enoughHolders(boxes BoxCounts, total int, d units.Domain, s Step) bool {
 	own := boxes[d]
 	if own > 0 && own>>max(0, s-ownDomainSteps) < stepUpHolders/2 {
--- a/pkg/core/scope/scope_test.go
+++ b/pkg/core/scope/scope_test.go
@@ -8,7 +8,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// fleet is a service's targets and all boxes, evenly over some failure domains.
+// fleet is the number of boxes and of a service's targets, spread evenly over failure domains.
 type fleet struct {
 	domains, boxes, targets int
 }
@@ -32,8 +32,8 @@
 	return b
 }
 
-// holding returns how many boxes hold each target, how many of those are in its own domain, and how
-// many targets each box holds.
+// holding returns the number of boxes that hold each target, the number of those in its own domain, and
+// the number of targets that each box holds.
 func (f fleet) holding(d Division) (holders, own, held []int) {
 	holders, own, held = make([]int, f.targets), make([]int, f.targets), make([]int, f.boxes)
 	ids := make([]units.TargetID, f.targets)
@@ -68,8 +68,8 @@
 	return least, most
 }
 
-// Every target is held by several boxes, some of them in its own domain. A box holds no more targets of
-// a fleet of twice the size; where boxes are few beside targets it holds more.
+// Every target is held by several boxes, some of them in its own domain. The number of targets that a box holds
+// doesn't grow with the fleet, except where there are few boxes for many targets.
 func TestEveryTargetIsHeldAndNoBoxHoldsMany(t *testing.T) {
 	const leastOwn, mostHeld = 2, 450
 	for _, f := range []fleet{{6, 985, 2740}, {6, 985, 5772}, {6, 1970, 11544}, {3, 300, 1731}, {16, 1600, 16000}, {1, 100, 3000}} {
@@ -78,10 +78,10 @@
 		least, most := minAndMax(holders)
 		ownLeast, _ := minAndMax(own)
 		_, heldMost := minAndMax(held)
-		t.Logf("%+v: steps %v; a target is held by %d to %d boxes, %d or more beside it; a box holds up to %d", f, d, least, most, ownLeast, heldMost)
+		t.Logf("%+v: steps %v; a target is held by %d to %d boxes, at least %d of them in its domain; a box holds up to %d", f, d, least, most, ownLeast, heldMost)
 		for i := range f.domains {
 			if bound := f.boxCounts().MaxHolders(f.boxes, f.domain(i), d.Step(f.domain(i))); most > bound {
-				t.Errorf("%+v: a target is held by %d boxes, its totals are divided by %d", f, most, bound)
+				t.Errorf("%+v: a target is held by %d boxes, but its limits are divided by %d", f, most, bound)
 			}
 		}
 		if ownLeast < leastOwn {
@@ -93,8 +93,8 @@
 	}
 }
 
-// A box holds at a larger step nothing that it doesn't hold at a smaller one, and the box that comes
-// first for a target holds it as long as any.
+// The targets that a box holds at a step are among those that it holds at every smaller step, and a target
+// that any box holds is held by the box with the highest rank.
 func TestStepsTakeAndTheFirstHoldsLongest(t *testing.T) {
 	for k := range 200 {
 		target := units.TargetID(fmt.Sprint("t", k))
@@ -112,14 +112,14 @@
 					continue
 				}
 				if s > 0 && !RankOf(id, target).Holds(s-1) || !RankOf(first, target).Holds(s) {
-					t.Fatalf("box %s holds target %s at step %d out of turn", id, target, s)
+					t.Fatalf("box %s holds target %s at step %d, but not at the step before, or the first box doesn't", id, target, s)
 				}
 			}
 		}
 	}
 }
 
-// Services of ordinary size, and large ones with few boxes, are told of whole.
+// Services of ordinary size, and large ones with few boxes, aren't divided.
 func TestOrdinaryServicesAreWhole(t *testing.T) {
 	for _, f := range []fleet{{6, 985, 250}, {6, 473, 415}, {3, 18, 10_000}, {1, 23, 5000}, {6, 0, 10_000}} {
 		if d := NextDivision(nil, f.counts(), f.boxCounts()); d != nil {
@@ -128,7 +128,7 @@
 	}
 }
 
-// While a fleet comes up, and while parts of it come and go, steps change a few times only.
+// Steps change only a few times while a fleet starts, and not at all while parts of it leave and return.
 func TestStepsChangeSeldom(t *testing.T) {
 	const most = 12
 	f := fleet{domains: 6, boxes: 985, targets: 10_000}
@@ -145,14 +145,14 @@
 		next(fleet{f.domains, min(f.boxes, n), n})
 	}
 	if changes > most*f.domains {
-		t.Errorf("%d changes while the fleet came up", changes)
+		t.Errorf("%d changes while the fleet started", changes)
 	}
 	changes = 0
 	for i := range 100 {
-		// A third of the boxes and a tenth of the targets go and come back.
+		// A third of the boxes and a tenth of the targets leave and return.
 		next(fleet{f.domains, f.boxes * (100 - 33*(i%2)) / 100, f.targets * (100 - 10*(i%2)) / 100})
 	}
 	if changes > 0 {
-		t.Errorf("%d changes while boxes and targets came and went", changes)
+		t.Errorf("%d changes while boxes and targets left and returned", changes)
 	}
 }
--- a/pkg/units/units.go
+++ b/pkg/units/units.go
@@ -1,38 +1,39 @@
-// Package units names the ids and measures that the rest of madderpond shares,
-// so that a box can't be mistaken for a target, nor a revision for a version.
+// Package units defines named types for the ids and quantities that madderpond's
+// packages share, so that the compiler rejects a box id where a target id is
+// expected, or a revision where a version is expected.
 package units
 
 import "time"
 
-// BoxID names an entry box.
+// BoxID identifies an entry box: a machine that runs the program as a proxy.
 type BoxID string
 
-// ReplicaID names a control replica.
+// ReplicaID identifies a control replica.
 type ReplicaID string
 
-// Incarnation is the random name of one life of a replica's disk. A replica
-// that lost its disk comes back under a new one.
+// Incarnation is a random id that a replica stores on its disk. A replica that
+// lost its disk rejoins with a new one.
 type Incarnation string
 
-// ServiceName names a service of the table.
+// ServiceName identifies a service in the table.
 type ServiceName string
 
-// TargetID names a target; the same target may stand in several rows.
+// TargetID identifies a target (a back end); a target may have several rows.
 type TargetID string
 
-// WorkspaceName names a workspace: a customer whose callers share keys and limits.
+// WorkspaceName identifies a workspace: a customer whose callers share keys and limits.
 type WorkspaceName string
 
-// Domain names a failure domain.
+// Domain identifies a failure domain.
 type Domain string
 
-// Region names a group of failure domains that lie close together.
+// Region identifies a group of failure domains that are close together.
 type Region string
 
-// SoftwareVersion names a version of the software that a target runs.
+// SoftwareVersion is the version of the software that a target runs.
 type SoftwareVersion string
 
-// EditID is an operator's own name for an edit; a resent edit carries it again.
+// EditID is an operator's idempotency key for an edit; a resent edit has the same one.
 type EditID string
 
 // Revision counts the accepted changes of the whole replicated state.
@@ -41,19 +42,18 @@
 // Version counts the accepted changes of one service and its rows.
 type Version uint64
 
-// DocumentVersion is an operator's own number for a whole table; the highest one
-// holds.
+// DocumentVersion is an operator's version number for a whole table; the highest
+// one is in force.
 type DocumentVersion uint64
 
-// Term numbers the leaderships of the replicated log.
+// Term numbers the leader terms of the replicated log.
 type Term uint64
 
 // Index numbers the entries of the replicated log, from 1.
 type Index uint64
 
-// Instant is a point on a process's own monotonic clock, in nanoseconds since
-// a start that only this process knows. Instants of two processes can't be
-// compared.
+// Instant is a reading of the process's monotonic clock, in nanoseconds since an
+// arbitrary origin. Instants of two processes can't be compared.
 type Instant int64
 
 // Add returns the instant d later.
@@ -61,27 +61,27 @@
 	return i + Instant(d)
 }
 
-// Sub returns the time that passed from other to i.
+// Sub returns the time elapsed from other to i.
 func (i Instant) Sub(other Instant) time.Duration {
 	return time.Duration(i - other)
 }
 
-// Before reports whether i comes before other.
+// Before reports whether i is earlier than other.
 func (i Instant) Before(other Instant) bool {
 	return i < other
 }
 
-// WallTime is a wall-clock time in Unix milliseconds; it is used for display
-// and for the age of remembered answers, never for leases.
+// WallTime is a wall-clock time in Unix milliseconds. It is used for display and
+// for the age of stored results, never for leases.
 type WallTime int64
 
-// CallRate is a number of calls a second.
+// CallRate is a rate in calls per second.
 type CallRate float64
 
-// Percent is a share in hundredths.
+// Percent is a fraction in hundredths.
 type Percent float64
 
-// Of returns this share of a whole.
+// Of returns this percentage of whole.
 func (p Percent) Of(whole float64) float64 {
 	return whole * float64(p) / 100
 }
