--- a/pkg/core/control/requests.go
+++ b/pkg/core/control/requests.go
@@ -126,7 +126,7 @@
 	departure := &wire.Departure{Target: string(v.Target)}
 	if held := r.state.Registration(v.Target); held != nil {
 		// A start that begins while the command is on its way stays.
-		departure.Born = int64(held.StartedAt)
+		departure.Born = int64(held.Born)
 	}
 	c := &wire.Command{Kind: &wire.Command_Departure{Departure: departure}}
 	r.submitCommand(v.Request, c, fmt.Sprintf("departure of target %s", v.Target), log, e)
--- a/pkg/core/control/rollouts.go
+++ b/pkg/core/control/rollouts.go
@@ -211,7 +211,7 @@
 		if t.Service != service || t.Software != software || t.State != table.Active || t.Silent || r.state.Table().Evacuated(t.Domain) {
 			return
 		}
-		side = append(side, rollout.Candidate{Target: t.Target, Domain: t.Domain, Slots: t.Slots, Cold: t.ColdRemaining > 0})
+		side = append(side, rollout.Candidate{Target: t.Target, Domain: t.Domain, Slots: t.Slots, Cold: t.Cold > 0})
 	})
 	return side
 }
--- a/pkg/core/control/starts_test.go
+++ b/pkg/core/control/starts_test.go
@@ -24,7 +24,7 @@
 
 func (x *starter) registration(born units.WallTime, sequence uint64, state table.RowState) *table.Registration {
 	return &table.Registration{
-		Target: starterID, Service: testService, Address: "127.0.0.77:80", State: state, StartedAt: born, Sequence: sequence,
+		Target: starterID, Service: testService, Address: "127.0.0.77:80", State: state, Born: born, Sequence: sequence,
 	}
 }
 
@@ -83,9 +83,9 @@
 		switch {
 		case x.left == x.born:
 			if held != nil {
-				t.Fatalf("%s holds the start of %d, whose leaving was acknowledged", r.id, held.StartedAt)
+				t.Fatalf("%s holds the start of %d, whose leaving was acknowledged", r.id, held.Born)
 			}
-		case held == nil || held.StartedAt != x.born || held.State != table.Active:
+		case held == nil || held.Born != x.born || held.State != table.Active:
 			t.Fatalf("%s holds %+v, the present start is that of %d", r.id, held, x.born)
 		}
 	}
--- a/pkg/core/routing/cold_test.go
+++ b/pkg/core/routing/cold_test.go
@@ -82,7 +82,7 @@
 	f.putTargets(targets, func(r *table.Row) {
 		if r.Domain == d {
 			r.Target += "-again"
-			r.ColdRemaining = 3 * time.Second
+			r.Cold = 3 * time.Second
 		}
 	})
 }
@@ -235,13 +235,13 @@
 	const boxes, targets = 300, 200
 	cost := func(cold time.Duration) float64 {
 		f := newColdFleet(t, boxes, 0)
-		f.putTargets(targets, func(r *table.Row) { r.ColdRemaining = cold })
+		f.putTargets(targets, func(r *table.Row) { r.Cold = cold })
 		weight := 1
 		return testing.AllocsPerRun(5, func() {
 			weight++
 			f.routers = f.routers[:1]
 			f.putTargets(targets, func(r *table.Row) {
-				r.ColdRemaining = cold
+				r.Cold = cold
 				if r.Target == "t000" {
 					r.Weight = weight
 				}
--- a/pkg/core/routing/coordinator.go
+++ b/pkg/core/routing/coordinator.go
@@ -96,7 +96,7 @@
 
 // sendLimit sends a message on a target's limit, or takes it at once if it is for this box.
 func (r *Router) sendLimit(to units.BoxID, t *target, m LimitMessage, e *Effects) {
-	m.Service, m.Target, m.Born = t.row.Service, t.row.Target, t.row.StartedAt
+	m.Service, m.Target, m.Born = t.row.Service, t.row.Target, t.row.Born
 	m.Word = t.limitWord()
 	if to == r.settings.Box {
 		r.receiveLimit(to, m, e)
@@ -117,7 +117,7 @@
 // nothing here: the table will tell one of the two boxes about it.
 func (r *Router) receiveLimit(from units.BoxID, m LimitMessage, e *Effects) {
 	t := r.services[m.Service].target(m.Target)
-	if t == nil || t.row.StartedAt != m.Born {
+	if t == nil || t.row.Born != m.Born {
 		return
 	}
 	r.learnLimit(t, m.Word, e)
--- a/pkg/core/routing/limit_fleet_test.go
+++ b/pkg/core/routing/limit_fleet_test.go
@@ -161,7 +161,7 @@
 	for _, x := range f.targets {
 		entry.Rows = entry.Rows.With(table.Row{
 			Service: "s", Target: x.id, Address: string(x.id) + ":1", Domain: x.domain, Weight: 100, State: table.Active,
-			Registered: true, Slots: 6, StartedAt: x.born,
+			Registered: true, Slots: 6, Born: x.born,
 		})
 	}
 	t.Services["s"] = entry
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -44,7 +44,7 @@
 }
 
 func originOfRow(row *table.Row) origin {
-	return newOrigin(row.Registered, row.Target, row.Address, row.StartedAt)
+	return newOrigin(row.Registered, row.Target, row.Address, row.Born)
 }
 
 func (x *Endpoint) origin() origin { return newOrigin(x.Registered, x.Target, x.Address, x.Born) }
@@ -267,7 +267,7 @@
 
 // startUnknown tells whether nothing but the target's own answers can show that it has started
 // again: its rows tell no birth.
-func (t *target) startUnknown() bool { return t.row.StartedAt == 0 }
+func (t *target) startUnknown() bool { return t.row.Born == 0 }
 
 // wantsProbe tells whether a target that gets no calls is worth a probe: one that is ejected, and one
 // that said it leaves where a probe alone shows whether a new start has taken its place.
--- a/pkg/core/routing/notice_random_test.go
+++ b/pkg/core/routing/notice_random_test.go
@@ -53,7 +53,7 @@
 		for _, service := range []units.ServiceName{"once", "read", "file"} {
 			x.rows = append(x.rows, table.Row{
 				Service: service, Target: units.TargetID(fmt.Sprintf("%s-%d", service, i)), Address: fmt.Sprintf("10.0.0.%d:80", len(x.rows)),
-				Weight: 100, State: table.Active, Registered: true, Slots: 3, StartedAt: 1,
+				Weight: 100, State: table.Active, Registered: true, Slots: 3, Born: 1,
 			})
 			x.listed = append(x.listed, true)
 		}
@@ -200,7 +200,7 @@
 	case 0:
 		x.listed[i] = !x.listed[i]
 	case 1:
-		x.rows[i].StartedAt++
+		x.rows[i].Born++
 	case 2:
 		x.rows[i].Address += "0"
 	case 3:
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -326,7 +326,7 @@
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		r.ColdRemaining = cold
+		r.Cold = cold
 		return
 	}
 	if v, told := strings.CutPrefix(word, "born="); told {
@@ -334,7 +334,7 @@
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		r.StartedAt = units.WallTime(born)
+		r.Born = units.WallTime(born)
 		return
 	}
 	if v, named := strings.CutPrefix(word, "software="); named {
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -99,7 +99,7 @@
 		window:  maxWindow,
 		endpoint: &Endpoint{
 			Service: row.Service, Target: row.Target, Address: row.Address, Domain: row.Domain,
-			Registered: row.Registered, Born: row.StartedAt,
+			Registered: row.Registered, Born: row.Born,
 		},
 	}
 }
@@ -107,7 +107,7 @@
 // startedAgain tells whether a row is of a later start of the target, which knows nothing of the
 // calls, connections and faults of the one before.
 func (t *target) startedAgain(row table.Row) bool {
-	return t.row.StartedAt != 0 && row.StartedAt != 0 && t.row.StartedAt != row.StartedAt
+	return t.row.Born != 0 && row.Born != 0 && t.row.Born != row.Born
 }
 
 func (t *target) update(row table.Row) {
@@ -115,8 +115,8 @@
 		// A target that reports again may be tried at once.
 		t.health.retryAt = 0
 	}
-	if row.ColdRemaining != t.row.ColdRemaining {
-		t.cold.reported = row.ColdRemaining
+	if row.Cold != t.row.Cold {
+		t.cold.reported = row.Cold
 	}
 	t.row = row
 	t.remote = !t.service.off[OwnDomain] && row.Domain != "" && t.service.domain != "" && row.Domain != t.service.domain
--- a/pkg/core/table/box.go
+++ b/pkg/core/table/box.go
@@ -2,12 +2,12 @@
 
 import "github.com/madderpond/madderpond/pkg/units"
 
-// Box is an entry box that the control state counts as live. Shares of limits
-// and of measuring budgets are worked out from the list of boxes.
+// Box is an entry box that the control state considers live. Each box's share of
+// limits and of measuring budgets is computed from the list of boxes.
 type Box struct {
 	ID      units.BoxID  `json:"id"`
 	Domain  units.Domain `json:"domain,omitempty"`
 	Address string       `json:"address,omitempty"`
-	// Leaving boxes keep what they have but get no share of their own.
+	// Leaving is set while the box shuts down: it finishes the calls that it has and gets no share.
 	Leaving bool `json:"leaving,omitempty"`
 }
--- a/pkg/core/table/difference.go
+++ b/pkg/core/table/difference.go
@@ -8,8 +8,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Difference returns the change that leads from one table to a later one that was made from it. It
-// takes time in proportion to what differs.
+// Difference returns the delta from one table to a later one that was derived from it. Its cost is
+// proportional to what differs.
 func Difference(from, to *Table) *Delta {
 	d := &Delta{
 		From: from.Revision, Revision: to.Revision, Boxes: BoxDifference(from.Boxes, to.Boxes),
@@ -29,7 +29,7 @@
 	return d
 }
 
-// addServices adds the services that differ between two tables.
+// addServices adds the services that differ between two tables to the delta.
 func (d *Delta) addServices(from, to *Table) {
 	for _, n := range from.ServiceNames() {
 		if to.Services[n] == nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// sameRowFilter tells whether a box holds the rows of an entry by the same rule in two tables.
+// sameRowFilter reports whether two tables filter the rows of an entry in the same way.
 func sameRowFilter(e *Entry, from, to *Table) bool {
 	a, b := from.rowFilterOf(e), to.rowFilterOf(e)
 	return a.equal(&b)
@@ -56,14 +56,14 @@
 
 func deepEqual[T any](a, b T) bool { return reflect.DeepEqual(a, b) }
 
-// changedRecords returns the records of a sorted list, none of which ever goes, that are new or have
-// changed.
+// changedRecords returns the records that are new or changed in a sorted list from which none is ever
+// removed.
 func changedRecords[T any, K cmp.Ordered](from, to []T, keyOf func(T) K) []T {
 	put, _ := sortedDifference(from, to, keyOf, cmp.Compare, deepEqual)
 	return put
 }
 
-// sortedDifference returns what leads from one list to another, both sorted by a key.
+// sortedDifference returns the difference of two lists that are sorted by a key.
 func sortedDifference[T, K any](from, to []T, keyOf func(T) K, compare func(a, b K) int, same func(a, b T) bool) (put []T, removed []K) {
 	if sameList(from, to) {
 		return nil, nil
@@ -95,13 +95,13 @@
 	return put, removed
 }
 
-// sameList tells whether two lists are the same one, which saves looking through them.
+// sameList reports whether two slices share their memory, which saves comparing their elements.
 func sameList[T any](a, b []T) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// BoxDifference returns the change that leads from one list of boxes to another;
-// both are sorted by id.
+// BoxDifference returns the change from one list of boxes to another; both are
+// sorted by id.
 func BoxDifference(from, to []Box) BoxChange {
 	var c BoxChange
 	c.Put, c.Removed = sortedDifference(from, to, func(b Box) units.BoxID { return b.ID }, cmp.Compare, func(a, b Box) bool { return a == b })
--- a/pkg/core/table/divider.go
+++ b/pkg/core/table/divider.go
@@ -7,27 +7,28 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// TableDivider tells boxes their parts of a table. What doesn't depend on the box is worked out once.
+// TableDivider derives from a table what each box holds of it. What doesn't depend on the box is computed
+// only once.
 type TableDivider struct {
 	table    *Table
 	services []*entryDivider
 }
 
-// entryDivider is a service before it is divided.
+// entryDivider derives what each box holds of a service.
 type entryDivider struct {
 	entry  *Entry
 	filter rowFilter
-	// rows are in order, and places say where in domains the failure domain of each is; heldByAll
-	// stands for rows that every box holds.
+	// rows are sorted by target. domainIndexes holds, for each row, the index of its failure domain in
+	// domains, or heldByAllBoxes.
 	rows          []*Row
 	domainIndexes []int
 	domains       []units.Domain
 }
 
-// heldByAllBoxes is the place of rows that every box holds.
+// heldByAllBoxes replaces the domain index for rows that every box holds.
 const heldByAllBoxes = -1
 
-// Divider prepares what boxes are told of the table.
+// Divider returns a divider of the table among the boxes.
 func (t *Table) Divider() *TableDivider {
 	p := &TableDivider{table: t}
 	for _, n := range t.ServiceNames() {
@@ -48,7 +49,8 @@
 	return x
 }
 
-// domainIndexOf returns the place of a row's failure domain, which there are few of.
+// domainIndexOf returns the index of a row's failure domain, adding it if needed. There are few domains, so
+// a linear search is enough.
 func (x *entryDivider) domainIndexOf(r *Row) int {
 	if x.filter.everyBoxHolds(r) {
 		return heldByAllBoxes
@@ -61,7 +63,7 @@
 	return i
 }
 
-// For returns what a box is told of the table.
+// For returns the table that a box holds.
 func (p *TableDivider) For(b *Box) *Table {
 	next := *p.table
 	next.Services = make(map[units.ServiceName]*Entry, len(p.services))
@@ -71,7 +73,7 @@
 	return &next
 }
 
-// forBox returns what a box is told of the service.
+// forBox returns the entry that a box holds.
 func (x *entryDivider) forBox(b *Box) *Entry {
 	if x.filter.includesAll() {
 		return x.entry
@@ -89,16 +91,16 @@
 	return &Entry{Service: x.entry.Service, Version: x.entry.Version, Division: x.entry.Division, Rows: sortedRows(held)}
 }
 
-// DeltaDivider tells boxes their parts of the change that leads from one table to another. What doesn't
-// depend on the box is worked out once, so that a box costs time in proportion to the rows that changed or
-// may have moved.
+// DeltaDivider derives from the delta between two tables what each box is sent of it. What doesn't depend on
+// the box is computed only once, so that the cost per box is proportional to the rows that changed or may be
+// reassigned.
 type DeltaDivider struct {
 	delta   *Delta
 	changed []*entryDivider
 	patches []*patchDivider
 }
 
-// patchDivider is a service's patch before it is divided.
+// patchDivider derives what each box is sent of a service's patch.
 type patchDivider struct {
 	patch         *EntryPatch
 	before, after rowFilter
@@ -107,18 +109,18 @@
 	reassigned    []reassignedRows
 }
 
-// changedRow is a row before and after a change; before is nil for a new one.
+// changedRow is a row before and after a change; before is nil for a new row.
 type changedRow struct {
 	before, after *Row
 }
 
-// reassignedRows are the rows of a failure domain that didn't change and may be told to other boxes.
+// reassignedRows are unchanged rows of a failure domain that may be held by different boxes than before.
 type reassignedRows struct {
 	domain units.Domain
 	rows   []*Row
 }
 
-// Divider prepares what boxes are told of a change, which leads from one table to another.
+// Divider returns a divider among the boxes of the delta, which is the difference between the given tables.
 func (d *Delta) Divider(from, to *Table) *DeltaDivider {
 	parts := &DeltaDivider{delta: d}
 	for _, e := range d.Changed {
@@ -150,10 +152,10 @@
 	return x
 }
 
-// sameForAllBoxes tells whether every box is told all of the patch.
+// sameForAllBoxes reports whether every box is sent the whole patch.
 func (x *patchDivider) sameForAllBoxes() bool { return x.before.includesAll() && x.after.includesAll() }
 
-// findReassigned collects the rows that boxes may hold differently from before although they are the same.
+// findReassigned collects the unchanged rows that may be held by different boxes than before.
 func (x *patchDivider) findReassigned(next *Entry) {
 	changed := make(map[units.TargetID]bool, len(x.put))
 	for _, c := range x.put {
@@ -178,7 +180,7 @@
 	return x.before.everyBoxHolds(r) != x.after.everyBoxHolds(r) || x.before.division.Step(r.Domain) != x.after.division.Step(r.Domain)
 }
 
-// For returns what a box is told of the change.
+// For returns the delta that a box is sent.
 func (p *DeltaDivider) For(b *Box) *Delta {
 	next := *p.delta
 	next.Changed = make([]*Entry, 0, len(p.changed))
@@ -194,7 +196,7 @@
 	return &next
 }
 
-// forBox returns what a box is told of the patch, or nil for nothing.
+// forBox returns the patch that a box is sent, or nil if nothing changes for it.
 func (x *patchDivider) forBox(b *Box) *EntryPatch {
 	p := x.patch
 	if x.sameForAllBoxes() {
@@ -223,7 +225,7 @@
 	return part
 }
 
-// addReassigned adds to a box's part the rows that it holds from now on, or no longer.
+// addReassigned adds to a box's patch the unchanged rows that the box begins or ceases to hold.
 func (x *patchDivider) addReassigned(b *Box, m *reassignedRows, part *EntryPatch) {
 	before, after := x.before.division.StepOf(b.Domain, m.domain), x.after.division.StepOf(b.Domain, m.domain)
 	for _, r := range m.rows {
--- a/pkg/core/table/document.go
+++ b/pkg/core/table/document.go
@@ -7,20 +7,21 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Document is a whole table of services and routes that is put as one, under a
-// version of the operator's. The highest version holds: a document whose version
-// isn't above the held one changes nothing.
+// Document is a whole table of services and routes that an operator replaces as a
+// unit, with a version number of the operator's. A document whose version isn't
+// higher than the current one's changes nothing.
 type Document struct {
 	Version  units.DocumentVersion `json:"version"`
 	Services []Service             `json:"services"`
 	Routes   []*Route              `json:"routes"`
-	// Workspaces are those whose keys let calls in; nil lets in every call.
+	// Workspaces are those whose keys calls must present; nil admits calls without a key.
 	Workspaces Workspaces `json:"workspaces"`
-	// Source is the document as its operator wrote it; reads give it back.
+	// Source is the document as the operator wrote it; the API returns it unchanged.
 	Source []byte `json:"source,omitempty"`
 }
 
-// CheckDocument says what is wrong with a document, or returns an empty string.
+// CheckDocument returns a description of the first problem with a document and its
+// remedy, or an empty string.
 func CheckDocument(d *Document) string {
 	names := map[units.ServiceName]bool{}
 	for i := range d.Services {
@@ -29,7 +30,7 @@
 			return fmt.Sprintf("service %q: %s", s.Name, joinProblems(problems))
 		}
 		if names[s.Name] {
-			return fmt.Sprintf("service %q stands in the document twice; remove one of them", s.Name)
+			return fmt.Sprintf("service %q appears twice in the document; remove one of them", s.Name)
 		}
 		names[s.Name] = true
 	}
@@ -46,8 +47,8 @@
 	return d.Workspaces.check()
 }
 
-// documentServiceRules are the rules that don't need a service to be reachable by
-// a host of its own.
+// documentServiceRules are the rules for services in a document, which don't need
+// hosts of their own since routes lead to them.
 var documentServiceRules = slices.DeleteFunc(slices.Clone(serviceRules), func(r rule[Service]) bool {
 	return r.column == "hosts" || r.column == "path_prefix"
 })
@@ -67,8 +68,8 @@
 // Document returns the document in force, or nil.
 func (s *State) Document() *Document { return s.document }
 
-// ApplyDocument puts a document in force if its version is above the held one. The
-// delta is nil when nothing changes.
+// ApplyDocument puts a document in force if its version is higher than the current
+// one's. The delta is nil if nothing changes.
 func (s *State) ApplyDocument(d *Document) *Delta {
 	if s.document != nil && d.Version <= s.document.Version {
 		return nil
@@ -125,7 +126,7 @@
 	return &Delta{From: s.table.Revision, Revision: s.table.Revision + 1}
 }
 
-// commit puts a delta in force and returns it.
+// commit applies a delta to the table and returns it.
 func (s *State) commit(d *Delta) *Delta {
 	s.updateDivisions(d)
 	s.table, _ = s.table.Patch(d)
--- a/pkg/core/table/draft.go
+++ b/pkg/core/table/draft.go
@@ -8,18 +8,18 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// draft collects the changes of one edit before any of them takes effect.
+// draft collects the changes of one edit until they are committed together.
 type draft struct {
 	base *Table
-	// changed holds the new entries; a nil entry stands for a removed service.
+	// changed holds the new entries; a nil entry is a removed service.
 	changed map[units.ServiceName]*Entry
 	order   []units.ServiceName
-	// matchesChanged is set when a service may answer to other hosts or paths.
+	// matchesChanged is set if the hosts or the path prefix of a service may have changed.
 	matchesChanged bool
 }
 
-// draft carries out an edit's operations on the side. The detail says why it
-// can't be done, or is empty.
+// draft applies an edit's operations to a draft, without changing the state. The
+// detail is the reason why it can't be done, or empty.
 func (s *State) draft(e *Edit) (*draft, string) {
 	d := &draft{base: s.table, changed: map[units.ServiceName]*Entry{}}
 	for i, o := range e.Operations {
@@ -74,7 +74,8 @@
 	d.changed[name] = e
 }
 
-// findDuplicateMatch makes sure that a call's host and path name one service.
+// findDuplicateMatch returns a description of two services that match the same
+// host and path prefix, or an empty string.
 func (d *draft) findDuplicateMatch() string {
 	type match struct{ host, prefix string }
 	owners := map[match]units.ServiceName{}
@@ -114,8 +115,8 @@
 			out.Removed = append(out.Removed, n)
 			continue
 		}
-		// Versions follow the revision, so that a service which was removed and
-		// put again never meets its old versions.
+		// Versions are taken from the revision, so that a service that is removed
+		// and added again never reuses a version.
 		entry.Version = units.Version(out.Revision)
 		out.Changed = append(out.Changed, entry)
 	}
--- a/pkg/core/table/edit.go
+++ b/pkg/core/table/edit.go
@@ -2,7 +2,7 @@
 
 import "github.com/madderpond/madderpond/pkg/units"
 
-// OperationKind says what an operation does.
+// OperationKind is what an operation does.
 type OperationKind int32
 
 // The kinds of operation.
@@ -14,15 +14,15 @@
 	DeleteRow
 )
 
-// Operation is one step of an edit. Service is set for the kinds on services,
-// Row for those on rows; a deletion needs only the names.
+// Operation is one change of an edit. Service is set for operations on services,
+// Row for those on rows; a deletion needs only the names in them.
 type Operation struct {
 	Kind    OperationKind `json:"kind"`
 	Service *Service      `json:"service,omitempty"`
 	Row     *Row          `json:"row,omitempty"`
 }
 
-// ServiceName returns the service that the operation touches.
+// ServiceName returns the name of the service that the operation changes.
 func (o Operation) ServiceName() units.ServiceName {
 	if o.Service != nil {
 		return o.Service.Name
@@ -33,41 +33,42 @@
 	return ""
 }
 
-// Edit is an operator's change of the table: all of its operations take
-// effect, or none.
+// Edit is an operator's change of the table. Its operations are applied
+// atomically.
 type Edit struct {
-	// ID names the edit; sending it again gives the first answer again.
+	// ID identifies the edit; resending it returns the first result again.
 	ID       units.EditID `json:"id"`
 	Operator string       `json:"operator"`
-	// Bases gives, for each service touched, the version that the edit was made
-	// from; zero stands for a service that doesn't exist yet.
+	// Bases holds, for each service that the edit changes, the version that the edit
+	// is based on; zero is for a service that doesn't exist yet.
 	Bases      map[units.ServiceName]units.Version `json:"bases"`
 	Operations []Operation                         `json:"operations"`
 }
 
-// Outcome says what became of an edit.
+// Outcome is the outcome of an edit.
 type Outcome int32
 
 // The outcomes of an edit.
 const (
 	Accepted Outcome = iota + 1
-	// Conflicted: another edit came first; nothing was changed.
+	// Conflicted: a service has changed since the edit's base version; nothing was
+	// changed.
 	Conflicted
 	// Rejected: the edit breaks a rule; nothing was changed.
 	Rejected
 )
 
-// Result is the lasting answer to an edit.
+// Result is the recorded result of an edit.
 type Result struct {
 	Edit     units.EditID `json:"edit"`
 	Operator string       `json:"operator"`
 	Outcome  Outcome      `json:"outcome"`
-	// Revision is the state's revision after the edit, or the present one when
+	// Revision is the state's revision after the edit, or the current one if
 	// nothing was changed.
 	Revision units.Revision `json:"revision"`
-	// Versions gives the present version of each service that the edit touched.
+	// Versions holds the version of each service of the edit, as of the result.
 	Versions map[units.ServiceName]units.Version `json:"versions,omitempty"`
-	// Detail says in words what was wrong and how to mend it.
+	// Detail describes, for people, what was wrong and how to fix it.
 	Detail     string         `json:"detail,omitempty"`
 	Operations int            `json:"operations"`
 	At         units.WallTime `json:"at"`
--- a/pkg/core/table/evacuation.go
+++ b/pkg/core/table/evacuation.go
@@ -8,11 +8,12 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Evacuation says whether the targets of a failure domain take new calls. A domain keeps
-// its record after it was restored, so that an order from before the last change is known.
+// Evacuation records whether a failure domain is evacuated, so that its targets get no new
+// calls. A restored domain keeps its record, so that an order from before the last change is
+// recognized as outdated.
 type Evacuation struct {
 	Domain units.Domain `json:"domain"`
-	// Active is set while the domain's targets take no new calls.
+	// Active is set while the domain's targets get no new calls.
 	Active bool `json:"active"`
 	// Since is the revision of the last change.
 	Since    units.Revision `json:"since"`
@@ -25,20 +26,20 @@
 	Domain units.Domain
 	// Evacuate is set to evacuate the domain, unset to restore it.
 	Evacuate bool
-	// Base is the revision of the table that the replica held which took the order. An order
-	// that was delayed, and meanwhile overtaken by another one, is known by it.
+	// Base is the table's revision at the replica that received the order. It shows whether a
+	// delayed order has been superseded by another one.
 	Base     units.Revision
 	Operator string
 }
 
-// EvacuationOutcome says what became of an order.
+// EvacuationOutcome is the outcome of an order.
 type EvacuationOutcome int32
 
 // The outcomes.
 const (
-	// EvacuationDone: what was ordered holds.
+	// EvacuationDone: the domain is in the state that was ordered.
 	EvacuationDone EvacuationOutcome = iota + 1
-	// EvacuationSuperseded: the domain has changed since the order was taken.
+	// EvacuationSuperseded: the domain's evacuation has changed since the order was received.
 	EvacuationSuperseded
 	// EvacuationUnknown: no box and no target is in such a domain.
 	EvacuationUnknown
@@ -51,9 +52,9 @@
 // CheckEvacuation returns what is wrong with an order, or nothing.
 func CheckEvacuation(o *EvacuationOrder) []Problem { return findProblems(evacuationRules, o) }
 
-// ApplyEvacuation carries out an order at a time that the whole cluster agrees on. An
-// order for what holds already is done; that is how one that was sent again ends. The
-// delta is nil when the table isn't changed.
+// ApplyEvacuation applies an order at a time that all replicas agree on. An order for the
+// current state, for example one that was resent, is done. The delta is nil if the table isn't
+// changed.
 func (s *State) ApplyEvacuation(o *EvacuationOrder, at units.WallTime) (EvacuationOutcome, *Delta) {
 	current := s.table.Evacuation(o.Domain)
 	switch {
@@ -71,8 +72,8 @@
 	return EvacuationDone, s.commit(delta)
 }
 
-// knowsDomain tells whether any box, registered target or row is in the domain, or it was
-// evacuated before.
+// knowsDomain reports whether any box, registered target or row is in the domain, or the domain
+// was evacuated before.
 func (s *State) knowsDomain(d units.Domain) bool {
 	if s.table.Evacuation(d) != nil {
 		return true
@@ -95,7 +96,7 @@
 	return false
 }
 
-// Evacuation returns the record of a failure domain, or nil when it was never evacuated.
+// Evacuation returns the record of a failure domain, or nil if it was never evacuated.
 func (t *Table) Evacuation(d units.Domain) *Evacuation {
 	i, found := findEvacuation(t.Evacuations, d)
 	if !found {
@@ -104,7 +105,7 @@
 	return &t.Evacuations[i]
 }
 
-// Evacuated tells whether the targets of a failure domain take no new calls.
+// Evacuated reports whether the targets of a failure domain get no new calls.
 func (t *Table) Evacuated(d units.Domain) bool {
 	x := t.Evacuation(d)
 	return x != nil && x.Active
--- a/pkg/core/table/names.go
+++ b/pkg/core/table/names.go
@@ -6,7 +6,7 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-// enumName pairs a value with the word that people write for it.
+// enumName is the text of an enum value in JSON and in messages.
 type enumName[T ~int32] struct {
 	value T
 	text  string
@@ -42,7 +42,7 @@
 			return n.text
 		}
 	}
-	// The plain number: the value's own String would come back here.
+	// Formatting v itself would call String and recurse.
 	return fmt.Sprintf("unknown(%d)", int32(v))
 }
 
@@ -58,49 +58,49 @@
 	return none, fault.New(fault.Invalid, fmt.Sprintf("write one of %q", known), "%s %q isn't known", what, text)
 }
 
-// String returns the word for a kind of work.
+// String returns the name of a kind of work.
 func (w WorkKind) String() string { return enumText(workNames, w) }
 
-// MarshalText writes a kind of work as its word.
+// MarshalText encodes a kind of work as its name.
 func (w WorkKind) MarshalText() ([]byte, error) { return []byte(w.String()), nil }
 
-// UnmarshalText reads a kind of work; an unknown word is an Invalid fault.
+// UnmarshalText parses the name of a kind of work; an unknown name is an Invalid fault.
 func (w *WorkKind) UnmarshalText(text []byte) (err error) {
 	*w, err = parseEnum(workNames, "work", text)
 	return err
 }
 
-// String returns the word for a row's state.
+// String returns the name of a row's state.
 func (s RowState) String() string { return enumText(stateNames, s) }
 
-// MarshalText writes a row's state as its word.
+// MarshalText encodes a row's state as its name.
 func (s RowState) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads a row's state; an unknown word is an Invalid fault.
+// UnmarshalText parses the name of a row's state; an unknown name is an Invalid fault.
 func (s *RowState) UnmarshalText(text []byte) (err error) {
 	*s, err = parseEnum(stateNames, "state", text)
 	return err
 }
 
-// String returns the word for an edit's outcome.
+// String returns the name of an edit's outcome.
 func (o Outcome) String() string { return enumText(outcomeNames, o) }
 
-// MarshalText writes an outcome as its word.
+// MarshalText encodes an outcome as its name.
 func (o Outcome) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
 
-// UnmarshalText reads an outcome; an unknown word is an Invalid fault.
+// UnmarshalText parses the name of an outcome; an unknown name is an Invalid fault.
 func (o *Outcome) UnmarshalText(text []byte) (err error) {
 	*o, err = parseEnum(outcomeNames, "outcome", text)
 	return err
 }
 
-// String returns the word for an operation's kind.
+// String returns the name of an operation's kind.
 func (k OperationKind) String() string { return enumText(operationNames, k) }
 
-// MarshalText writes an operation's kind as its word.
+// MarshalText encodes an operation's kind as its name.
 func (k OperationKind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText reads an operation's kind; an unknown word is an Invalid fault.
+// UnmarshalText parses the name of an operation's kind; an unknown name is an Invalid fault.
 func (k *OperationKind) UnmarshalText(text []byte) (err error) {
 	*k, err = parseEnum(operationNames, "operation", text)
 	return err
--- a/pkg/core/table/patch.go
+++ b/pkg/core/table/patch.go
@@ -7,14 +7,15 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// EntryPatch changes some rows of a service and nothing else of it. A service with
-// hundreds of targets changes a row at a time, and every box hears of each change.
+// EntryPatch changes some rows and the division of a service, and nothing else of it. A
+// service with hundreds of targets changes one row at a time and boxes are sent each
+// change, so a change must be small.
 type EntryPatch struct {
 	Service units.ServiceName `json:"service"`
 	Version units.Version     `json:"version"`
 	Put     []Row             `json:"put,omitempty"`
 	Removed []units.TargetID  `json:"removed,omitempty"`
-	// Division is how the rows are divided from now on, where Redivided is set.
+	// Division is the new division of the rows if Redivided is set.
 	Division  scope.Division `json:"division,omitempty"`
 	Redivided bool           `json:"redivided,omitempty"`
 }
@@ -34,7 +35,7 @@
 	return next
 }
 
-// patchOf returns what differs between two lists of rows.
+// patchOf returns the patch from one entry of a service to another.
 func patchOf(old, next *Entry) *EntryPatch {
 	p := &EntryPatch{Service: next.Service.Name, Version: next.Version}
 	p.Put, p.Removed = old.Rows.difference(next.Rows)
@@ -44,8 +45,8 @@
 	return p
 }
 
-// patchSorted returns a list that is sorted by a key after entries have been taken out and others
-// put in; the list itself isn't changed. An empty list is nil, as one that was never filled.
+// patchSorted returns a copy of a list sorted by a key, with some elements removed and others
+// added or replaced. An empty result is nil, like a list that was never filled.
 func patchSorted[T, K any](list []T, removed []K, put []T, keyOf func(T) K, compare func(a, b K) int) []T {
 	if len(removed)+len(put) == 0 {
 		return list
--- a/pkg/core/table/registration.go
+++ b/pkg/core/table/registration.go
@@ -11,9 +11,9 @@
 // start again under the id that it had; Born tells its starts apart.
 type Registration struct {
 	Target units.TargetID `json:"target"`
-	// StartedAt is when this start of the target began, by its own clock; zero where it isn't told.
-	StartedAt units.WallTime    `json:"born,omitempty"`
-	Service   units.ServiceName `json:"service"`
+	// Born is when this start of the target began, by its own clock; zero where it isn't told.
+	Born    units.WallTime    `json:"born,omitempty"`
+	Service units.ServiceName `json:"service"`
 	// Address is an IP number and a port.
 	Address string       `json:"address"`
 	Domain  units.Domain `json:"domain,omitempty"`
@@ -23,9 +23,9 @@
 	State    RowState              `json:"state"`
 	// Sequence rises with each report of a start, so that a late one can be recognized.
 	Sequence uint64 `json:"sequence"`
-	// ColdRemaining is for how long the target stays cold, as it said when that last changed; zero
+	// Cold is for how long the target stays cold, as it said when that last changed; zero
 	// for a warm one.
-	ColdRemaining time.Duration `json:"cold,omitempty"`
+	Cold time.Duration `json:"cold,omitempty"`
 	// Silent is set while no report comes, although reports of others do.
 	Silent bool `json:"silent,omitempty"`
 }
@@ -42,11 +42,11 @@
 	{"service", func(r *Registration) bool { return validName(string(r.Service)) }, "use 1 to 64 of a-z, 0-9, '-', '.' and '_'"},
 	{"address", func(r *Registration) bool { return validAddress(r.Address) }, "write an IP number and a port, such as 10.0.0.7:8080"},
 	{"state", func(r *Registration) bool { return r.State == Active || r.State == Leaving }, "write active or leaving"},
-	{"born", func(r *Registration) bool { return r.StartedAt >= 0 }, "give the time of the start in milliseconds since 1970"},
+	{"born", func(r *Registration) bool { return r.Born >= 0 }, "give the time of the start in milliseconds since 1970"},
 	{"domain", func(r *Registration) bool { return len(r.Domain) <= MaxNameLength }, "use at most 64 characters"},
 	{"software", func(r *Registration) bool { return len(r.Software) <= MaxNameLength }, "use at most 64 characters"},
 	{"slots", func(r *Registration) bool { return r.Slots >= 0 && r.Slots <= maxSlots }, "give 0 for unknown, or a number up to 1000000"},
-	{"cold", func(r *Registration) bool { return r.ColdRemaining >= 0 && r.ColdRemaining <= maxCold }, "give the time left, up to 24h"},
+	{"cold", func(r *Registration) bool { return r.Cold >= 0 && r.Cold <= maxCold }, "give the time left, up to 24h"},
 }
 
 const (
@@ -63,8 +63,8 @@
 func (r *Registration) row(s *Service) Row {
 	return Row{
 		Service: r.Service, Target: r.Target, Address: r.Address, Domain: r.Domain, Weight: registeredWeight,
-		MaxConnections: s.TargetConnections, State: r.State, Registered: true, Slots: r.Slots, ColdRemaining: r.ColdRemaining, Silent: r.Silent,
-		Software: r.Software, StartedAt: r.StartedAt,
+		MaxConnections: s.TargetConnections, State: r.State, Registered: true, Slots: r.Slots, Cold: r.Cold, Silent: r.Silent,
+		Software: r.Software, Born: r.Born,
 	}
 }
 
@@ -74,8 +74,8 @@
 func (r *Registration) SameContent(o *Registration) bool {
 	a, b := *r, *o
 	a.Sequence, b.Sequence = 0, 0
-	if a.ColdRemaining > 0 && b.ColdRemaining > 0 && b.ColdRemaining <= a.ColdRemaining {
-		b.ColdRemaining = a.ColdRemaining
+	if a.Cold > 0 && b.Cold > 0 && b.Cold <= a.Cold {
+		b.Cold = a.Cold
 	}
 	a.Silent, b.Silent = false, false
 	return a == b
@@ -118,21 +118,21 @@
 // has fallen silent is a later one, whose clock is behind: reports that a cut held up come
 // before their target is silent.
 func (s *State) Outdated(r *Registration) bool {
-	if lastStart, departed := s.departed[r.Target]; departed && (lastStart == 0 || r.StartedAt <= lastStart) {
+	if lastStart, departed := s.departed[r.Target]; departed && (lastStart == 0 || r.Born <= lastStart) {
 		return true
 	}
 	current := s.targets[r.Target]
 	if current == nil {
 		current = s.targets[s.byAddress[r.Address]]
 	}
-	return current != nil && r.isDifferentStart(current) && r.StartedAt < current.StartedAt && !current.Silent
+	return current != nil && r.isDifferentStart(current) && r.Born < current.Born && !current.Silent
 }
 
 // Foreign tells whether a report is one that would take away a target which is well: it names no
 // service of the table, or doesn't say when a start began that did before.
 func (s *State) Foreign(r *Registration) bool {
 	current := s.targets[r.Target]
-	if current != nil && current.StartedAt != 0 && r.StartedAt == 0 {
+	if current != nil && current.Born != 0 && r.Born == 0 {
 		return true
 	}
 	if current == nil {
@@ -143,7 +143,7 @@
 
 // isDifferentStart tells whether two reports are known to be of different starts of a target.
 func (r *Registration) isDifferentStart(o *Registration) bool {
-	return r.StartedAt != 0 && o.StartedAt != 0 && r.StartedAt != o.StartedAt
+	return r.Born != 0 && o.Born != 0 && r.Born != o.Born
 }
 
 // ApplyRegistration takes a target's report. A target that registers at another
@@ -162,7 +162,7 @@
 	if o := s.targets[s.byAddress[r.Address]]; o != nil && o.Target != r.Target {
 		s.removeRow(o, delta)
 		s.removeRegistration(o)
-		s.recordDeparture(o.Target, o.StartedAt)
+		s.recordDeparture(o.Target, o.Born)
 	}
 	s.storeRegistration(r)
 	s.putRow(r, delta)
@@ -188,13 +188,13 @@
 
 // ApplyDeparture takes a start of a target out for good, the present one where born is zero. A
 // start that has begun since stays.
-func (s *State) ApplyDeparture(id units.TargetID, startedAt units.WallTime) *Delta {
+func (s *State) ApplyDeparture(id units.TargetID, born units.WallTime) *Delta {
 	r := s.targets[id]
-	if r == nil || startedAt != 0 && r.StartedAt > startedAt {
-		s.recordDeparture(id, startedAt)
+	if r == nil || born != 0 && r.Born > born {
+		s.recordDeparture(id, born)
 		return nil
 	}
-	s.recordDeparture(id, max(startedAt, r.StartedAt))
+	s.recordDeparture(id, max(born, r.Born))
 	s.removeRegistration(r)
 	delta := s.newDelta()
 	s.removeRow(r, delta)
@@ -262,15 +262,15 @@
 
 // recordDeparture remembers that the starts of a target up to one have left; without a time
 // all have, as far as nothing else is known.
-func (s *State) recordDeparture(id units.TargetID, startedAt units.WallTime) {
+func (s *State) recordDeparture(id units.TargetID, born units.WallTime) {
 	if lastStart, departed := s.departed[id]; departed {
-		s.departed[id] = max(lastStart, startedAt)
+		s.departed[id] = max(lastStart, born)
 		return
 	}
 	if len(s.departedOrder) >= MaxDeparted {
 		delete(s.departed, s.departedOrder[0])
 		s.departedOrder = slices.Delete(s.departedOrder, 0, 1)
 	}
-	s.departed[id] = startedAt
+	s.departed[id] = born
 	s.departedOrder = append(s.departedOrder, id)
 }
--- a/pkg/core/table/registration_test.go
+++ b/pkg/core/table/registration_test.go
@@ -50,7 +50,7 @@
 	s := newStateWithService()
 	report := func(sequence uint64, cold time.Duration) bool {
 		r := registration("t", "10.0.0.1:80", sequence)
-		r.ColdRemaining = cold
+		r.Cold = cold
 		return s.ApplyRegistration(r) != nil
 	}
 	steps := []struct {
@@ -63,7 +63,7 @@
 		if changed := report(uint64(i+1), x.cold); changed != x.changes {
 			t.Errorf("report %d, cold for %s: news is %t, want %t", i+1, x.cold, changed, x.changes)
 		}
-		if row := s.Table().Services["s"].Row("t"); x.changes && row.ColdRemaining != x.cold {
+		if row := s.Table().Services["s"].Row("t"); x.changes && row.Cold != x.cold {
 			t.Errorf("after report %d the row is %+v", i+1, row)
 		}
 	}
--- a/pkg/core/table/row.go
+++ b/pkg/core/table/row.go
@@ -37,13 +37,13 @@
 	// Slots is how many calls the target says it works on at a time; zero means
 	// that it didn't say.
 	Slots int `json:"slots,omitempty"`
-	// ColdRemaining is for how long the target stays cold, as of its last report of that; zero for a
+	// Cold is for how long the target stays cold, as of its last report of that; zero for a
 	// warm one.
-	ColdRemaining time.Duration `json:"cold,omitempty"`
+	Cold time.Duration `json:"cold,omitempty"`
 	// Silent is set while a registered target doesn't report.
 	Silent bool `json:"silent,omitempty"`
 	// Software is the version of its software that a registered target named.
 	Software units.SoftwareVersion `json:"software,omitempty"`
-	// StartedAt tells the starts of a registered target apart; zero where it isn't told.
-	StartedAt units.WallTime `json:"born,omitempty"`
+	// Born tells the starts of a registered target apart; zero where it isn't told.
+	Born units.WallTime `json:"born,omitempty"`
 }
--- a/pkg/core/table/starts_test.go
+++ b/pkg/core/table/starts_test.go
@@ -16,7 +16,7 @@
 	"report": func(t *testing.T, s *State, d *datadriven.TestData) string {
 		r := &Registration{Target: units.TargetID(d.CmdArgs[0].Key), Service: "s", State: Active}
 		address, service := "1", "s"
-		d.ScanArgs(t, "born", (*int64)(&r.StartedAt))
+		d.ScanArgs(t, "born", (*int64)(&r.Born))
 		d.ScanArgs(t, "sequence", &r.Sequence)
 		d.MaybeScanArgs(t, "address", &address)
 		d.MaybeScanArgs(t, "service", &service)
@@ -45,7 +45,7 @@
 func describeTargets(s *State) string {
 	var rows []string
 	for r := range s.Table().Services["s"].Rows.All() {
-		rows = append(rows, fmt.Sprintf("%s born=%d %s %s", r.Target, r.StartedAt, r.Address, r.State))
+		rows = append(rows, fmt.Sprintf("%s born=%d %s %s", r.Target, r.Born, r.Address, r.State))
 	}
 	if len(rows) == 0 {
 		return "no targets\n"
--- a/pkg/core/table/state.go
+++ b/pkg/core/table/state.go
@@ -66,22 +66,22 @@
 		s.storeRegistration(r)
 	}
 	for _, x := range departed {
-		s.recordDeparture(x.Target, x.StartedAt)
+		s.recordDeparture(x.Target, x.Born)
 	}
 }
 
 // Departure is a target that left for good.
 type Departure struct {
 	Target units.TargetID
-	// StartedAt is when its last start that left began; zero where that isn't known.
-	StartedAt units.WallTime
+	// Born is when its last start that left began; zero where that isn't known.
+	Born units.WallTime
 }
 
 // DepartedTargets returns the targets that left for good, oldest first.
 func (s *State) DepartedTargets() []Departure {
 	list := make([]Departure, 0, len(s.departedOrder))
 	for _, id := range s.departedOrder {
-		list = append(list, Departure{Target: id, StartedAt: s.departed[id]})
+		list = append(list, Departure{Target: id, Born: s.departed[id]})
 	}
 	return list
 }
--- a/pkg/core/table/workspace.go
+++ b/pkg/core/table/workspace.go
@@ -56,7 +56,7 @@
 			return fmt.Sprintf("workspace %q: %s", x.Name, joinProblems(problems))
 		}
 		if names[x.Name] {
-			return fmt.Sprintf("workspace %q stands in the document twice; remove one of them", x.Name)
+			return fmt.Sprintf("workspace %q appears twice in the document; remove one of them", x.Name)
 		}
 		names[x.Name] = true
 		for keyIndex, k := range x.Keys {
--- a/pkg/core/table/workspace_test.go
+++ b/pkg/core/table/workspace_test.go
@@ -30,7 +30,7 @@
 		"good":             {Workspaces{{Name: "a", Keys: digests("1", "2")}, {Name: "b", Rate: 3, Burst: 0.5}}, ""},
 		"a shared key":     {Workspaces{{Name: "a", Keys: digests("1")}, {Name: "b", Keys: digests("2", "1")}}, `workspace "b": key 2 is also one of workspace "a"`},
 		"a key twice":      {Workspaces{{Name: "a", Keys: digests("1", "1")}}, `workspace "a": key 2 is also one of workspace "a"`},
-		"a name twice":     {Workspaces{{Name: "a"}, {Name: "a"}}, `workspace "a" stands in the document twice`},
+		"a name twice":     {Workspaces{{Name: "a"}, {Name: "a"}}, `workspace "a" appears twice in the document`},
 		"no name":          {Workspaces{{}}, `column name`},
 		"a line feed":      {Workspaces{{Name: "a\nX-Other: 1"}}, `column name`},
 		"a negative rate":  {Workspaces{{Name: "a", Rate: -1}}, `column rate`},
--- a/pkg/wire/convert.go
+++ b/pkg/wire/convert.go
@@ -59,8 +59,8 @@
 		Service: string(r.Service), Target: string(r.Target), Address: r.Address, Domain: string(r.Domain),
 		Weight: int32(r.Weight), MaxInFlight: int32(r.MaxInFlight), MaxConnections: int32(r.MaxConnections),
 		MaxRate: r.MaxRate, State: int32(r.State),
-		Registered: r.Registered, Slots: int32(r.Slots), Cold: int64(r.ColdRemaining), Silent: r.Silent,
-		Software: string(r.Software), Born: int64(r.StartedAt),
+		Registered: r.Registered, Slots: int32(r.Slots), Cold: int64(r.Cold), Silent: r.Silent,
+		Software: string(r.Software), Born: int64(r.Born),
 	}
 }
 
@@ -73,8 +73,8 @@
 		Service: units.ServiceName(r.Service), Target: units.TargetID(r.Target), Address: r.Address,
 		Domain: units.Domain(r.Domain), Weight: int(r.Weight), MaxInFlight: int(r.MaxInFlight),
 		MaxConnections: int(r.MaxConnections), MaxRate: r.MaxRate, State: table.RowState(r.State),
-		Registered: r.Registered, Slots: int(r.Slots), ColdRemaining: time.Duration(r.Cold), Silent: r.Silent,
-		Software: units.SoftwareVersion(r.Software), StartedAt: units.WallTime(r.Born),
+		Registered: r.Registered, Slots: int(r.Slots), Cold: time.Duration(r.Cold), Silent: r.Silent,
+		Software: units.SoftwareVersion(r.Software), Born: units.WallTime(r.Born),
 	}
 }
 
@@ -303,7 +303,7 @@
 	slices.SortFunc(t.Registrations, func(a, b *Registration) int { return strings.Compare(a.Target, b.Target) })
 	for _, x := range s.DepartedTargets() {
 		t.Departed = append(t.Departed, string(x.Target))
-		t.DepartedBorn = append(t.DepartedBorn, int64(x.StartedAt))
+		t.DepartedBorn = append(t.DepartedBorn, int64(x.Born))
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(t)
 }
@@ -326,7 +326,7 @@
 	for i, id := range t.Departed {
 		x := table.Departure{Target: units.TargetID(id)}
 		if i < len(t.DepartedBorn) {
-			x.StartedAt = units.WallTime(t.DepartedBorn[i])
+			x.Born = units.WallTime(t.DepartedBorn[i])
 		}
 		list = append(list, x)
 	}
--- a/pkg/wire/convert_document.go
+++ b/pkg/wire/convert_document.go
@@ -108,7 +108,7 @@
 	return &Registration{
 		Target: string(r.Target), Service: string(r.Service), Address: r.Address, Domain: string(r.Domain),
 		Software: string(r.Software), Slots: int32(r.Slots), State: int32(r.State), Sequence: r.Sequence,
-		Cold: int64(r.ColdRemaining), Silent: r.Silent, Born: int64(r.StartedAt),
+		Cold: int64(r.Cold), Silent: r.Silent, Born: int64(r.Born),
 	}
 }
 
@@ -117,7 +117,7 @@
 	return &table.Registration{
 		Target: units.TargetID(r.Target), Service: units.ServiceName(r.Service), Address: r.Address,
 		Domain: units.Domain(r.Domain), Software: units.SoftwareVersion(r.Software), Slots: int(r.Slots), State: table.RowState(r.State),
-		Sequence: r.Sequence, ColdRemaining: time.Duration(r.Cold), Silent: r.Silent, StartedAt: units.WallTime(r.Born),
+		Sequence: r.Sequence, Cold: time.Duration(r.Cold), Silent: r.Silent, Born: units.WallTime(r.Born),
 	}
 }
 
--- a/test/rest_test.go
+++ b/test/rest_test.go
@@ -59,7 +59,7 @@
 // registration is the report of a target, the n-th that it sends.
 func registration(target *lab.TargetProcess, n uint64) *table.Registration {
 	return &table.Registration{
-		Target: units.TargetID(target.Name), Service: rolloutService, Address: target.Address, Slots: 4, State: table.Active, Sequence: n, StartedAt: 1000,
+		Target: units.TargetID(target.Name), Service: rolloutService, Address: target.Address, Slots: 4, State: table.Active, Sequence: n, Born: 1000,
 	}
 }
 
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -317,7 +317,7 @@
 	x.lock.Unlock()
 	return &table.Registration{
 		Target: targetID(service, x.targets[t]), Service: units.ServiceName(service), Address: x.addressOf(t), Slots: 3, State: state, Sequence: sequence,
-		Domain: x.domainOf(t), Software: x.softwareOf(service, t), StartedAt: born,
+		Domain: x.domainOf(t), Software: x.softwareOf(service, t), Born: born,
 	}
 }
 
--- a/test/starts_test.go
+++ b/test/starts_test.go
@@ -17,7 +17,7 @@
 		t.Helper()
 		x.must(lab.Eventually(patience, func() error {
 			return x.api().Report(&table.Registration{
-				Target: "pool-1", Service: rolloutService, Address: target.Address, Slots: 4, State: state, Sequence: sequence, StartedAt: born,
+				Target: "pool-1", Service: rolloutService, Address: target.Address, Slots: 4, State: state, Sequence: sequence, Born: born,
 			})
 		}))
 	}
