--- a/pkg/core/table/bench_test.go
+++ b/pkg/core/table/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// fleetState is a state of 719 targets in three services, as many as registered by
-// themselves.
+// fleetState returns a state of 719 registered targets in three services, and their
+// registrations.
 func fleetState() (*State, []*Registration) {
 	s := NewState()
 	d := &Document{Version: 1, Source: []byte("fleet")}
@@ -30,9 +30,9 @@
 	return s, all
 }
 
-// BenchmarkRegistration is what a control replica does for a target that says that it
-// leaves, with 719 targets registered: it applies the report and makes the change small for
-// boxes: 22 us and 5.0 KB; 120 us and 63 KB while a service's rows were copied with each change.
+// BenchmarkRegistration measures what a control replica does when one of 719 registered targets
+// reports that it is leaving: it applies the report and computes the delta for boxes. It takes 22 us
+// and 5.0 KB; it took 120 us and 63 KB when each change copied all rows of the service.
 func BenchmarkRegistration(b *testing.B) {
 	s, all := fleetState()
 	b.ReportAllocs()
@@ -48,8 +48,8 @@
 	}
 }
 
-// BenchmarkPatch is what a box does for one changed row of a service of 415 targets: 4 us and 1.4 KB; 62 us
-// and 42 KB while the rows were copied.
+// BenchmarkPatch measures what a box does for one changed row of a service with 415 targets. It takes 4 us
+// and 1.4 KB; it took 62 us and 42 KB when each change copied all rows.
 func BenchmarkPatch(b *testing.B) {
 	s, all := fleetState()
 	before := s.Table()
--- a/pkg/core/table/boxes_test.go
+++ b/pkg/core/table/boxes_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// drawBoxes draws a sorted list of boxes.
+// drawBoxes draws a random sorted list of boxes.
 func drawBoxes(t *rapid.T, label string) []Box {
 	var boxes []Box
 	for i, n := range rapid.SliceOfN(rapid.IntRange(0, 3), 0, 12).Draw(t, label) {
--- a/pkg/core/table/evacuation.go
+++ b/pkg/core/table/evacuation.go
@@ -49,7 +49,7 @@
 	{"domain", func(o *EvacuationOrder) bool { return validName(string(o.Domain)) }, "use 1 to 64 of a-z, 0-9, '-', '.' and '_'"},
 }
 
-// CheckEvacuation returns what is wrong with an order, or nothing.
+// CheckEvacuation returns the problems with an order, if any.
 func CheckEvacuation(o *EvacuationOrder) []Problem { return findProblems(evacuationRules, o) }
 
 // ApplyEvacuation applies an order at a time that all replicas agree on. An order for the
--- a/pkg/core/table/names_test.go
+++ b/pkg/core/table/names_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// A value that no word stands for may come from another process; telling it must not
-// end this one.
+// Unknown values may come from another process. Formatting one must not fail; a String
+// method that formats its own value would recurse until the stack overflows.
 func TestUnknownValuesCanBeTold(t *testing.T) {
 	for _, word := range []string{WorkKind(0).String(), RowState(99).String(), Outcome(-1).String(), OperationKind(7).String()} {
 		if len(word) < len("unknown(") || word[:8] != "unknown(" {
-			t.Errorf("an unknown value is told as %q", word)
+			t.Errorf("an unknown value is formatted as %q", word)
 		}
 	}
 }
--- a/pkg/core/table/patch_test.go
+++ b/pkg/core/table/patch_test.go
@@ -32,7 +32,7 @@
 		want, _ := from.Patch(whole)
 		have, ok := from.Patch(Difference(from, want))
 		if !ok {
-			t.Fatal("the difference doesn't follow")
+			t.Fatal("the difference can't be applied")
 		}
 		if d := cmp.Diff(want, have, cmpopts.EquateEmpty()); d != "" {
 			t.Fatal(d)
@@ -48,6 +48,6 @@
 func TestAPatchOfAMissingServiceDoesNotFollow(t *testing.T) {
 	d := &Delta{From: 0, Revision: 1, Patched: []*EntryPatch{{Service: "none"}}}
 	if _, ok := NewTable().Patch(d); ok {
-		t.Fatal("a service that isn't there was patched")
+		t.Fatal("a service that isn't in the table was patched")
 	}
 }
--- a/pkg/core/table/quarantine.go
+++ b/pkg/core/table/quarantine.go
@@ -8,70 +8,71 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// MaxQuarantines bounds the calls that are in quarantine at a time. Each takes some 200 bytes
-// in every box's table; the oldest makes room for a new one.
+// MaxQuarantines bounds the calls that are in quarantine at a time. Each takes about 200 bytes
+// in every box's table; a new one evicts the oldest.
 const MaxQuarantines = 256
 
-// maxListedTargets bounds the targets that a quarantine names.
+// maxListedTargets bounds the targets that a quarantine lists.
 const maxListedTargets = 8
 
-// Quarantine keeps a call from all targets, because targets crash when they run it.
+// Quarantine keeps a call from all targets, because targets crashed while running it.
 type Quarantine struct {
 	Call crash.Fingerprint `json:"call"`
-	// Service is the one whose targets crashed first, Targets are those that did.
+	// Service is the service whose targets crashed, Targets are the targets that did, as of the
+	// beginning of the quarantine.
 	Service units.ServiceName `json:"service"`
 	Targets []units.TargetID  `json:"targets"`
-	// Since is the revision at which it began.
+	// Since is the revision at which the quarantine began.
 	Since units.Revision `json:"since"`
 	At    units.WallTime `json:"at"`
-	// Doubtful is set where the call may not be the one that is to blame.
+	// Doubtful is set if another call may have caused the crashes.
 	Doubtful bool `json:"doubtful,omitempty"`
-	// Trials counts the calls that were let through since.
+	// Trials counts the calls that have been let through to a target since.
 	Trials int `json:"trials"`
 }
 
-// QuarantineAction says what a step does.
+// QuarantineAction is what a step does.
 type QuarantineAction int32
 
 // The actions.
 const (
-	// BeginQuarantine keeps a call from targets.
+	// BeginQuarantine puts a call in quarantine.
 	BeginQuarantine QuarantineAction = iota + 1
-	// RecordQuarantineTrial counts one call that is let through.
+	// RecordQuarantineTrial records one trial: a call that is let through to a target.
 	RecordQuarantineTrial
-	// EndQuarantine gives the call to targets again.
+	// EndQuarantine releases the call, so that targets get it again.
 	EndQuarantine
 )
 
-// QuarantineStep is a leader's decision on a call, or an operator's order to end a quarantine.
+// QuarantineStep is the leader's decision on a call, or an operator's order to end a quarantine.
 type QuarantineStep struct {
 	Call    crash.Fingerprint
 	Action  QuarantineAction
 	Service units.ServiceName
 	Targets []units.TargetID
-	// Doubtful is set for a beginning where the call may not be to blame.
+	// Doubtful is for BeginQuarantine and set if another call may have caused the crashes.
 	Doubtful bool
-	// Trial numbers a trial from 1.
+	// Trial is the number of the trial, from 1.
 	Trial int
-	// Base is the revision that the replica held which decided. A step that was delayed, while
-	// the quarantine ended and began anew, is known by it.
+	// Base is the table's revision at the replica that made the decision. It shows whether the
+	// quarantine ended and began again while the step was delayed.
 	Base     units.Revision
 	Operator string
 }
 
-// QuarantineOutcome says what became of a step.
+// QuarantineOutcome is the outcome of a step.
 type QuarantineOutcome int32
 
 // The outcomes.
 const (
-	// QuarantineDone: what the step is for holds.
+	// QuarantineDone: the step took effect, or there was nothing to change.
 	QuarantineDone QuarantineOutcome = iota + 1
-	// QuarantineSuperseded: the quarantine has begun anew since the step was decided.
+	// QuarantineSuperseded: the quarantine has begun again since the step was decided.
 	QuarantineSuperseded
 )
 
-// ApplyQuarantine applies a step at a time that the whole cluster agrees on. A step that comes
-// again is done and changes nothing. The delta is nil when the table isn't changed.
+// ApplyQuarantine applies a step at a time that all replicas agree on. A repeated step is done and
+// changes nothing. The delta is nil if the table isn't changed.
 func (s *State) ApplyQuarantine(step *QuarantineStep, at units.WallTime) (QuarantineOutcome, *Delta) {
 	current := s.table.Quarantine(step.Call)
 	if current != nil && step.Action != BeginQuarantine && current.Since > step.Base {
@@ -97,7 +98,7 @@
 	return QuarantineDone, s.commit(delta)
 }
 
-// evictOldestQuarantine releases the oldest quarantine where there are as many as there may be.
+// evictOldestQuarantine releases the oldest quarantine if there are MaxQuarantines.
 func (s *State) evictOldestQuarantine(delta *Delta) {
 	list := s.table.Quarantines
 	if len(list) < MaxQuarantines {
@@ -107,7 +108,7 @@
 	delta.Released = append(delta.Released, oldest.Call)
 }
 
-// Quarantine returns the quarantine of exactly this fingerprint, or nil.
+// Quarantine returns the quarantine with exactly this fingerprint, or nil.
 func (t *Table) Quarantine(f crash.Fingerprint) *Quarantine {
 	i, found := findQuarantine(t.Quarantines, f)
 	if !found {
@@ -116,7 +117,8 @@
 	return &t.Quarantines[i]
 }
 
-// QuarantineCovering returns the quarantine that covers a call, or nil.
+// QuarantineCovering returns the quarantine that applies to a call, either for its caller or for any
+// caller, or nil.
 func (t *Table) QuarantineCovering(f crash.Fingerprint) *Quarantine {
 	if q := t.Quarantine(f); q != nil {
 		return q
--- a/pkg/core/table/registration.go
+++ b/pkg/core/table/registration.go
@@ -7,31 +7,31 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Registration is what a target that registers by itself says of itself. A target may
-// start again under the id that it had; Born tells its starts apart.
+// Registration is a target's report of itself, for a target that registers by itself. A target
+// may restart under the same id; Born distinguishes its starts.
 type Registration struct {
 	Target units.TargetID `json:"target"`
-	// Born is when this start of the target began, by its own clock; zero where it isn't told.
+	// Born is the time of this start of the target, by its own clock; zero if it isn't reported.
 	Born    units.WallTime    `json:"born,omitempty"`
 	Service units.ServiceName `json:"service"`
-	// Address is an IP number and a port.
+	// Address is an IP address and a port.
 	Address string       `json:"address"`
 	Domain  units.Domain `json:"domain,omitempty"`
 	// Software is the version of the target's software.
 	Software units.SoftwareVersion `json:"software,omitempty"`
 	Slots    int                   `json:"slots,omitempty"`
 	State    RowState              `json:"state"`
-	// Sequence rises with each report of a start, so that a late one can be recognized.
+	// Sequence increases with each report of a start, so that a delayed one can be recognized.
 	Sequence uint64 `json:"sequence"`
-	// Cold is for how long the target stays cold, as it said when that last changed; zero
-	// for a warm one.
+	// Cold is the remaining time for which the target expects to be cold, as of the last change of
+	// that; zero for a warm target.
 	Cold time.Duration `json:"cold,omitempty"`
-	// Silent is set while no report comes, although reports of others do.
+	// Silent is set while no reports of the target arrive although those of other targets do.
 	Silent bool `json:"silent,omitempty"`
 }
 
-// MaxDeparted bounds the departed targets that are remembered, so that a late report
-// doesn't bring one of them back.
+// MaxDeparted bounds the recorded departed targets. They are recorded so that a delayed report
+// doesn't register one of them again.
 const MaxDeparted = 4096
 
 // registeredWeight is the weight of every registered target.
@@ -50,16 +50,16 @@
 }
 
 const (
-	// maxSlots is far above what any target works on at once; more is a mistake.
+	// maxSlots is far above the concurrency of any target; a higher number is a mistake.
 	maxSlots = 1_000_000
-	// maxCold is far above the time in which any target gets warm.
+	// maxCold is far above the warm-up time of any target.
 	maxCold = 24 * time.Hour
 )
 
-// CheckRegistration returns what is wrong with a registration, or nothing.
+// CheckRegistration returns the problems with a registration, if any.
 func CheckRegistration(r *Registration) []Problem { return findProblems(registrationRules, r) }
 
-// row is the registered target's row of the table.
+// row returns the registered target's row of the table.
 func (r *Registration) row(s *Service) Row {
 	return Row{
 		Service: r.Service, Target: r.Target, Address: r.Address, Domain: r.Domain, Weight: registeredWeight,
@@ -68,9 +68,8 @@
 	}
 }
 
-// SameContent tells whether a later registration says nothing new. While a target is cold
-// the time left gets shorter; it is news only when the target is warm at last, or has
-// become cold again.
+// SameContent reports whether a later registration o needs no change of the table. The remaining time of a
+// cold target decreases with each report; it is a change only when the target becomes warm, or cold again.
 func (r *Registration) SameContent(o *Registration) bool {
 	a, b := *r, *o
 	a.Sequence, b.Sequence = 0, 0
@@ -94,14 +93,14 @@
 	}
 }
 
-// Departed tells whether a target has left and hasn't started again.
+// Departed reports whether a target has left and hasn't registered again.
 func (s *State) Departed(id units.TargetID) bool {
 	_, departed := s.departed[id]
 	return departed && s.targets[id] == nil
 }
 
-// IsUpdate tells whether a report says anything that the state doesn't hold. A report
-// that is older than what is held says nothing.
+// IsUpdate reports whether a report changes the state. One that is older than the stored registration
+// doesn't.
 func (s *State) IsUpdate(r *Registration) bool {
 	current := s.targets[r.Target]
 	switch {
@@ -113,10 +112,10 @@
 	return r.Sequence > current.Sequence && !current.SameContent(r)
 }
 
-// Outdated tells whether a report is of an earlier start of its target than the one that is held
-// or has left, or of an earlier target at its address. A start that seems earlier than one which
-// has fallen silent is a later one, whose clock is behind: reports that a cut held up come
-// before their target is silent.
+// Outdated reports whether a report is of an earlier start of its target than the registered or departed
+// one, or of an earlier target at its address. If the registered target is silent, a report of a seemingly
+// earlier start is of a later one whose clock is behind: reports delayed by a network partition arrive before
+// their target becomes silent.
 func (s *State) Outdated(r *Registration) bool {
 	if lastStart, departed := s.departed[r.Target]; departed && (lastStart == 0 || r.Born <= lastStart) {
 		return true
@@ -128,8 +127,8 @@
 	return current != nil && r.isDifferentStart(current) && r.Born < current.Born && !current.Silent
 }
 
-// Foreign tells whether a report is one that would take away a target which is well: it names no
-// service of the table, or doesn't say when a start began that did before.
+// Foreign reports whether a report must be ignored because it would remove a working target: it names a
+// service that isn't in the table, or lacks the start time that the target reported before.
 func (s *State) Foreign(r *Registration) bool {
 	current := s.targets[r.Target]
 	if current != nil && current.Born != 0 && r.Born == 0 {
@@ -141,14 +140,14 @@
 	return current != nil && s.table.Services[r.Service] == nil && s.table.Services[current.Service] != nil
 }
 
-// isDifferentStart tells whether two reports are known to be of different starts of a target.
+// isDifferentStart reports whether two reports are known to be of different starts of a target.
 func (r *Registration) isDifferentStart(o *Registration) bool {
 	return r.Born != 0 && o.Born != 0 && r.Born != o.Born
 }
 
-// ApplyRegistration takes a target's report. A target that registers at another
-// one's address takes its place: the other must have ended. The delta is nil when
-// the table isn't changed.
+// ApplyRegistration applies a target's report. A target that registers with the
+// address of another one replaces it, since the other must have ended. The delta is
+// nil if the table isn't changed.
 func (s *State) ApplyRegistration(r *Registration) *Delta {
 	if !s.IsUpdate(r) {
 		return nil
@@ -169,7 +168,7 @@
 	return s.commitIfChanged(delta)
 }
 
-// storeRegistration keeps a registration, in place of an earlier one of the same target.
+// storeRegistration stores a registration, replacing the target's earlier one.
 func (s *State) storeRegistration(r *Registration) {
 	if current := s.targets[r.Target]; current != nil {
 		s.removeRegistration(current)
@@ -178,7 +177,7 @@
 	s.byAddress[r.Address] = r.Target
 }
 
-// removeRegistration forgets a registration.
+// removeRegistration removes a registration, and its address unless another target has it now.
 func (s *State) removeRegistration(r *Registration) {
 	delete(s.targets, r.Target)
 	if s.byAddress[r.Address] == r.Target {
@@ -186,8 +185,8 @@
 	}
 }
 
-// ApplyDeparture takes a start of a target out for good, the present one where born is zero. A
-// start that has begun since stays.
+// ApplyDeparture permanently removes the start of a target that has the given time, or its current start
+// if born is zero. A later start stays. The delta is nil if the table isn't changed.
 func (s *State) ApplyDeparture(id units.TargetID, born units.WallTime) *Delta {
 	r := s.targets[id]
 	if r == nil || born != 0 && r.Born > born {
@@ -201,7 +200,8 @@
 	return s.commitIfChanged(delta)
 }
 
-// ApplySilence notes which targets have fallen silent or are heard again.
+// ApplySilence records which targets have become silent or report again. The delta is nil if the
+// table isn't changed.
 func (s *State) ApplySilence(silent, heard []units.TargetID) *Delta {
 	delta := s.newDelta()
 	for _, id := range silent {
@@ -231,8 +231,8 @@
 	return s.commit(d)
 }
 
-// draftEntry returns the delta's own copy of a service's entry, or nil when there
-// is no such service.
+// draftEntry returns a copy of a service's entry that is part of the delta, or nil
+// if there is no such service.
 func (s *State) draftEntry(name units.ServiceName, delta *Delta) *Entry {
 	for _, e := range delta.Changed {
 		if e.Service.Name == name {
@@ -260,8 +260,8 @@
 	}
 }
 
-// recordDeparture remembers that the starts of a target up to one have left; without a time
-// all have, as far as nothing else is known.
+// recordDeparture records that the target's starts up to the given time have left. A born of zero
+// means all of them, unless a time is already recorded.
 func (s *State) recordDeparture(id units.TargetID, born units.WallTime) {
 	if lastStart, departed := s.departed[id]; departed {
 		s.departed[id] = max(lastStart, born)
--- a/pkg/core/table/registration_test.go
+++ b/pkg/core/table/registration_test.go
@@ -20,7 +20,7 @@
 	return &Registration{Target: id, Service: "s", Address: address, State: Active, Sequence: sequence, Slots: 2}
 }
 
-// rowTargets are the targets of the service's rows.
+// rowTargets returns the targets of the service's rows.
 func rowTargets(s *State) []units.TargetID {
 	var ids []units.TargetID
 	for r := range s.Table().Services["s"].Rows.All() {
@@ -29,23 +29,23 @@
 	return ids
 }
 
-// A report that a cut held up may arrive after its target has crashed and the next one has
-// registered at the same address.
+// A report that was delayed by a network partition may arrive after its target has crashed and another
+// one has registered with the same address. It must not replace the new target.
 func TestALateReportOfAnEarlierTargetChangesNothing(t *testing.T) {
 	s := newStateWithService()
 	s.ApplyRegistration(registration("old", "10.0.0.1:80", 1))
 	s.ApplyRegistration(registration("new", "10.0.0.1:80", 1))
 	late := registration("old", "10.0.0.1:80", 7)
 	if s.IsUpdate(late) || s.ApplyRegistration(late) != nil {
-		t.Error("the late report changed the table")
+		t.Error("the delayed report changed the table")
 	}
 	if ids := rowTargets(s); len(ids) != 1 || ids[0] != "new" {
 		t.Errorf("the targets are %v", ids)
 	}
 }
 
-// While a target is cold the time left falls with each report; that is no news. That it is
-// warm, or cold again, is.
+// While a target is cold its remaining time decreases with each report, which must not change the
+// table each time. It must change when the target becomes warm, or cold again.
 func TestReportsOfAColdTargetAreNewsWhenItTurns(t *testing.T) {
 	s := newStateWithService()
 	report := func(sequence uint64, cold time.Duration) bool {
@@ -61,7 +61,7 @@
 	}
 	for i, x := range steps {
 		if changed := report(uint64(i+1), x.cold); changed != x.changes {
-			t.Errorf("report %d, cold for %s: news is %t, want %t", i+1, x.cold, changed, x.changes)
+			t.Errorf("report %d, cold for %s: the table changed: %t, want %t", i+1, x.cold, changed, x.changes)
 		}
 		if row := s.Table().Services["s"].Row("t"); x.changes && row.Cold != x.cold {
 			t.Errorf("after report %d the row is %+v", i+1, row)
@@ -69,7 +69,7 @@
 	}
 }
 
-// newStateWithTargets is a state with targets of one service.
+// newStateWithTargets returns a state with registered targets of one service.
 func newStateWithTargets(targets int) *State {
 	s := NewState()
 	s.ApplyDocument(&Document{Version: 1, Services: []Service{{Name: "s", Work: Repeatable}}})
@@ -79,7 +79,8 @@
 	return s
 }
 
-// bytesAllocatedPerChange is what a replica allocates for one target's changed state and its patch.
+// bytesAllocatedPerChange returns the mean number of bytes that a replica allocates to apply a target's
+// changed state and to compute the delta for boxes.
 func bytesAllocatedPerChange(targets int) uint64 {
 	const changes = 200
 	s := newStateWithTargets(targets)
@@ -96,7 +97,7 @@
 	return (after.TotalAlloc - before.TotalAlloc) / changes
 }
 
-// What a target's change costs a replica mustn't grow with the targets that there are.
+// The cost of a target's change for a replica must not grow with the number of targets.
 func TestAChangeCostsTheSameAmongManyTargets(t *testing.T) {
 	const most = 2
 	small, large := bytesAllocatedPerChange(1_000), bytesAllocatedPerChange(20_000)
--- a/pkg/core/table/residency.go
+++ b/pkg/core/table/residency.go
@@ -6,19 +6,19 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// AllowedRegions are the only regions whose targets may take a route's calls. An empty list
-// allows none.
+// AllowedRegions are the regions whose targets may serve a route's calls. An empty list allows
+// none; a nil pointer allows all.
 type AllowedRegions struct {
 	Names []units.Region `json:"names"`
 }
 
-// Allows tells whether a target in the region may take the calls. One whose region isn't
-// known may not, unless every region is allowed.
+// Allows reports whether a target in the region may serve the calls. A target whose region
+// isn't known may not, unless every region is allowed.
 func (a *AllowedRegions) Allows(region units.Region) bool {
 	return a == nil || region != "" && slices.Contains(a.Names, region)
 }
 
-// valid tells whether the names can be those of regions, each given once.
+// valid reports whether the names are valid and unique.
 func (a *AllowedRegions) valid() bool {
 	if a == nil {
 		return true
@@ -31,7 +31,7 @@
 	return true
 }
 
-// Equal tells whether two lists allow the same regions, in the same order.
+// Equal reports whether two lists allow the same regions, in the same order.
 func (a *AllowedRegions) Equal(o *AllowedRegions) bool {
 	if a == nil || o == nil {
 		return a == o
--- a/pkg/core/table/rollout.go
+++ b/pkg/core/table/rollout.go
@@ -9,18 +9,19 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// RolloutStage says how far a rollout has come.
+// RolloutStage is the progress of a rollout.
 type RolloutStage int32
 
 // The stages of a rollout.
 const (
-	// RolloutTrial: a bounded share of the calls goes to some targets of the new version.
+	// RolloutTrial: some targets of the new version get a bounded share of the calls.
 	RolloutTrial RolloutStage = iota + 1
-	// RolloutShifted: all calls go to the new version, and those under way at the old one end.
+	// RolloutShifted: all new calls go to the new version, while calls in flight at the old one
+	// finish.
 	RolloutShifted
-	// RolloutCompleted: the new version is in force; nothing is under way at the old one.
+	// RolloutCompleted: the new version is in force, and no calls are in flight at the old one.
 	RolloutCompleted
-	// RolloutRolledBack: the new version takes no calls any more.
+	// RolloutRolledBack: the new version gets no more calls.
 	RolloutRolledBack
 )
 
@@ -31,38 +32,38 @@
 // String returns the stage's name.
 func (s RolloutStage) String() string { return stageNames[s] }
 
-// Rollout is the move of a service's calls to another version of its software. A service
-// keeps the record of its last one.
+// Rollout is the move of a service's calls to another version of its software. The table keeps
+// the last one of each service.
 type Rollout struct {
 	Service units.ServiceName `json:"service"`
-	// From is the version in force when the rollout was ordered, To the one ordered.
+	// From is the version that was in force when the rollout was ordered, To the version ordered.
 	From  units.SoftwareVersion `json:"from"`
 	To    units.SoftwareVersion `json:"to"`
 	Stage RolloutStage          `json:"stage"`
-	// Order is the revision at which it was ordered and names it; Since is the revision of
-	// the last change.
+	// Order is the revision at which the rollout was ordered, which identifies it. Since is the
+	// revision of the last change.
 	Order units.Revision `json:"order"`
 	Since units.Revision `json:"since"`
-	// Share is the part of the service's calls that the new version takes.
+	// Share is the percentage of the service's calls that the new version gets.
 	Share units.Percent `json:"share"`
-	// Targets are the targets of the new version that take calls during the trial.
+	// Targets are the targets of the new version that get calls during the trial.
 	Targets []units.TargetID `json:"targets,omitempty"`
-	// Duration is the time from the order to its deadline; Elapsed is how much of that had
-	// passed at the last change, on the leader's steady clock.
+	// Duration is the time from the order to its deadline. Elapsed is how much of it had elapsed
+	// at the last change, by the leader's monotonic clock.
 	Duration time.Duration  `json:"duration"`
 	Elapsed  time.Duration  `json:"elapsed"`
 	Operator string         `json:"operator,omitempty"`
 	At       units.WallTime `json:"at"`
-	// Reason says why the present stage was entered.
+	// Reason is why the current stage was entered.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Active tells whether the rollout is under way.
+// Active reports whether the rollout is in progress; it isn't for nil.
 func (r *Rollout) Active() bool {
 	return r != nil && (r.Stage == RolloutTrial || r.Stage == RolloutShifted)
 }
 
-// SoftwareInForce is the version of a service's software that takes its calls.
+// SoftwareInForce is the version of a service's software whose targets get its calls.
 type SoftwareInForce struct {
 	Service  units.ServiceName     `json:"service"`
 	Software units.SoftwareVersion `json:"software"`
@@ -77,8 +78,8 @@
 	return &t.Rollouts[i]
 }
 
-// SoftwareInForce returns the version of a service's software that takes its calls; empty
-// when targets of all versions do.
+// SoftwareInForce returns the version of a service's software whose targets get its calls; it
+// is empty if targets of all versions do.
 func (t *Table) SoftwareInForce(service units.ServiceName) units.SoftwareVersion {
 	i, found := findByService(t.InForce, service, serviceInForce)
 	if !found {
--- a/pkg/core/table/rolloutorder.go
+++ b/pkg/core/table/rolloutorder.go
@@ -8,25 +8,25 @@
 )
 
 // RolloutOrder is an operator's order to move a service to another version of its software,
-// or to end the move under way.
+// or to abort the rollout in progress.
 type RolloutOrder struct {
 	Service units.ServiceName     `json:"service"`
 	To      units.SoftwareVersion `json:"to"`
-	// Duration is the time in which the rollout is to end. Without one the version is put
-	// in force at once, which is done only where no other one takes calls.
+	// Duration is the time within which the rollout must complete. If it is zero, the version is
+	// put in force at once, but only if no target of the version in force is registered.
 	Duration time.Duration `json:"duration"`
-	// Abort is set to end the rollout under way; To and Duration aren't used then.
+	// Abort is set to roll back the rollout in progress; To and Duration are ignored then.
 	Abort    bool   `json:"abort,omitempty"`
 	Operator string `json:"operator,omitempty"`
-	// Base is the revision of the table that the replica held which took the order. An order
-	// that was delayed while another rollout began or ended is known by it.
+	// Base is the table's revision at the replica that received the order. It shows whether
+	// another rollout began or ended while the order was delayed.
 	Base units.Revision `json:"-"`
 }
 
 // RolloutStep is the leader's decision on the next stage of a rollout.
 type RolloutStep struct {
 	Service units.ServiceName
-	// Order names the rollout that the step is for.
+	// Order identifies the rollout that the step is for.
 	Order   units.Revision
 	Stage   RolloutStage
 	Share   units.Percent
@@ -35,36 +35,35 @@
 	Reason  string
 }
 
-// RolloutOutcome says what became of an order.
+// RolloutOutcome is the outcome of an order.
 type RolloutOutcome int32
 
 // The outcomes.
 const (
-	// RolloutAccepted: the rollout is under way or has ended, by this order or the same one
-	// that was sent before.
+	// RolloutAccepted: the order took effect, or did so when it was sent before.
 	RolloutAccepted RolloutOutcome = iota + 1
-	// RolloutConflict: a rollout to another version is under way.
+	// RolloutConflict: a rollout to another version is in progress.
 	RolloutConflict
 	// RolloutUnknownService: there is no such service.
 	RolloutUnknownService
 	// RolloutNoVersion: no version of the service is in force yet.
 	RolloutNoVersion
-	// RolloutAlreadyInForce: the version is in force already.
+	// RolloutAlreadyInForce: the version is already in force.
 	RolloutAlreadyInForce
-	// RolloutEnded: the rollout to be ended isn't under way any more.
+	// RolloutEnded: the rollout to be aborted has already completed.
 	RolloutEnded
-	// RolloutSuperseded: a rollout of the service has begun or ended since the order was taken.
+	// RolloutSuperseded: a rollout of the service has begun or ended since the order was received.
 	RolloutSuperseded
 )
 
-// rolloutRetryWindow is how long after a rollout was ordered an order of the same version counts
-// as the same order, sent again. Without that, an order whose acknowledgement was lost would
-// start a version again that was rolled back meanwhile.
+// rolloutRetryWindow is how long after a rollout was ordered another order of the same version is
+// treated as a retry of it. Otherwise the retry of an order whose acknowledgement was lost would
+// start a rollout again that has been rolled back in the meantime.
 const rolloutRetryWindow = 30 * time.Second
 
-// ApplyRolloutOrder carries out an order at a time that the whole cluster agrees on. The
-// delta is nil when the table isn't changed. A version that no target has yet is tried once
-// its first target has registered.
+// ApplyRolloutOrder applies an order at a time that all replicas agree on. The delta is nil if the
+// table isn't changed. The trial of a version that no target has yet begins once its first target
+// registers.
 func (s *State) ApplyRolloutOrder(o *RolloutOrder, at units.WallTime) (RolloutOutcome, *Delta) {
 	current, inForce := s.table.Rollout(o.Service), s.table.SoftwareInForce(o.Service)
 	switch {
@@ -95,14 +94,14 @@
 	return RolloutAccepted, s.commit(delta)
 }
 
-// orderedRecently tells whether the rollout was ordered within rolloutRepeat of a time, whichever
-// replica's wall clock is ahead.
+// orderedRecently reports whether the rollout was ordered within rolloutRetryWindow of a time. The
+// time may be the earlier one, since the wall clocks of replicas differ.
 func (r *Rollout) orderedRecently(at units.WallTime) bool {
 	since := at - r.At
 	return max(since, -since) < units.WallTime(rolloutRetryWindow.Milliseconds())
 }
 
-// abortRollout rolls back the rollout under way, unless it began after the order was taken.
+// abortRollout rolls back the rollout in progress, unless it began after the order was received.
 func (s *State) abortRollout(current *Rollout, o *RolloutOrder) (RolloutOutcome, *Delta) {
 	switch {
 	case current == nil:
@@ -123,15 +122,15 @@
 	return RolloutAccepted, s.commit(delta)
 }
 
-// rolledBack returns the record as of a roll back at a revision.
+// rolledBack returns the record after a rollback at a revision.
 func (r *Rollout) rolledBack(since units.Revision, reason string) Rollout {
 	next := *r
 	next.Stage, next.Since, next.Reason, next.Share = RolloutRolledBack, since, reason, 0
 	return next
 }
 
-// setInitialSoftware puts a version in force where none is, or where no target of the one in
-// force is left.
+// setInitialSoftware puts a version in force if none is, or if no target of the version in force
+// is registered.
 func (s *State) setInitialSoftware(o *RolloutOrder) *Delta {
 	current := s.table.SoftwareInForce(o.Service)
 	if s.table.Rollout(o.Service).Active() || o.To == current || s.hasSoftware(o.Service, current) {
@@ -142,7 +141,8 @@
 	return s.commit(delta)
 }
 
-// hasSoftware tells whether a target of a version is registered; none is of no version.
+// hasSoftware reports whether a target of a version is registered; for the empty version it returns
+// false.
 func (s *State) hasSoftware(service units.ServiceName, software units.SoftwareVersion) bool {
 	if software == "" {
 		return false
@@ -155,8 +155,8 @@
 	return false
 }
 
-// ApplyRolloutStep takes a leader's decision. One that names another rollout, or one that
-// has ended, or that leads back, changes nothing and gives no delta.
+// ApplyRolloutStep applies the leader's decision. It changes nothing and returns nil for a step that
+// is for another rollout or one that has ended, or that returns to an earlier stage.
 func (s *State) ApplyRolloutStep(step *RolloutStep) *Delta {
 	current := s.table.Rollout(step.Service)
 	if !current.Active() || current.Order != step.Order || step.Stage < current.Stage {
@@ -182,14 +182,13 @@
 	return s.commit(delta)
 }
 
-// sameStep tells whether a step says nothing new but the time: its stage, and the targets of
-// a trial, hold already.
+// sameStep reports whether a step changes nothing but the elapsed time.
 func (r *Rollout) sameStep(step *RolloutStep) bool {
 	return r.Stage == step.Stage && r.Share == step.Share && slices.Equal(r.Targets, step.Targets)
 }
 
-// rollBackRemovedServices rolls back the rollouts of services that a delta removes: nothing can be said
-// any more about their versions.
+// rollBackRemovedServices rolls back the rollouts of services that a delta removes, since nothing is known
+// about their versions any more.
 func (s *State) rollBackRemovedServices(d *Delta) {
 	for _, name := range d.Removed {
 		if current := s.table.Rollout(name); current.Active() {
@@ -204,5 +203,5 @@
 	{"operator", func(o *RolloutOrder) bool { return len(o.Operator) <= MaxNameLength }, "use at most 64 characters"},
 }
 
-// CheckRolloutOrder returns what is wrong with an order, or nothing.
+// CheckRolloutOrder returns the problems with an order, if any.
 func CheckRolloutOrder(o *RolloutOrder) []Problem { return findProblems(rolloutRules, o) }
--- a/pkg/core/table/route.go
+++ b/pkg/core/table/route.go
@@ -9,42 +9,42 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Route sends the calls of a host and a path prefix to services. Where no route
-// matches, the hosts and prefixes of the services themselves count.
+// Route sends the calls for a host and a path prefix to services. Calls that no
+// route matches are matched by the hosts and prefixes of the services themselves.
 type Route struct {
 	Name       string   `json:"name"`
 	Host       string   `json:"host"`
 	PathPrefix string   `json:"pathPrefix"`
 	Work       WorkKind `json:"work"`
-	// Deadline is how long a call may be held at the most, whatever its caller
-	// asks for.
+	// Deadline is the longest that a call may take, whatever its caller asks for.
 	Deadline time.Duration `json:"deadline"`
-	// LatencyObjective is the time within which an answer is worth its full value; zero means
-	// that none is known.
+	// LatencyObjective is the time within which a response is fully useful to its
+	// caller; zero means that none is known.
 	LatencyObjective time.Duration `json:"aim,omitempty"`
-	// MaxAttempts is how many targets a call may be sent to; zero leaves it to the
-	// box.
+	// MaxAttempts is how many targets a call may be sent to; zero means the box's
+	// own bound.
 	MaxAttempts int `json:"maxAttempts,omitempty"`
-	// Priority ranks routes when not all calls can be served; 0 is the highest.
+	// Priority ranks routes under overload, when not all calls can be served; 0 is
+	// the highest.
 	Priority int `json:"priority,omitempty"`
-	// LargeResponses is set where answers may be many times as long as those of other routes:
-	// they yield the box's link to others.
+	// LargeResponses is set if responses may be many times as large as those of other routes.
+	// They yield the box's network link to the others.
 	LargeResponses bool `json:"largeAnswers,omitempty"`
-	// Public is set where calls need no key of a workspace.
+	// Public is set if calls need no workspace's key.
 	Public bool `json:"public,omitempty"`
 	// Regions restricts where calls may be served; nil allows every region.
 	Regions *AllowedRegions `json:"regions,omitempty"`
-	// Services are the services that share the calls by weight.
+	// Services are the services that share the calls in proportion to their weights.
 	Services []WeightedService `json:"parts"`
 }
 
-// WeightedService is one service's part of a route's calls.
+// WeightedService is a service and its weight in a route.
 type WeightedService struct {
 	Service units.ServiceName `json:"service"`
 	Weight  int               `json:"weight"`
 }
 
-// RouteKey is what a route matches; no two routes have the same.
+// RouteKey is what a route matches; it is unique.
 type RouteKey struct {
 	Host       string `json:"host"`
 	PathPrefix string `json:"pathPrefix"`
@@ -53,7 +53,7 @@
 // Key returns what the route matches.
 func (r *Route) Key() RouteKey { return RouteKey{Host: r.Host, PathPrefix: r.PathPrefix} }
 
-// equal tells whether two routes say the same.
+// equal reports whether two routes have the same content.
 func (r *Route) equal(o *Route) bool {
 	return r.Name == o.Name && r.Key() == o.Key() && r.Work == o.Work && r.Deadline == o.Deadline && r.LatencyObjective == o.LatencyObjective &&
 		r.MaxAttempts == o.MaxAttempts && r.Priority == o.Priority && r.LargeResponses == o.LargeResponses && r.Public == o.Public &&
@@ -65,16 +65,16 @@
 	return cmp.Or(strings.Compare(k.Host, o.Host), strings.Compare(k.PathPrefix, o.PathPrefix))
 }
 
-// RouteChange is a change of the list of routes; it holds what differs only.
+// RouteChange is a change of the routes; it holds only what differs.
 type RouteChange struct {
 	Put     []*Route   `json:"put,omitempty"`
 	Removed []RouteKey `json:"removed,omitempty"`
 }
 
-// Empty tells whether nothing changes.
+// Empty reports whether nothing changes.
 func (c RouteChange) Empty() bool { return len(c.Put)+len(c.Removed) == 0 }
 
-// routeDifference returns the change that leads from one set of routes to another.
+// routeDifference returns the change from one set of routes to another.
 func routeDifference(from, to map[RouteKey]*Route) RouteChange {
 	var c RouteChange
 	for k, r := range to {
@@ -120,7 +120,7 @@
 	{"parts", func(r *Route) bool { return totalWeight(r.Services) > 0 }, "give at least one service a positive weight, and none a negative one"},
 }
 
-// totalWeight adds up the weights; a negative one makes the sum zero.
+// totalWeight returns the sum of the weights, or zero if any is negative or above MaxWeight.
 func totalWeight(parts []WeightedService) int {
 	sum := 0
 	for _, p := range parts {
@@ -132,5 +132,5 @@
 	return sum
 }
 
-// CheckRoute returns what is wrong with a route, or nothing.
+// CheckRoute returns the problems with a route, if any.
 func CheckRoute(r *Route) []Problem { return findProblems(routeRules, r) }
--- a/pkg/core/table/row.go
+++ b/pkg/core/table/row.go
@@ -6,22 +6,22 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// RowState says whether a target takes new work.
+// RowState is whether a target accepts new calls.
 type RowState int32
 
 // The states of a row.
 const (
 	Active RowState = iota + 1
-	// Leaving targets finish what they have and receive no new work.
+	// Leaving targets finish the calls that they have and get no new ones.
 	Leaving
 )
 
-// Row is one row of the targets sheet. Its limits are totals over all boxes;
+// Row is one row of the targets sheet. Its limits apply to all boxes together;
 // zero means no limit.
 type Row struct {
 	Service units.ServiceName `json:"service"`
 	Target  units.TargetID    `json:"target"`
-	// Address is an IP number and a port.
+	// Address is an IP address and a port.
 	Address        string       `json:"address"`
 	Domain         units.Domain `json:"domain,omitempty"`
 	Weight         int          `json:"weight"`
@@ -30,20 +30,20 @@
 	// MaxRate is in calls per second.
 	MaxRate float64  `json:"maxRate"`
 	State   RowState `json:"state"`
-	// Registered is set for a target that registered by itself. Its connections are
-	// divided among the boxes without a delay, since its own bound is no limit that
-	// an operator relies on.
+	// Registered is set for a target that registered by itself. Its connection limit
+	// is divided among the boxes without a delay, since operators don't rely on it.
 	Registered bool `json:"registered,omitempty"`
-	// Slots is how many calls the target says it works on at a time; zero means
-	// that it didn't say.
+	// Slots is the concurrency that the target reports: how many calls it processes
+	// at a time. Zero means that it reports none.
 	Slots int `json:"slots,omitempty"`
-	// Cold is for how long the target stays cold, as of its last report of that; zero for a
-	// warm one.
+	// Cold is the remaining time for which the target expects to be cold, as of the last change of
+	// that; zero for a warm target.
 	Cold time.Duration `json:"cold,omitempty"`
 	// Silent is set while a registered target doesn't report.
 	Silent bool `json:"silent,omitempty"`
-	// Software is the version of its software that a registered target named.
+	// Software is the software version that a registered target reports.
 	Software units.SoftwareVersion `json:"software,omitempty"`
-	// Born tells the starts of a registered target apart; zero where it isn't told.
+	// Born is the time of a registered target's start, which distinguishes its starts; zero if it
+	// isn't reported.
 	Born units.WallTime `json:"born,omitempty"`
 }
--- a/pkg/core/table/rows.go
+++ b/pkg/core/table/rows.go
@@ -12,15 +12,16 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Rows are the rows of a service, sorted by target. They never change: With and Without return other
-// rows, at a cost that hardly grows with how many there are. Neither do the rows that they hand out.
+// Rows is an immutable, persistent collection of a service's rows, sorted by target. With and Without return
+// modified copies at a cost that hardly grows with the number of rows. The rows that it returns must not be
+// modified.
 type Rows struct {
 	byTarget container.SortedMap[units.TargetID, *Row]
-	// registered counts the registered rows of each failure domain, in order.
+	// registered is the number of registered rows in each failure domain, sorted by domain.
 	registered []scope.DomainCount
 }
 
-// RowsOf returns the given rows; of two rows of a target the later one counts.
+// RowsOf returns the given rows. If a target has several, the last one is used.
 func RowsOf(list ...Row) Rows {
 	sorted := make([]*Row, 0, len(list))
 	for _, r := range list {
@@ -38,7 +39,7 @@
 	return sortedRows(kept)
 }
 
-// sortedRows returns the given rows, which are in order.
+// sortedRows returns the given rows, which must be sorted by target.
 func sortedRows(list []*Row) Rows {
 	targets := make([]units.TargetID, len(list))
 	for i, r := range list {
@@ -62,7 +63,7 @@
 	return registered
 }
 
-// Len returns how many rows there are.
+// Len returns the number of rows.
 func (r Rows) Len() int { return r.byTarget.Len() }
 
 // Get returns the row of a target, or nil.
@@ -71,10 +72,10 @@
 	return row
 }
 
-// All returns the rows in order.
+// All returns an iterator over the rows, sorted by target.
 func (r Rows) All() iter.Seq[*Row] { return r.byTarget.Values() }
 
-// List returns a copy of the rows, in order.
+// List returns a copy of the rows, sorted by target.
 func (r Rows) List() []Row {
 	list := make([]Row, 0, r.Len())
 	for row := range r.All() {
@@ -83,7 +84,7 @@
 	return list
 }
 
-// With returns the rows with one in place of its target's.
+// With returns the rows with the given one added, or replacing the one of its target.
 func (r Rows) With(row Row) Rows {
 	next := Rows{byTarget: r.byTarget.Put(row.Target, &row), registered: r.registered}
 	old := r.Get(row.Target)
@@ -95,14 +96,15 @@
 	return next
 }
 
-// Without returns the rows without a target's.
+// Without returns the rows without the one of a target.
 func (r Rows) Without(target units.TargetID) Rows {
 	next := Rows{byTarget: r.byTarget.Delete(target), registered: r.registered}
 	next.adjustRegistered(r.Get(target), -1)
 	return next
 }
 
-// adjustRegistered counts a row in or out, in a list of its own.
+// adjustRegistered adds n to the count of a row's failure domain if the row is registered. It copies the
+// counts, which other Rows share.
 func (r *Rows) adjustRegistered(row *Row, n int) {
 	if row == nil || !row.Registered {
 		return
@@ -118,12 +120,13 @@
 	}
 }
 
-// operatorRows returns a copy of the rows that operators operatorRows, in order.
+// operatorRows returns a copy of the rows that operators entered, sorted by target.
 func (r Rows) operatorRows() []Row {
 	return slices.DeleteFunc(r.List(), func(row Row) bool { return row.Registered })
 }
 
-// difference returns what leads from these rows to others, each in order.
+// difference returns the rows of to that are new or changed, and the targets whose rows it lacks, each sorted
+// by target.
 func (r Rows) difference(to Rows) (put []Row, removed []units.TargetID) {
 	container.Difference(r.byTarget, to.byTarget, func(a, b *Row) bool { return a == b || *a == *b },
 		func(id units.TargetID) { removed = append(removed, id) },
@@ -131,13 +134,13 @@
 	return put, removed
 }
 
-// Equal tells whether two sets of rows say the same.
+// Equal reports whether two sets of rows have the same content.
 func (r Rows) Equal(o Rows) bool {
 	put, removed := r.difference(o)
 	return len(put)+len(removed) == 0
 }
 
-// MarshalJSON writes the rows as a list.
+// MarshalJSON encodes the rows as a list.
 func (r Rows) MarshalJSON() ([]byte, error) {
 	if r.Len() == 0 {
 		return []byte("null"), nil
@@ -145,7 +148,7 @@
 	return json.Marshal(slices.Collect(r.All()))
 }
 
-// UnmarshalJSON reads a list of rows.
+// UnmarshalJSON decodes a list of rows.
 func (r *Rows) UnmarshalJSON(data []byte) error {
 	var list []Row
 	if err := json.Unmarshal(data, &list); err != nil {
--- a/pkg/core/table/rules.go
+++ b/pkg/core/table/rules.go
@@ -17,8 +17,8 @@
 	maxPercent    = 100
 )
 
-// rule is one check of a service or a row: a column, what must hold, and the
-// remedy when it doesn't.
+// rule is a validation rule: the column that it is for, whether a value is valid,
+// and the remedy if it isn't.
 type rule[T any] struct {
 	column string
 	valid  func(*T) bool
@@ -59,7 +59,7 @@
 	Remedy string
 }
 
-// String tells the problem as a person would want to read it.
+// String describes the problem for people.
 func (p Problem) String() string {
 	return fmt.Sprintf("column %s: %s", p.Column, p.Remedy)
 }
@@ -74,10 +74,10 @@
 	return problems
 }
 
-// CheckService returns what is wrong with a service, or nothing.
+// CheckService returns the problems with a service, if any.
 func CheckService(s *Service) []Problem { return findProblems(serviceRules, s) }
 
-// CheckRow returns what is wrong with a row, or nothing.
+// CheckRow returns the problems with a row, if any.
 func CheckRow(r *Row) []Problem { return findProblems(rowRules, r) }
 
 func validPercent(p units.Percent) bool { return p >= 0 && p <= maxPercent }
--- a/pkg/core/table/scope.go
+++ b/pkg/core/table/scope.go
@@ -7,11 +7,11 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Boxes are sent the rows of large services in part. The table says how each service is divided; what a
-// box is sent of a table, or of a change, follows from that and from who the box is.
+// Of a large service, each box is sent only some of the rows. The table holds the division of each service;
+// what a box is sent of a table or of a delta depends only on that and on the box's id and failure domain.
 
-// updateDivisions works out how the services of a delta are divided, and adds those that are divided
-// otherwise because boxes came or went.
+// updateDivisions computes the divisions of the services in a delta, and adds to it the services whose
+// division changes because boxes joined or left.
 func (s *State) updateDivisions(d *Delta) {
 	if !d.Boxes.Empty() {
 		s.boxes = CountBoxes(patchBoxes(s.table.Boxes, d.Boxes))
@@ -26,7 +26,8 @@
 	}
 }
 
-// updateOtherDivisions adds to a delta the services that a change of the list of boxes divides otherwise.
+// updateOtherDivisions adds to a delta the services that aren't in it yet and whose division changes with the
+// list of boxes.
 func (s *State) updateOtherDivisions(d *Delta) {
 	for _, n := range s.table.ServiceNames() {
 		e := s.table.Services[n]
@@ -40,7 +41,7 @@
 	}
 }
 
-// CountBoxes counts the boxes of each failure domain.
+// CountBoxes returns the number of boxes in each failure domain.
 func CountBoxes(boxes []Box) scope.BoxCounts {
 	counts := scope.BoxCounts{}
 	for _, b := range boxes {
@@ -49,10 +50,11 @@
 	return counts
 }
 
-// rowFilter decides which rows of a service a box holds.
+// rowFilter determines which rows of a service a box holds.
 type rowFilter struct {
 	division scope.Division
-	// trial is the version that a rollout tries: its targets are few and every box sends them calls.
+	// trial is the new version of a rollout in progress, or empty. Every box holds its targets, since they
+	// are few and every box sends them calls.
 	trial units.SoftwareVersion
 }
 
@@ -68,10 +70,10 @@
 	return slices.Equal(f.division, o.division) && (f.trial == o.trial || f.includesAll())
 }
 
-// includesAll tells whether every box holds all rows.
+// includesAll reports whether every box holds all rows.
 func (f *rowFilter) includesAll() bool { return len(f.division) == 0 }
 
-// includes tells whether a box holds a row.
+// includes reports whether a box holds a row.
 func (f *rowFilter) includes(b *Box, r *Row) bool {
 	if f.everyBoxHolds(r) {
 		return true
@@ -79,12 +81,12 @@
 	return scope.RankOf(b.ID, r.Target).Holds(f.division.StepOf(b.Domain, r.Domain))
 }
 
-// everyBoxHolds tells whether every box holds a row whatever the division.
+// everyBoxHolds reports whether every box holds a row, whatever the division.
 func (f *rowFilter) everyBoxHolds(r *Row) bool {
 	return !r.Registered || f.trial != "" && r.Software == f.trial
 }
 
-// Divided tells whether boxes are told of different parts of the table.
+// Divided reports whether boxes hold different parts of the table.
 func (t *Table) Divided() bool {
 	for _, e := range t.Services {
 		if len(e.Division) > 0 {
@@ -94,8 +96,7 @@
 	return false
 }
 
-// Divided tells whether boxes are told of different parts of the change, which leads to the given
-// table.
+// Divided reports whether boxes are sent different parts of the delta, which leads to the given table.
 func (d *Delta) Divided(to *Table) bool {
 	for _, e := range d.Changed {
 		if len(e.Division) > 0 {
@@ -105,7 +106,7 @@
 	return slices.ContainsFunc(d.Patched, func(p *EntryPatch) bool { return p.Redivided || len(to.Services[p.Service].Division) > 0 })
 }
 
-// Empty tells whether the delta changes nothing but the revision.
+// Empty reports whether the delta changes nothing but the revision.
 func (d *Delta) Empty() bool {
 	return len(d.Changed)+len(d.Patched)+len(d.Removed) == 0 && d.Boxes.Empty() && d.Document == 0 &&
 		len(d.Evacuations)+len(d.Rollouts)+len(d.InForce)+len(d.Quarantines)+len(d.Released) == 0
--- a/pkg/core/table/scope_test.go
+++ b/pkg/core/table/scope_test.go
@@ -11,7 +11,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// largeService is a state of boxes and registered targets of one service, in some domains.
+// largeService returns a state with boxes and registered targets of one service, spread over domains.
 func largeService(boxes, targets, domains int) *State {
 	s := NewState()
 	s.ApplyDocument(&Document{Version: 1, Services: []Service{{Name: "s", Work: Repeatable}}})
@@ -37,9 +37,9 @@
 	return r
 }
 
-// A box that takes its parts of changes, some of several at a time, must hold just its part of the
-// present table, whatever came in between: targets that move to another domain, rollouts whose
-// targets every box holds, boxes by the hundred, services that become small.
+// A box that applies its part of each delta, some of which cover several changes, must hold exactly its
+// part of the current table. Changes include targets that move to another domain, rollouts whose targets
+// every box holds, hundreds of boxes that join or leave, and services that become too small to divide.
 func TestPartsOfChangesLeadToThePartOfTheTable(t *testing.T) {
 	const domains, targets = 3, 1200
 	base := largeService(200, targets, domains)
@@ -61,7 +61,7 @@
 			}
 		}
 		held = applyPart(t, held, box, from, s.Table())
-		// A service's version comes with the next change of the box's part.
+		// A service's version is sent only with the next change of the box's part.
 		if d := cmp.Diff(s.Table().Divider().For(box), held, cmpopts.EquateEmpty(), cmpopts.IgnoreFields(Entry{}, "Version")); d != "" {
 			t.Fatal(d)
 		}
@@ -74,7 +74,7 @@
 	}
 	next, ok := held.Patch(Difference(from, to).Divider(from, to).For(box))
 	if !ok {
-		t.Fatal("the part of a change doesn't follow")
+		t.Fatal("the box's part of a delta can't be applied")
 	}
 	return next
 }
@@ -116,8 +116,8 @@
 	}
 }
 
-// countRowsForBox returns how many rows a box of a fleet is told of in whole tables, and how many rows it is
-// sent while the fleet's targets change their state one after the other.
+// countRowsForBox returns the number of rows in a box's table, and the number of changed rows that it is sent
+// while all targets change their state, one after another.
 func countRowsForBox(boxes, targets int) (held, sent int) {
 	const domains = 6
 	s := largeService(boxes, targets, domains)
@@ -136,7 +136,7 @@
 	return held, sent
 }
 
-// What a box holds and is sent of a fleet mustn't grow with the fleet.
+// The number of rows that a box holds and is sent must not grow with the fleet.
 func TestABoxIsToldAsMuchOfAFleetOfTwiceTheSize(t *testing.T) {
 	held, sent := countRowsForBox(500, 3_000)
 	heldOfTwice, sentOfTwice := countRowsForBox(1_000, 6_000)
--- a/pkg/core/table/script_test.go
+++ b/pkg/core/table/script_test.go
@@ -11,11 +11,11 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// TestScripts drives a state with the commands of the files in testdata:
+// TestScripts applies the commands of the files in testdata/scripts to a state:
 // "edit ID [at=MS]" with an edit's bases and operations as JSON, "boxes NAME[@DOMAIN]...",
-// "evacuate DOMAIN [base=REVISION]", "restore DOMAIN [base=REVISION]" (without a base the
-// present one), "rollout SERVICE VERSION [seconds=N] [at=MS] [base=N]" (without seconds the version is
-// put in force at once), "abort SERVICE", "step SERVICE ORDER STAGE [elapsed=MS]
+// "evacuate DOMAIN [base=REVISION]", "restore DOMAIN [base=REVISION]" (the base defaults to
+// the current revision), "rollout SERVICE VERSION [seconds=N] [at=MS] [base=N]" (without seconds the
+// version is put in force at once), "abort SERVICE", "step SERVICE ORDER STAGE [elapsed=MS]
 // [targets=(ID,...)]", "register TARGET SERVICE [version=V]", "depart TARGET", and "show".
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
--- a/pkg/core/table/starts_test.go
+++ b/pkg/core/table/starts_test.go
@@ -10,7 +10,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// startCommands drive the registered targets of one service.
+// startCommands are the commands of the files in testdata/starts, which apply reports, departures and
+// silence of one service's registered targets.
 var startCommands = map[string]func(t *testing.T, s *State, d *datadriven.TestData) string{
 	// report TARGET born=N sequence=N [address=A] [service=S] [leaving]
 	"report": func(t *testing.T, s *State, d *datadriven.TestData) string {
--- a/pkg/core/table/state.go
+++ b/pkg/core/table/state.go
@@ -12,19 +12,19 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Bounds of what the state remembers.
+// Bounds of what the state keeps.
 const (
-	// ResultRetention is how long a resent edit gets its first answer.
+	// ResultRetention is how long results are kept, so that a resent edit gets its first result.
 	ResultRetention = 24 * time.Hour
-	// MaxResults bounds the remembered answers; it covers ResultAge at twice the
-	// edits of the users' target (41,000 a day).
+	// MaxResults bounds the results kept. It is enough for ResultRetention at twice
+	// the rate of edits that users need, which is 41,000 a day.
 	MaxResults = 82_000
-	// MaxHistory is how many accepted edits the history keeps.
+	// MaxHistory is the number of accepted edits in the history.
 	MaxHistory = 1000
 )
 
-// State is the whole replicated state: the table, the answers to past edits and
-// their history.
+// State is the whole replicated state: the table, the results of past edits, their
+// history, and the targets that registered or departed.
 type State struct {
 	table *Table
 	// boxes counts the table's boxes by failure domain.
@@ -33,19 +33,19 @@
 	// resultOrder holds the ids of results, oldest first.
 	resultOrder []units.EditID
 	history     *container.Ring[Result]
-	// document is the whole document in force, nil before the first.
+	// document is the document in force; nil before the first.
 	document *Document
-	// targets are those that registered by themselves.
+	// targets are the targets that registered by themselves.
 	targets map[units.TargetID]*Registration
-	// byAddress are the targets of those by their addresses, of which each has one.
+	// byAddress maps addresses to registered targets. Each target has one address.
 	byAddress map[string]units.TargetID
-	// departed are targets that left for good, with when the last start of each that left began
-	// (zero where that isn't known), oldest first in departedOrder.
+	// departed maps targets that left permanently to the time of the last start that left, or zero
+	// if that isn't known. departedOrder holds their ids, oldest first.
 	departed      map[units.TargetID]units.WallTime
 	departedOrder []units.TargetID
 }
 
-// NewState returns the state before the first edit.
+// NewState returns an empty state.
 func NewState() *State {
 	return &State{
 		table:   NewTable(),
@@ -58,8 +58,8 @@
 	}
 }
 
-// RestoreDocument gives a restored state its document, the registered targets and
-// those that departed, oldest first.
+// RestoreDocument sets the document, the registered targets, and the departed ones,
+// oldest first, of a state that is being restored.
 func (s *State) RestoreDocument(d *Document, targets []*Registration, departed []Departure) {
 	s.document = d
 	for _, r := range targets {
@@ -70,14 +70,14 @@
 	}
 }
 
-// Departure is a target that left for good.
+// Departure is a target that left permanently.
 type Departure struct {
 	Target units.TargetID
-	// Born is when its last start that left began; zero where that isn't known.
+	// Born is the time of the last start that left; zero if it isn't known.
 	Born units.WallTime
 }
 
-// DepartedTargets returns the targets that left for good, oldest first.
+// DepartedTargets returns the targets that left permanently, oldest first.
 func (s *State) DepartedTargets() []Departure {
 	list := make([]Departure, 0, len(s.departedOrder))
 	for _, id := range s.departedOrder {
@@ -86,8 +86,8 @@
 	return list
 }
 
-// RestoreState returns a state with the given content. Results must be in the
-// order in which they were given.
+// RestoreState returns a state with the given content. Results and history must be
+// sorted oldest first.
 func RestoreState(t *Table, results, history []Result) *State {
 	s := NewState()
 	s.table = t
@@ -101,7 +101,7 @@
 	return s
 }
 
-// Table returns the present table, which the caller must not change.
+// Table returns the current table, which must not be modified.
 func (s *State) Table() *Table { return s.table }
 
 // History returns the last accepted edits, oldest first.
@@ -122,8 +122,8 @@
 // Lookup returns the remembered answer to an edit, or nil.
 func (s *State) Lookup(id units.EditID) *Result { return s.results[id] }
 
-// ApplyEdit decides an edit at a time that the whole cluster agrees on. The
-// delta is nil when the table wasn't changed.
+// ApplyEdit validates and applies an edit at a time that all replicas agree on. The
+// delta is nil if the table wasn't changed.
 func (s *State) ApplyEdit(e *Edit, at units.WallTime) (Result, *Delta) {
 	s.expireResults(at - units.WallTime(ResultRetention.Milliseconds()))
 	if previous := s.results[e.ID]; previous != nil {
@@ -138,7 +138,7 @@
 	return result, delta
 }
 
-// ApplyBoxes changes the list of live boxes.
+// ApplyBoxes applies a change of the list of live boxes.
 func (s *State) ApplyBoxes(c BoxChange) *Delta {
 	d := s.newDelta()
 	d.Boxes = c
--- a/pkg/core/table/table.go
+++ b/pkg/core/table/table.go
@@ -10,67 +10,67 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Table is what the boxes need of the replicated state. A Table that was handed
-// out isn't changed any more; Apply and Patch make new ones.
+// Table is the part of the replicated state that boxes need. A Table is immutable;
+// Patch returns a new one.
 type Table struct {
 	Revision units.Revision               `json:"revision"`
 	Services map[units.ServiceName]*Entry `json:"services"`
 	// Boxes are sorted by id.
 	Boxes []Box `json:"boxes"`
-	// Document is the version of the whole document that was put last; zero stands
-	// for none.
+	// Document is the version of the document in force; zero means that there is
+	// none.
 	Document units.DocumentVersion `json:"document,omitempty"`
-	// Routes come before the services' own hosts and prefixes.
+	// Routes take precedence over the services' own hosts and prefixes.
 	Routes map[RouteKey]*Route `json:"-"`
-	// Evacuations are the failure domains that are or were evacuated, sorted by domain.
+	// Evacuations are the records of failure domains that are or were evacuated, sorted by domain.
 	Evacuations []Evacuation `json:"evacuations,omitempty"`
-	// Rollouts are the last rollouts of services, sorted by service.
+	// Rollouts are the last rollouts of the services, sorted by service.
 	Rollouts []Rollout `json:"rollouts,omitempty"`
-	// InForce are the versions of software that take calls, sorted by service. Targets of a
-	// service that isn't listed take calls whatever their version.
+	// InForce are the software versions whose targets get calls, sorted by service. Targets of a
+	// service that isn't listed get calls whatever their version.
 	InForce []SoftwareInForce `json:"inForce,omitempty"`
-	// Quarantines are the calls that no target gets, sorted by fingerprint.
+	// Quarantines are the calls that are kept from all targets, sorted by fingerprint.
 	Quarantines []Quarantine `json:"quarantines,omitempty"`
-	// Workspaces are the customers whose keys let calls in, sorted by name.
+	// Workspaces are the customers whose keys calls may present, sorted by name.
 	Workspaces []Workspace `json:"-"`
-	// KeysRequired is set where calls of routes that aren't public need the key of a workspace.
+	// KeysRequired is set if calls of routes that aren't public must present a workspace's key.
 	KeysRequired bool `json:"-"`
 }
 
-// Delta carries a table from one revision to the next.
+// Delta is the change of a table from one revision to a later one.
 type Delta struct {
 	From     units.Revision      `json:"from"`
 	Revision units.Revision      `json:"revision"`
 	Changed  []*Entry            `json:"changed,omitempty"`
 	Patched  []*EntryPatch       `json:"patched,omitempty"`
 	Removed  []units.ServiceName `json:"removed,omitempty"`
-	// Boxes is what changes in the list of boxes.
+	// Boxes is the change of the list of boxes.
 	Boxes BoxChange `json:"boxes"`
-	// Document is the version of a document that comes in force, or zero.
+	// Document is the version of a document that is put in force, or zero.
 	Document units.DocumentVersion `json:"document,omitempty"`
 	Routes   RouteChange           `json:"routes"`
-	// Evacuations are the records of failure domains that change.
+	// Evacuations are the new or changed records of failure domains.
 	Evacuations []Evacuation `json:"evacuations,omitempty"`
-	// Rollouts and InForce are the records of services that change.
+	// Rollouts and InForce are the new or changed records of services.
 	Rollouts []Rollout         `json:"rollouts,omitempty"`
 	InForce  []SoftwareInForce `json:"inForce,omitempty"`
-	// Quarantines are those that begin or change, Released those that end.
+	// Quarantines are the new or changed quarantines, Released the calls whose quarantine ends.
 	Quarantines []Quarantine        `json:"quarantines,omitempty"`
 	Released    []crash.Fingerprint `json:"released,omitempty"`
-	// Workspaces and KeysRequired come with a document.
+	// Workspaces and KeysRequired apply only if Document is set.
 	Workspaces   WorkspaceChange `json:"workspaces"`
 	KeysRequired bool            `json:"keysRequired,omitempty"`
 }
 
-// BoxChange is a change of the list of boxes. It holds what differs only, since
-// the list may be long and changes whenever a box comes or goes.
+// BoxChange is a change of the list of boxes. It holds only what differs, since the
+// list may be long and changes whenever a box joins or leaves.
 type BoxChange struct {
-	// Put are boxes that are new or have changed.
+	// Put are the new or changed boxes.
 	Put     []Box         `json:"put,omitempty"`
 	Removed []units.BoxID `json:"removed,omitempty"`
 }
 
-// Empty tells whether nothing changes.
+// Empty reports whether nothing changes.
 func (c BoxChange) Empty() bool { return len(c.Put)+len(c.Removed) == 0 }
 
 func findBox(boxes []Box, id units.BoxID) (int, bool) {
@@ -89,8 +89,9 @@
 	return &Table{Services: map[units.ServiceName]*Entry{}}
 }
 
-// Patch returns the table after a delta. The delta must start at the table's
-// own revision; ok is false otherwise, and the table is returned as it was.
+// Patch returns the table after a delta. If the delta doesn't start at the table's
+// revision, or patches a service that isn't in the table, ok is false and Patch
+// returns the table itself.
 func (t *Table) Patch(d *Delta) (next *Table, ok bool) {
 	if d.From != t.Revision || d.Revision <= d.From {
 		return t, false
@@ -127,7 +128,7 @@
 	return next, true
 }
 
-// Box returns a box of the list, or nil.
+// Box returns the box with an id, or nil.
 func (t *Table) Box(id units.BoxID) *Box {
 	i, found := findBox(t.Boxes, id)
 	if !found {
@@ -136,7 +137,7 @@
 	return &t.Boxes[i]
 }
 
-// ServiceNames returns the names of the services in order.
+// ServiceNames returns the sorted names of the services.
 func (t *Table) ServiceNames() []units.ServiceName {
 	return slices.Sorted(maps.Keys(t.Services))
 }
--- a/pkg/core/table/workspace.go
+++ b/pkg/core/table/workspace.go
@@ -10,23 +10,23 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Workspace is a customer whose callers show one of its keys.
+// Workspace is a customer, whose callers present one of its keys.
 type Workspace struct {
 	Name units.WorkspaceName `json:"name"`
-	// Keys are the digests of the keys that let calls in.
+	// Keys are the digests of the valid keys.
 	Keys []apikey.Digest `json:"keys"`
-	// Priority ranks the workspace's calls before their routes do; 0 is the highest. It counts
-	// where Ranked is set.
+	// Priority ranks the workspace's calls under overload and takes precedence over the priorities
+	// of routes; 0 is the highest. It is used only if Ranked is set.
 	Priority int  `json:"priority,omitempty"`
 	Ranked   bool `json:"ranked,omitempty"`
-	// Rate is how many calls a second may run, all boxes together; zero means no limit. Burst is
-	// how many may run beside them.
+	// Rate is the limit in calls per second for all boxes together; zero means no limit. Burst is
+	// how many calls may exceed it for a short time.
 	Rate  units.CallRate `json:"rate,omitempty"`
 	Burst float64        `json:"burst,omitempty"`
 }
 
-// Workspaces are all those that a document names: nil lets in every call, an empty list those of
-// public routes only.
+// Workspaces are all workspaces of a document. If it is nil, all calls are admitted; if it is an empty
+// list, only those of public routes are.
 type Workspaces []Workspace
 
 var workspaceRules = []rule[Workspace]{
@@ -37,7 +37,7 @@
 
 func validAmount(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
 
-// validWorkspaceName tells whether a name may stand in a header.
+// validWorkspaceName reports whether a name can be sent in a header.
 func validWorkspaceName(n units.WorkspaceName) bool {
 	if n == "" || len(n) > MaxNameLength {
 		return false
@@ -45,8 +45,8 @@
 	return !slices.ContainsFunc([]byte(n), func(b byte) bool { return b <= ' ' || b > '~' })
 }
 
-// check says what is wrong with the workspaces, or returns an empty string. It names keys by
-// their places.
+// check returns a description of the first problem with the workspaces, or an empty string. It
+// refers to keys by their positions, since keys are secret.
 func (w Workspaces) check() string {
 	names := map[units.WorkspaceName]bool{}
 	owners := map[apikey.Digest]units.WorkspaceName{}
@@ -69,7 +69,7 @@
 	return ""
 }
 
-// sorted returns the workspaces by name, with their keys in order.
+// sorted returns a copy sorted by name, with sorted keys.
 func (w Workspaces) sorted() []Workspace {
 	list := slices.Clone(w)
 	for i := range list {
@@ -79,20 +79,19 @@
 	return list
 }
 
-// equal tells whether two workspaces say the same.
+// equal reports whether two workspaces have the same content.
 func (w *Workspace) equal(o *Workspace) bool {
 	return w.Name == o.Name && w.Priority == o.Priority && w.Ranked == o.Ranked && w.Rate == o.Rate && w.Burst == o.Burst &&
 		slices.Equal(w.Keys, o.Keys)
 }
 
-// WorkspaceChange is a change of the list of workspaces; it holds what differs only.
+// WorkspaceChange is a change of the list of workspaces; it holds only what differs.
 type WorkspaceChange struct {
 	Put     []Workspace           `json:"put,omitempty"`
 	Removed []units.WorkspaceName `json:"removed,omitempty"`
 }
 
-// workspaceDifference returns the change that leads from one list to another; both are sorted by
-// name.
+// workspaceDifference returns the change from one list to another; both are sorted by name.
 func workspaceDifference(from, to []Workspace) WorkspaceChange {
 	var c WorkspaceChange
 	c.Put, c.Removed = sortedDifference(from, to, nameOfWorkspace, cmp.Compare, func(a, b Workspace) bool { return a.equal(&b) })
@@ -101,7 +100,7 @@
 
 func nameOfWorkspace(w Workspace) units.WorkspaceName { return w.Name }
 
-// Workspace returns the workspace of a name, or nil.
+// Workspace returns the workspace with a name, or nil.
 func (t *Table) Workspace(name units.WorkspaceName) *Workspace {
 	i, found := slices.BinarySearchFunc(t.Workspaces, name, func(w Workspace, n units.WorkspaceName) int { return cmp.Compare(w.Name, n) })
 	if !found {
@@ -115,26 +114,27 @@
 	return patchSorted(list, c.Removed, c.Put, nameOfWorkspace, cmp.Compare)
 }
 
-// WorkspaceView is what operators see of a workspace.
+// WorkspaceView is the view of a workspace that operators are shown.
 type WorkspaceView struct {
 	Name units.WorkspaceName `json:"name"`
-	// Keys are the beginnings of the keys' digests.
+	// Keys are prefixes of the keys' digests.
 	Keys     []string       `json:"keys"`
 	Priority int            `json:"priority,omitempty"`
 	Ranked   bool           `json:"ranked,omitempty"`
 	Rate     units.CallRate `json:"rate,omitempty"`
 	Burst    float64        `json:"burst,omitempty"`
-	// Use is nil where it isn't known: only the leader does.
+	// Use is nil if it isn't known; only the leader knows it.
 	Use *WorkspaceUse `json:"use,omitempty"`
 }
 
-// WorkspaceUse is what boxes have let in and refused of a workspace over the last seconds.
+// WorkspaceUse is the rates of a workspace's calls that boxes admitted and refused in the last
+// few seconds.
 type WorkspaceUse struct {
 	Admitted units.CallRate `json:"admitted"`
 	Refused  units.CallRate `json:"refused"`
 }
 
-// View is what may be shown of the workspace.
+// View returns the view of the workspace for operators, without its Use.
 func (w *Workspace) View() WorkspaceView {
 	v := WorkspaceView{
 		Name: w.Name, Priority: w.Priority, Ranked: w.Ranked, Rate: w.Rate, Burst: w.Burst, Keys: make([]string, 0, len(w.Keys)),
--- a/pkg/core/table/workspace_test.go
+++ b/pkg/core/table/workspace_test.go
@@ -58,8 +58,8 @@
 	return list
 }
 
-// Boxes get documents as deltas; what they hold must be what the newest document says, whatever
-// the versions before it said and in which order they came.
+// Boxes receive documents as deltas. Their workspaces must be those of the newest document, whatever
+// the other versions contained and in whatever order they were applied.
 func TestWorkspacesFollowTheNewestDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, box := NewState(), NewTable()
