--- a/pkg/core/limit/limit_test.go
+++ b/pkg/core/limit/limit_test.go
@@ -99,7 +99,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			if s.state.Supersedes(known) != s.supersedes {
-				t.Errorf("%+v replaces %+v: %t", s.state, known, !s.supersedes)
+				t.Errorf("%+v supersedes %+v: %t", s.state, known, !s.supersedes)
 			}
 		})
 	}
--- a/pkg/core/table/scope.go
+++ b/pkg/core/table/scope.go
@@ -10,7 +10,7 @@
 // Of a large service, each box is sent only some of the rows. The table holds the division of each service;
 // what a box is sent of a table or of a delta depends only on that and on the box's id and failure domain.
 
-// updateDivisions computes the divisions of the services in a delta, and adds to it the services whose
+// updateDivisions computes the divisions of the changed services in a delta, and adds to it the services whose
 // division changes because boxes joined or left.
 func (s *State) updateDivisions(d *Delta) {
 	if !d.Boxes.Empty() {
--- a/pkg/units/units.go
+++ b/pkg/units/units.go
@@ -39,7 +39,7 @@
 // Revision counts the accepted changes of the whole replicated state.
 type Revision uint64
 
-// Version counts the accepted changes of one service and its rows.
+// Version is the version of one service and its rows: the revision of their last change.
 type Version uint64
 
 // DocumentVersion is an operator's version number for a whole table; the highest
