--- a/pkg/core/table/difference.go
+++ b/pkg/core/table/difference.go
@@ -103,7 +103,7 @@
 // BoxDifference returns the change from one list of boxes to another; both are
 // sorted by id.
 func BoxDifference(from, to []Box) BoxChange {
-	var c BoxChange
-	c.Put, c.Removed = sortedDifference(from, to, func(b Box) units.BoxID { return b.ID }, cmp.Compare, func(a, b Box) bool { return a == b })
-	return c
+	var change BoxChange
+	change.Put, change.Removed = sortedDifference(from, to, func(b Box) units.BoxID { return b.ID }, cmp.Compare, func(a, b Box) bool { return a == b })
+	return change
 }
--- a/pkg/core/table/divider.go
+++ b/pkg/core/table/divider.go
@@ -30,11 +30,11 @@
 
 // Divider returns a divider of the table among the boxes.
 func (t *Table) Divider() *TableDivider {
-	p := &TableDivider{table: t}
+	d := &TableDivider{table: t}
 	for _, n := range t.ServiceNames() {
-		p.services = append(p.services, newEntryDivider(t, t.Services[n]))
+		d.services = append(d.services, newEntryDivider(t, t.Services[n]))
 	}
-	return p
+	return d
 }
 
 func newEntryDivider(t *Table, e *Entry) *entryDivider {
@@ -64,10 +64,10 @@
 }
 
 // For returns the table that a box holds.
-func (p *TableDivider) For(b *Box) *Table {
-	next := *p.table
-	next.Services = make(map[units.ServiceName]*Entry, len(p.services))
-	for _, x := range p.services {
+func (d *TableDivider) For(b *Box) *Table {
+	next := *d.table
+	next.Services = make(map[units.ServiceName]*Entry, len(d.services))
+	for _, x := range d.services {
 		next.Services[x.entry.Service.Name] = x.forBox(b)
 	}
 	return &next
@@ -122,14 +122,14 @@
 
 // Divider returns a divider among the boxes of the delta, which is the difference between the given tables.
 func (d *Delta) Divider(from, to *Table) *DeltaDivider {
-	parts := &DeltaDivider{delta: d}
+	divider := &DeltaDivider{delta: d}
 	for _, e := range d.Changed {
-		parts.changed = append(parts.changed, newEntryDivider(to, e))
+		divider.changed = append(divider.changed, newEntryDivider(to, e))
 	}
 	for _, p := range d.Patched {
-		parts.patches = append(parts.patches, newPatchDivider(p, from, to))
+		divider.patches = append(divider.patches, newPatchDivider(p, from, to))
 	}
-	return parts
+	return divider
 }
 
 func newPatchDivider(p *EntryPatch, from, to *Table) *patchDivider {
@@ -181,14 +181,14 @@
 }
 
 // For returns the delta that a box is sent.
-func (p *DeltaDivider) For(b *Box) *Delta {
-	next := *p.delta
-	next.Changed = make([]*Entry, 0, len(p.changed))
-	for _, x := range p.changed {
+func (d *DeltaDivider) For(b *Box) *Delta {
+	next := *d.delta
+	next.Changed = make([]*Entry, 0, len(d.changed))
+	for _, x := range d.changed {
 		next.Changed = append(next.Changed, x.forBox(b))
 	}
 	next.Patched = nil
-	for _, x := range p.patches {
+	for _, x := range d.patches {
 		if part := x.forBox(b); part != nil {
 			next.Patched = append(next.Patched, part)
 		}
@@ -226,9 +226,9 @@
 }
 
 // addReassigned adds to a box's patch the unchanged rows that the box begins or ceases to hold.
-func (x *patchDivider) addReassigned(b *Box, m *reassignedRows, part *EntryPatch) {
-	before, after := x.before.division.StepOf(b.Domain, m.domain), x.after.division.StepOf(b.Domain, m.domain)
-	for _, r := range m.rows {
+func (x *patchDivider) addReassigned(b *Box, group *reassignedRows, part *EntryPatch) {
+	before, after := x.before.division.StepOf(b.Domain, group.domain), x.after.division.StepOf(b.Domain, group.domain)
+	for _, r := range group.rows {
 		rank := scope.RankOf(b.ID, r.Target)
 		heldBefore := x.before.everyBoxHolds(r) || rank.Holds(before)
 		heldNow := x.after.everyBoxHolds(r) || rank.Holds(after)
--- a/pkg/core/table/starts_test.go
+++ b/pkg/core/table/starts_test.go
@@ -58,11 +58,11 @@
 	datadriven.Walk(t, "testdata/starts", func(t *testing.T, path string) {
 		s := newStateWithService()
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			f := startCommands[d.Cmd]
-			if f == nil {
+			command := startCommands[d.Cmd]
+			if command == nil {
 				d.Fatalf(t, "there is no command %s", d.Cmd)
 			}
-			return f(t, s, d)
+			return command(t, s, d)
 		})
 	})
 }
