--- a/pkg/core/apikey/apikey_test.go
+++ b/pkg/core/apikey/apikey_test.go
@@ -27,20 +27,20 @@
 		for _, v := range x.values {
 			values = append(values, []byte(v))
 		}
-		c := Presented(values)
+		c := CredentialFromHeader(values)
 		d, presented := c.Digest()
 		if presented != x.presented {
 			t.Errorf("%s: presented is %v", name, presented)
 		}
 		if presented && d != DigestOf([]byte(x.values[0])) {
-			t.Errorf("%s: the digest is another key's", name)
+			t.Errorf("%s: the digest is of a different key", name)
 		}
 	}
 }
 
 func TestDetachedCredentialOutlivesTheRequest(t *testing.T) {
 	buffer := []byte("akn2ftimaj3nr26tta82")
-	c := Presented([][]byte{buffer})
+	c := CredentialFromHeader([][]byte{buffer})
 	want, _ := c.Digest()
 	kept := c.Detached()
 	copy(buffer, "another caller's key")
--- a/pkg/core/control/quarantines.go
+++ b/pkg/core/control/quarantines.go
@@ -134,7 +134,7 @@
 	for _, s := range n.Suspects {
 		tracker := &r.quarantines
 		tracker.verdicts = slices.DeleteFunc(tracker.verdicts, func(v pendingVerdict) bool { return v.Fingerprint.Covers(s.Fingerprint) })
-		if q := r.state.Table().QuarantineOf(s.Fingerprint); q != nil {
+		if q := r.state.Table().QuarantineCovering(s.Fingerprint); q != nil {
 			r.observationOf(q).answered = true
 		}
 	}
@@ -199,7 +199,7 @@
 	case s.answered, r.now.Sub(s.refusedAt) >= quarantineIdleTimeout:
 		step.Action = table.EndQuarantine
 	case s.trialIsDue(q, r.now):
-		step.Action, step.Trial = table.TryQuarantined, q.Trials+1
+		step.Action, step.Trial = table.RecordQuarantineTrial, q.Trials+1
 		s.delayStart = r.now
 		r.quarantines.trials = append(r.quarantines.trials, activeTrial{
 			call: q.Call, number: step.Trial, box: s.refusedBy, until: r.now.Add(trialWindow),
@@ -266,7 +266,7 @@
 // that is refused.
 func (r *Replica) applyQuarantine(x *table.QuarantineStep, at units.WallTime, e *Effects) (*table.Delta, error) {
 	outcome, delta := r.state.ApplyQuarantine(x, at)
-	if outcome == table.QuarantineOvertaken {
+	if outcome == table.QuarantineSuperseded {
 		return nil, fault.New(fault.Unavailable, "check its current state and send the order again if it is still wanted",
 			"a new quarantine of %s has begun since", x.Call)
 	}
@@ -274,7 +274,7 @@
 		return nil, nil
 	}
 	kinds := map[table.QuarantineAction]ChangeKind{
-		table.BeginQuarantine: CallQuarantined, table.TryQuarantined: CallTried, table.EndQuarantine: CallReleased,
+		table.BeginQuarantine: CallQuarantined, table.RecordQuarantineTrial: CallTried, table.EndQuarantine: CallReleased,
 	}
 	e.Changes = append(e.Changes, Change{
 		Kind: kinds[x.Action], Call: x.Call, Targets: x.Targets, Trial: x.Trial, Operator: x.Operator, Revision: delta.Revision,
--- a/pkg/core/control/rollout_test.go
+++ b/pkg/core/control/rollout_test.go
@@ -21,7 +21,7 @@
 )
 
 // registerSoftware has targets of a version of the service register and keep reporting.
-func (w *world) registerSoftware(software units.Software, count int) {
+func (w *world) registerSoftware(software units.SoftwareVersion, count int) {
 	for i := range count {
 		t := &table.Registration{
 			Target: units.TargetID(fmt.Sprintf("%s-%d", software, i)), Service: testService, Software: software,
@@ -46,7 +46,7 @@
 
 // startTraffic registers targets of version v1, waits until that version is in force and starts
 // calls to the service.
-func startTraffic(t fataler, w *world, bad func(units.Software) float64) *traffic {
+func startTraffic(t fataler, w *world, bad func(units.SoftwareVersion) float64) *traffic {
 	w.putDocument(w.leader(), false)
 	w.run(500 * time.Millisecond)
 	w.registerSoftware("v1", 6)
@@ -61,7 +61,7 @@
 
 // badIfNamed returns the share of a version's answers that fail: all for versions whose name ends
 // in "bad", none for others.
-func badIfNamed(software units.Software) float64 {
+func badIfNamed(software units.SoftwareVersion) float64 {
 	if strings.HasSuffix(string(software), "bad") {
 		return 1
 	}
@@ -80,7 +80,7 @@
 	return err
 }
 
-func rolloutTo(to units.Software) table.RolloutOrder {
+func rolloutTo(to units.SoftwareVersion) table.RolloutOrder {
 	return table.RolloutOrder{Service: testService, To: to, Duration: testDuration, Operator: "test"}
 }
 
@@ -192,7 +192,7 @@
 type rolloutOperator struct {
 	world        *world
 	number, next int
-	to           units.Software
+	to           units.SoftwareVersion
 	acknowledged bool
 }
 
@@ -203,7 +203,7 @@
 		return
 	}
 	o.number++
-	o.to, o.acknowledged = units.Software(fmt.Sprintf("n%d", o.number)), false
+	o.to, o.acknowledged = units.SoftwareVersion(fmt.Sprintf("n%d", o.number)), false
 	if o.number%2 == 0 {
 		o.to += "bad"
 	}
@@ -232,7 +232,7 @@
 // checkRollouts checks that the acknowledged rollout is known to all replicas and boxes, that no
 // ended rollout continued, and that no bad version was completed. It returns the stages in which
 // rollouts ended.
-func (w *world) checkRollouts(acknowledged units.Software) map[units.Revision]table.RolloutStage {
+func (w *world) checkRollouts(acknowledged units.SoftwareVersion) map[units.Revision]table.RolloutStage {
 	ended := map[units.Revision]table.RolloutStage{}
 	for _, revision := range slices.Sorted(maps.Keys(w.tablesByRevision)) {
 		r := w.tablesByRevision[revision].Rollout(testService)
--- a/pkg/core/control/rolloutorders.go
+++ b/pkg/core/control/rolloutorders.go
@@ -49,18 +49,18 @@
 // accepted.
 func rolloutError(o *table.RolloutOrder, outcome table.RolloutOutcome) error {
 	switch outcome {
-	case table.RolloutConflicts:
+	case table.RolloutConflict:
 		return fault.New(fault.Conflict, "wait until it ends, or abort it first", "a rollout of %s to another version is in progress", o.Service)
 	case table.RolloutUnknownService:
 		return fault.New(fault.NotFound, "name a service of the table", "there is no service %s, or no rollout of it", o.Service)
 	case table.RolloutNoVersion:
 		return fault.New(fault.Unavailable, "send it again once targets have registered", "it isn't known yet which version of %s is in force", o.Service)
-	case table.RolloutInForce:
+	case table.RolloutAlreadyInForce:
 		return fault.New(fault.Invalid, "name another version", "version %s of %s is in force already", o.To, o.Service)
-	case table.RolloutOvertaken:
+	case table.RolloutSuperseded:
 		return fault.New(fault.Unavailable, "check its current state and send the order again if it is still wanted",
 			"another rollout of %s began or ended first", o.Service)
-	case table.RolloutOver:
+	case table.RolloutEnded:
 		return fault.New(fault.Conflict, "order a rollout to the previous version", "the rollout of %s is completed", o.Service)
 	}
 	return nil
--- a/pkg/core/control/rollouts.go
+++ b/pkg/core/control/rollouts.go
@@ -202,7 +202,7 @@
 		longest = entry.Service.Deadline
 	}
 	for _, route := range t.Routes {
-		if slices.ContainsFunc(route.Parts, func(p table.Part) bool { return p.Service == x.Service }) {
+		if slices.ContainsFunc(route.Services, func(p table.WeightedService) bool { return p.Service == x.Service }) {
 			longest = max(longest, route.Deadline)
 		}
 	}
@@ -210,7 +210,7 @@
 }
 
 // side returns the targets of a version that are available now.
-func (r *Replica) side(service units.ServiceName, software units.Software) rollout.Side {
+func (r *Replica) side(service units.ServiceName, software units.SoftwareVersion) rollout.Side {
 	var side rollout.Side
 	r.state.EachRegistration(func(t *table.Registration) {
 		if t.Service != service || t.Software != software || t.State != table.Active || t.Silent || r.state.Table().Evacuated(t.Domain) {
@@ -268,14 +268,14 @@
 
 // registeredSoftware counts the registered targets of each service by version. Targets that don't
 // report a version aren't counted.
-func (r *Replica) registeredSoftware() map[units.ServiceName]map[units.Software]int {
-	counts := map[units.ServiceName]map[units.Software]int{}
+func (r *Replica) registeredSoftware() map[units.ServiceName]map[units.SoftwareVersion]int {
+	counts := map[units.ServiceName]map[units.SoftwareVersion]int{}
 	r.state.EachRegistration(func(t *table.Registration) {
 		if t.Software == "" {
 			return
 		}
 		if counts[t.Service] == nil {
-			counts[t.Service] = map[units.Software]int{}
+			counts[t.Service] = map[units.SoftwareVersion]int{}
 		}
 		counts[t.Service][t.Software]++
 	})
@@ -283,8 +283,8 @@
 }
 
 // mostCommon returns the version that most targets run; ties go to the first by name.
-func mostCommon(versions map[units.Software]int) units.Software {
-	return slices.MaxFunc(slices.Sorted(maps.Keys(versions)), func(a, b units.Software) int {
+func mostCommon(versions map[units.SoftwareVersion]int) units.SoftwareVersion {
+	return slices.MaxFunc(slices.Sorted(maps.Keys(versions)), func(a, b units.SoftwareVersion) int {
 		return cmp.Compare(versions[a], versions[b])
 	})
 }
--- a/pkg/core/routing/notice_random_test.go
+++ b/pkg/core/routing/notice_random_test.go
@@ -68,7 +68,7 @@
 	x.revision++
 	next.Revision, next.Document = x.revision, 1
 	next.Boxes = []table.Box{{ID: "me"}}
-	works := map[units.ServiceName]table.Work{"once": table.Once, "read": table.Repeatable, "file": table.Patient}
+	works := map[units.ServiceName]table.WorkKind{"once": table.AtMostOnce, "read": table.Repeatable, "file": table.Patient}
 	for name, work := range works {
 		next.Services[name] = &table.Entry{Version: units.Version(x.revision), Service: table.Service{
 			Name: name, Work: work, Hosts: []string{string(name)}, Deadline: 2 * time.Second, HoldLimit: time.Second, HoldCount: 20,
--- a/pkg/core/routing/targetlimit.go
+++ b/pkg/core/routing/targetlimit.go
@@ -25,7 +25,7 @@
 // targetLimit is a box's state of the limit announced by one incarnation of a target, and the
 // permits that the box holds.
 type targetLimit struct {
-	current limit.Word
+	current limit.State
 	// receivedAt is when an answer to this box last announced a limit, changedAt when the limit
 	// last changed.
 	receivedAt, changedAt units.Instant
@@ -38,7 +38,7 @@
 	nextAskAt units.Instant
 	// account is the token bucket of the limit, kept by the target's coordinator only; nil before
 	// the first request.
-	account *limit.Account
+	account *limit.TokenBucket
 	// handedOverBy is the coordinator that handed the target over to this box, at handedOverAt.
 	handedOverBy units.BoxID
 	handedOverAt units.Instant
@@ -60,8 +60,8 @@
 func (r *Router) recordLimit(n *notice, endpoint *Endpoint, rate units.CallRate, knownVersion uint64, e *Effects) {
 	x := n.ensureLimit()
 	x.receivedAt = r.now
-	w := x.current.Naming(rate)
-	if !w.Same(x.current) && (w.Tighter(x.current) || knownVersion == x.current.Version) {
+	w := x.current.WithRate(rate)
+	if !w.SameLimit(x.current) && (w.StricterThan(x.current) || knownVersion == x.current.Version) {
 		r.setLimit(n, endpoint, w, e)
 	}
 }
@@ -78,15 +78,15 @@
 	if a.limitVersion != x.current.Version || a.sent <= x.receivedAt {
 		return
 	}
-	r.setLimit(t.notice, t.endpoint, x.current.Ending(), e)
+	r.setLimit(t.notice, t.endpoint, x.current.Cleared(), e)
 	if to, known := r.coordinatorOf(t); known && to != r.settings.Box {
 		r.sendLimit(to, t, LimitMessage{Kind: TellLimit}, e)
 	}
 }
 
 // updateLimitFromPeer applies the state of a target's limit that another box has sent.
-func (r *Router) updateLimitFromPeer(t *target, w limit.Word, e *Effects) {
-	if !w.Replaces(t.limitWord()) || t.notice == nil && !w.Limited {
+func (r *Router) updateLimitFromPeer(t *target, w limit.State, e *Effects) {
+	if !w.Supersedes(t.limitWord()) || t.notice == nil && !w.Limited {
 		return
 	}
 	if t.notice == nil {
@@ -98,7 +98,7 @@
 
 // setLimit puts a new state of the limit in force. From then on the shell sends the target no calls
 // without a permit, or all calls again if the limit has ended.
-func (r *Router) setLimit(n *notice, endpoint *Endpoint, w limit.Word, e *Effects) {
+func (r *Router) setLimit(n *notice, endpoint *Endpoint, w limit.State, e *Effects) {
 	x := n.limit
 	before := x.current
 	x.current, x.changedAt = w, r.now
@@ -109,7 +109,7 @@
 		x.account.SetRate(r.now, w.Rate)
 	}
 	begins, ends := w.Limited && !before.Limited, before.Limited && !w.Limited
-	if !begins && !ends && (w.Same(before) || r.now.Sub(x.loggedAt) < minLimitLogInterval) {
+	if !begins && !ends && (w.SameLimit(before) || r.now.Sub(x.loggedAt) < minLimitLogInterval) {
 		return
 	}
 	x.loggedAt = r.now
--- a/pkg/core/routing/unanswered_test.go
+++ b/pkg/core/routing/unanswered_test.go
@@ -58,7 +58,7 @@
 	hangSeed       = 20261202
 )
 
-func newHangFleet(t *testing.T, work table.Work, boxes, targets int) *hangFleet {
+func newHangFleet(t *testing.T, work table.WorkKind, boxes, targets int) *hangFleet {
 	w := &hangFleet{
 		t: t, random: rand.New(rand.NewPCG(hangSeed, 1)), now: units.Instant(time.Second),
 		targets: map[units.TargetID]*hangingTarget{}, started: map[string]units.Instant{}, sends: map[string]int{},
@@ -79,8 +79,8 @@
 	}
 	next.Services["shop"] = entry
 	route := &table.Route{
-		Name: "shop", Host: "shop", PathPrefix: "/", Work: work, Deadline: hangDeadline, Aim: hangAim,
-		Parts: []table.Part{{Service: "shop", Weight: 1}},
+		Name: "shop", Host: "shop", PathPrefix: "/", Work: work, Deadline: hangDeadline, LatencyObjective: hangAim,
+		Services: []table.WeightedService{{Service: "shop", Weight: 1}},
 	}
 	next.Routes = map[table.RouteKey]*table.Route{route.Key(): route}
 	for i := range boxes {
@@ -239,7 +239,7 @@
 // Guards against calls of work that must not run twice being sent twice to such targets, and
 // against telling callers that a call hasn't run after it was sent.
 func TestOnceCallsAtTargetsThatHang(t *testing.T) {
-	w := newHangFleet(t, table.Once, 10, 3)
+	w := newHangFleet(t, table.AtMostOnce, 10, 3)
 	w.run(6*time.Second, 33*time.Millisecond)
 	for name, n := range w.sends {
 		if n > 1 {
--- a/pkg/core/scope/scope.go
+++ b/pkg/core/scope/scope.go
@@ -1,9 +1,9 @@
-// Package scope says which targets of a large service are in a box's table. A box sends its calls to a few
-// targets of such a service only; to send every target, and each change of one, to every box costs boxes
-// times targets. So the registered targets of a failure domain are divided by a step: a box holds
-// one in 2^step of them, drawn by a hash of box and target. Which box holds which target follows from
-// ids and step alone, so that everybody works it out the same, and a box that comes or goes moves no
-// other's targets.
+// Package scope decides which targets of a large service are in a box's table. A box sends its calls to only
+// a few targets of such a service, and sending every target and each of its changes to every box would cost
+// boxes times targets. So the registered targets of a failure domain are divided among the boxes by a step: a
+// box holds one in 2^step of them, selected by a hash of box and target. The selection depends on the ids and
+// the step only, so that all processes compute the same one, and a box that joins or leaves changes no other
+// box's targets.
 package scope
 
 import (
@@ -14,39 +14,41 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Step is how often the targets of a failure domain are halved for a box of another domain.
+// Step is the binary logarithm of the reduction of a failure domain's targets for boxes of other domains:
+// such a box holds one target in 2^step.
 type Step int
 
 const (
-	// ownSteps is how many steps less a box's own failure domain is divided by: its calls go there.
-	ownSteps = 2
-	// wholeService is up to how many registered targets a service is sent whole to every box, since fewer
-	// cost boxes little, and wholeProduct up to how many boxes times targets: that is what sending all costs.
-	// A service that was divided is sent whole again from half of that on.
-	wholeService = 250
-	wholeProduct = 250_000
-	// mostOfDomain and leastOfDomain bound how many targets of another domain a box holds, where
-	// there are more: enough to go to when its own domain is lost.
-	mostOfDomain  = 48
-	leastOfDomain = 12
-	// leastHolders is how many boxes are to hold a target before a step is taken, so that as good as
-	// none is held by nobody; fewestHolders is from how few on a step is taken back. Between
-	// them boxes may come and go without a change.
-	leastHolders  = 24
-	fewestHolders = 6
-	// soonPart is from which part of mostOfDomain on a domain takes a step together with another one that
-	// takes it: each change of a division costs a message to every box.
-	soonPart = 0.75
+	// ownDomainSteps is by how much the step is lower for boxes in the targets' own failure domain, where
+	// most of their calls go.
+	ownDomainSteps = 2
+	// A service is divided only if it has more than maxUndividedTargets registered targets, since fewer cost
+	// a box little, and if boxes times targets, which is the cost of sending everything, exceeds
+	// maxUndividedPairs. A divided service becomes whole again at half of either bound.
+	maxUndividedTargets = 250
+	maxUndividedPairs   = 250_000
+	// maxRemoteTargets and minRemoteTargets bound how many of a larger number of targets in another domain
+	// a box holds: enough to fail over to when its own domain is lost.
+	maxRemoteTargets = 48
+	minRemoteTargets = 12
+	// stepUpHolders is the least mean number of boxes that hold a target after the step is raised, so that
+	// hardly any target is held by no box; the step is lowered when there are fewer than stepDownHolders.
+	// Between the two, boxes may join and leave without a change of the step.
+	stepUpHolders   = 24
+	stepDownHolders = 6
+	// jointStepFraction is the fraction of maxRemoteTargets at which a domain's step is raised together with
+	// another domain's: each change of a division costs a message to every box.
+	jointStepFraction = 0.75
 )
 
-// Rank is a box's place among those that hold a target: the higher, the larger the steps at which it
-// does. The box that comes first for a target by rendezvous.Hash holds it longest.
+// Rank is a box's rendezvous hash for a target. The higher the rank, the larger the steps at which the box
+// holds the target; the box with the highest rank holds it at the largest steps.
 type Rank uint64
 
 // RankOf returns a box's rank for a target.
 func RankOf(box units.BoxID, target units.TargetID) Rank { return Rank(rendezvous.Hash(box, target)) }
 
-// Holds tells whether a box of this rank holds the target at a step; then it does at each smaller one.
+// Holds reports whether a box of this rank holds the target at a step. It then does at every smaller step.
 func (r Rank) Holds(s Step) bool { return s <= 0 || ^r>>(64-s) == 0 }
 
 // DomainStep is the step of a failure domain's targets.
@@ -55,14 +57,14 @@
 	Step   Step
 }
 
-// Division is how the targets of a service are divided: the domains with a step, in order. It is nil
-// for a service that boxes are told of whole.
+// Division is how the targets of a service are divided among the boxes: the domains with a step above zero,
+// sorted by domain. It is nil for a service whose targets are all sent to every box.
 type Division []DomainStep
 
-// StepOf returns the step by which a box of one domain holds the targets of another, or its own.
+// StepOf returns the step at which a box in one domain holds the targets of another, or of its own.
 func (d Division) StepOf(box, targets units.Domain) Step {
 	if box == targets {
-		return max(0, d.Step(targets)-ownSteps)
+		return max(0, d.Step(targets)-ownDomainSteps)
 	}
 	return d.Step(targets)
 }
@@ -76,17 +78,17 @@
 	return d[i].Step
 }
 
-// Count is a number in a failure domain.
-type Count struct {
+// DomainCount is the number of targets in a failure domain.
+type DomainCount struct {
 	Domain units.Domain
 	N      int
 }
 
-// Boxes counts the boxes of each failure domain.
-type Boxes map[units.Domain]int
+// BoxCounts holds the number of boxes in each failure domain.
+type BoxCounts map[units.Domain]int
 
-// Total returns how many boxes there are.
-func (b Boxes) Total() int {
+// Total returns the number of boxes in all domains.
+func (b BoxCounts) Total() int {
 	n := 0
 	for _, x := range b {
 		n += x
@@ -94,53 +96,56 @@
 	return n
 }
 
-// Holders returns how many boxes hold a target of a domain at a step, in the mean.
-func (b Boxes) Holders(total int, d units.Domain, s Step) int {
+// MeanHolders returns the mean number of boxes that hold a target of a domain at a step. The total is the
+// result of Total.
+func (b BoxCounts) MeanHolders(total int, d units.Domain, s Step) int {
 	own := b[d]
-	return own>>max(0, s-ownSteps) + (total-own)>>max(0, s)
+	return own>>max(0, s-ownDomainSteps) + (total-own)>>max(0, s)
 }
 
-// holdersMargin is how many times the mean of holders a target may have: the draw by hashes hardly
-// ever gives one more.
+// holdersMargin is the factor by which a target's holders may exceed the mean: the hash hardly ever gives a
+// target more.
 const holdersMargin = 2
 
-// MostHolders bounds how many boxes hold a target of a domain at a step; a total is divided by it.
-func (b Boxes) MostHolders(total int, d units.Domain, s Step) int {
-	return max(1, min(total, holdersMargin*b.Holders(total, d, s)))
+// MaxHolders returns the most boxes that are expected to hold a target of a domain at a step, at least 1. A
+// limit for all boxes together is divided by it.
+func (b BoxCounts) MaxHolders(total int, d units.Domain, s Step) int {
+	return max(1, min(total, holdersMargin*b.MeanHolders(total, d, s)))
 }
 
-// Next returns how a service is divided after a change, given how it was before and how many
-// registered targets it has in each domain, in order. A step is kept until the numbers are far from
-// what it is meant for, so that changes of a few boxes or targets move none.
-func Next(before Division, targets []Count, boxes Boxes) Division {
+// NextDivision returns the division of a service after a change, given the division before it and the number
+// of registered targets in each domain, sorted by domain. Steps have hysteresis, so that changes of a few
+// boxes or targets don't change them.
+func NextDivision(before Division, targets []DomainCount, boxes BoxCounts) Division {
 	registered := 0
 	for _, c := range targets {
 		registered += c.N
 	}
 	total := boxes.Total()
-	if !divides(before, registered, total) {
+	if !shouldDivide(before, registered, total) {
 		return nil
 	}
-	next := steps(before, targets, boxes, total, mostOfDomain)
+	next := domainSteps(before, targets, boxes, total, maxRemoteTargets)
 	if !slices.Equal(next, before) {
-		next = steps(before, targets, boxes, total, soonPart*mostOfDomain)
+		next = domainSteps(before, targets, boxes, total, jointStepFraction*maxRemoteTargets)
 	}
 	return next
 }
 
-// divides tells whether a service is told of in parts.
-func divides(before Division, registered, boxes int) bool {
+// shouldDivide reports whether a service's targets are divided among the boxes.
+func shouldDivide(before Division, registered, boxes int) bool {
 	if before == nil {
-		return registered > wholeService && registered*boxes > wholeProduct
+		return registered > maxUndividedTargets && registered*boxes > maxUndividedPairs
 	}
-	return registered > wholeService/2 && registered*boxes > wholeProduct/2
+	return registered > maxUndividedTargets/2 && registered*boxes > maxUndividedPairs/2
 }
 
-// steps returns the steps of all domains, given how many targets of another domain a box holds at the most.
-func steps(before Division, targets []Count, boxes Boxes, total, most int) Division {
+// domainSteps returns the steps of all domains that have one, given the most targets of another domain that a
+// box is to hold.
+func domainSteps(before Division, targets []DomainCount, boxes BoxCounts, total, maxTargets int) Division {
 	var next Division
 	for _, c := range targets {
-		step := nextStep(before.Step(c.Domain), c, boxes, total, most)
+		step := nextStep(before.Step(c.Domain), c, boxes, total, maxTargets)
 		if step > 0 {
 			next = append(next, DomainStep{Domain: c.Domain, Step: step})
 		}
@@ -148,22 +153,22 @@
 	return next
 }
 
-func nextStep(step Step, c Count, boxes Boxes, total, most int) Step {
-	for c.N>>step > most && enoughHolders(boxes, total, c.Domain, step+1) {
+func nextStep(step Step, c DomainCount, boxes BoxCounts, total, maxTargets int) Step {
+	for c.N>>step > maxTargets && enoughHolders(boxes, total, c.Domain, step+1) {
 		step++
 	}
-	for step > 0 && (c.N>>step < leastOfDomain || boxes.Holders(total, c.Domain, step) < fewestHolders) {
+	for step > 0 && (c.N>>step < minRemoteTargets || boxes.MeanHolders(total, c.Domain, step) < stepDownHolders) {
 		step--
 	}
 	return step
 }
 
-// enoughHolders tells whether enough boxes hold a target at a step, half of them beside it where
-// there are boxes at all: those coordinate what all boxes send it.
-func enoughHolders(boxes Boxes, total int, d units.Domain, s Step) bool {
+// enoughHolders reports whether enough boxes hold a target at a step. Where the target's own domain has boxes,
+// half of the required holders must be there: those boxes coordinate what all boxes send to the target.
+func enoughHolders(boxes BoxCounts, total int, d units.Domain, s Step) bool {
 	own := boxes[d]
-	if own > 0 && own>>max(0, s-ownSteps) < leastHolders/2 {
+	if own > 0 && own>>max(0, s-ownDomainSteps) < stepUpHolders/2 {
 		return false
 	}
-	return boxes.Holders(total, d, s) >= leastHolders
+	return boxes.MeanHolders(total, d, s) >= stepUpHolders
 }
--- a/pkg/core/table/scope.go
+++ b/pkg/core/table/scope.go
@@ -7,31 +7,32 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Boxes are sent the rows of large services in part. The table says how each service is divided; what a
-// box is sent of a table, or of a change, follows from that and from who the box is.
+// Of a large service, each box is sent only some of the rows. The table holds the division of each service;
+// what a box is sent of a table or of a delta depends only on that and on the box's id and failure domain.
 
-// rescope works out how the services of a delta are divided, and adds those that are divided
-// otherwise because boxes came or went.
-func (s *State) rescope(d *Delta) {
+// updateDivisions computes the divisions of the changed services in a delta, and adds to it the services whose
+// division changes because boxes joined or left.
+func (s *State) updateDivisions(d *Delta) {
 	if !d.Boxes.Empty() {
 		s.boxes = CountBoxes(patchBoxes(s.table.Boxes, d.Boxes))
-		s.rescopeOthers(d)
+		s.updateOtherDivisions(d)
 	}
 	for _, e := range d.Changed {
 		var before scope.Division
 		if old := s.table.Services[e.Service.Name]; old != nil {
 			before = old.Division
 		}
-		e.Division = scope.Next(before, e.Rows.registered, s.boxes)
+		e.Division = scope.NextDivision(before, e.Rows.registered, s.boxes)
 	}
 }
 
-// rescopeOthers adds to a delta the services that a change of the list of boxes divides otherwise.
-func (s *State) rescopeOthers(d *Delta) {
+// updateOtherDivisions adds to a delta the services that aren't in it yet and whose division changes with the
+// list of boxes.
+func (s *State) updateOtherDivisions(d *Delta) {
 	for _, n := range s.table.ServiceNames() {
 		e := s.table.Services[n]
 		changed := slices.ContainsFunc(d.Changed, func(x *Entry) bool { return x.Service.Name == n })
-		if changed || slices.Equal(e.Division, scope.Next(e.Division, e.Rows.registered, s.boxes)) {
+		if changed || slices.Equal(e.Division, scope.NextDivision(e.Division, e.Rows.registered, s.boxes)) {
 			continue
 		}
 		next := *e
@@ -40,51 +41,52 @@
 	}
 }
 
-// CountBoxes counts the boxes of each failure domain.
-func CountBoxes(boxes []Box) scope.Boxes {
-	counts := scope.Boxes{}
+// CountBoxes returns the number of boxes in each failure domain.
+func CountBoxes(boxes []Box) scope.BoxCounts {
+	counts := scope.BoxCounts{}
 	for _, b := range boxes {
 		counts[b.Domain]++
 	}
 	return counts
 }
 
-// view decides which rows of a service a box holds.
-type view struct {
+// rowFilter determines which rows of a service a box holds.
+type rowFilter struct {
 	division scope.Division
-	// trial is the version that a rollout tries: its targets are few and every box sends them calls.
-	trial units.Software
+	// trial is the new version of a rollout in progress, or empty. Every box holds its targets, since they
+	// are few and every box sends them calls.
+	trial units.SoftwareVersion
 }
 
-func (t *Table) viewOf(e *Entry) view {
-	v := view{division: e.Division}
+func (t *Table) rowFilterOf(e *Entry) rowFilter {
+	f := rowFilter{division: e.Division}
 	if x := t.Rollout(e.Service.Name); x != nil && x.Active() {
-		v.trial = x.To
+		f.trial = x.To
 	}
-	return v
+	return f
 }
 
-func (v *view) equal(o *view) bool {
-	return slices.Equal(v.division, o.division) && (v.trial == o.trial || v.whole())
+func (f *rowFilter) equal(o *rowFilter) bool {
+	return slices.Equal(f.division, o.division) && (f.trial == o.trial || f.includesAll())
 }
 
-// whole tells whether every box holds all rows.
-func (v *view) whole() bool { return len(v.division) == 0 }
+// includesAll reports whether every box holds all rows.
+func (f *rowFilter) includesAll() bool { return len(f.division) == 0 }
 
-// shows tells whether a box holds a row.
-func (v *view) shows(b *Box, r *Row) bool {
-	if v.everywhere(r) {
+// includes reports whether a box holds a row.
+func (f *rowFilter) includes(b *Box, r *Row) bool {
+	if f.everyBoxHolds(r) {
 		return true
 	}
-	return scope.RankOf(b.ID, r.Target).Holds(v.division.StepOf(b.Domain, r.Domain))
+	return scope.RankOf(b.ID, r.Target).Holds(f.division.StepOf(b.Domain, r.Domain))
 }
 
-// everywhere tells whether every box holds a row whatever the division.
-func (v *view) everywhere(r *Row) bool {
-	return !r.Registered || v.trial != "" && r.Software == v.trial
+// everyBoxHolds reports whether every box holds a row, whatever the division.
+func (f *rowFilter) everyBoxHolds(r *Row) bool {
+	return !r.Registered || f.trial != "" && r.Software == f.trial
 }
 
-// Divided tells whether boxes are told of different parts of the table.
+// Divided reports whether boxes hold different parts of the table.
 func (t *Table) Divided() bool {
 	for _, e := range t.Services {
 		if len(e.Division) > 0 {
@@ -94,8 +96,7 @@
 	return false
 }
 
-// Divided tells whether boxes are told of different parts of the change, which leads to the given
-// table.
+// Divided reports whether boxes are sent different parts of the delta, which leads to the given table.
 func (d *Delta) Divided(to *Table) bool {
 	for _, e := range d.Changed {
 		if len(e.Division) > 0 {
@@ -105,7 +106,7 @@
 	return slices.ContainsFunc(d.Patched, func(p *EntryPatch) bool { return p.Redivided || len(to.Services[p.Service].Division) > 0 })
 }
 
-// Empty tells whether the delta changes nothing but the revision.
+// Empty reports whether the delta changes nothing but the revision.
 func (d *Delta) Empty() bool {
 	return len(d.Changed)+len(d.Patched)+len(d.Removed) == 0 && d.Boxes.Empty() && d.Document == 0 &&
 		len(d.Evacuations)+len(d.Rollouts)+len(d.InForce)+len(d.Quarantines)+len(d.Released) == 0
--- a/pkg/core/table/script_test.go
+++ b/pkg/core/table/script_test.go
@@ -11,11 +11,11 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// TestScripts drives a state with the commands of the files in testdata:
+// TestScripts applies the commands of the files in testdata/scripts to a state:
 // "edit ID [at=MS]" with an edit's bases and operations as JSON, "boxes NAME[@DOMAIN]...",
-// "evacuate DOMAIN [base=REVISION]", "restore DOMAIN [base=REVISION]" (without a base the
-// present one), "rollout SERVICE VERSION [seconds=N] [at=MS] [base=N]" (without seconds the version is
-// put in force at once), "abort SERVICE", "step SERVICE ORDER STAGE [elapsed=MS]
+// "evacuate DOMAIN [base=REVISION]", "restore DOMAIN [base=REVISION]" (the base defaults to
+// the current revision), "rollout SERVICE VERSION [seconds=N] [at=MS] [base=N]" (without seconds the
+// version is put in force at once), "abort SERVICE", "step SERVICE ORDER STAGE [elapsed=MS]
 // [targets=(ID,...)]", "register TARGET SERVICE [version=V]", "depart TARGET", and "show".
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
@@ -36,9 +36,9 @@
 			case "rollout", "abort":
 				return orderRollout(t, state, d)
 			case "step":
-				return takeRolloutStep(t, state, d)
+				return applyRolloutStep(t, state, d)
 			case "register", "depart":
-				return moveTarget(t, state, d)
+				return applyTargetCommand(t, state, d)
 			case "show":
 				return show(state)
 			}
@@ -66,8 +66,8 @@
 	return text + "\n"
 }
 
-var evacuationWords = map[EvacuationOutcome]string{
-	EvacuationDone: "done", EvacuationOvertaken: "overtaken", EvacuationUnknown: "unknown domain",
+var evacuationOutcomeNames = map[EvacuationOutcome]string{
+	EvacuationDone: "done", EvacuationSuperseded: "overtaken", EvacuationUnknown: "unknown domain",
 }
 
 func orderEvacuation(t *testing.T, state *State, d *datadriven.TestData) string {
@@ -78,7 +78,7 @@
 		return problems[0].String() + "\n"
 	}
 	outcome, _ := state.ApplyEvacuation(o, 0)
-	return fmt.Sprintf("%s, revision %d\n", evacuationWords[outcome], state.Table().Revision)
+	return fmt.Sprintf("%s, revision %d\n", evacuationOutcomeNames[outcome], state.Table().Revision)
 }
 
 func show(state *State) string {
--- a/pkg/core/table/starts_test.go
+++ b/pkg/core/table/starts_test.go
@@ -10,7 +10,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// startCommands drive the registered targets of one service.
+// startCommands are the commands of the files in testdata/starts, which apply reports, departures and
+// silence of one service's registered targets.
 var startCommands = map[string]func(t *testing.T, s *State, d *datadriven.TestData) string{
 	// report TARGET born=N sequence=N [address=A] [service=S] [leaving]
 	"report": func(t *testing.T, s *State, d *datadriven.TestData) string {
@@ -25,9 +26,9 @@
 		if d.HasArg("leaving") {
 			r.State = Leaving
 		}
-		news := s.Fresh(r)
+		isUpdate := s.IsUpdate(r)
 		s.ApplyRegistration(r)
-		return fmt.Sprintf("news=%t, %s", news, describeTargets(s))
+		return fmt.Sprintf("news=%t, %s", isUpdate, describeTargets(s))
 	},
 	// depart TARGET [born=N]
 	"depart": func(t *testing.T, s *State, d *datadriven.TestData) string {
@@ -55,13 +56,13 @@
 
 func TestStarts(t *testing.T) {
 	datadriven.Walk(t, "testdata/starts", func(t *testing.T, path string) {
-		s := newRegistrations()
+		s := newStateWithService()
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			f := startCommands[d.Cmd]
-			if f == nil {
+			command := startCommands[d.Cmd]
+			if command == nil {
 				d.Fatalf(t, "there is no command %s", d.Cmd)
 			}
-			return f(t, s, d)
+			return command(t, s, d)
 		})
 	})
 }
--- a/pkg/core/table/state.go
+++ b/pkg/core/table/state.go
@@ -12,40 +12,40 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Bounds of what the state remembers.
+// Bounds of what the state keeps.
 const (
-	// ResultAge is how long a resent edit gets its first answer.
-	ResultAge = 24 * time.Hour
-	// MaxResults bounds the remembered answers; it covers ResultAge at twice the
-	// edits of the users' target (41,000 a day).
+	// ResultRetention is how long results are kept, so that a resent edit gets its first result.
+	ResultRetention = 24 * time.Hour
+	// MaxResults bounds the results kept. It is enough for ResultRetention at twice
+	// the rate of edits that users need, which is 41,000 a day.
 	MaxResults = 82_000
-	// MaxHistory is how many accepted edits the history keeps.
+	// MaxHistory is the number of accepted edits in the history.
 	MaxHistory = 1000
 )
 
-// State is the whole replicated state: the table, the answers to past edits and
-// their history.
+// State is the whole replicated state: the table, the results of past edits, their
+// history, and the targets that registered or departed.
 type State struct {
 	table *Table
 	// boxes counts the table's boxes by failure domain.
-	boxes   scope.Boxes
+	boxes   scope.BoxCounts
 	results map[units.EditID]*Result
-	// order holds the ids of results, oldest first.
-	order   []units.EditID
-	history *container.Ring[Result]
-	// document is the whole document in force, nil before the first.
+	// resultOrder holds the ids of results, oldest first.
+	resultOrder []units.EditID
+	history     *container.Ring[Result]
+	// document is the document in force; nil before the first.
 	document *Document
-	// targets are those that registered by themselves.
+	// targets are the targets that registered by themselves.
 	targets map[units.TargetID]*Registration
-	// byAddress are the targets of those by their addresses, of which each has one.
+	// byAddress maps addresses to registered targets. Each target has one address.
 	byAddress map[string]units.TargetID
-	// departed are targets that left for good, with when the last start of each that left began
-	// (zero where that isn't known), oldest first in departedOrder.
+	// departed maps targets that left permanently to the time of the last start that left, or zero
+	// if that isn't known. departedOrder holds their ids, oldest first.
 	departed      map[units.TargetID]units.WallTime
 	departedOrder []units.TargetID
 }
 
-// NewState returns the state before the first edit.
+// NewState returns an empty state.
 func NewState() *State {
 	return &State{
 		table:   NewTable(),
@@ -58,26 +58,26 @@
 	}
 }
 
-// RestoreDocument gives a restored state its document, the registered targets and
-// those that departed, oldest first.
+// RestoreDocument sets the document, the registered targets, and the departed ones,
+// oldest first, of a state that is being restored.
 func (s *State) RestoreDocument(d *Document, targets []*Registration, departed []Departure) {
 	s.document = d
 	for _, r := range targets {
-		s.hold(r)
+		s.storeRegistration(r)
 	}
 	for _, x := range departed {
-		s.rememberDeparted(x.Target, x.Born)
+		s.recordDeparture(x.Target, x.Born)
 	}
 }
 
-// Departure is a target that left for good.
+// Departure is a target that left permanently.
 type Departure struct {
 	Target units.TargetID
-	// Born is when its last start that left began; zero where that isn't known.
+	// Born is the time of the last start that left; zero if it isn't known.
 	Born units.WallTime
 }
 
-// DepartedTargets returns the targets that left for good, oldest first.
+// DepartedTargets returns the targets that left permanently, oldest first.
 func (s *State) DepartedTargets() []Departure {
 	list := make([]Departure, 0, len(s.departedOrder))
 	for _, id := range s.departedOrder {
@@ -86,14 +86,14 @@
 	return list
 }
 
-// RestoreState returns a state with the given content. Results must be in the
-// order in which they were given.
+// RestoreState returns a state with the given content. Results and history must be
+// sorted oldest first.
 func RestoreState(t *Table, results, history []Result) *State {
 	s := NewState()
 	s.table = t
 	s.boxes = CountBoxes(t.Boxes)
 	for i := range results {
-		s.remember(&results[i])
+		s.storeResult(&results[i])
 	}
 	for _, r := range history {
 		s.history.Push(r)
@@ -101,7 +101,7 @@
 	return s
 }
 
-// Table returns the present table, which the caller must not change.
+// Table returns the current table, which must not be modified.
 func (s *State) Table() *Table { return s.table }
 
 // History returns the last accepted edits, oldest first.
@@ -109,28 +109,28 @@
 
 // Results returns the remembered answers, oldest first.
 func (s *State) Results() []Result {
-	results := make([]Result, 0, len(s.order))
-	for _, id := range s.order {
+	results := make([]Result, 0, len(s.resultOrder))
+	for _, id := range s.resultOrder {
 		results = append(results, *s.results[id])
 	}
 	return results
 }
 
 // ResultCount returns the number of remembered answers.
-func (s *State) ResultCount() int { return len(s.order) }
+func (s *State) ResultCount() int { return len(s.resultOrder) }
 
 // Lookup returns the remembered answer to an edit, or nil.
 func (s *State) Lookup(id units.EditID) *Result { return s.results[id] }
 
-// ApplyEdit decides an edit at a time that the whole cluster agrees on. The
-// delta is nil when the table wasn't changed.
+// ApplyEdit validates and applies an edit at a time that all replicas agree on. The
+// delta is nil if the table wasn't changed.
 func (s *State) ApplyEdit(e *Edit, at units.WallTime) (Result, *Delta) {
-	s.forgetBefore(at - units.WallTime(ResultAge.Milliseconds()))
-	if known := s.results[e.ID]; known != nil {
-		return *known, nil
+	s.expireResults(at - units.WallTime(ResultRetention.Milliseconds()))
+	if previous := s.results[e.ID]; previous != nil {
+		return *previous, nil
 	}
-	result, delta := s.decide(e, at)
-	s.remember(&result)
+	result, delta := s.evaluate(e, at)
+	s.storeResult(&result)
 	if delta != nil {
 		s.commit(delta)
 		s.history.Push(result)
@@ -138,17 +138,17 @@
 	return result, delta
 }
 
-// ApplyBoxes changes the list of live boxes.
+// ApplyBoxes applies a change of the list of live boxes.
 func (s *State) ApplyBoxes(c BoxChange) *Delta {
 	d := s.newDelta()
 	d.Boxes = c
 	return s.commit(d)
 }
 
-func (s *State) decide(e *Edit, at units.WallTime) (Result, *Delta) {
+func (s *State) evaluate(e *Edit, at units.WallTime) (Result, *Delta) {
 	result := Result{Edit: e.ID, Operator: e.Operator, Operations: len(e.Operations), At: at, Revision: s.table.Revision}
 	result.Versions = s.versionsOf(e)
-	if detail := checkShape(e); detail != "" {
+	if detail := validateEdit(e); detail != "" {
 		return reject(result, detail), nil
 	}
 	if detail := s.findConflict(e); detail != "" {
@@ -161,7 +161,7 @@
 		return reject(result, detail), nil
 	}
 	delta := draft.delta()
-	s.endRollouts(delta)
+	s.rollBackRemovedServices(delta)
 	result.Outcome = Accepted
 	result.Revision = delta.Revision
 	for _, c := range delta.Changed {
@@ -189,7 +189,7 @@
 	return versions
 }
 
-func checkShape(e *Edit) string {
+func validateEdit(e *Edit) string {
 	if len(e.Operations) == 0 {
 		return "the edit has no operations; add at least one"
 	}
@@ -239,32 +239,32 @@
 
 func (s *State) findConflict(e *Edit) string {
 	for _, n := range slices.Sorted(maps.Keys(e.Bases)) {
-		var present units.Version
+		var current units.Version
 		if entry := s.table.Services[n]; entry != nil {
-			present = entry.Version
+			current = entry.Version
 		}
-		if base := e.Bases[n]; base != present {
-			return fmt.Sprintf("service %s is at version %d, the edit was made from %d; read the table again, look at the difference and send a new edit", n, present, base)
+		if base := e.Bases[n]; base != current {
+			return fmt.Sprintf("service %s is at version %d, the edit was made from %d; read the table again, look at the difference and send a new edit", n, current, base)
 		}
 	}
 	return ""
 }
 
-func (s *State) remember(r *Result) {
-	if len(s.order) >= MaxResults {
-		s.forgetOldest()
+func (s *State) storeResult(r *Result) {
+	if len(s.resultOrder) >= MaxResults {
+		s.evictOldestResult()
 	}
 	s.results[r.Edit] = r
-	s.order = append(s.order, r.Edit)
+	s.resultOrder = append(s.resultOrder, r.Edit)
 }
 
-func (s *State) forgetOldest() {
-	delete(s.results, s.order[0])
-	s.order = s.order[1:]
+func (s *State) evictOldestResult() {
+	delete(s.results, s.resultOrder[0])
+	s.resultOrder = s.resultOrder[1:]
 }
 
-func (s *State) forgetBefore(oldest units.WallTime) {
-	for len(s.order) > 0 && s.results[s.order[0]].At < oldest {
-		s.forgetOldest()
+func (s *State) expireResults(oldest units.WallTime) {
+	for len(s.resultOrder) > 0 && s.results[s.resultOrder[0]].At < oldest {
+		s.evictOldestResult()
 	}
 }
--- a/pkg/wire/convert.go
+++ b/pkg/wire/convert.go
@@ -44,7 +44,7 @@
 		return nil
 	}
 	return &table.Service{
-		Name: units.ServiceName(s.Name), Work: table.Work(s.Kind), Hosts: s.Hosts, PathPrefix: s.PathPrefix,
+		Name: units.ServiceName(s.Name), Work: table.WorkKind(s.Kind), Hosts: s.Hosts, PathPrefix: s.PathPrefix,
 		Deadline: time.Duration(s.Deadline), HoldLimit: time.Duration(s.HoldLimit), HoldCount: int(s.HoldCount),
 		RetryBudget: units.Percent(s.RetryBudget), HedgeBudget: units.Percent(s.HedgeBudget),
 		MeasureBudget: units.Percent(s.MeasureBudget),
@@ -74,7 +74,7 @@
 		Domain: units.Domain(r.Domain), Weight: int(r.Weight), MaxInFlight: int(r.MaxInFlight),
 		MaxConnections: int(r.MaxConnections), MaxRate: r.MaxRate, State: table.RowState(r.State),
 		Registered: r.Registered, Slots: int(r.Slots), Cold: time.Duration(r.Cold), Silent: r.Silent,
-		Software: units.Software(r.Software), Born: units.WallTime(r.Born),
+		Software: units.SoftwareVersion(r.Software), Born: units.WallTime(r.Born),
 	}
 }
 
--- a/pkg/wire/convert_document.go
+++ b/pkg/wire/convert_document.go
@@ -15,21 +15,21 @@
 func FromRoute(r *table.Route) *Route {
 	return &Route{
 		Name: r.Name, Host: r.Host, PathPrefix: r.PathPrefix, Work: int32(r.Work), Deadline: int64(r.Deadline),
-		Aim: int64(r.Aim), MaxAttempts: int32(r.MaxAttempts), Priority: int32(r.Priority),
-		LargeAnswers: r.LargeAnswers, AllowedRegions: fromAllowedRegions(r.Regions), Restricted: r.Regions != nil,
+		Aim: int64(r.LatencyObjective), MaxAttempts: int32(r.MaxAttempts), Priority: int32(r.Priority),
+		LargeAnswers: r.LargeResponses, AllowedRegions: fromAllowedRegions(r.Regions), Restricted: r.Regions != nil,
 		Public: r.Public,
-		Parts:  mapSlice(r.Parts, func(p table.Part) *Part { return &Part{Service: string(p.Service), Weight: int32(p.Weight)} }),
+		Parts:  mapSlice(r.Services, func(p table.WeightedService) *Part { return &Part{Service: string(p.Service), Weight: int32(p.Weight)} }),
 	}
 }
 
 // ToRoute converts a route back.
 func ToRoute(r *Route) *table.Route {
 	return &table.Route{
-		Name: r.Name, Host: r.Host, PathPrefix: r.PathPrefix, Work: table.Work(r.Work), Deadline: time.Duration(r.Deadline),
-		Aim: time.Duration(r.Aim), MaxAttempts: int(r.MaxAttempts), Priority: int(r.Priority),
-		LargeAnswers: r.LargeAnswers, Regions: toAllowedRegions(r), Public: r.Public,
-		Parts: mapSlice(r.Parts, func(p *Part) table.Part {
-			return table.Part{Service: units.ServiceName(p.Service), Weight: int(p.Weight)}
+		Name: r.Name, Host: r.Host, PathPrefix: r.PathPrefix, Work: table.WorkKind(r.Work), Deadline: time.Duration(r.Deadline),
+		LatencyObjective: time.Duration(r.Aim), MaxAttempts: int(r.MaxAttempts), Priority: int(r.Priority),
+		LargeResponses: r.LargeAnswers, Regions: toAllowedRegions(r), Public: r.Public,
+		Services: mapSlice(r.Parts, func(p *Part) table.WeightedService {
+			return table.WeightedService{Service: units.ServiceName(p.Service), Weight: int(p.Weight)}
 		}),
 	}
 }
@@ -116,7 +116,7 @@
 func ToRegistration(r *Registration) *table.Registration {
 	return &table.Registration{
 		Target: units.TargetID(r.Target), Service: units.ServiceName(r.Service), Address: r.Address,
-		Domain: units.Domain(r.Domain), Software: units.Software(r.Software), Slots: int(r.Slots), State: table.RowState(r.State),
+		Domain: units.Domain(r.Domain), Software: units.SoftwareVersion(r.Software), Slots: int(r.Slots), State: table.RowState(r.State),
 		Sequence: r.Sequence, Cold: time.Duration(r.Cold), Silent: r.Silent, Born: units.WallTime(r.Born),
 	}
 }
