--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -44,7 +44,7 @@
 		return
 	}
 	c.bind(v.Host, v.Path)
-	c.asked = v.Deadline
+	c.requestedDeadline = v.Deadline
 	if !r.waitsForCanary(id, c, e) {
 		r.letIn(id, c, e)
 	}
@@ -67,15 +67,15 @@
 	c.service = s
 	s.calls++
 	s.earnExtras()
-	c.deadline = c.arrived.Add(c.route.deadlineOf(c.asked, r.settings.MaxDeadline))
+	c.deadline = c.arrived.Add(c.route.deadlineOf(c.requestedDeadline, r.settings.MaxDeadline))
 	if !s.isBusy(r.now) {
-		c.route.asked.learn(c.asked)
+		c.route.asked.learn(c.requestedDeadline)
 	}
-	if r.comesTooLate(c, c.asked) {
+	if r.comesTooLate(c, c.requestedDeadline) {
 		r.refuse(id, c, Refusal{Reason: TooLate, Outcome: NotRun, RetryAfter: r.busyRetryAfter(s)}, e)
 		return
 	}
-	c.onTrial = r.draw(s)
+	c.onNewVersion = r.draw(s)
 	r.start(id, c, e)
 }
 
@@ -127,11 +127,11 @@
 // choose picks a target for a call, or returns nil when none takes work now. A call for the
 // new version that finds no room there goes to the others.
 func (r *Router) choose(s *service, c *call) *target {
-	if c.onTrial {
+	if c.onNewVersion {
 		if t := r.chooseOf(s, c, r.callSide(s, c)); t != nil {
 			return t
 		}
-		c.onTrial = false
+		c.onNewVersion = false
 	}
 	return r.chooseOf(s, c, r.openSide(s))
 }
@@ -140,7 +140,7 @@
 func (r *Router) chooseOf(s *service, c *call, from side) *target {
 	// The set is kept in the router, since a policy's argument would be garbage.
 	set := &r.candidates
-	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != onTrial, fresh: c.tries > 0, side: from}
+	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != onTrial, fresh: c.sendsSinceHeld > 0, side: from}
 	if t := set.dueScout(); t != nil {
 		return t
 	}
@@ -168,7 +168,7 @@
 // vain; then it is refused at once, so that its caller can turn elsewhere.
 func (r *Router) holdOrRefuse(id CallID, c *call, e *Effects) {
 	s := c.service
-	c.onTrial = false
+	c.onNewVersion = false
 	r.seekPermits(s, c, neededAsks, e)
 	until := min(c.deadline, r.now.Add(s.row.HoldLimit))
 	if s.isLimited(c) {
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -10,21 +10,21 @@
 func (r *Router) send(id CallID, c *call, t *target, why Purpose, e *Effects) {
 	hedge := why == HedgeSend
 	evidence := r.evidenceOf(t)
-	a := c.freePlace()
+	a := c.freeAttempt()
 	c.sends++
-	c.arrivals++
-	c.past[c.tries%maxAttempts] = t
-	c.tries++
+	c.possibleArrivals++
+	c.triedTargets[c.sendsSinceHeld%maxSendsSinceHeld] = t
+	c.sendsSinceHeld++
 	// What the new version fails goes to the old one.
-	c.onTrial = false
+	c.onNewVersion = false
 	*a = attempt{
-		number: c.sends, target: t, sent: r.now, hedge: hedge, typical: c.route.sureTime(),
-		atPace: t.reading.Pace > 0 && t.expectedPace(r.now) < goodPace,
-		full:   t.load(r.now)+1 >= nearlyFull*t.slots(),
+		number: c.sends, target: t, sent: r.now, hedge: hedge, typicalTime: c.route.sureTime(),
+		atUsualPace: t.reading.Pace > 0 && t.expectedPace(r.now) < goodPace,
+		nearlyFull:   t.load(r.now)+1 >= nearlyFull*t.slots(),
 		cold:   t.isCold(r.now),
-		ahead:  t.load(r.now), patience: c.patience(t, r.now), longPatience: c.longPatience(t, r.now),
+		callsAhead:  t.load(r.now), answerTimeout: c.patience(t, r.now), overtakenTimeout: c.longPatience(t, r.now),
 	}
-	a.permit = r.usePermit(t)
+	a.permitUntil = r.usePermit(t)
 	a.limitVersion = t.limitWord().Version
 	if !t.ownRoom() {
 		a.loan = t.freeLoan(r.now)
@@ -44,14 +44,14 @@
 	e.add(Effect{
 		Kind: Send, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint,
 		Deadline: c.deadline, NotAfter: r.notAfterOf(t), Connections: t.connections, Once: c.route.work == table.Once,
-		PermitUntil: a.permit, Purpose: why, Evidence: evidence, Aim: c.route.aim, LargeAnswer: c.route.largeAnswers,
+		PermitUntil: a.permitUntil, Purpose: why, Evidence: evidence, Aim: c.route.aim, LargeAnswer: c.route.largeAnswers,
 		Workspace: c.workspaceName(),
 	})
 	hedged := !hedge && r.hedges(c)
 	if hedged {
 		r.timers.Push(timer{at: r.now.Add(c.hedgeDelay()), call: id, kind: hedgeTimer})
 	}
-	if !hedged || a.patience < c.hedgeDelay() {
+	if !hedged || a.answerTimeout < c.hedgeDelay() {
 		r.watch(id, c, a)
 	}
 }
@@ -91,7 +91,7 @@
 	e.add(Effect{Kind: Cancel, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint})
 	if t.share.value < unlimited && a.loan == nil {
 		t.cooling++
-		r.timers.Push(timer{at: r.now.Add(cancelTime), kind: coolTimer, target: t})
+		r.timers.Push(timer{at: r.now.Add(cancelTime), kind: canceledSlotTimer, target: t})
 	}
 	if a.loan != nil {
 		a.loan.coolUntil = r.now.Add(cancelTime)
@@ -105,13 +105,13 @@
 	if c == nil {
 		return nil, nil
 	}
-	return c, c.find(n)
+	return c, c.findAttempt(n)
 }
 
 // attemptStarted passes on an answer whose first bytes have come, and ends the call's other attempts.
 func (r *Router) attemptStarted(v *AttemptStarted, e *Effects) {
 	c, a := r.attemptOf(v.Call, v.Attempt)
-	r.hear(v.Endpoint, v.Reading, false, a.limitBase(), e)
+	r.hear(v.Endpoint, v.Reading, false, a.limitVersionAtSend(), e)
 	if a == nil || c.streaming {
 		return
 	}
@@ -156,7 +156,7 @@
 // attemptEnded learns from how an attempt ended, then delivers its answer or goes on with the call.
 func (r *Router) attemptEnded(v *AttemptEnded, e *Effects) {
 	c, a := r.attemptOf(v.Call, v.Attempt)
-	r.hear(v.Endpoint, v.Reading, v.Result == Misdirected, a.limitBase(), e)
+	r.hear(v.Endpoint, v.Reading, v.Result == Misdirected, a.limitVersionAtSend(), e)
 	if a == nil {
 		return
 	}
@@ -165,14 +165,14 @@
 	if v.Result == Answered {
 		c.route.noteShort(a)
 	}
-	if a.atPace && v.Result == Answered {
+	if a.atUsualPace && v.Result == Answered {
 		t.noteTime(r.now, c.route, took, a)
 	}
 	if v.Result == Answered {
 		r.endLimit(a, v.Reading.Limit, e)
 	}
 	if v.Result == NotSent || v.Result == Withheld {
-		r.unusePermit(t, a.permit, e)
+		r.unusePermit(t, a.permitUntil, e)
 	}
 	wasEjected := t.health.ejected
 	if v.Result == Broken && r.wentUnanswered(c, a, e) {
@@ -208,7 +208,7 @@
 	case Shed, Misdirected:
 		r.resend(v.Call, c, TargetShed, e)
 	case NotSent, Withheld:
-		c.arrivals--
+		c.possibleArrivals--
 		r.resend(v.Call, c, RetriesSpent, e)
 	case Broken, Canceled:
 		c.mayHaveRun = true
@@ -250,7 +250,7 @@
 		turned = t.health.misdirected(r.now)
 	case Shed:
 		t.sheds++
-		if t.row.Registered && r.on(FailingTargets) && t.knownRoom(r.now) {
+		if t.row.Registered && r.enabled(FailingTargets) && t.knownRoom(r.now) {
 			// It isn't full, so that leaving it alone for longer than it asks for would help nobody.
 			t.noteFailure(r.now, 1)
 			break
@@ -285,7 +285,7 @@
 // failedAnswer deals with a whole answer that reports a server error: a
 // repeatable call may be tried elsewhere, any other gets the answer as it is.
 func (r *Router) failedAnswer(v *AttemptEnded, c *call, t *target, e *Effects) {
-	if c.stillTrying() || c.route.work == table.Repeatable && r.retry(v.Call, c, false, e) {
+	if c.hasPendingSend() || c.route.work == table.Repeatable && r.retry(v.Call, c, false, e) {
 		r.keep(v, c, t, e)
 		return
 	}
@@ -310,7 +310,7 @@
 
 // brokenAnswer deals with a call whose fate at the target isn't known.
 func (r *Router) brokenAnswer(id CallID, c *call, e *Effects) {
-	if c.stillTrying() {
+	if c.hasPendingSend() {
 		return
 	}
 	if c.route.work == table.Repeatable && r.retry(id, c, false, e) {
--- a/pkg/core/routing/bench_test.go
+++ b/pkg/core/routing/bench_test.go
@@ -238,7 +238,7 @@
 				t.row.Address = fmt.Sprintf("10.0.0.1:%d", i)
 				t.endpoint.Address = t.row.Address
 				if i%2 == 0 {
-					r.hear(t.endpoint, said, false, noBase, &e)
+					r.hear(t.endpoint, said, false, unknownLimitVersion, &e)
 				}
 			}
 			benchCalls(b, r, now, &CallArrived{Owner: r, Host: []byte("s0"), Path: []byte("/")})
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -9,11 +9,11 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// maxParallel is how many attempts of a call may be under way at once.
-const maxParallel = 2
+// maxConcurrentAttempts is how many attempts of a call may be under way at once.
+const maxConcurrentAttempts = 2
 
-// maxAttempts bounds the sends of one call in a row, whatever became of them.
-const maxAttempts = 4
+// maxSendsSinceHeld bounds the sends of one call in a row, whatever became of them.
+const maxSendsSinceHeld = 4
 
 // attempt is one send of a call that is under way.
 type attempt struct {
@@ -26,44 +26,44 @@
 	next     *attempt
 	hedge    bool
 	loan     *loan
-	// permit is until when the attempt may begin at a target that names a limit; zero where it
+	// permitUntil is until when the attempt may begin at a target that names a limit; zero where it
 	// named none.
-	permit units.Instant
+	permitUntil units.Instant
 	// limitVersion is which word on the target's limit was known at the sending.
 	limitVersion uint64
-	// atPace is set when the target was known to go at its usual pace at the sending, full
+	// atUsualPace is set when the target was known to go at its usual pace at the sending, full
 	// when it was nearly full then, cold when it was cold.
-	atPace bool
-	full   bool
+	atUsualPace bool
+	nearlyFull   bool
 	cold   bool
-	// typical is the route's typical time then.
-	typical float64
-	// busyAt is for how long large answers had occupied the box's link until the sending.
-	busyAt time.Duration
-	// expected is how many bytes of a large answer are expected that hasn't begun.
-	expected float64
-	// begun is set once an answer passes through, answered is how long that took.
-	begun    bool
-	answered time.Duration
-	// takes is for how long an answer that passes through occupies the box's link.
-	takes time.Duration
-	// patience is how long the answer may take before it is missed, longPatience how long
+	// typicalTime is the route's typicalTime time then.
+	typicalTime float64
+	// linkBusyAtSend is for how long large answers had occupied the box's link until the sending.
+	linkBusyAtSend time.Duration
+	// expectedBytes is how many bytes of a large answer are expectedBytes that hasn't begun.
+	expectedBytes float64
+	// answerStarted is set once an answer passes through, answered is how long that took.
+	answerStarted    bool
+	timeToAnswer time.Duration
+	// linkTime is for how long an answer that passes through occupies the box's link.
+	linkTime time.Duration
+	// answerTimeout is how long the answer may take before it is missed, overtakenTimeout how long
 	// before it counts that later calls were answered; ahead is how many calls seemed to be
 	// at the target before this one.
-	patience, longPatience time.Duration
-	ahead                  float64
-	// overtaken counts later calls that the target has answered since; missing is set when a
+	answerTimeout, overtakenTimeout time.Duration
+	callsAhead                  float64
+	// overtakenBy counts later calls that the target has answered since; missing is set when a
 	// report of its load left the call out, counted once it counts as unanswered.
-	overtaken        int
-	missing, counted bool
+	overtakenBy        int
+	missingFromReport, countedUnanswered bool
 }
 
-// noBase stands for an answer to a call of which it isn't known which word on the limit was known as it was sent.
-const noBase uint64 = math.MaxUint64
+// unknownLimitVersion stands for an answer to a call of which it isn't known which word on the limit was known as it was sent.
+const unknownLimitVersion uint64 = math.MaxUint64
 
-func (a *attempt) limitBase() uint64 {
+func (a *attempt) limitVersionAtSend() uint64 {
 	if a == nil {
-		return noBase
+		return unknownLimitVersion
 	}
 	return a.limitVersion
 }
@@ -80,44 +80,44 @@
 	identity crash.Identity
 	// workspace is the one whose key let the call in; nil for none.
 	workspace *table.Workspace
-	// asked is the deadline that the caller asked for; zero for none.
-	asked time.Duration
-	// waitsCanary is set while the call waits for the turn to be sent of a request that is suspected.
-	waitsCanary bool
-	// waitsCredit is set while the call waits for a credit of its workspace; creditUntil is until when
+	// requestedDeadline is the deadline that the caller requestedDeadline for; zero for none.
+	requestedDeadline time.Duration
+	// awaitsCanaryTurn is set while the call waits for the turn to be sent of a request that is suspected.
+	awaitsCanaryTurn bool
+	// awaitsCredit is set while the call waits for a credit of its workspace; creditUntil is until when
 	// the credit that it took would have held, zero for none.
-	waitsCredit bool
-	creditUntil units.Instant
+	awaitsCredit bool
+	creditValidUntil units.Instant
 	// service is the one of the route's services that the call goes to.
 	service  *service
 	arrived  units.Instant
 	deadline units.Instant
-	attempts [maxParallel]attempt
+	attempts [maxConcurrentAttempts]attempt
 	// sends numbers the attempts; a number never comes again.
 	sends AttemptNumber
-	// tries counts the attempts since the call was last held.
-	tries int
-	// arrivals counts the sends that may have reached a target.
-	arrivals int
-	// past are the targets of those attempts.
-	past [maxAttempts]*target
+	// sendsSinceHeld counts the attempts since the call was last held.
+	sendsSinceHeld int
+	// possibleArrivals counts the sends that may have reached a target.
+	possibleArrivals int
+	// triedTargets are the targets of those attempts.
+	triedTargets [maxSendsSinceHeld]*target
 	// mayHaveRun is set once a byte may have reached a target that didn't say
 	// that it shed the call.
 	mayHaveRun bool
 	held       bool
-	// asks counts the coordinators that were asked for a permit for the call.
-	asks int
-	// early is set while the call is held for the box's first table.
-	early      bool
+	// permitRequests counts the coordinators that were asked for a permit for the call.
+	permitRequests int
+	// awaitsTable is set while the call is held for the box's first table.
+	awaitsTable      bool
 	probeRound probeRound
-	// watched is set while a silenceTimer is due for the call.
-	watched bool
+	// silenceTimerSet is set while a silenceTimer is due for the call.
+	silenceTimerSet bool
 	// kept is a failed answer that the caller gets when nothing better comes.
 	kept keptAnswer
 	// trial is the one that lets a call in quarantine through once; its number is zero for others.
 	trial trial
-	// onTrial is set while the call is chosen to go to a rollout's new version.
-	onTrial bool
+	// onNewVersion is set while the call is chosen to go to a rollout's new version.
+	onNewVersion bool
 	// streaming is set once the head of an answer has been passed on.
 	streaming bool
 }
@@ -143,13 +143,13 @@
 
 // outcome says what the caller may be told if the call ends now.
 func (c *call) outcome() Outcome {
-	if c.mayHaveRun || c.underWay() > 0 {
+	if c.mayHaveRun || c.inFlight() > 0 {
 		return Unknown
 	}
 	return NotRun
 }
 
-func (c *call) underWay() int {
+func (c *call) inFlight() int {
 	n := 0
 	for i := range c.attempts {
 		if c.attempts[i].target != nil {
@@ -159,7 +159,7 @@
 	return n
 }
 
-func (c *call) freePlace() *attempt {
+func (c *call) freeAttempt() *attempt {
 	for i := range c.attempts {
 		if c.attempts[i].target == nil {
 			return &c.attempts[i]
@@ -168,7 +168,7 @@
 	return nil
 }
 
-func (c *call) find(n AttemptNumber) *attempt {
+func (c *call) findAttempt(n AttemptNumber) *attempt {
 	for i := range c.attempts {
 		if a := &c.attempts[i]; a.target != nil && a.number == n {
 			return a
@@ -177,9 +177,9 @@
 	return nil
 }
 
-// tried tells whether the call has been sent to a target since it was last held.
-func (c *call) tried(t *target) bool {
-	for _, p := range c.past[:min(c.tries, maxAttempts)] {
+// wasSentTo tells whether the call has been sent to a target since it was last held.
+func (c *call) wasSentTo(t *target) bool {
+	for _, p := range c.triedTargets[:min(c.sendsSinceHeld, maxSendsSinceHeld)] {
 		if p == t {
 			return true
 		}
@@ -187,16 +187,16 @@
 	return false
 }
 
-// stillTrying tells whether another send of the call is under way or about to be.
-func (c *call) stillTrying() bool { return c.underWay() > 0 || c.probeRound.open }
+// hasPendingSend tells whether another send of the call is under way or about to be.
+func (c *call) hasPendingSend() bool { return c.inFlight() > 0 || c.probeRound.open }
 
-// spentAttempts tells whether the call may be sent to no further target.
-func (c *call) spentAttempts() bool {
-	return c.tries >= maxAttempts || c.arrivals >= c.route.maxAttempts
+// attemptsExhausted tells whether the call may be sent to no further target.
+func (c *call) attemptsExhausted() bool {
+	return c.sendsSinceHeld >= maxSendsSinceHeld || c.possibleArrivals >= c.route.maxAttempts
 }
 
-// uses tells whether an attempt at this target is under way.
-func (c *call) uses(t *target) bool {
+// isInFlightAt tells whether an attempt at this target is under way.
+func (c *call) isInFlightAt(t *target) bool {
 	for i := range c.attempts {
 		if c.attempts[i].target == t {
 			return true
@@ -212,12 +212,12 @@
 	deadlineTimer timerKind = iota + 1
 	holdTimer
 	hedgeTimer
-	// coolTimer frees a slot whose call was canceled.
-	coolTimer
+	// canceledSlotTimer frees a slot whose call was canceled.
+	canceledSlotTimer
 	// probeTimer ends the wait for targets' answers.
 	probeTimer
-	// earlyTimer ends the wait for the box's first table.
-	earlyTimer
+	// firstTableTimer ends the wait for the box's first table.
+	firstTableTimer
 	// linkTimer ends a wait for large answers to come in.
 	linkTimer
 	// silenceTimer is due when a call's answer is missed.
@@ -249,7 +249,7 @@
 		}
 		r.timers.Pop()
 		switch t.kind {
-		case coolTimer:
+		case canceledSlotTimer:
 			t.target.cooling--
 			r.freed = append(r.freed, t.target.service)
 			continue
@@ -266,7 +266,7 @@
 func (r *Router) fire(t timer, c *call, e *Effects) {
 	switch t.kind {
 	case deadlineTimer:
-		r.deadlinePassed(t.call, c, e)
+		r.deadlineExpired(t.call, c, e)
 	case holdTimer:
 		if c.held {
 			r.refuse(t.call, c, Refusal{Reason: HoldExpired, Outcome: c.outcome(), RetryAfter: c.service.retryAfter(r.now)}, e)
@@ -279,7 +279,7 @@
 		r.checkSilence(t.call, c, e)
 	case canaryTimer:
 		r.canaryTimePassed(t.call, c, e)
-	case earlyTimer:
+	case firstTableTimer:
 		r.refuseEarly(t.call, c, e)
 	case probeTimer:
 		if c.probeRound.open && c.probeRound.number == t.probeRound {
@@ -288,7 +288,7 @@
 	}
 }
 
-func (r *Router) deadlinePassed(id CallID, c *call, e *Effects) {
+func (r *Router) deadlineExpired(id CallID, c *call, e *Effects) {
 	// A target that lets calls run out of time isn't well, unless it serves others.
 	for i := range c.attempts {
 		a := &c.attempts[i]
@@ -306,7 +306,7 @@
 	r.refuse(id, c, Refusal{Reason: DeadlinePassed, Outcome: c.outcome(), RetryAfter: c.service.retryAfter(r.now)}, e)
 }
 
-func (r *Router) callerGone(id CallID, e *Effects) {
+func (r *Router) callerDisconnected(id CallID, e *Effects) {
 	if c := r.calls.Get(id); c != nil {
 		r.refuse(id, c, Refusal{Reason: CallerLeft, Outcome: c.outcome()}, e)
 	}
--- a/pkg/core/routing/canary.go
+++ b/pkg/core/routing/canary.go
@@ -92,7 +92,7 @@
 type canaryBook struct {
 	list []suspicion
 	// set has the calls of list.
-	set    callSet
+	set    fingerprintSet
 	told   rateLimit
 	status CanaryStatus
 }
@@ -164,7 +164,7 @@
 
 // suspectCrashed suspects the requests of a crash here and at all other boxes.
 func (r *Router) suspectCrashed(n *crash.Note, e *Effects) {
-	if !r.on(Canaries) {
+	if !r.enabled(Canaries) {
 		return
 	}
 	b := &r.crashes.canaries
@@ -197,7 +197,7 @@
 // clearAnswered clears a request that a target has run to an answer.
 func (r *Router) clearAnswered(c *call, e *Effects) {
 	b := &r.crashes.canaries
-	f, found := b.set.find(c.identity)
+	f, found := b.set.match(c.identity)
 	if !found {
 		return
 	}
@@ -213,7 +213,7 @@
 		return f, false
 	}
 	b.dropOld(r.now)
-	return b.set.find(c.identity)
+	return b.set.match(c.identity)
 }
 
 // waitsForCanary has a new call of a suspected request wait until it may go; false means that it may now.
@@ -226,8 +226,8 @@
 		return false
 	}
 	r.crashes.canaries.status.Held++
-	c.waitsCanary = true
-	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.arrived.Add(c.route.deadlineOf(c.asked, r.settings.MaxDeadline))})
+	c.awaitsCanaryTurn = true
+	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.arrived.Add(c.route.deadlineOf(c.requestedDeadline, r.settings.MaxDeadline))})
 	r.askCanary(id, c, f, e)
 	return true
 }
@@ -262,7 +262,7 @@
 // canaryTimePassed looks at a call that waits: it goes when its request isn't suspected any more, when it is its turn, and
 // when it has waited long enough.
 func (r *Router) canaryTimePassed(id CallID, c *call, e *Effects) {
-	if !c.waitsCanary {
+	if !c.awaitsCanaryTurn {
 		return
 	}
 	f, found := r.suspectedCall(c)
@@ -280,7 +280,7 @@
 }
 
 func (r *Router) endCanaryWait(id CallID, c *call, e *Effects) {
-	c.waitsCanary = false
+	c.awaitsCanaryTurn = false
 	r.letIn(id, c, e)
 }
 
@@ -303,7 +303,7 @@
 // receiveCanary takes a message of another box.
 func (r *Router) receiveCanary(from units.BoxID, m *CanaryMessage, e *Effects) {
 	b := &r.crashes.canaries
-	if !r.on(Canaries) {
+	if !r.enabled(Canaries) {
 		return
 	}
 	for _, f := range m.Calls[:min(len(m.Calls), maxSuspicions)] {
@@ -338,7 +338,7 @@
 
 // takeCanaryTurn sends the call whose turn it is. One that has ended leaves its turn to nobody until it runs out.
 func (r *Router) takeCanaryTurn(f crash.Fingerprint, id CallID, e *Effects) {
-	if c := r.calls.Get(id); c != nil && c.waitsCanary && f.Matches(c.identity) {
+	if c := r.calls.Get(id); c != nil && c.awaitsCanaryTurn && f.Matches(c.identity) {
 		r.crashes.canaries.status.Sent++
 		r.endCanaryWait(id, c, e)
 	}
--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -354,7 +354,7 @@
 	}
 	for _, r := range f.routers {
 		r.calls.Each(func(_ CallID, c *call) {
-			if c.waitsCanary && f.now.Sub(c.arrived) > canaryWait+canaryPause {
+			if c.awaitsCanaryTurn && f.now.Sub(c.arrived) > canaryWait+canaryPause {
 				t.Errorf("a call has waited for %s", f.now.Sub(c.arrived))
 			}
 		})
--- a/pkg/core/routing/crash.go
+++ b/pkg/core/routing/crash.go
@@ -47,7 +47,7 @@
 // are left out: what breaks off there says nothing of the call.
 func (r *Router) noteBroken(c *call, a *attempt, e *Effects) {
 	t := a.target
-	if !r.on(CrashSuspects) || c.identity == nil || !t.inTable() || t.notice.isLeaving() {
+	if !r.enabled(CrashSuspects) || c.identity == nil || !t.inTable() || t.notice.isLeaving() {
 		return
 	}
 	w := &t.crash
--- a/pkg/core/routing/crowd_test.go
+++ b/pkg/core/routing/crowd_test.go
@@ -219,7 +219,7 @@
 	f.after(crowdTold, func() {
 		for _, o := range f.routers {
 			var e Effects
-			o.hear(x.Endpoint, Reading{Rest: t.rest - crowdTold}, false, noBase, &e)
+			o.hear(x.Endpoint, Reading{Rest: t.rest - crowdTold}, false, unknownLimitVersion, &e)
 		}
 	})
 }
--- a/pkg/core/routing/early.go
+++ b/pkg/core/routing/early.go
@@ -32,15 +32,15 @@
 // holdEarly holds a call for the first table, and tells whether it does.
 func (r *Router) holdEarly(id CallID, c *call, v *CallArrived, e *Effects) bool {
 	until := r.startedAt.Add(earlyHold)
-	if !r.on(EarlyCalls) || r.now >= until || len(r.early) >= maxEarly {
+	if !r.enabled(EarlyCalls) || r.now >= until || len(r.early) >= maxEarly {
 		return false
 	}
 	if v.Deadline > 0 {
 		until = min(until, r.now.Add(v.Deadline))
 	}
-	c.early = true
+	c.awaitsTable = true
 	r.early = append(r.early, earlyCall{id: id, host: string(v.Host), path: string(v.Path), key: v.Credential.Detached(), deadline: v.Deadline})
-	r.timers.Push(timer{at: until, call: id, kind: earlyTimer})
+	r.timers.Push(timer{at: until, call: id, kind: firstTableTimer})
 	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: until})
 	return true
 }
@@ -55,17 +55,17 @@
 	r.early = nil
 	for _, x := range list {
 		c := r.calls.Get(x.id)
-		if c == nil || !c.early {
+		if c == nil || !c.awaitsTable {
 			continue
 		}
-		c.early = false
+		c.awaitsTable = false
 		r.admit(x.id, c, &CallArrived{Host: []byte(x.host), Path: []byte(x.path), Credential: x.key, Deadline: x.deadline}, e)
 	}
 }
 
 // refuseEarly refuses a call whose table hasn't come in time.
 func (r *Router) refuseEarly(id CallID, c *call, e *Effects) {
-	if c.early {
+	if c.awaitsTable {
 		r.refuse(id, c, Refusal{Reason: NoTable, Outcome: NotRun, RetryAfter: noTableRetry}, e)
 	}
 }
--- a/pkg/core/routing/evacuation.go
+++ b/pkg/core/routing/evacuation.go
@@ -11,10 +11,10 @@
 // neither first sends nor retries, hedges and probes, while calls under way there end by
 // themselves. Targets of a domain that is restored may have become cold meanwhile.
 
-// changeEvacuations notes which failure domains a new table restores, and tells whether it
+// updateEvacuations notes which failure domains a new table restores, and tells whether it
 // changes anything about evacuations. The first table of a box restores all domains that
 // were ever evacuated: the box can't know how long ago that was.
-func (r *Router) changeEvacuations(before, after []table.Evacuation) bool {
+func (r *Router) updateEvacuations(before, after []table.Evacuation) bool {
 	r.restored = r.restored[:0]
 	for _, x := range after {
 		if !x.Active && !slices.Contains(before, x) {
@@ -24,11 +24,11 @@
 	return !slices.Equal(before, after)
 }
 
-// markEvacuated applies the evacuations of the table to a service's targets.
-func (r *Router) markEvacuated(s *service) {
+// applyEvacuations applies the evacuations of the table to a service's targets.
+func (r *Router) applyEvacuations(s *service) {
 	for _, t := range s.targets {
 		t.evacuated = r.table.Evacuated(t.row.Domain)
-		if t.outlook == nil && t.row.Domain != "" && r.on(Outlook) {
+		if t.outlook == nil && t.row.Domain != "" && r.enabled(Outlook) {
 			t.outlook = r.outlookOf(t.row.Domain)
 		}
 		if r.wasRestored(t.row.Domain) {
@@ -78,7 +78,7 @@
 		return true
 	})
 	for _, id := range unservable {
-		r.refuseWaiting(s, id, e)
+		r.refuseWaitingCall(s, id, e)
 	}
 }
 
@@ -100,12 +100,12 @@
 	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.isActive() && !t.isClosed(now) })
 }
 
-// refuseWaiting refuses a call that still waits for a target of the service and isn't under
+// refuseWaitingCall refuses a call that still waits for a target of the service and isn't under
 // way. A patient one is held until its time is up, unless its regions rule all targets out, or all
 // of them rest or are limited for longer.
-func (r *Router) refuseWaiting(s *service, id CallID, e *Effects) {
+func (r *Router) refuseWaitingCall(s *service, id CallID, e *Effects) {
 	c := r.calls.Get(id)
-	if c == nil || c.service != s || !c.held && !c.probeRound.open || c.underWay() > 0 {
+	if c == nil || c.service != s || !c.held && !c.probeRound.open || c.inFlight() > 0 {
 		return
 	}
 	reason := s.noTargetReason(c, r.now)
--- a/pkg/core/routing/expectation.go
+++ b/pkg/core/routing/expectation.go
@@ -110,7 +110,7 @@
 // own slowdown.
 func (t *target) noteTime(now units.Instant, x *route, took time.Duration, a *attempt) {
 	if x.answers < sureAnswers {
-		if !a.full && !a.cold {
+		if !a.nearlyFull && !a.cold {
 			x.learnTime(float64(took))
 		}
 		return
@@ -119,7 +119,7 @@
 	switch {
 	case a.cold:
 		t.service.whenCold.learn(ratio)
-	case a.full:
+	case a.nearlyFull:
 		t.service.whenFull.learn(ratio)
 	default:
 		t.slowdown = t.currentSlowdown(now) + slowdownGain*(ratio-t.currentSlowdown(now))
@@ -162,8 +162,8 @@
 	if t.slowdown > 1 {
 		slowdown += (t.slowdown - 1) * freshness(now.Sub(t.slowdownAt), slowdownMemory)
 	}
-	if a := t.oldest; a != nil && a.typical > 0 {
-		slowdown = max(slowdown, float64(now.Sub(a.sent))/a.typical/oldestPatience)
+	if a := t.oldest; a != nil && a.typicalTime > 0 {
+		slowdown = max(slowdown, float64(now.Sub(a.sent))/a.typicalTime/oldestPatience)
 	}
 	return slowdown
 }
--- a/pkg/core/routing/callset.go
+++ b/pkg/core/routing/fingerprintset.go
@@ -6,13 +6,13 @@
 	"github.com/madderpond/madderpond/pkg/core/crash"
 )
 
-// callSet is a set of calls by their content. Looking for a call in an empty one costs nothing,
+// fingerprintSet is a set of calls by their content. Looking for a call in an empty one costs nothing,
 // and in one that has nothing like it a digest of the call's head: 0.13 us.
-type callSet struct {
+type fingerprintSet struct {
 	byHead map[uint64][]crash.Fingerprint
 }
 
-func (s *callSet) add(f crash.Fingerprint) {
+func (s *fingerprintSet) add(f crash.Fingerprint) {
 	if s.byHead == nil {
 		s.byHead = map[uint64][]crash.Fingerprint{}
 	}
@@ -21,11 +21,11 @@
 	}
 }
 
-func (s *callSet) clear() { clear(s.byHead) }
+func (s *fingerprintSet) clear() { clear(s.byHead) }
 
-// find returns what in the set covers a call; ok is false for none, and for a call that has no
+// match returns what in the set covers a call; ok is false for none, and for a call that has no
 // identity.
-func (s *callSet) find(i crash.Identity) (f crash.Fingerprint, ok bool) {
+func (s *fingerprintSet) match(i crash.Identity) (f crash.Fingerprint, ok bool) {
 	if len(s.byHead) == 0 || i == nil {
 		return crash.Fingerprint{}, false
 	}
--- a/pkg/core/routing/hedging.go
+++ b/pkg/core/routing/hedging.go
@@ -12,7 +12,7 @@
 
 // hedges tells whether calls like this one are sent a second time when they are late.
 func (r *Router) hedges(c *call) bool {
-	return c.route.work == table.Repeatable && r.on(Hedging) && c.service.row.HedgeBudget > 0 && c.route.maxAttempts > 1
+	return c.route.work == table.Repeatable && r.enabled(Hedging) && c.service.row.HedgeBudget > 0 && c.route.maxAttempts > 1
 }
 
 // hedgeDelay is how long a call may go unanswered before it is worth a second send:
@@ -44,7 +44,7 @@
 
 // mayHedge tells whether the call waits for one answer and may be sent once more.
 func (c *call) mayHedge() bool {
-	return !c.held && !c.streaming && !c.probeRound.open && c.underWay() == 1 && !c.spentAttempts()
+	return !c.held && !c.streaming && !c.probeRound.open && c.inFlight() == 1 && !c.attemptsExhausted()
 }
 
 // tryHedge hedges a call now if it can be.
--- a/pkg/core/routing/inbound.go
+++ b/pkg/core/routing/inbound.go
@@ -94,44 +94,44 @@
 // answerBegins notes an answer that begins to pass through. One that doesn't say how long it
 // is counts as its route's usual.
 func (r *Router) answerBegins(c *call, a *attempt, coming int) {
-	a.answered = r.timeAtTarget(c, a)
-	a.begun = true
+	a.timeToAnswer = r.timeAtTarget(c, a)
+	a.answerStarted = true
 	r.expectNoMore(a)
 	if coming < 0 {
-		a.takes = r.inbound.begins(r.now, c.route.size)
+		a.linkTime = r.inbound.begins(r.now, c.route.size)
 		return
 	}
 	bytes := min(float64(coming), r.inbound.rate*mostOccupied.Seconds())
 	c.route.learnSize(bytes)
-	a.takes = r.inbound.begins(r.now, bytes)
+	a.linkTime = r.inbound.begins(r.now, bytes)
 }
 
 // expect counts what an attempt that is being sent may bring.
 func (r *Router) expect(x *route, a *attempt) {
-	a.busyAt = r.inbound.busyBy(r.now)
+	a.linkBusyAtSend = r.inbound.busyBy(r.now)
 	if x.largeAnswers {
-		a.expected = x.size
-		r.expected += a.expected
+		a.expectedBytes = x.size
+		r.expected += a.expectedBytes
 	}
 }
 
 // attemptOver ends what was counted of an attempt.
 func (r *Router) attemptOver(a *attempt) {
 	r.expectNoMore(a)
-	r.inbound.ends(r.now, a.takes)
-	a.takes = 0
+	r.inbound.ends(r.now, a.linkTime)
+	a.linkTime = 0
 }
 
 // expectNoMore no longer counts the bytes that an attempt may bring: the answer has begun, or
 // won't come.
 func (r *Router) expectNoMore(a *attempt) {
-	r.expected -= a.expected
-	a.expected = 0
+	r.expected -= a.expectedBytes
+	a.expectedBytes = 0
 }
 
 // noteShort notes that a route with large answers brought one that was whole at once.
 func (x *route) noteShort(a *attempt) {
-	if x.largeAnswers && !a.begun {
+	if x.largeAnswers && !a.answerStarted {
 		x.learnSize(0)
 	}
 }
@@ -139,18 +139,18 @@
 // hidden is for how long, since an attempt was sent, its answer may have waited behind
 // large ones.
 func (r *Router) hidden(a *attempt) time.Duration {
-	if !r.on(SharedLink) {
+	if !r.enabled(SharedLink) {
 		return 0
 	}
-	return r.inbound.busyBy(r.now) - a.busyAt
+	return r.inbound.busyBy(r.now) - a.linkBusyAtSend
 }
 
 // timeAtTarget is how long an attempt's answer took, as far as its target is concerned. What
 // it took beyond the route's typical time isn't the target's while other answers occupied
 // the link, and what passing an answer through takes isn't at all.
 func (r *Router) timeAtTarget(c *call, a *attempt) time.Duration {
-	if a.begun {
-		return a.answered
+	if a.answerStarted {
+		return a.timeToAnswer
 	}
 	took := r.now.Sub(a.sent)
 	hidden := r.hidden(a)
@@ -163,7 +163,7 @@
 // saysNothing tells whether an attempt that wasn't answered in time says nothing of its
 // target: the answer is passing through, or may be waiting behind others.
 func (r *Router) saysNothing(a *attempt) bool {
-	return a.begun || float64(r.hidden(a)) > hiddenPart*float64(r.now.Sub(a.sent))
+	return a.answerStarted || float64(r.hidden(a)) > hiddenPart*float64(r.now.Sub(a.sent))
 }
 
 // goesUnprobed tells whether a call had better go to a target by what is known of it than
@@ -176,7 +176,7 @@
 
 // linkHidesProbes tells whether probes' answers come too late, at a service that isn't busy.
 func (r *Router) linkHidesProbes(c *call) bool {
-	return r.on(SharedLink) && r.inbound.left(r.now) > probeLimit && !c.service.isBusy(r.now)
+	return r.enabled(SharedLink) && r.inbound.left(r.now) > probeLimit && !c.service.isBusy(r.now)
 }
 
 // sendUnprobed sends a call whose probes' answers wait behind large ones to the target that
@@ -211,7 +211,7 @@
 // waitsForLink has a call with a large answer wait while enough of them are on their way. One
 // that no target can serve doesn't wait to be refused.
 func (r *Router) waitsForLink(id CallID, c *call, e *Effects) bool {
-	if !c.route.largeAnswers || !r.on(SharedLink) || c.route.aim == 0 || !c.service.hasActiveTarget(c) {
+	if !c.route.largeAnswers || !r.enabled(SharedLink) || c.route.aim == 0 || !c.service.hasActiveTarget(c) {
 		return false
 	}
 	coming := r.inbound.left(r.now) + r.inbound.timeOf(r.expected)
--- a/pkg/core/routing/mechanism.go
+++ b/pkg/core/routing/mechanism.go
@@ -75,5 +75,5 @@
 	return set, nil
 }
 
-// on tells whether a mechanism is in use.
-func (r *Router) on(m Mechanism) bool { return !r.off[m] }
+// enabled tells whether a mechanism is in use.
+func (r *Router) enabled(m Mechanism) bool { return !r.off[m] }
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -98,7 +98,7 @@
 		if other == nil {
 			return
 		}
-		o, x, base = originOfRow(&other.row), other.endpoint, noBase
+		o, x, base = originOfRow(&other.row), other.endpoint, unknownLimitVersion
 	} else if t := r.findTarget(x); t != nil {
 		// Its birth may have become known since the endpoint was made.
 		o = originOfRow(&t.row)
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -116,13 +116,13 @@
 // seekPermits asks for permits of limited targets that a call without another one might go to. A call that is
 // under way isn't sent to one as well.
 func (r *Router) seekPermits(s *service, c *call, most int, e *Effects) {
-	if c.underWay() > 0 {
+	if c.inFlight() > 0 {
 		return
 	}
 	if c.route.work != table.Patient {
-		most = min(most, mostAsks-c.asks)
+		most = min(most, mostAsks-c.permitRequests)
 	}
-	c.asks += r.askSome(s, c, most, func(*target) bool { return true }, e)
+	c.permitRequests += r.askSome(s, c, most, func(*target) bool { return true }, e)
 }
 
 // scout asks for a permit of a limited target that a call might go to as well as to others, so that what the
@@ -164,7 +164,7 @@
 		if c == nil || !s.isLimited(c) {
 			return
 		}
-		if r.seekPermits(s, c, 1, e); c.asks < mostAsks || c.route.work == table.Patient || s.asksPermits(r.now) {
+		if r.seekPermits(s, c, 1, e); c.permitRequests < mostAsks || c.route.work == table.Patient || s.asksPermits(r.now) {
 			return
 		}
 		s.held.popFront()
@@ -273,7 +273,7 @@
 // dueScout is a limited target that hasn't answered for a while and that a call may go to; nil for
 // none. Only work that may run twice is sent there, which a hedge saves if the target is slow.
 func (c *candidates) dueScout() *target {
-	if c.service.limited == 0 || c.call.route.work != table.Repeatable || c.call.underWay() > 0 {
+	if c.service.limited == 0 || c.call.route.work != table.Repeatable || c.call.inFlight() > 0 {
 		return nil
 	}
 	for i, t := range c.service.targets {
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -57,7 +57,7 @@
 
 // place sends a call to the target that seems best, or probes a few first.
 func (r *Router) place(id CallID, c *call, best *target, why Purpose, e *Effects) {
-	if !r.on(Probing) || !c.service.probesTargets() || best.notice.limited() || best.isFresh(r.now) && r.isSuitable(c, best) || r.goesUnprobed(c, best) {
+	if !r.enabled(Probing) || !c.service.probesTargets() || best.notice.limited() || best.isFresh(r.now) && r.isSuitable(c, best) || r.goesUnprobed(c, best) {
 		r.send(id, c, best, why, e)
 		return
 	}
@@ -153,7 +153,7 @@
 func (r *Router) bestTargets(c *call, n int) []*target {
 	from := r.callSide(c.service, c)
 	set := candidates{
-		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c) && from != onTrial, fresh: c.tries > 0,
+		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c) && from != onTrial, fresh: c.sendsSinceHeld > 0,
 		side: from,
 	}
 	r.best = r.best[:0]
@@ -214,20 +214,20 @@
 // concludeProbing sends the call to what is now the best target, if that suits; else it
 // probes others a moment later, as long as the call can wait.
 func (r *Router) concludeProbing(id CallID, c *call, e *Effects) {
-	wasOnTrial := c.onTrial
+	wasOnTrial := c.onNewVersion
 	t := r.choose(c.service, c)
-	if wasOnTrial && (!c.onTrial || !r.isSuitable(c, t)) {
+	if wasOnTrial && (!c.onNewVersion || !r.isSuitable(c, t)) {
 		r.leaveTrial(id, c, e)
 		return
 	}
-	if t == nil && c.underWay() == 0 && !c.service.canServe(c, r.now) {
-		r.refuseWaiting(c.service, id, e)
+	if t == nil && c.inFlight() == 0 && !c.service.canServe(c, r.now) {
+		r.refuseWaitingCall(c.service, id, e)
 		return
 	}
 	if c.probeRound.purpose != FirstSend && t != nil && !r.isSuitable(c, t) {
 		t = cmp.Or(r.bestSuitable(c), t)
 	}
-	late := c.aimSpent(r.now) >= c.service.waitLimit(r.now) || !r.on(Waiting)
+	late := c.aimSpent(r.now) >= c.service.waitLimit(r.now) || !r.enabled(Waiting)
 	if t != nil && (r.isSuitable(c, t) || late && r.acceptsUnsuitable(c)) {
 		c.probeRound.open = false
 		if !c.probeRound.waiting {
@@ -242,7 +242,7 @@
 		return
 	}
 	c.probeRound.open = false
-	if c.underWay() > 0 {
+	if c.inFlight() > 0 {
 		if c.probeRound.purpose == HedgeSend {
 			c.service.hedges.refund()
 			r.hedgeLater(id, c)
@@ -255,7 +255,7 @@
 // leaveTrial has a call that finds no room at the new version go to the others, as a new call
 // would.
 func (r *Router) leaveTrial(id CallID, c *call, e *Effects) {
-	c.onTrial = false
+	c.onNewVersion = false
 	if t := r.choose(c.service, c); t != nil && t.isFresh(r.now) && r.isSuitable(c, t) || !r.sendProbes(id, c, e) {
 		r.concludeProbing(id, c, e)
 	}
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -48,7 +48,7 @@
 }
 
 func (r *Router) probeEnded(v *ProbeEnded, e *Effects) {
-	r.hear(v.Target, v.Reading, v.Misdirected, noBase, e)
+	r.hear(v.Target, v.Reading, v.Misdirected, unknownLimitVersion, e)
 	t := r.findTarget(v.Target)
 	if t != nil && v.Refused {
 		r.noteConnectionRefused(t, e)
--- a/pkg/core/routing/quarantine.go
+++ b/pkg/core/routing/quarantine.go
@@ -65,7 +65,7 @@
 	own     []ownVerdict
 	// quarantined are the calls that go nowhere, suspects those that may be to blame, watched
 	// those whose answers are noted, whoever sends them.
-	quarantined, suspects, watched callSet
+	quarantined, suspects, watched fingerprintSet
 	// answered are the calls whose answers were noted since watched last changed.
 	answered map[crash.Fingerprint]bool
 	// freshUntil is when the oldest of the box's own suspects need no longer be watched.
@@ -91,7 +91,7 @@
 	if c.isTrial() {
 		return false
 	}
-	_, found := r.crashes.quarantined.find(c.identity)
+	_, found := r.crashes.quarantined.match(c.identity)
 	return found
 }
 
@@ -101,10 +101,10 @@
 	if r.isQuarantined(c) {
 		return false
 	}
-	if !c.mayHaveRun && c.underWay() == 0 {
+	if !c.mayHaveRun && c.inFlight() == 0 {
 		return true
 	}
-	_, suspected := r.crashes.suspects.find(c.identity)
+	_, suspected := r.crashes.suspects.match(c.identity)
 	_, oneAtATime := r.suspectedCall(c)
 	return !suspected && !oneAtATime && !c.isTrial()
 }
@@ -112,7 +112,7 @@
 // refuseIfQuarantined refuses a new call that may go to no target, unless it is the one call of
 // a trial.
 func (r *Router) refuseIfQuarantined(id CallID, c *call, e *Effects) bool {
-	f, found := r.crashes.quarantined.find(c.identity)
+	f, found := r.crashes.quarantined.match(c.identity)
 	if !found {
 		return false
 	}
@@ -180,7 +180,7 @@
 	b.suspects.clear()
 	b.watched.clear()
 	clear(b.answered)
-	if !r.on(CrashSuspects) {
+	if !r.enabled(CrashSuspects) {
 		return
 	}
 	for i := range r.table.Quarantines {
@@ -224,7 +224,7 @@
 		if !r.isQuarantined(c) {
 			return
 		}
-		if c.underWay() > 0 {
+		if c.inFlight() > 0 {
 			c.endProbing()
 			return
 		}
@@ -240,7 +240,7 @@
 // quarantine. It is noted once until the next grant or change: one answer says all.
 func (r *Router) noteAnswered(c *call, e *Effects) {
 	b := &r.crashes
-	if _, found := b.watched.find(c.identity); !found {
+	if _, found := b.watched.match(c.identity); !found {
 		return
 	}
 	f := crash.FingerprintOf(c.identity)
--- a/pkg/core/routing/quotas.go
+++ b/pkg/core/routing/quotas.go
@@ -141,7 +141,7 @@
 func (r *Router) releaseWaiting(u *quotaUse, e *Effects) {
 	for _, w := range u.waiting {
 		if c := r.creditWaiter(w); c != nil {
-			c.waitsCredit = false
+			c.awaitsCredit = false
 			r.admitBound(w.id, c, e)
 		}
 	}
@@ -150,7 +150,7 @@
 
 // creditWaiter returns the call of an entry of the queue, or nil where it has ended.
 func (r *Router) creditWaiter(w creditCall) *call {
-	if c := r.calls.Get(w.id); c != nil && c.waitsCredit {
+	if c := r.calls.Get(w.id); c != nil && c.awaitsCredit {
 		return c
 	}
 	return nil
@@ -174,7 +174,7 @@
 		r.refuseCredit(u, id, c, e)
 		return true
 	}
-	c.waitsCredit = true
+	c.awaitsCredit = true
 	u.waiting = append(u.waiting, creditCall{id: id, since: r.now})
 	first := len(e.List)
 	r.askCredits(u, e)
@@ -205,9 +205,9 @@
 	until, ok := u.credits.use(r.now)
 	switch {
 	case ok:
-		c.creditUntil = until
+		c.creditValidUntil = until
 	case len(u.waiting) == 0 && u.account != nil && r.mayGrant() && u.account.Permit(r.now, 1) == 1:
-		c.creditUntil = r.now.Add(creditTerm)
+		c.creditValidUntil = r.now.Add(creditTerm)
 	default:
 		return false
 	}
@@ -218,7 +218,7 @@
 // unuseCredit gives back the credit of a call that ends without having been sent: to the next call while it
 // holds, else to a holder.
 func (r *Router) unuseCredit(c *call, e *Effects) {
-	if c.creditUntil == 0 || c.sends > 0 || c.workspace == nil {
+	if c.creditValidUntil == 0 || c.sends > 0 || c.workspace == nil {
 		return
 	}
 	u := r.quotas.uses[c.workspace.Name]
@@ -226,12 +226,12 @@
 		return
 	}
 	u.status.Admitted--
-	if c.creditUntil > r.now {
-		u.credits.add(1, c.creditUntil)
+	if c.creditValidUntil > r.now {
+		u.credits.add(1, c.creditValidUntil)
 	} else {
 		r.returnCredit(u, e)
 	}
-	c.creditUntil = 0
+	c.creditValidUntil = 0
 }
 
 // returnCredit gives a credit back to a holder, this box if it is one.
@@ -259,7 +259,7 @@
 		id := u.waiting[0].id
 		u.waiting = u.waiting[1:]
 		r.takeCredit(u, c)
-		c.waitsCredit = false
+		c.awaitsCredit = false
 		r.admitBound(id, c, e)
 	}
 }
@@ -277,7 +277,7 @@
 }
 
 func (r *Router) refuseCredit(u *quotaUse, id CallID, c *call, e *Effects) {
-	c.waitsCredit = false
+	c.awaitsCredit = false
 	u.status.Refused++
 	r.refuse(id, c, Refusal{Reason: QuotaSpent, Outcome: NotRun, RetryAfter: r.quotaRetry(u)}, e)
 }
--- a/pkg/core/routing/retrying.go
+++ b/pkg/core/routing/retrying.go
@@ -9,7 +9,7 @@
 // retry sends a call again to another target, if the budget allows it. A retry is free
 // when nothing of the call can have arrived anywhere.
 func (r *Router) retry(id CallID, c *call, free bool, e *Effects) bool {
-	if !r.on(Retrying) || c.spentAttempts() || !r.leased() || r.standsBehind(c.service, c) || !r.mayRepeat(c) {
+	if !r.enabled(Retrying) || c.attemptsExhausted() || !r.leased() || r.standsBehind(c.service, c) || !r.mayRepeat(c) {
 		return false
 	}
 	t := r.choose(c.service, c)
@@ -23,7 +23,7 @@
 // resend deals with an attempt that the target certainly didn't run. Any kind
 // of work may be sent again then.
 func (r *Router) resend(id CallID, c *call, reason Reason, e *Effects) {
-	if c.stillTrying() {
+	if c.hasPendingSend() {
 		return
 	}
 	if r.retry(id, c, reason == RetriesSpent, e) {
@@ -56,7 +56,7 @@
 		return false
 	}
 	c.held = true
-	c.tries = 0
+	c.sendsSinceHeld = 0
 	s.held.pushFront(id)
 	r.sweepBy(s, r.now.Add(sweepPeriod))
 	r.timers.Push(timer{at: until, call: id, kind: holdTimer})
--- a/pkg/core/routing/returning.go
+++ b/pkg/core/routing/returning.go
@@ -84,7 +84,7 @@
 // late that the answer would miss the aim, and first tries need the slots.
 func (r *Router) comesTooLate(c *call, asked time.Duration) bool {
 	x := c.route
-	if !r.on(FirstTries) || x.aim == 0 || !c.service.isCrowded(r.now) {
+	if !r.enabled(FirstTries) || x.aim == 0 || !c.service.isCrowded(r.now) {
 		return false
 	}
 	spent := x.asked.spent(asked)
--- a/pkg/core/routing/rollout.go
+++ b/pkg/core/routing/rollout.go
@@ -135,7 +135,7 @@
 
 // callSide is the side that a call is tried at first.
 func (r *Router) callSide(s *service, c *call) side {
-	if c.onTrial && s.rollout != nil && s.rollout.exposed(r.now) {
+	if c.onNewVersion && s.rollout != nil && s.rollout.exposed(r.now) {
 		return onTrial
 	}
 	return r.openSide(s)
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -192,7 +192,7 @@
 	case *AttemptStarted:
 		r.attemptStarted(v, e)
 	case *CallerGone:
-		r.callerGone(v.Call, e)
+		r.callerDisconnected(v.Call, e)
 	case *Tick:
 		r.tick(e)
 	case *TableChanged:
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -215,5 +215,5 @@
 // excluded tells whether the call itself rules a target out. A call that is under way isn't sent to a
 // target that names a limit as well: the permit serves another call better.
 func (c *candidates) excluded(t *target) bool {
-	return !c.call.mayUse(t) || c.fresh && c.call.tried(t) || c.call.uses(t) || t.notice.limited() && c.call.underWay() > 0
+	return !c.call.mayUse(t) || c.fresh && c.call.wasSentTo(t) || c.call.isInFlightAt(t) || t.notice.limited() && c.call.inFlight() > 0
 }
--- a/pkg/core/routing/silence.go
+++ b/pkg/core/routing/silence.go
@@ -115,13 +115,13 @@
 // isUnanswered tells whether the attempt's target serves others and won't answer it.
 func (a *attempt) isUnanswered(now units.Instant) bool {
 	out := now.Sub(a.sent)
-	return a.missing && out >= a.patience || a.overtaken >= overtakenSure && out >= a.longPatience
+	return a.missingFromReport && out >= a.answerTimeout || a.overtakenBy >= overtakenSure && out >= a.overtakenTimeout
 }
 
 // noteOvertaken notes that the target has answered an attempt before older ones.
 func (t *target) noteOvertaken(answered *attempt) {
 	for a := t.oldest; a != nil && a != answered; a = a.next {
-		a.overtaken++
+		a.overtakenBy++
 	}
 }
 
@@ -136,7 +136,7 @@
 		left++
 	}
 	for a := t.oldest; a != nil && left > 0; a = a.next {
-		a.missing = a.missing || now.Sub(a.sent) >= a.patience
+		a.missingFromReport = a.missingFromReport || now.Sub(a.sent) >= a.answerTimeout
 		left--
 	}
 }
@@ -144,7 +144,7 @@
 // noteAnswer takes an answer to an attempt: a late one shows that reports leave calls out.
 func (t *target) noteAnswer(now units.Instant, a *attempt) {
 	t.noteOvertaken(a)
-	if a.missing {
+	if a.missingFromReport {
 		t.service.silence.doubtUntil = now.Add(silenceMemory)
 	}
 }
@@ -152,31 +152,31 @@
 // watch has a call looked at once its answer is missed. Calls that are hedged before that are
 // watched from then on only: few take that long, and each timer costs the others.
 func (r *Router) watch(id CallID, c *call, a *attempt) {
-	if c.watched || a.target == nil || !r.on(UnansweredCalls) {
+	if c.silenceTimerSet || a.target == nil || !r.enabled(UnansweredCalls) {
 		return
 	}
-	at := max(r.now, a.sent.Add(a.patience))
+	at := max(r.now, a.sent.Add(a.answerTimeout))
 	if at >= c.deadline {
 		return
 	}
-	c.watched = true
+	c.silenceTimerSet = true
 	r.timers.Push(timer{at: at, call: id, kind: silenceTimer})
 }
 
 // checkSilence looks at a call whose answer is missed, and will look again. While it can't tell
 // whether the target will answer it probes that.
 func (r *Router) checkSilence(id CallID, c *call, e *Effects) {
-	c.watched = false
-	if c.held || c.streaming || c.underWay() == 0 {
+	c.silenceTimerSet = false
+	if c.held || c.streaming || c.inFlight() == 0 {
 		return
 	}
-	c.watched = true
+	c.silenceTimerSet = true
 	r.timers.Push(timer{at: r.now.Add(silencePause), call: id, kind: silenceTimer})
 	if r.judgeSilence(id, c, e) {
 		return
 	}
 	for i := range c.attempts {
-		if a := &c.attempts[i]; a.target != nil && r.now.Sub(a.sent) >= a.patience {
+		if a := &c.attempts[i]; a.target != nil && r.now.Sub(a.sent) >= a.answerTimeout {
 			r.probeSilent(id, c, a, e)
 		}
 	}
@@ -203,11 +203,11 @@
 
 // missesAnswer tells whether the call has been out for longer than its answer should take.
 func (r *Router) missesAnswer(c *call) bool {
-	if !r.on(UnansweredCalls) {
+	if !r.enabled(UnansweredCalls) {
 		return false
 	}
 	for i := range c.attempts {
-		if a := &c.attempts[i]; a.target != nil && r.now.Sub(a.sent) >= a.patience {
+		if a := &c.attempts[i]; a.target != nil && r.now.Sub(a.sent) >= a.answerTimeout {
 			return true
 		}
 	}
@@ -235,7 +235,7 @@
 	if c.route.work != table.Repeatable || c.probeRound.open {
 		return
 	}
-	if c.underWay() > 1 {
+	if c.inFlight() > 1 {
 		r.cancel(id, c, a, e)
 		return
 	}
@@ -245,7 +245,7 @@
 // wentUnanswered tells whether an attempt that ends without an answer is one that its target
 // wouldn't have answered, and counts it.
 func (r *Router) wentUnanswered(c *call, a *attempt, e *Effects) bool {
-	if !r.on(UnansweredCalls) || r.saysNothing(a) || !a.isUnanswered(r.now) {
+	if !r.enabled(UnansweredCalls) || r.saysNothing(a) || !a.isUnanswered(r.now) {
 		return false
 	}
 	r.noteUnanswered(c, a, e)
@@ -254,10 +254,10 @@
 
 // noteUnanswered counts an unanswered attempt once, and its target as full.
 func (r *Router) noteUnanswered(c *call, a *attempt, e *Effects) {
-	if a.counted {
+	if a.countedUnanswered {
 		return
 	}
-	a.counted = true
+	a.countedUnanswered = true
 	c.mayHaveRun = true
 	t := a.target
 	t.unansweredCalls++
@@ -267,14 +267,14 @@
 	t.window = min(t.window, max(minWindow, float64(t.inFlight))+1)
 	t.notBefore = max(t.notBefore, r.now.Add(t.latency.mean()/2))
 	n := 0.0
-	if a.ahead+1 > t.knownSlots() {
-		n = max(leastHanging, a.ahead+1)
+	if a.callsAhead+1 > t.knownSlots() {
+		n = max(leastHanging, a.callsAhead+1)
 	}
 	if t.service.silence.note(r.now, n) {
 		e.add(Effect{
 			Kind: ServiceHangs, Endpoint: t.endpoint, Failures: int(t.service.silence.calls),
 			Evidence: Evidence{
-				Load: a.ahead, Pace: t.expectedPace(r.now), Slowdown: float64(r.now.Sub(a.sent)) / float64(max(1, a.patience)),
+				Load: a.callsAhead, Pace: t.expectedPace(r.now), Slowdown: float64(r.now.Sub(a.sent)) / float64(max(1, a.answerTimeout)),
 				ReadingAge: -1, Revision: r.table.Revision,
 			},
 		})
@@ -293,5 +293,5 @@
 // mustBeSure tells whether a call may go only to a target that is known to have room: if it
 // were never answered it would be lost, since it can't be sent twice.
 func (r *Router) mustBeSure(c *call) bool {
-	return r.on(UnansweredCalls) && c.route.work != table.Repeatable && c.service.silence.hangs(r.now)
+	return r.enabled(UnansweredCalls) && c.route.work != table.Repeatable && c.service.silence.hangs(r.now)
 }
--- a/pkg/core/routing/subset.go
+++ b/pkg/core/routing/subset.go
@@ -30,7 +30,7 @@
 	for _, t := range s.targets {
 		t.near = true
 	}
-	if !r.on(Subsetting) || len(own) <= subsetSize {
+	if !r.enabled(Subsetting) || len(own) <= subsetSize {
 		return
 	}
 	boxes := r.ownBoxes()
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -18,7 +18,7 @@
 	if t.expectedPace(r.now) >= goodPace || r.isTooSlow(c, t) {
 		return false
 	}
-	if !r.on(Concurrency) {
+	if !r.enabled(Concurrency) {
 		return t.load(r.now)+1 <= t.slots()
 	}
 	return t.load(r.now)+1 <= t.bestConcurrency()
@@ -29,7 +29,7 @@
 // help nobody.
 func (r *Router) isTooSlow(c *call, t *target) bool {
 	slowdown := t.currentSlowdown(r.now)
-	if !r.on(SlowTargets) || slowdown < heavySlowdown {
+	if !r.enabled(SlowTargets) || slowdown < heavySlowdown {
 		return false
 	}
 	least := slowdown
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -11,7 +11,7 @@
 // that an edit of one service is cheap however many there are.
 func (r *Router) changeTable(t *table.Table, e *Effects) {
 	tableRoutesChanged := t.Document != r.table.Document
-	evacuationsChanged := r.changeEvacuations(r.table.Evacuations, t.Evacuations)
+	evacuationsChanged := r.updateEvacuations(r.table.Evacuations, t.Evacuations)
 	rolloutsChanged := versionsChanged(r.table, t)
 	quarantinesChanged := !sameQuarantines(r.table.Quarantines, t.Quarantines)
 	r.table = t
@@ -123,7 +123,7 @@
 		r.takeColdRows(s)
 	}
 	r.markRegions(s, e)
-	r.markEvacuated(s)
+	r.applyEvacuations(s)
 	r.markVersions(s)
 	r.sweepBy(s, r.now)
 	r.shareExtras(s)
--- a/pkg/core/routing/waiting.go
+++ b/pkg/core/routing/waiting.go
@@ -112,7 +112,7 @@
 // waitForTarget has a call probe, or probe again, a moment later; a target that comes free
 // before goes to the first of those that wait.
 func (r *Router) waitForTarget(id CallID, c *call) {
-	c.onTrial = false
+	c.onNewVersion = false
 	c.probeRound.pending = 0
 	c.probeRound.number++
 	missed := r.missesAnswer(c)
