--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -69,9 +69,9 @@
 	s.earnExtras()
 	c.deadline = c.arrived.Add(c.route.deadlineOf(c.requestedDeadline, r.settings.MaxDeadline))
 	if !s.isBusy(r.now) {
-		c.route.asked.learn(c.requestedDeadline)
+		c.route.asked.observe(c.requestedDeadline)
 	}
-	if r.comesTooLate(c, c.requestedDeadline) {
+	if r.wouldMissAim(c, c.requestedDeadline) {
 		r.refuse(id, c, Refusal{Reason: TooLate, Outcome: NotRun, RetryAfter: r.busyRetryAfter(s)}, e)
 		return
 	}
@@ -84,9 +84,9 @@
 	if r.waitsForLink(id, c, e) {
 		return
 	}
-	if !r.standsBehind(c.service, c) {
+	if !r.isBehindHeld(c.service, c) {
 		if t := r.choose(c.service, c); t != nil {
-			r.place(id, c, t, FirstSend, e)
+			r.sendOrProbe(id, c, t, FirstSend, e)
 			r.timers.Push(timer{at: c.deadline, call: id, kind: deadlineTimer})
 			r.scout(c.service, c, e)
 			return
@@ -204,7 +204,7 @@
 		return s.closedReason(c, r.now)
 	}
 	wait := s.expectedWait(c, r.now)
-	if r.standsBehind(s, c) {
+	if r.isBehindHeld(s, c) {
 		wait = max(wait, r.oldestHeldAge(s))
 	}
 	room := time.Duration(holdMargin * float64(until.Sub(r.now)))
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -19,7 +19,7 @@
 	c.onNewVersion = false
 	*a = attempt{
 		number: c.sends, target: t, sent: r.now, hedge: hedge, typicalTime: c.route.sureTime(),
-		atUsualPace: t.reading.Pace > 0 && t.expectedPace(r.now) < goodPace,
+		atUsualPace: t.reading.Pace > 0 && t.expectedPace(r.now) < maxGoodPace,
 		nearlyFull:  t.load(r.now)+1 >= nearlyFull*t.slots(),
 		cold:        t.isCold(r.now),
 		callsAhead:  t.load(r.now), answerTimeout: c.patience(t, r.now), overtakenTimeout: c.longPatience(t, r.now),
@@ -129,10 +129,10 @@
 // endProbing ends a call's probing for a second send, which an answer that passes through
 // makes needless. Sent all the same, it would count at its target for ever.
 func (c *call) endProbing() {
-	if !c.probeRound.open {
+	if !c.probeRound.active {
 		return
 	}
-	c.probeRound.open = false
+	c.probeRound.active = false
 	if c.probeRound.purpose == HedgeSend {
 		c.service.hedges.refund()
 	}
@@ -232,7 +232,7 @@
 		t.noteTrial(r.now, true)
 		t.answers++
 		t.noteFailure(r.now, 0)
-		t.service.noteReport(v.Reading)
+		t.service.recordReport(v.Reading)
 		t.latency.add(took)
 		t.service.latency.add(took)
 		t.grow()
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -188,7 +188,7 @@
 }
 
 // hasPendingSend tells whether another send of the call is under way or about to be.
-func (c *call) hasPendingSend() bool { return c.inFlight() > 0 || c.probeRound.open }
+func (c *call) hasPendingSend() bool { return c.inFlight() > 0 || c.probeRound.active }
 
 // attemptsExhausted tells whether the call may be sent to no further target.
 func (c *call) attemptsExhausted() bool {
@@ -282,8 +282,8 @@
 	case firstTableTimer:
 		r.refuseEarly(t.call, c, e)
 	case probeTimer:
-		if c.probeRound.open && c.probeRound.number == t.probeRound {
-			r.probeTimePassed(t.call, c, e)
+		if c.probeRound.active && c.probeRound.number == t.probeRound {
+			r.probeTimerFired(t.call, c, e)
 		}
 	}
 }
--- a/pkg/core/routing/closed.go
+++ b/pkg/core/routing/closed.go
@@ -95,7 +95,7 @@
 	if c.route.work == table.Patient {
 		return held
 	}
-	wait := time.Duration(calmPart * c.aim())
+	wait := time.Duration(calmWaitFraction * c.aim())
 	if s.isLimited(c) {
 		wait = min(wait, limitWait)
 	}
@@ -119,8 +119,8 @@
 // time that has lasted is expected to last as long again; callers are spread
 // around it, so that they don't all come for what is permitted next.
 func (r *Router) limitRetry(s *service, first units.Instant) time.Duration {
-	lasted := min(r.now.Sub(s.limitedSince), mostBusyRetry)
-	after := max(leastBusyRetry, lasted, first.Sub(r.now))
+	lasted := min(r.now.Sub(s.limitedSince), maxBusyRetryAfter)
+	after := max(minBusyRetryAfter, lasted, first.Sub(r.now))
 	part := leastLimitRetry + (mostLimitRetry-leastLimitRetry)*r.random.Float64()
 	return time.Duration(part * float64(after)).Round(time.Millisecond)
 }
--- a/pkg/core/routing/crash.go
+++ b/pkg/core/routing/crash.go
@@ -72,7 +72,7 @@
 // doesn't wait for it: while many targets are down it is spent, and a crash that isn't seen
 // leaves its cause at large.
 func (r *Router) checkCrash(t *target, e *Effects) {
-	if r.probeAllowance(t.service) <= 0 || t.notice.forbids(r.now) || t.lacksPermit(r.now) {
+	if r.probeBudgetRate(t.service) <= 0 || t.notice.forbids(r.now) || t.lacksPermit(r.now) {
 		t.crash.checking = false
 		return
 	}
--- a/pkg/core/routing/distance.go
+++ b/pkg/core/routing/distance.go
@@ -133,7 +133,7 @@
 // probeLimit is how long a call waits for the answer to a probe of the target.
 func (t *target) probeLimit() time.Duration {
 	if !t.remote || t.distance == nil {
-		return probeLimit
+		return probeTimeout
 	}
-	return probeLimit + t.distance.extraRoundTrip()
+	return probeTimeout + t.distance.extraRoundTrip()
 }
--- a/pkg/core/routing/evacuation.go
+++ b/pkg/core/routing/evacuation.go
@@ -105,7 +105,7 @@
 // of them rest or are limited for longer.
 func (r *Router) refuseWaitingCall(s *service, id CallID, e *Effects) {
 	c := r.calls.Get(id)
-	if c == nil || c.service != s || !c.held && !c.probeRound.open || c.inFlight() > 0 {
+	if c == nil || c.service != s || !c.held && !c.probeRound.active || c.inFlight() > 0 {
 		return
 	}
 	reason := s.noTargetReason(c, r.now)
--- a/pkg/core/routing/hedging.go
+++ b/pkg/core/routing/hedging.go
@@ -44,20 +44,20 @@
 
 // mayHedge tells whether the call waits for one answer and may be sent once more.
 func (c *call) mayHedge() bool {
-	return !c.held && !c.streaming && !c.probeRound.open && c.inFlight() == 1 && !c.attemptsExhausted()
+	return !c.held && !c.streaming && !c.probeRound.active && c.inFlight() == 1 && !c.attemptsExhausted()
 }
 
 // tryHedge hedges a call now if it can be.
 func (r *Router) tryHedge(id CallID, c *call, e *Effects) bool {
 	s := c.service
-	if r.standsBehind(s, c) || !r.leased() || !r.mayRepeat(c) {
+	if r.isBehindHeld(s, c) || !r.leased() || !r.mayRepeat(c) {
 		return false
 	}
 	t := r.choose(s, c)
 	if t == nil || !s.hedges.spend() {
 		return false
 	}
-	r.place(id, c, t, HedgeSend, e)
+	r.sendOrProbe(id, c, t, HedgeSend, e)
 	return true
 }
 
--- a/pkg/core/routing/inbound.go
+++ b/pkg/core/routing/inbound.go
@@ -176,7 +176,7 @@
 
 // linkHidesProbes tells whether probes' answers come too late, at a service that isn't busy.
 func (r *Router) linkHidesProbes(c *call) bool {
-	return r.enabled(SharedLink) && r.inbound.left(r.now) > probeLimit && !c.service.isBusy(r.now)
+	return r.enabled(SharedLink) && r.inbound.left(r.now) > probeTimeout && !c.service.isBusy(r.now)
 }
 
 // sendUnprobed sends a call whose probes' answers wait behind large ones to the target that
@@ -189,7 +189,7 @@
 	if t == nil || !r.goesUnprobed(c, t) {
 		return false
 	}
-	c.probeRound.open = false
+	c.probeRound.active = false
 	r.send(id, c, t, c.probeRound.purpose, e)
 	return true
 }
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -10,25 +10,25 @@
 // budget; without budget the box chooses by the readings that it has.
 
 const (
-	// probeLimit is how long a call waits for the answers to its probes at the most, besides
+	// probeTimeout is how long a call waits for the answers to its probes at the most, besides
 	// the extra round trip to targets in other failure domains.
-	probeLimit = 12 * time.Millisecond
-	// hedgeProbeLimit is how long a hedge waits for them: its call is under way, so that
+	probeTimeout = 12 * time.Millisecond
+	// hedgeProbeTimeout is how long a hedge waits for them: its call is under way, so that
 	// nothing is lost by waiting, and given up too soon the probes are spent for nothing.
-	hedgeProbeLimit = 100 * time.Millisecond
-	// maxProbed bounds the targets that are probed for one send.
-	maxProbed = 4
-	// freshReading is the age up to which a reading is as good as a new one.
-	freshReading = 30 * time.Millisecond
-	// saveUpTime is for how long a box may save up its part of the budget: probes are
+	hedgeProbeTimeout = 100 * time.Millisecond
+	// maxProbesPerSend bounds the targets that are probed for one send.
+	maxProbesPerSend = 4
+	// freshReadingAge is the age up to which a reading is as good as a new one.
+	freshReadingAge = 30 * time.Millisecond
+	// probeBurstTime is for how long a box may save up its part of the budget: probes are
 	// worth most in the seconds in which many calls come. leastSavedUp is what it may save
 	// up however small the part is, in probes.
-	saveUpTime   = 4 * time.Second
-	leastSavedUp = 8
+	probeBurstTime = 4 * time.Second
+	minProbeBurst  = 8
 )
 
-// goodPace is the expected pace up to which a target is as good as any.
-const goodPace = 1.5
+// maxGoodPace is the expected pace up to which a target is as good as any.
+const maxGoodPace = 1.5
 
 // Purpose is what a send is for.
 type Purpose uint8
@@ -45,31 +45,31 @@
 
 // probeRound is a call's present round of probes.
 type probeRound struct {
-	open    bool
+	active  bool
 	number  AttemptNumber
 	pending int
 	purpose Purpose
-	// waiting is set once the call stands among its service's waiting ones.
-	waiting bool
+	// queued is set once the call stands among its service's queued ones.
+	queued bool
 	// rounds counts the rounds of probes that were sent.
 	rounds int
 }
 
-// place sends a call to the target that seems best, or probes a few first.
-func (r *Router) place(id CallID, c *call, best *target, why Purpose, e *Effects) {
-	if !r.enabled(Probing) || !c.service.probesTargets() || best.notice.limited() || best.isFresh(r.now) && r.isSuitable(c, best) || r.goesUnprobed(c, best) {
+// sendOrProbe sends a call to the target that seems best, or probes a few first.
+func (r *Router) sendOrProbe(id CallID, c *call, best *target, why Purpose, e *Effects) {
+	if !r.enabled(Probing) || !c.service.probesTargets() || best.notice.limited() || best.hasFreshReading(r.now) && r.isSuitable(c, best) || r.goesUnprobed(c, best) {
 		r.send(id, c, best, why, e)
 		return
 	}
 	c.probeRound.purpose = why
-	c.probeRound.waiting = false
-	r.dropServed(c.service)
-	if len(c.service.waiting) >= maxProbing || !r.sendProbes(id, c, e) {
-		if !c.service.isBusy(r.now) && !best.isFresh(r.now) && !r.mustBeSure(c) {
+	c.probeRound.queued = false
+	r.dropFinishedWaiting(c.service)
+	if len(c.service.waiting) >= maxProbingCalls || !r.sendProbes(id, c, e) {
+		if !c.service.isBusy(r.now) && !best.hasFreshReading(r.now) && !r.mustBeSure(c) {
 			r.send(id, c, best, why, e)
 			return
 		}
-		c.probeRound.open = true
+		c.probeRound.active = true
 		r.waitForTarget(id, c)
 		r.seekPermits(c.service, c, 1, e)
 	}
@@ -78,12 +78,12 @@
 	}
 }
 
-// unreportedLimit is how many answers in a row without a load report show that a service's
+// maxUnreported is how many answers in a row without a load report show that a service's
 // targets send none.
-const unreportedLimit = 8
+const maxUnreported = 8
 
-// noteReport notes whether an answer carried a load report.
-func (s *service) noteReport(x Reading) {
+// recordReport notes whether an answer carried a load report.
+func (s *service) recordReport(x Reading) {
 	if x.Known {
 		s.unreported = 0
 		return
@@ -94,27 +94,27 @@
 // probesTargets tells whether targets are probed before a call is sent. Those that send no
 // load reports aren't; the latency of their answers decides then, until one sends a report.
 func (s *service) probesTargets() bool {
-	return s.row.ProbeTargets > 0 && s.unreported < unreportedLimit
+	return s.row.ProbeTargets > 0 && s.unreported < maxUnreported
 }
 
 // sendProbes probes the best targets; false means that there is none to probe or no budget
 // for it.
 func (r *Router) sendProbes(id CallID, c *call, e *Effects) bool {
-	probed := r.bestTargets(c, min(c.service.row.ProbeTargets, maxProbed))
-	if len(probed) < 1 || !r.spendProbes(c.service, len(probed)) {
+	probed := r.targetsToProbe(c, min(c.service.row.ProbeTargets, maxProbesPerSend))
+	if len(probed) < 1 || !r.spendProbeBudget(c.service, len(probed)) {
 		return false
 	}
-	c.probeRound.open = true
+	c.probeRound.active = true
 	c.probeRound.number++
 	c.probeRound.pending = len(probed)
 	c.probeRound.rounds++
-	limit := probeLimit
+	limit := probeTimeout
 	for _, t := range probed {
 		limit = max(limit, t.probeLimit())
 		r.probe(id, c, t, c.probeRound.number, e)
 	}
 	if c.probeRound.purpose == HedgeSend {
-		limit = max(limit, hedgeProbeLimit)
+		limit = max(limit, hedgeProbeTimeout)
 	}
 	r.timers.Push(timer{at: r.now.Add(limit), call: id, kind: probeTimer, probeRound: c.probeRound.number})
 	return true
@@ -129,15 +129,15 @@
 	})
 }
 
-// spendProbes takes n probes of a service's targets off the budget, or none.
-func (r *Router) spendProbes(s *service, n int) bool {
-	rate := r.probeAllowance(s)
-	burst := max(leastSavedUp, rate*saveUpTime.Seconds())
+// spendProbeBudget takes n probes of a service's targets off the budget, or none.
+func (r *Router) spendProbeBudget(s *service, n int) bool {
+	rate := r.probeBudgetRate(s)
+	burst := max(minProbeBurst, rate*probeBurstTime.Seconds())
 	return s.probeBudget.takeMany(r.now, float64(n), rate, burst)
 }
 
-// probeAllowance is how many probes a second this box may send to a service's targets.
-func (r *Router) probeAllowance(s *service) float64 {
+// probeBudgetRate is how many probes a second this box may send to a service's targets.
+func (r *Router) probeBudgetRate(s *service) float64 {
 	rate := 0.0
 	for _, t := range s.targets {
 		if t.side <= onTrial {
@@ -147,10 +147,10 @@
 	return rate
 }
 
-// bestTargets returns up to n available targets of the least cost that are worth a probe:
+// targetsToProbe returns up to n available targets of the least cost that are worth a probe:
 // the answer of one that was probed a moment ago serves all calls. The slice is used again
 // by the next call.
-func (r *Router) bestTargets(c *call, n int) []*target {
+func (r *Router) targetsToProbe(c *call, n int) []*target {
 	from := r.callSide(c.service, c)
 	set := candidates{
 		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c) && from != onTrial, fresh: c.sendsSinceHeld > 0,
@@ -165,7 +165,7 @@
 		i := (start + k) % len(targets)
 		t := targets[i]
 		// At a target that names a limit a probe would cost as much as the call.
-		if t.notice.limited() || !set.Available(i) && !set.onlyInDoubt(i) || t.isFresh(r.now) || t.awaitsProbe(r.now) {
+		if t.notice.limited() || !set.Available(i) && !set.onlyInDoubt(i) || t.hasFreshReading(r.now) || t.hasProbeInFlight(r.now) {
 			continue
 		}
 		if t.probedAt != 0 && r.now.Sub(t.probedAt) < t.probeLimit() {
@@ -198,15 +198,15 @@
 // other answers only add readings.
 func (r *Router) probeAnswered(v *ProbeEnded, t *target, e *Effects) {
 	c := r.calls.Get(v.Call)
-	if c == nil || !c.probeRound.open || c.probeRound.number != v.Attempt {
-		r.shareAnswer(t)
+	if c == nil || !c.probeRound.active || c.probeRound.number != v.Attempt {
+		r.shareProbeAnswer(t)
 		if c != nil && v.Attempt == silenceProbe {
 			r.judgeSilence(v.Call, c, e)
 		}
 		return
 	}
 	c.probeRound.pending--
-	if c.probeRound.pending == 0 || t != nil && t.isFresh(r.now) && r.isSuitable(c, t) {
+	if c.probeRound.pending == 0 || t != nil && t.hasFreshReading(r.now) && r.isSuitable(c, t) {
 		r.concludeProbing(v.Call, c, e)
 	}
 }
@@ -217,7 +217,7 @@
 	wasOnTrial := c.onNewVersion
 	t := r.choose(c.service, c)
 	if wasOnTrial && (!c.onNewVersion || !r.isSuitable(c, t)) {
-		r.leaveTrial(id, c, e)
+		r.leaveNewVersion(id, c, e)
 		return
 	}
 	if t == nil && c.inFlight() == 0 && !c.service.canServe(c, r.now) {
@@ -227,11 +227,11 @@
 	if c.probeRound.purpose != FirstSend && t != nil && !r.isSuitable(c, t) {
 		t = cmp.Or(r.bestSuitable(c), t)
 	}
-	late := c.aimSpent(r.now) >= c.service.waitLimit(r.now) || !r.enabled(Waiting)
+	late := c.aimFractionUsed(r.now) >= c.service.waitFraction(r.now) || !r.enabled(Waiting)
 	if t != nil && (r.isSuitable(c, t) || late && r.acceptsUnsuitable(c)) {
-		c.probeRound.open = false
-		if !c.probeRound.waiting {
-			c.service.noteFound(r.now, true)
+		c.probeRound.active = false
+		if !c.probeRound.queued {
+			c.service.recordTargetFound(r.now, true)
 		}
 		r.send(id, c, t, c.probeRound.purpose, e)
 		return
@@ -241,7 +241,7 @@
 		r.seekPermits(c.service, c, 1, e)
 		return
 	}
-	c.probeRound.open = false
+	c.probeRound.active = false
 	if c.inFlight() > 0 {
 		if c.probeRound.purpose == HedgeSend {
 			c.service.hedges.refund()
@@ -252,11 +252,11 @@
 	r.refuse(id, c, Refusal{Reason: TargetsBusy, Outcome: c.outcome(), RetryAfter: r.busyRetryAfter(c.service)}, e)
 }
 
-// leaveTrial has a call that finds no room at the new version go to the others, as a new call
+// leaveNewVersion has a call that finds no room at the new version go to the others, as a new call
 // would.
-func (r *Router) leaveTrial(id CallID, c *call, e *Effects) {
+func (r *Router) leaveNewVersion(id CallID, c *call, e *Effects) {
 	c.onNewVersion = false
-	if t := r.choose(c.service, c); t != nil && t.isFresh(r.now) && r.isSuitable(c, t) || !r.sendProbes(id, c, e) {
+	if t := r.choose(c.service, c); t != nil && t.hasFreshReading(r.now) && r.isSuitable(c, t) || !r.sendProbes(id, c, e) {
 		r.concludeProbing(id, c, e)
 	}
 }
@@ -279,12 +279,12 @@
 	return best
 }
 
-// probeTimePassed goes on without the answers that haven't come, or probes again.
-func (r *Router) probeTimePassed(id CallID, c *call, e *Effects) {
+// probeTimerFired goes on without the answers that haven't come, or probes again.
+func (r *Router) probeTimerFired(id CallID, c *call, e *Effects) {
 	if r.sendUnprobed(id, c, e) {
 		return
 	}
-	r.dropServed(c.service)
+	r.dropFinishedWaiting(c.service)
 	if c.probeRound.pending > 0 || !c.service.mayProbe(id) || !r.sendProbes(id, c, e) {
 		r.concludeProbing(id, c, e)
 	}
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// probeAfter is how long an ejected target must have been silent to be worth
+	// minSilenceBeforeProbe is how long an ejected target must have been silent to be worth
 	// a probe.
-	probeAfter = 200 * time.Millisecond
+	minSilenceBeforeProbe = 200 * time.Millisecond
 	// defaultSlots stands in for the capacity of a target without a limit.
 	defaultSlots = 3
 	// probeBurst is how many probes a box may save up.
@@ -30,7 +30,7 @@
 // probeIfDue probes a target that is out of the common path. Calls are the
 // first measurement; a target that has them needs no probe.
 func (r *Router) probeIfDue(s *service, t *target, e *Effects) {
-	if !t.wantsProbe(r.now) || t.evacuated || t.side > onTrial || t.probing || r.now.Sub(t.lastHeard) < probeAfter || !r.leased() {
+	if !t.wantsProbe(r.now) || t.evacuated || t.side > onTrial || t.probing || r.now.Sub(t.lastHeard) < minSilenceBeforeProbe || !r.leased() {
 		return
 	}
 	if t.lacksPermit(r.now) {
@@ -58,7 +58,7 @@
 		return
 	}
 	if v.Call != 0 {
-		r.learnFromProbe(t, v, e)
+		r.updateFromProbe(t, v, e)
 		r.probeAnswered(v, t, e)
 		return
 	}
@@ -82,9 +82,9 @@
 	}
 }
 
-// learnFromProbe takes the answer to a call's probe. What a target reports of its health
+// updateFromProbe takes the answer to a call's probe. What a target reports of its health
 // counts for no more than a reading: the results of calls are better evidence.
-func (r *Router) learnFromProbe(t *target, v *ProbeEnded, e *Effects) {
+func (r *Router) updateFromProbe(t *target, v *ProbeEnded, e *Effects) {
 	if t == nil {
 		return
 	}
@@ -92,7 +92,7 @@
 	t.takeReading(r.now, v.Reading)
 	t.noteMissing(r.now, v.Reading, t.probedAt)
 	if v.Healthy {
-		t.service.noteReport(v.Reading)
+		t.service.recordReport(v.Reading)
 		r.noteWarmth(t, v.Reading.Cold)
 	}
 	if v.Healthy || v.Unreachable {
@@ -106,21 +106,21 @@
 	}
 }
 
-// probeBound is after what time an unanswered probe counts as lost, so that the target may
+// probeLostAfter is after what time an unanswered probe counts as lost, so that the target may
 // be probed again: a probe behind a large answer, or one whose packet was lost and sent
 // again, is answered within some 0.3 s.
-const probeBound = 500 * time.Millisecond
+const probeLostAfter = 500 * time.Millisecond
 
-// awaitsProbe tells whether a probe of this box is on its way to the target. Another one
+// hasProbeInFlight tells whether a probe of this box is on its way to the target. Another one
 // would wait behind it, and cost the target as much as the first.
-func (t *target) awaitsProbe(now units.Instant) bool {
-	return t.probesOut > 0 && now.Sub(t.probedAt) < probeBound
+func (t *target) hasProbeInFlight(now units.Instant) bool {
+	return t.probesOut > 0 && now.Sub(t.probedAt) < probeLostAfter
 }
 
-// shareAnswer lets the calls that wait use an answer that the call which asked no longer
+// shareProbeAnswer lets the calls that wait use an answer that the call which asked no longer
 // waits for.
-func (r *Router) shareAnswer(t *target) {
-	if t != nil && len(t.service.waiting) > 0 && t.isFresh(r.now) && r.suits(nil, t) {
+func (r *Router) shareProbeAnswer(t *target) {
+	if t != nil && len(t.service.waiting) > 0 && t.hasFreshReading(r.now) && r.isSuitableByReading(nil, t) {
 		r.freed = append(r.freed, t.service)
 	}
 }
--- a/pkg/core/routing/residency.go
+++ b/pkg/core/routing/residency.go
@@ -153,9 +153,9 @@
 	return 2*ejected > active
 }
 
-// standsBehind tells whether calls are held that come before this one. A call that waits for
+// isBehindHeld tells whether calls are held that come before this one. A call that waits for
 // one region keeps only those behind it that may go to the same: others have room elsewhere.
-func (r *Router) standsBehind(s *service, c *call) bool {
+func (r *Router) isBehindHeld(s *service, c *call) bool {
 	return slices.ContainsFunc(s.held.waiting(), func(id CallID) bool {
 		h := r.calls.Get(id)
 		return h != nil && h.held && (h.regions == nil || h.regions.Equal(c.regions))
--- a/pkg/core/routing/routes.go
+++ b/pkg/core/routing/routes.go
@@ -47,7 +47,7 @@
 	// first are the first answers' times, which the typical time starts from.
 	first [sureAnswers]float64
 	// asked is what the route's callers begin with.
-	asked usualDeadline
+	asked deadlineEstimate
 	parts []routePart
 }
 
--- a/pkg/core/routing/silence.go
+++ b/pkg/core/routing/silence.go
@@ -218,7 +218,7 @@
 // still serves others.
 func (r *Router) probeSilent(id CallID, c *call, a *attempt, e *Effects) {
 	t := a.target
-	if t.gone || !c.mayUse(t) || t.notice.forbids(r.now) || !c.service.probesTargets() || t.awaitsProbe(r.now) || t.lacksPermit(r.now) || !r.spendProbes(c.service, 1) {
+	if t.gone || !c.mayUse(t) || t.notice.forbids(r.now) || !c.service.probesTargets() || t.hasProbeInFlight(r.now) || t.lacksPermit(r.now) || !r.spendProbeBudget(c.service, 1) {
 		return
 	}
 	r.probe(id, c, t, silenceProbe, e)
@@ -232,7 +232,7 @@
 // it is, and is looked at again: calls earn budget.
 func (r *Router) giveUp(id CallID, c *call, a *attempt, e *Effects) {
 	r.noteUnanswered(c, a, e)
-	if c.route.work != table.Repeatable || c.probeRound.open {
+	if c.route.work != table.Repeatable || c.probeRound.active {
 		return
 	}
 	if c.inFlight() > 1 {
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -9,13 +9,13 @@
 		// A target that names a limit has room for what it permits.
 		return true
 	}
-	return r.suits(c, t) && (t.isFresh(r.now) || !r.mustBeSure(c))
+	return r.isSuitableByReading(c, t) && (t.hasFreshReading(r.now) || !r.mustBeSure(c))
 }
 
-// suits tells whether a target that has just been probed suits a call; nil stands for a call that
+// isSuitableByReading tells whether a target that has just been probed isSuitableByReading a call; nil stands for a call that
 // any target may take.
-func (r *Router) suits(c *call, t *target) bool {
-	if t.expectedPace(r.now) >= goodPace || r.isTooSlow(c, t) {
+func (r *Router) isSuitableByReading(c *call, t *target) bool {
+	if t.expectedPace(r.now) >= maxGoodPace || r.isTooSlow(c, t) {
 		return false
 	}
 	if !r.enabled(Concurrency) {
@@ -52,7 +52,7 @@
 	return c.mayHaveRun || c.probeRound.rounds == 0 && !c.service.isBusy(r.now)
 }
 
-// isFresh tells whether the target's last reading is as good as a new one.
-func (t *target) isFresh(now units.Instant) bool {
-	return t.reading.Known && now.Sub(t.reading.at) <= freshReading
+// hasFreshReading tells whether the target's last reading is as good as a new one.
+func (t *target) hasFreshReading(now units.Instant) bool {
+	return t.reading.Known && now.Sub(t.reading.at) <= freshReadingAge
 }
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -220,7 +220,7 @@
 // its part of the weights. The second keeps to the weights where targets are much
 // alike, the first leaves them where one of them isn't well.
 func (t *target) cost(now units.Instant, x *route) float64 {
-	if t.row.Registered && t.service.unreported < unreportedLimit {
+	if t.row.Registered && t.service.unreported < maxUnreported {
 		return t.expectedTime(now, x)
 	}
 	queue := float64(t.inFlight) + t.reading.estimate(now, t.inFlight)
