--- a/pkg/core/box/box.go
+++ b/pkg/core/box/box.go
@@ -75,7 +75,7 @@
 		e.Subscription.Exposures = nil
 	}
 	if x := e.Subscription.Watched; x != nil {
-		b.router.Reduce(now, &routing.WatchedChanged{Term: x.Term, Noted: x.Noted, Calls: x.Calls}, &e.Routing)
+		b.router.Reduce(now, &routing.WatchedCallsChanged{Term: x.Term, Acknowledged: x.Noted, Calls: x.Calls}, &e.Routing)
 		e.Subscription.Watched = nil
 	}
 	if e.Subscription.LeaseChanged {
@@ -92,7 +92,7 @@
 		if x := m.GetRenewRequest(); x != nil {
 			x.Evidence = wire.FromEvidence(b.router.TakeEvidence())
 			x.CrashNotes = wire.FromCrashNotes(b.router.CrashNotes(), now)
-			x.Refused = wire.FromFingerprints(b.router.TakeRefused())
+			x.Refused = wire.FromFingerprints(b.router.DrainRefused())
 			x.Uses = wire.FromQuotaUses(b.router.TakeQuotaUses(now))
 		}
 	}
--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -45,7 +45,7 @@
 	}
 	c.bind(v.Host, v.Path)
 	c.requestedDeadline = v.Deadline
-	if !r.waitsForCanary(id, c, e) {
+	if !r.holdForCanary(id, c, e) {
 		r.admitAfterCanary(id, c, e)
 	}
 }
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -183,16 +183,16 @@
 	r.noteResult(c, t, v.Result, took, t.health.ejected && !wasEjected, e)
 	switch {
 	case v.Result == Broken:
-		r.noteBroken(c, a, e)
+		r.recordBrokenCall(c, a, e)
 	case v.Refused:
-		r.noteConnectionRefused(t, e)
+		r.recordConnectionRefused(t, e)
 	case v.Result == Answered || v.Result == Failed:
-		r.noteAnswered(c, e)
-		r.clearAnswered(c, e)
+		r.recordWatchedAnswer(c, e)
+		r.clearSuspicion(c, e)
 	}
 	if v.Result == Answered || v.Result == Failed || v.Result == Shed {
 		t.noteAnswer(r.now, a)
-		t.noteAlive(r.now)
+		t.recordAlive(r.now)
 	}
 	r.release(c, a, e)
 	if c.streaming {
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -115,7 +115,7 @@
 	// kept is a failed answer that the caller gets when nothing better comes.
 	kept keptAnswer
 	// trial is the one that lets a call in quarantine through once; its number is zero for others.
-	trial trial
+	trial quarantineTrial
 	// onNewVersion is set while the call is chosen to go to a rollout's new version.
 	onNewVersion bool
 	// streaming is set once the head of an answer has been passed on.
@@ -254,7 +254,7 @@
 			r.freed = append(r.freed, t.target.service)
 			continue
 		case crashTimer:
-			r.crashTimePassed(t.target, e)
+			r.crashTimerFired(t.target, e)
 			continue
 		}
 		if c := r.calls.Get(t.call); c != nil {
@@ -278,7 +278,7 @@
 	case silenceTimer:
 		r.checkSilence(t.call, c, e)
 	case canaryTimer:
-		r.canaryTimePassed(t.call, c, e)
+		r.canaryTimerFired(t.call, c, e)
 	case firstTableTimer:
 		r.refuseEarly(t.call, c, e)
 	case probeTimer:
--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -174,8 +174,8 @@
 	})
 }
 
-func (f *canaryFleet) granted(noted uint64) *WatchedChanged {
-	v := &WatchedChanged{Term: 1, Noted: noted}
+func (f *canaryFleet) granted(noted uint64) *WatchedCallsChanged {
+	v := &WatchedCallsChanged{Term: 1, Acknowledged: noted}
 	for _, x := range f.blamed {
 		v.Calls = append(v.Calls, crash.Watched{Call: x, Quarantined: true})
 	}
@@ -354,7 +354,7 @@
 	}
 	for _, r := range f.routers {
 		r.calls.Each(func(_ CallID, c *call) {
-			if c.awaitsCanaryTurn && f.now.Sub(c.arrived) > canaryWait+canaryPause {
+			if c.awaitsCanaryTurn && f.now.Sub(c.arrived) > maxCanaryWait+canaryPollInterval {
 				t.Errorf("a call has waited for %s", f.now.Sub(c.arrived))
 			}
 		})
@@ -376,7 +376,7 @@
 	if n.answered*50 < n.calls*49 || n.late*50 > n.calls || n.blamed > 0 {
 		t.Errorf("of %d calls %d were answered, %d late, %d refused as quarantined", n.calls, n.answered, n.late, n.blamed)
 	}
-	if f.told > canaryBoxes*(tellBurst+9*tellRate) {
+	if f.told > canaryBoxes*(broadcastBurst+9*broadcastRate) {
 		t.Errorf("boxes sent each other %d messages", f.told)
 	}
 }
--- a/pkg/core/routing/crash.go
+++ b/pkg/core/routing/crash.go
@@ -17,16 +17,16 @@
 	// crashWindow is how long after its calls broke off a target's host may first refuse a
 	// connection: the way there and back, and a box that is late. Targets take longer to start.
 	crashWindow = 500 * time.Millisecond
-	// crashCheckPause is the time between two checks of a target whose calls broke off: a
+	// crashCheckInterval is the time between two checks of a target whose calls broke off: a
 	// round trip within a region, so that two or three fit into the time in which a call is sent again.
-	crashCheckPause = 20 * time.Millisecond
+	crashCheckInterval = 20 * time.Millisecond
 	// maxSuspects bounds the calls of this box that one crash is put down to. Few targets work
 	// on as many, and the report of a crash stays below some 300 bytes.
 	maxSuspects = 16
 )
 
-// crashCheck is the number of a probe that checks whether a target is still there.
-const crashCheck AttemptNumber = 1
+// crashProbeNumber is the number of a probe that checks whether a target is still there.
+const crashProbeNumber AttemptNumber = 1
 
 // brokenCall is a call that broke off at a target.
 type brokenCall struct {
@@ -34,8 +34,8 @@
 	sent, at    units.Instant
 }
 
-// crashWatch is what a box holds against a target until it knows whether the target crashed.
-type crashWatch struct {
+// crashEvidence is what a box holds against a target until it knows whether the target crashed.
+type crashEvidence struct {
 	broken []brokenCall
 	// checking is set while a probe is under way that checks the target, or one is due.
 	checking bool
@@ -43,67 +43,67 @@
 	refusedAt units.Instant
 }
 
-// noteBroken takes a call that broke off. Targets that are about to end as planned, or are gone,
+// recordBrokenCall takes a call that broke off. Targets that are about to end as planned, or are gone,
 // are left out: what breaks off there says nothing of the call.
-func (r *Router) noteBroken(c *call, a *attempt, e *Effects) {
+func (r *Router) recordBrokenCall(c *call, a *attempt, e *Effects) {
 	t := a.target
 	if !r.enabled(CrashSuspects) || c.identity == nil || !t.inTable() || t.notice.isLeaving() {
 		return
 	}
 	w := &t.crash
-	w.dropOld(r.now)
+	w.dropExpired(r.now)
 	if len(w.broken) < maxSuspects {
 		w.broken = append(w.broken, brokenCall{fingerprint: crash.FingerprintOf(c.identity), sent: a.sent, at: r.now})
 	}
 	if !w.checking {
-		r.checkCrash(t, e)
+		r.probeForCrash(t, e)
 	}
 }
 
-// dropOld forgets the calls that broke off too long ago to belong to a crash that shows now.
-func (w *crashWatch) dropOld(now units.Instant) {
+// dropExpired forgets the calls that broke off too long ago to belong to a crash that shows now.
+func (w *crashEvidence) dropExpired(now units.Instant) {
 	w.broken = slices.DeleteFunc(w.broken, func(b brokenCall) bool { return now.Sub(b.at) > crashWindow })
 	if len(w.broken) == 0 {
 		w.refusedAt = 0
 	}
 }
 
-// checkCrash probes a target whose calls broke off. The probe draws on the measuring budget, but
+// probeForCrash probes a target whose calls broke off. The probe draws on the measuring budget, but
 // doesn't wait for it: while many targets are down it is spent, and a crash that isn't seen
 // leaves its cause at large.
-func (r *Router) checkCrash(t *target, e *Effects) {
+func (r *Router) probeForCrash(t *target, e *Effects) {
 	if r.probeBudgetRate(t.service) <= 0 || t.notice.forbids(r.now) || t.lacksPermit(r.now) {
 		t.crash.checking = false
 		return
 	}
 	t.crash.checking = true
 	if !r.leased() {
-		r.checkCrashLater(t)
+		r.scheduleCrashProbe(t)
 		return
 	}
 	t.service.probeBudget.owe(1)
 	e.add(Effect{
-		Kind: Probe, PermitUntil: r.usePermit(t), Attempt: crashCheck, Endpoint: t.endpoint, NotAfter: r.notAfterOf(t), Connections: t.connections,
+		Kind: Probe, PermitUntil: r.usePermit(t), Attempt: crashProbeNumber, Endpoint: t.endpoint, NotAfter: r.notAfterOf(t), Connections: t.connections,
 		ProbePath: t.service.row.ProbePath,
 	})
 }
 
-func (r *Router) checkCrashLater(t *target) {
-	r.timers.Push(timer{at: r.now.Add(crashCheckPause), kind: crashTimer, target: t})
+func (r *Router) scheduleCrashProbe(t *target) {
+	r.timers.Push(timer{at: r.now.Add(crashCheckInterval), kind: crashTimer, target: t})
 }
 
-// crashTimePassed checks a target again, unless it is known by now what became of it.
-func (r *Router) crashTimePassed(t *target, e *Effects) {
-	t.crash.dropOld(r.now)
+// crashTimerFired checks a target again, unless it is known by now what became of it.
+func (r *Router) crashTimerFired(t *target, e *Effects) {
+	t.crash.dropExpired(r.now)
 	if len(t.crash.broken) == 0 || t.gone {
-		t.crash = crashWatch{}
+		t.crash = crashEvidence{}
 		return
 	}
-	r.checkCrash(t, e)
+	r.probeForCrash(t, e)
 }
 
-// crashChecked takes the end of a check. A target that answers, whatever it says, hasn't crashed.
-func (r *Router) crashChecked(t *target, v *ProbeEnded) {
+// crashProbeEnded takes the end of a check. A target that answers, whatever it says, hasn't crashed.
+func (r *Router) crashProbeEnded(t *target, v *ProbeEnded) {
 	if t != nil && v.Refused {
 		// No process was there that the probe could have cost anything.
 		t.service.probeBudget.owe(-1)
@@ -111,30 +111,30 @@
 	switch {
 	case t == nil:
 	case v.Answered || len(t.crash.broken) == 0:
-		t.crash = crashWatch{}
+		t.crash = crashEvidence{}
 	default:
-		r.checkCrashLater(t)
+		r.scheduleCrashProbe(t)
 	}
 }
 
-// noteConnectionRefused takes a host's refusal of a connection. One alone may come from a target
+// recordConnectionRefused takes a host's refusal of a connection. One alone may come from a target
 // that is full; after a second one, a moment later and with no answer between, the target crashed.
-func (r *Router) noteConnectionRefused(t *target, e *Effects) {
+func (r *Router) recordConnectionRefused(t *target, e *Effects) {
 	w := &t.crash
-	w.dropOld(r.now)
+	w.dropExpired(r.now)
 	switch {
 	case len(w.broken) == 0:
 	case w.refusedAt == 0:
 		w.refusedAt = r.now
-	case r.now.Sub(w.refusedAt) >= crashCheckPause:
-		r.noteCrash(t, e)
+	case r.now.Sub(w.refusedAt) >= crashCheckInterval:
+		r.recordCrash(t, e)
 	}
 }
 
-// noteCrash notes that a target has crashed under the calls that broke off there.
-func (r *Router) noteCrash(t *target, e *Effects) {
+// recordCrash notes that a target has crashed under the calls that broke off there.
+func (r *Router) recordCrash(t *target, e *Effects) {
 	broken := t.crash.broken
-	t.crash = crashWatch{}
+	t.crash = crashEvidence{}
 	if !t.inTable() {
 		return
 	}
@@ -146,17 +146,17 @@
 	r.crashes.ledger.Take(n)
 	t.service.crashes++
 	e.add(Effect{Kind: TargetCrashed, Endpoint: t.endpoint, Crash: &n})
-	r.judgeAlone(e)
-	r.watchOwnSuspects()
+	r.judgeLocally(e)
+	r.watchLocalSuspects()
 	r.suspectCrashed(&n, e)
-	r.sendNotesSoon()
+	r.requestNotesSend()
 }
 
-// noteAlive takes an answer of a target, whatever it says. One that was on its way when the
+// recordAlive takes an answer of a target, whatever it says. One that was on its way when the
 // target crashed says nothing.
-func (t *target) noteAlive(now units.Instant) {
+func (t *target) recordAlive(now units.Instant) {
 	w := &t.crash
-	if n := len(w.broken); n > 0 && now.Sub(w.broken[n-1].at) >= crashCheckPause {
-		*w = crashWatch{}
+	if n := len(w.broken); n > 0 && now.Sub(w.broken[n-1].at) >= crashCheckInterval {
+		*w = crashEvidence{}
 	}
 }
--- a/pkg/core/routing/crashnotes.go
+++ b/pkg/core/routing/crashnotes.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// keptNotes bounds the notes that a box keeps for the next leader: a leader that has just
+	// maxKeptNotes bounds the notes that a box keeps for the next leader: a leader that has just
 	// been elected knows none. Some 100 bytes each.
-	keptNotes = 64
-	// sentNotes bounds the notes of one request for a lease, 3 KB.
-	sentNotes = 32
-	// notesPause is the time between two requests for a lease that notes bring about. A box
+	maxKeptNotes = 64
+	// maxNotesPerRequest bounds the notes of one request for a lease, 3 KB.
+	maxNotesPerRequest = 32
+	// minUrgentRequestInterval is the time between two requests for a lease that notes bring about. A box
 	// whose calls break off at many targets must not crowd the leader.
-	notesPause = 20 * time.Millisecond
+	minUrgentRequestInterval = 20 * time.Millisecond
 )
 
 // crashNotes are a box's notes, of which the leader has those up to taken.
 type crashNotes struct {
-	list   []crash.Note
-	number uint64
-	term   units.Term
-	taken  uint64
-	// urgentAt is when notes last brought about a request.
-	urgentAt units.Instant
+	list         []crash.Note
+	lastNumber   uint64
+	term         units.Term
+	acknowledged uint64
+	// lastUrgentAt is when notes last brought about a request.
+	lastUrgentAt units.Instant
 }
 
 // add numbers and keeps a note.
 func (x *crashNotes) add(n crash.Note) crash.Note {
-	x.number++
-	n.Number = x.number
-	if len(x.list) >= keptNotes {
+	x.lastNumber++
+	n.Number = x.lastNumber
+	if len(x.list) >= maxKeptNotes {
 		x.list = append(x.list[:0], x.list[1:]...)
 	}
 	x.list = append(x.list, n)
@@ -43,30 +43,30 @@
 func (x *crashNotes) acknowledge(term units.Term, noted uint64) {
 	if term != x.term {
 		x.term = term
-		x.taken = 0
+		x.acknowledged = 0
 	}
-	x.taken = max(x.taken, noted)
+	x.acknowledged = max(x.acknowledged, noted)
 }
 
-// missing are notes that the leader doesn't have.
-func (x *crashNotes) missing() []crash.Note {
+// unacknowledged are notes that the leader doesn't have.
+func (x *crashNotes) unacknowledged() []crash.Note {
 	for i, n := range x.list {
-		if n.Number > x.taken {
-			return x.list[i:min(len(x.list), i+sentNotes)]
+		if n.Number > x.acknowledged {
+			return x.list[i:min(len(x.list), i+maxNotesPerRequest)]
 		}
 	}
 	return nil
 }
 
 // CrashNotes returns notes that the leader may not have.
-func (r *Router) CrashNotes() []crash.Note { return r.crashes.notes.missing() }
+func (r *Router) CrashNotes() []crash.Note { return r.crashes.notes.unacknowledged() }
 
-// sendNotesSoon has the leader told at once: each further crash costs a target.
-func (r *Router) sendNotesSoon() {
+// requestNotesSend has the leader told at once: each further crash costs a target.
+func (r *Router) requestNotesSend() {
 	x := &r.crashes.notes
-	if x.urgentAt != 0 && r.now.Sub(x.urgentAt) < notesPause {
+	if x.lastUrgentAt != 0 && r.now.Sub(x.lastUrgentAt) < minUrgentRequestInterval {
 		return
 	}
-	x.urgentAt = r.now
+	x.lastUrgentAt = r.now
 	r.evidenceDue = true
 }
--- a/pkg/core/routing/evidence.go
+++ b/pkg/core/routing/evidence.go
@@ -76,7 +76,7 @@
 		if v.isNew(t) {
 			r.noteNewAnswer(v, false, e)
 		}
-	case result == Broken && !r.mayRepeat(c):
+	case result == Broken && !r.mayResend(c):
 		// A suspect breaks off whatever the version.
 	case result == Failed || result == Broken || ejected && result == NotSent:
 		r.noteBad(v, c, t, e)
--- a/pkg/core/routing/hedging.go
+++ b/pkg/core/routing/hedging.go
@@ -50,7 +50,7 @@
 // tryHedge hedges a call now if it can be.
 func (r *Router) tryHedge(id CallID, c *call, e *Effects) bool {
 	s := c.service
-	if r.isBehindHeld(s, c) || !r.leased() || !r.mayRepeat(c) {
+	if r.isBehindHeld(s, c) || !r.leased() || !r.mayResend(c) {
 		return false
 	}
 	t := r.choose(s, c)
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -51,10 +51,10 @@
 	r.hear(v.Target, v.Reading, v.Misdirected, unknownLimitVersion, e)
 	t := r.findTarget(v.Target)
 	if t != nil && v.Refused {
-		r.noteConnectionRefused(t, e)
+		r.recordConnectionRefused(t, e)
 	}
-	if v.Call == 0 && v.Attempt == crashCheck {
-		r.crashChecked(t, v)
+	if v.Call == 0 && v.Attempt == crashProbeNumber {
+		r.crashProbeEnded(t, v)
 		return
 	}
 	if v.Call != 0 {
--- a/pkg/core/routing/retrying.go
+++ b/pkg/core/routing/retrying.go
@@ -9,7 +9,7 @@
 // retry sends a call again to another target, if the budget allows it. A retry is free
 // when nothing of the call can have arrived anywhere.
 func (r *Router) retry(id CallID, c *call, free bool, e *Effects) bool {
-	if !r.enabled(Retrying) || c.attemptsExhausted() || !r.leased() || r.isBehindHeld(c.service, c) || !r.mayRepeat(c) {
+	if !r.enabled(Retrying) || c.attemptsExhausted() || !r.leased() || r.isBehindHeld(c.service, c) || !r.mayResend(c) {
 		return false
 	}
 	t := r.choose(c.service, c)
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -128,7 +128,7 @@
 	exposures []rollout.Exposure
 	// evidenceDue is set when evidence is to be sent at once.
 	evidenceDue bool
-	crashes     crashBook
+	crashes     crashState
 	notices     noticeBook
 	permits     PermitStatus
 	quotas      quotaBook
@@ -173,7 +173,7 @@
 		startedAt:   now,
 		off:         off,
 		sweepAt:     now,
-		crashes:     newCrashBook(),
+		crashes:     newCrashState(),
 		notices:     noticeBook{},
 		quotas:      newQuotaBook(),
 	}, nil
@@ -207,8 +207,8 @@
 		r.leaseUntil, r.leasedAt = v.Until, v.At
 	case *ExposuresChanged:
 		r.takeExposures(v.Exposures, e)
-	case *WatchedChanged:
-		r.takeWatched(v, e)
+	case *WatchedCallsChanged:
+		r.applyWatched(v, e)
 	case *ProbeEnded:
 		r.probeEnded(v, e)
 	case *PeerMessage:
@@ -218,7 +218,7 @@
 	case *PeerQuota:
 		r.receiveQuota(v.From, &v.Message, e)
 	case *PeerCanary:
-		r.receiveCanary(v.From, &v.Message, e)
+		r.receiveCanaryMessage(v.From, &v.Message, e)
 	}
 	r.admitEarly(e)
 	r.settleDeclined(e)
@@ -253,7 +253,7 @@
 		r.sweepAt = min(r.sweepAt, s.sweepAt)
 	}
 	r.sweepLoans(e)
-	r.ageQuarantines(e)
+	r.expireQuarantines(e)
 	r.ageNotices()
 	if r.quotas.any() {
 		r.sweepQuotas(e)
@@ -329,7 +329,7 @@
 		return
 	}
 	r.explainClosed(c, &refusal)
-	r.unuseTrial(c)
+	r.returnTrial(c)
 	e.add(Effect{Kind: Refuse, Call: id, Owner: c.owner, Refusal: refusal, Workspace: c.workspaceName()})
 	r.refusals[refusal.Reason]++
 	if c.service != nil {
--- a/pkg/core/routing/script_crash_test.go
+++ b/pkg/core/routing/script_crash_test.go
@@ -32,14 +32,14 @@
 func (s *script) checked(d *datadriven.TestData) {
 	how := s.word(d, "how")
 	s.give(&ProbeEnded{
-		Target: s.probes[d.CmdArgs[0].Key], Attempt: crashCheck, Refused: how == "refused", Answered: how == "answered",
+		Target: s.probes[d.CmdArgs[0].Key], Attempt: crashProbeNumber, Refused: how == "refused", Answered: how == "answered",
 		Unreachable: how != "answered",
 	})
 }
 
 // watched [term=N] [noted=N] CALL=suspect|quarantined|trial-N... is what a grant says of calls.
 func (s *script) watched(d *datadriven.TestData) {
-	v := &WatchedChanged{}
+	v := &WatchedCallsChanged{}
 	for _, a := range d.CmdArgs {
 		how := a.Vals[0]
 		number, _ := strconv.Atoi(how[strings.LastIndex(how, "-")+1:])
@@ -47,7 +47,7 @@
 		case "term":
 			v.Term = units.Term(number)
 		case "noted":
-			v.Noted = uint64(number)
+			v.Acknowledged = uint64(number)
 		default:
 			v.Calls = append(v.Calls, crash.Watched{
 				Call: crash.FingerprintOf(likeness(a.Key)), Quarantined: how != "suspect", Trial: number,
@@ -69,7 +69,7 @@
 		}
 		lines = append(lines, fmt.Sprintf("#%d %s %s", n.Number, what, describeSuspects(&n)))
 	}
-	for _, f := range s.router.TakeRefused() {
+	for _, f := range s.router.DrainRefused() {
 		lines = append(lines, fmt.Sprintf("refused %.8s", f))
 	}
 	if len(lines) == 0 {
@@ -83,7 +83,7 @@
 	t.Quarantines = append(t.Quarantines, table.Quarantine{Call: crash.FingerprintOf(likeness(words[0])), Since: t.Revision})
 }
 
-var canaryWords = map[CanaryKind]string{SuspectCalls: "suspect", ClearCall: "clear", AskCanary: "ask", SendCanary: "send"}
+var canaryWords = map[CanaryKind]string{SuspectCalls: "suspect", ClearCall: "clear", RequestCanary: "ask", GrantCanary: "send"}
 
 func describeCanary(m *CanaryMessage) string {
 	var calls []string
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -138,7 +138,7 @@
 		return fmt.Sprintf("cancel %s #%d at %s", name, x.Attempt, x.Endpoint.Target)
 	case Probe:
 		s.probes[string(x.Endpoint.Target)] = x.Endpoint
-		if x.Attempt == crashCheck && x.Call == 0 {
+		if x.Attempt == crashProbeNumber && x.Call == 0 {
 			return "check " + string(x.Endpoint.Target)
 		}
 		if x.Call == 0 {
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -40,7 +40,7 @@
 		}
 	}
 	if quarantinesChanged {
-		r.applyQuarantines(e)
+		r.enforceQuarantines(e)
 	}
 	if boxesChanged {
 		r.reviewCoordination(e)
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -73,7 +73,7 @@
 	evacuated bool
 	side      side
 	cold      coldness
-	crash     crashWatch
+	crash     crashEvidence
 	// coordination says which box permits calls to the target while it names a limit.
 	coordination coordination
 	// notice is what the target's start has told this box; nil for nothing that is in force.
