--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -43,7 +43,7 @@
 		r.refuse(id, c, Refusal{Reason: Stopping, Outcome: NotRun, RetryAfter: stoppingRetryAfter}, e)
 		return
 	}
-	c.bind(v.Host, v.Path)
+	c.bindRoute(v.Host, v.Path)
 	c.requestedDeadline = v.Deadline
 	if !r.holdForCanary(id, c, e) {
 		r.admitAfterCanary(id, c, e)
@@ -175,7 +175,7 @@
 		until = min(until, c.waitEnd(s))
 	}
 	if reason := r.reasonNotToHold(s, c, until); reason != 0 {
-		r.refuse(id, c, Refusal{Reason: reason, Outcome: c.outcome(), RetryAfter: s.retryAfterOf(reason, r.now)}, e)
+		r.refuse(id, c, Refusal{Reason: reason, Outcome: c.outcome(), RetryAfter: s.retryAfterFor(reason, r.now)}, e)
 		return
 	}
 	c.held = true
@@ -188,7 +188,7 @@
 }
 
 func (r *Router) reasonNotToHold(s *service, c *call, until units.Instant) Reason {
-	if s.isBarred(c) {
+	if s.isExcludedByRegion(c) {
 		return RegionNotAllowed
 	}
 	if s.held.length >= s.row.HoldCount {
--- a/pkg/core/routing/bench_test.go
+++ b/pkg/core/routing/bench_test.go
@@ -105,7 +105,7 @@
 		next.Quarantines = append(next.Quarantines, table.Quarantine{Call: crash.Fingerprint{Head: i, Body: 1, Caller: 1}})
 	}
 	r.Reduce(now, &TableChanged{Table: &next}, &e)
-	arrived := &CallArrived{Owner: r, Host: []byte("s0"), Path: []byte("/"), Identity: likeness("GET shop.example /orders/2026/10045?page=3&sort=new")}
+	arrived := &CallArrived{Owner: r, Host: []byte("s0"), Path: []byte("/"), Identity: wordIdentity("GET shop.example /orders/2026/10045?page=3&sort=new")}
 	benchCalls(b, r, now, arrived)
 }
 
--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -21,12 +21,12 @@
 	targets map[units.TargetID]*canaryTarget
 	ledger  *crash.Ledger
 	blamed  []crash.Fingerprint
-	// lost counts the targets that ended under the request.
-	lost int
-	// silent is a box that neither hears nor says anything to others; told counts the messages between boxes.
-	silent units.BoxID
-	told   int
-	well   map[string]*canaryCount
+	// crashed counts the targets that ended under the request.
+	crashed int
+	// isolated is a box that neither hears nor says anything to others; told counts the messages between boxes.
+	isolated units.BoxID
+	messages int
+	counts   map[string]*canaryCount
 }
 
 // canaryCount counts the calls of a request.
@@ -47,44 +47,44 @@
 	ended  *bool
 }
 
-// request identifies a call by what is asked for and who asks.
-type request struct {
-	what   string
-	caller uint64
+// canaryRequest identifies a call by what is asked for and who asks.
+type canaryRequest struct {
+	content string
+	caller  uint64
 }
 
-func (q request) Head() uint64   { return crash.Digest([]byte(q.what)) }
-func (q request) Body() uint64   { return 0 }
-func (q request) Caller() uint64 { return q.caller + 1 }
+func (q canaryRequest) Head() uint64   { return crash.Digest([]byte(q.content)) }
+func (q canaryRequest) Body() uint64   { return 0 }
+func (q canaryRequest) Caller() uint64 { return q.caller + 1 }
 
 // canaryCaller is one caller's call; it comes back when it is refused or broken off.
 type canaryCaller struct {
-	request request
+	request canaryRequest
 	at      units.Instant
 	tries   int
 }
 
 const (
-	deadly  = "deadly"
-	popular = "popular"
-	other   = "other"
+	crashingRequest = "deadly"
+	popularRequest  = "popular"
+	uniqueRequest   = "other"
 
 	canaryBoxes, canaryTargets = 18, 10
 
-	runsDeadly = 100 * time.Millisecond
-	runsWell   = 60 * time.Millisecond
-	restarts   = 3 * time.Second
-	lateAnswer = 400 * time.Millisecond
-	noteTravel = 8 * time.Millisecond
-	toldTravel = 15 * time.Millisecond
-	peerTravel = 2 * time.Millisecond
+	crashDelay  = 100 * time.Millisecond
+	workTime    = 60 * time.Millisecond
+	restartTime = 3 * time.Second
+	lateAnswer  = 400 * time.Millisecond
+	noteDelay   = 8 * time.Millisecond
+	grantDelay  = 15 * time.Millisecond
+	peerDelay   = 2 * time.Millisecond
 )
 
 func newCanaryFleet(t *testing.T, seed uint64, off ...Mechanism) *canaryFleet {
 	t.Helper()
 	f := &canaryFleet{
 		timeline: newTimeline(units.Instant(time.Minute)), random: rand.New(rand.NewPCG(seed, 7)), targets: map[units.TargetID]*canaryTarget{},
-		ledger: crash.NewLedger(crash.Enough), well: map[string]*canaryCount{deadly: {}, popular: {}, other: {}},
+		ledger: crash.NewLedger(crash.Enough), counts: map[string]*canaryCount{crashingRequest: {}, popularRequest: {}, uniqueRequest: {}},
 	}
 	x := f.newTable()
 	for i := range f.boxes {
@@ -95,13 +95,13 @@
 			t.Fatal(err)
 		}
 		f.routers = append(f.routers, r)
-		f.give(r, &TableChanged{Table: x})
-		f.give(r, &LeaseChanged{Until: f.now.Add(time.Hour), At: f.now})
+		f.reduce(r, &TableChanged{Table: x})
+		f.reduce(r, &LeaseChanged{Until: f.now.Add(time.Hour), At: f.now})
 	}
 	f.every(time.Millisecond, func() {
 		for _, r := range f.routers {
 			if r.NextWake() <= f.now {
-				f.give(r, &Tick{})
+				f.reduce(r, &Tick{})
 			}
 		}
 	})
@@ -133,8 +133,8 @@
 	return x
 }
 
-// give gives a router an event, and the leader what it notes.
-func (f *canaryFleet) give(r *Router, event Event) {
+// reduce gives a router an event, and the leader what it notes.
+func (f *canaryFleet) reduce(r *Router, event Event) {
 	var e Effects
 	r.Reduce(f.now, event, &e)
 	for _, x := range e.List {
@@ -142,11 +142,11 @@
 	}
 	if r.EvidenceDue() {
 		notes := r.CrashNotes()
-		f.after(noteTravel, func() { f.takeNotes(r, notes) })
+		f.after(noteDelay, func() { f.receiveNotes(r, notes) })
 	}
 }
 
-func (f *canaryFleet) takeNotes(r *Router, notes []crash.Note) {
+func (f *canaryFleet) receiveNotes(r *Router, notes []crash.Note) {
 	for _, n := range notes {
 		n.Box, n.Start = r.settings.Box, 1
 		f.ledger.Take(n)
@@ -154,7 +154,7 @@
 	f.judge()
 	if len(notes) > 0 {
 		last := notes[len(notes)-1].Number
-		f.after(toldTravel, func() { f.give(r, f.granted(last)) })
+		f.after(grantDelay, func() { f.reduce(r, f.grant(last)) })
 	}
 }
 
@@ -167,14 +167,14 @@
 	if len(verdicts) == 0 {
 		return
 	}
-	f.after(toldTravel, func() {
+	f.after(grantDelay, func() {
 		for _, r := range f.routers {
-			f.give(r, f.granted(0))
+			f.reduce(r, f.grant(0))
 		}
 	})
 }
 
-func (f *canaryFleet) granted(noted uint64) *WatchedCallsChanged {
+func (f *canaryFleet) grant(noted uint64) *WatchedCallsChanged {
 	v := &WatchedCallsChanged{Term: 1, Acknowledged: noted}
 	for _, x := range f.blamed {
 		v.Calls = append(v.Calls, crash.Watched{Call: x, Quarantined: true})
@@ -193,7 +193,7 @@
 		f.probe(r, x)
 	case Deliver:
 		c := x.Owner.(*canaryCaller)
-		n := f.well[c.request.what]
+		n := f.counts[c.request.content]
 		n.answered++
 		if f.now.Sub(c.at) > lateAnswer {
 			n.late++
@@ -201,15 +201,15 @@
 	case Refuse:
 		f.refused(x)
 	case SendCanaryMessage:
-		f.told++
-		if x.Peer == f.silent || r.settings.Box == f.silent {
+		f.messages++
+		if x.Peer == f.isolated || r.settings.Box == f.isolated {
 			return
 		}
 		m := *x.Canary
-		f.after(peerTravel, func() {
+		f.after(peerDelay, func() {
 			for _, o := range f.routers {
 				if o.settings.Box == x.Peer {
-					f.give(o, &PeerCanary{From: r.settings.Box, Message: m})
+					f.reduce(o, &PeerCanary{From: r.settings.Box, Message: m})
 				}
 			}
 		})
@@ -220,7 +220,7 @@
 func (f *canaryFleet) refused(x Effect) {
 	c := x.Owner.(*canaryCaller)
 	if x.Refusal.Reason == Quarantined {
-		f.well[c.request.what].blamed++
+		f.counts[c.request.content].blamed++
 		return
 	}
 	if c.tries++; c.tries < 3 {
@@ -232,37 +232,37 @@
 	t := f.targets[x.Endpoint.Target]
 	if f.now < t.downUntil {
 		f.after(time.Millisecond, func() {
-			f.give(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Endpoint: x.Endpoint, Result: NotSent, Refused: true})
+			f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Endpoint: x.Endpoint, Result: NotSent, Refused: true})
 		})
 		return
 	}
 	ended := false
 	t.running = append(t.running, canaryRun{router: r, send: x, ended: &ended})
-	if x.Owner.(*canaryCaller).request.what == deadly {
-		f.after(runsDeadly, func() {
+	if x.Owner.(*canaryCaller).request.content == crashingRequest {
+		f.after(crashDelay, func() {
 			if !ended {
-				f.lost++
-				f.end(t)
+				f.crashed++
+				f.crash(t)
 			}
 		})
 		return
 	}
-	f.after(runsWell, func() {
+	f.after(workTime, func() {
 		if !ended {
 			ended = true
-			f.give(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Endpoint: x.Endpoint, Result: Answered, Reading: f.reading(t)})
+			f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Endpoint: x.Endpoint, Result: Answered, Reading: f.reading(t)})
 		}
 	})
 }
 
-// end ends a target's process: what it runs breaks off.
-func (f *canaryFleet) end(t *canaryTarget) {
+// crash ends a target's process: what it runs breaks off.
+func (f *canaryFleet) crash(t *canaryTarget) {
 	running := t.running
-	t.running, t.downUntil = nil, f.now.Add(restarts)
+	t.running, t.downUntil = nil, f.now.Add(restartTime)
 	for _, x := range running {
 		if !*x.ended {
 			*x.ended = true
-			f.give(x.router, &AttemptEnded{Call: x.send.Call, Attempt: x.send.Attempt, Endpoint: x.send.Endpoint, Result: Broken})
+			f.reduce(x.router, &AttemptEnded{Call: x.send.Call, Attempt: x.send.Attempt, Endpoint: x.send.Endpoint, Result: Broken})
 		}
 	}
 }
@@ -271,7 +271,7 @@
 	f.after(time.Millisecond, func() {
 		t := f.targets[x.Endpoint.Target]
 		down := f.now < t.downUntil
-		f.give(r, &ProbeEnded{
+		f.reduce(r, &ProbeEnded{
 			Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Healthy: !down, Unreachable: down, Refused: down, Answered: !down, Reading: f.reading(t),
 		})
 	})
@@ -293,8 +293,8 @@
 		if f.now > until {
 			return
 		}
-		q := request{what: what, caller: f.random.Uint64() >> 1}
-		f.well[what].calls++
+		q := canaryRequest{content: what, caller: f.random.Uint64() >> 1}
+		f.counts[what].calls++
 		f.arrive(&canaryCaller{request: q, at: f.now})
 		f.call(what, perSecond, until)
 	})
@@ -303,19 +303,19 @@
 func (f *canaryFleet) arrive(c *canaryCaller) {
 	r := f.routers[f.random.IntN(len(f.routers))]
 	identity := c.request
-	if identity.what == other {
-		identity.what = fmt.Sprint(other, identity.caller)
+	if identity.content == uniqueRequest {
+		identity.content = fmt.Sprint(uniqueRequest, identity.caller)
 	}
-	f.give(r, &CallArrived{Owner: c, Host: []byte("s"), Path: []byte("/"), Deadline: 2 * time.Second, Identity: identity})
+	f.reduce(r, &CallArrived{Owner: c, Host: []byte("s"), Path: []byte("/"), Deadline: 2 * time.Second, Identity: identity})
 }
 
-// play has all requests come for some seconds.
-func (f *canaryFleet) play(deadlyPerSecond float64) {
+// runLoad has all requests come for some seconds.
+func (f *canaryFleet) runLoad(deadlyPerSecond float64) {
 	until := f.now.Add(8 * time.Second)
-	f.call(other, 120, until)
-	f.call(popular, 60, until)
+	f.call(uniqueRequest, 120, until)
+	f.call(popularRequest, 60, until)
 	f.run(time.Second)
-	f.call(deadly, deadlyPerSecond, until)
+	f.call(crashingRequest, deadlyPerSecond, until)
 	f.run(9 * time.Second)
 }
 
@@ -326,12 +326,12 @@
 	total, without := 0, 0
 	for seed := range uint64(seeds) {
 		with, plain := newCanaryFleet(t, seed), newCanaryFleet(t, seed, Canaries)
-		with.play(4)
-		plain.play(4)
-		t.Logf("seed %d: %d targets ended, %d without canaries; popular %+v, %+v without", seed, with.lost, plain.lost, *with.well[popular], *plain.well[popular])
-		total += with.lost
-		without += plain.lost
-		if n := with.well[popular]; n.blamed > 0 || n.late*50 > n.calls || n.answered*50 < n.calls*49 {
+		with.runLoad(4)
+		plain.runLoad(4)
+		t.Logf("seed %d: %d targets ended, %d without canaries; popular %+v, %+v without", seed, with.crashed, plain.crashed, *with.counts[popularRequest], *plain.counts[popularRequest])
+		total += with.crashed
+		without += plain.crashed
+		if n := with.counts[popularRequest]; n.blamed > 0 || n.late*50 > n.calls || n.answered*50 < n.calls*49 {
 			t.Errorf("seed %d: of %d calls of a request that is well %d were answered, %d late, %d refused as quarantined", seed, n.calls, n.answered, n.late, n.blamed)
 		}
 	}
@@ -345,10 +345,10 @@
 // while, as they did before, and a request that is well is still answered.
 func TestASilentCoordinatorHoldsNothingUpForLong(t *testing.T) {
 	f := newCanaryFleet(t, 3)
-	f.silent = f.routers[0].canaryCoordinator(crash.FingerprintOf(request{what: deadly}).AnyCaller())
-	f.play(4)
-	n := f.well[popular]
-	t.Logf("%d targets ended; popular %+v, deadly %+v", f.lost, *n, *f.well[deadly])
+	f.isolated = f.routers[0].canaryCoordinator(crash.FingerprintOf(canaryRequest{content: crashingRequest}).AnyCaller())
+	f.runLoad(4)
+	n := f.counts[popularRequest]
+	t.Logf("%d targets ended; popular %+v, deadly %+v", f.crashed, *n, *f.counts[crashingRequest])
 	if n.answered*50 < n.calls*49 || n.late*20 > n.calls {
 		t.Errorf("of %d calls of a request that is well %d were answered, %d late", n.calls, n.answered, n.late)
 	}
@@ -367,16 +367,16 @@
 	f := newCanaryFleet(t, 5)
 	f.after(4*time.Second, func() {
 		for i := range canaryTargets / 2 {
-			f.end(f.targets[units.TargetID(fmt.Sprintf("t%d", i))])
+			f.crash(f.targets[units.TargetID(fmt.Sprintf("t%d", i))])
 		}
 	})
-	f.play(1e-6)
-	n := f.well[popular]
-	t.Logf("popular %+v, %d messages", *n, f.told)
+	f.runLoad(1e-6)
+	n := f.counts[popularRequest]
+	t.Logf("popular %+v, %d messages", *n, f.messages)
 	if n.answered*50 < n.calls*49 || n.late*50 > n.calls || n.blamed > 0 {
 		t.Errorf("of %d calls %d were answered, %d late, %d refused as quarantined", n.calls, n.answered, n.late, n.blamed)
 	}
-	if f.told > canaryBoxes*(broadcastBurst+9*broadcastRate) {
-		t.Errorf("boxes sent each other %d messages", f.told)
+	if f.messages > canaryBoxes*(broadcastBurst+9*broadcastRate) {
+		t.Errorf("boxes sent each other %d messages", f.messages)
 	}
 }
--- a/pkg/core/routing/evacuation.go
+++ b/pkg/core/routing/evacuation.go
@@ -41,7 +41,7 @@
 
 // noTargetReason says why a service has no target that may take a call.
 func (s *service) noTargetReason(c *call, now units.Instant) Reason {
-	if s.isBarred(c) {
+	if s.isExcludedByRegion(c) {
 		return RegionNotAllowed
 	}
 	if s.hasActiveTarget(c) {
@@ -113,5 +113,5 @@
 		s.held.pushBack(id)
 		return
 	}
-	r.refuse(id, c, Refusal{Reason: reason, Outcome: c.outcome(), RetryAfter: s.retryAfterOf(reason, r.now)}, e)
+	r.refuse(id, c, Refusal{Reason: reason, Outcome: c.outcome(), RetryAfter: s.retryAfterFor(reason, r.now)}, e)
 }
--- a/pkg/core/routing/mechanism_test.go
+++ b/pkg/core/routing/mechanism_test.go
@@ -27,10 +27,10 @@
 		var e Effects
 		next := *r.table
 		next.Revision++
-		next.Quarantines = []table.Quarantine{{Call: crash.FingerprintOf(likeness("red"))}}
+		next.Quarantines = []table.Quarantine{{Call: crash.FingerprintOf(wordIdentity("red"))}}
 		r.Reduce(now, &TableChanged{Table: &next}, &e)
 		e.Reset()
-		r.Reduce(now, &CallArrived{Host: []byte("s0"), Path: []byte("/"), Identity: likeness("red")}, &e)
+		r.Reduce(now, &CallArrived{Host: []byte("s0"), Path: []byte("/"), Identity: wordIdentity("red")}, &e)
 		if refused := e.List[0].Kind == Refuse; refused == (len(off) > 0) {
 			t.Errorf("without %v the call is refused: %t", off, refused)
 		}
--- a/pkg/core/routing/policy.go
+++ b/pkg/core/routing/policy.go
@@ -59,7 +59,7 @@
 	case PolicyInFlight:
 		return &leastInFlight[C]{}, nil
 	case PolicyReported:
-		return &twoReported[C]{}, nil
+		return &twoChoicesReported[C]{}, nil
 	}
 	return nil, fault.New(fault.Invalid, fmt.Sprintf("use one of %q", PolicyNames), "policy %q isn't known", name)
 }
@@ -68,10 +68,10 @@
 	// defaultChoices is how many candidates the cost policy compares when there are
 	// too many to look at all.
 	defaultChoices = 3
-	// sampleTries bounds the draws before every candidate is looked at.
-	sampleTries = 6
-	// scanLimit is up to how many candidates all are compared.
-	scanLimit = 32
+	// maxSampleTries bounds the draws before every candidate is looked at.
+	maxSampleTries = 6
+	// maxFullScan is up to how many candidates all are compared.
+	maxFullScan = 32
 )
 
 // leastCost compares a few candidates drawn by weight and takes the one of the
@@ -79,13 +79,13 @@
 type leastCost[C any] struct{ choices int }
 
 func (p *leastCost[C]) Choose(c Candidates[C], random *rand.Rand) int {
-	if c.Len() <= scanLimit {
+	if c.Len() <= maxFullScan {
 		return leastOf(c, random, c.Cost)
 	}
 	best := -1
 	var bestCost float64
 	found := 0
-	for tries := 0; tries < sampleTries && found < p.choices; tries++ {
+	for tries := 0; tries < maxSampleTries && found < p.choices; tries++ {
 		i := c.Sample(random)
 		if i < 0 || i == best || !c.Available(i) {
 			continue
@@ -127,7 +127,7 @@
 type weightedRandom[C any] struct{}
 
 func (p *weightedRandom[C]) Choose(c Candidates[C], random *rand.Rand) int {
-	for range sampleTries {
+	for range maxSampleTries {
 		if i := c.Sample(random); i >= 0 && c.Available(i) {
 			return i
 		}
@@ -156,10 +156,10 @@
 	return leastOf(c, random, func(i int) float64 { return float64(c.InFlight(i)) })
 }
 
-// twoReported draws two candidates and takes the one that reported less load.
-type twoReported[C any] struct{}
+// twoChoicesReported draws two candidates and takes the one that reported less load.
+type twoChoicesReported[C any] struct{}
 
-func (p *twoReported[C]) Choose(c Candidates[C], random *rand.Rand) int {
+func (p *twoChoicesReported[C]) Choose(c Candidates[C], random *rand.Rand) int {
 	a, b := c.Sample(random), c.Sample(random)
 	aUsable := a >= 0 && c.Available(a)
 	bUsable := b >= 0 && c.Available(b)
--- a/pkg/core/routing/residency.go
+++ b/pkg/core/routing/residency.go
@@ -16,17 +16,17 @@
 // are under way.
 
 const (
-	// regionRetry is when the caller of a call may come back whose regions have no target.
+	// regionRetryAfter is when the caller of a call may come back whose regions have no target.
 	// Such a region gets targets again when they have started or a table allows more, which
 	// takes seconds; a caller who comes back sooner is refused once more.
-	regionRetry = 2 * time.Second
-	// maxUnknown is how many failure domains of unknown region are logged at the most: a table may
+	regionRetryAfter = 2 * time.Second
+	// maxUnknownRegions is how many failure domains of unknown region are logged at the most: a table may
 	// name any number, and a box keeps each.
-	maxUnknown = 64
+	maxUnknownRegions = 64
 )
 
-// bind notes what a call asks for and where its targets must be.
-func (c *call) bind(host, path []byte) {
+// bindRoute notes what a call asks for and where its targets must be.
+func (c *call) bindRoute(host, path []byte) {
 	c.host = append(c.host[:0], host...)
 	c.path = append(c.path[:0], path...)
 	c.regions = c.route.regions
@@ -36,10 +36,10 @@
 // call that may go anywhere.
 func (c *call) mayUse(t *target) bool { return c == nil || c.regions.Allows(t.region) }
 
-// bindCalls binds the calls in the box to the routes that hold now, and tells whether that
+// rebindCalls binds the calls in the box to the routes that hold now, and tells whether that
 // changes where any of them may go. A call that no route matches any more stays bound as it
 // was.
-func (r *Router) bindCalls() bool {
+func (r *Router) rebindCalls() bool {
 	bound := false
 	r.calls.Each(func(_ CallID, c *call) {
 		if c.route == nil {
@@ -54,29 +54,29 @@
 	return bound
 }
 
-// markRegions gives a service's targets the regions of their failure domains.
-func (r *Router) markRegions(s *service, e *Effects) {
+// assignRegions gives a service's targets the regions of their failure domains.
+func (r *Router) assignRegions(s *service, e *Effects) {
 	for _, t := range s.targets {
 		t.region = r.settings.Regions[t.row.Domain]
 		t.distance = r.distanceTo(t.row.Domain)
 		if t.region == "" {
-			r.tellUnknown(t, e)
+			r.logUnknownRegion(t, e)
 		}
 	}
 }
 
-// tellUnknown logs a failure domain whose region isn't known, where regions are known at all.
-func (r *Router) tellUnknown(t *target, e *Effects) {
+// logUnknownRegion logs a failure domain whose region isn't known, where regions are known at all.
+func (r *Router) logUnknownRegion(t *target, e *Effects) {
 	d := t.row.Domain
-	if len(r.settings.Regions) == 0 || r.unknown[d] || len(r.unknown) >= maxUnknown {
+	if len(r.settings.Regions) == 0 || r.unknown[d] || len(r.unknown) >= maxUnknownRegions {
 		return
 	}
 	r.unknown[d] = true
 	e.add(Effect{Kind: RegionUnknown, Endpoint: &Endpoint{Service: t.row.Service, Target: t.row.Target, Domain: d}})
 }
 
-// changeRegions puts other regions of the failure domains in force.
-func (r *Router) changeRegions(regions map[units.Domain]units.Region, e *Effects) {
+// setRegions puts other regions of the failure domains in force.
+func (r *Router) setRegions(regions map[units.Domain]units.Region, e *Effects) {
 	if maps.Equal(r.settings.Regions, regions) {
 		return
 	}
@@ -86,7 +86,7 @@
 		r.placeDistance(d, x)
 	}
 	for _, s := range r.order {
-		r.markRegions(s, e)
+		r.assignRegions(s, e)
 		r.settleCalls(s, e)
 	}
 }
@@ -95,8 +95,8 @@
 // has none. Where that has no target for the call because of its regions, another one of the
 // route takes it.
 func (r *Router) pickService(c *call) *service {
-	s := c.route.pick()
-	if s == nil || !s.isBarred(c) {
+	s := c.route.nextService()
+	if s == nil || !s.isExcludedByRegion(c) {
 		return s
 	}
 	for _, p := range c.route.parts {
@@ -107,9 +107,9 @@
 	return s
 }
 
-// isBarred tells whether the service has targets that could take the call, all of them in
+// isExcludedByRegion tells whether the service has targets that could take the call, all of them in
 // regions that it may not go to.
-func (s *service) isBarred(c *call) bool {
+func (s *service) isExcludedByRegion(c *call) bool {
 	if c.regions == nil {
 		return false
 	}
@@ -126,10 +126,10 @@
 	return barred
 }
 
-// retryAfterOf is when a caller may come back that was refused for a reason.
-func (s *service) retryAfterOf(reason Reason, now units.Instant) time.Duration {
+// retryAfterFor is when a caller may come back that was refused for a reason.
+func (s *service) retryAfterFor(reason Reason, now units.Instant) time.Duration {
 	if reason == RegionNotAllowed {
-		return regionRetry
+		return regionRetryAfter
 	}
 	return s.retryAfter(now)
 }
@@ -179,7 +179,7 @@
 			continue
 		}
 		all = append(all, RestrictedRoute{
-			Host: key.Host, PathPrefix: key.PathPrefix, Regions: x.regions.Names, Targets: x.allowedTargets(),
+			Host: key.Host, PathPrefix: key.PathPrefix, Regions: x.regions.Names, Targets: x.countAllowedTargets(),
 		})
 	}
 	slices.SortFunc(all, func(a, b RestrictedRoute) int {
@@ -188,8 +188,8 @@
 	return all
 }
 
-// allowedTargets is how many targets may take the route's calls, but for their health and limits.
-func (x *route) allowedTargets() int {
+// countAllowedTargets is how many targets may take the route's calls, but for their health and limits.
+func (x *route) countAllowedTargets() int {
 	c := &call{regions: x.regions}
 	n := 0
 	for _, p := range x.parts {
--- a/pkg/core/routing/residency_test.go
+++ b/pkg/core/routing/residency_test.go
@@ -22,14 +22,14 @@
 	table   *table.Table
 	regions map[units.Domain]units.Region
 	// calls are the calls in the box, running their attempts.
-	calls   map[*residentCall]bool
+	calls   map[*residencyCall]bool
 	running []Effect
 	// restricted counts what became of calls that may go to some regions only.
 	restricted residencyCounts
 }
 
-// residentCall is a call with the regions that bind it.
-type residentCall struct {
+// residencyCall is a call with the regions that bind it.
+type residencyCall struct {
 	host, path string
 	id         CallID
 	allowed    *table.AllowedRegions
@@ -51,11 +51,11 @@
 	if err != nil {
 		w.Fatal(err)
 	}
-	w.router, w.calls, w.running = r, map[*residentCall]bool{}, nil
-	w.give(&TableChanged{Table: w.table})
+	w.router, w.calls, w.running = r, map[*residencyCall]bool{}, nil
+	w.reduce(&TableChanged{Table: w.table})
 }
 
-func (w *residencyWorld) give(event Event) {
+func (w *residencyWorld) reduce(event Event) {
 	var e Effects
 	w.router.Reduce(w.now, event, &e)
 	for _, x := range e.List {
@@ -66,7 +66,7 @@
 // check looks at one effect: a send or a probe for a call must go to a target of the present
 // table whose region binds the call.
 func (w *residencyWorld) check(x Effect) {
-	c, ok := x.Owner.(*residentCall)
+	c, ok := x.Owner.(*residencyCall)
 	if !ok {
 		return
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-func (w *residencyWorld) checkRegion(x Effect, c *residentCall) {
+func (w *residencyWorld) checkRegion(x Effect, c *residencyCall) {
 	entry := w.table.Services[x.Endpoint.Service]
 	if entry == nil {
 		w.Fatalf("%s goes to service %s, which the table lacks", c.host+c.path, x.Endpoint.Service)
@@ -114,7 +114,7 @@
 
 // bind gives a call the regions of the present table's route. One that no route matches any
 // more stays bound as it was.
-func (w *residencyWorld) bind(c *residentCall) {
+func (w *residencyWorld) bind(c *residencyCall) {
 	longest := -1
 	for _, x := range w.table.Routes {
 		if x.Host == c.host && strings.HasPrefix(c.path, x.PathPrefix) && len(x.PathPrefix) > longest {
@@ -151,7 +151,7 @@
 	for c := range w.calls {
 		w.bind(c)
 	}
-	w.give(&TableChanged{Table: next})
+	w.reduce(&TableChanged{Table: next})
 }
 
 func (w *residencyWorld) drawService(name units.ServiceName) *table.Entry {
@@ -187,14 +187,14 @@
 		regions[d] = rapid.SampledFrom(residencyRegions).Draw(w.T, "region")
 	}
 	w.regions = maps.Clone(regions)
-	w.give(&RegionsChanged{Regions: regions})
+	w.reduce(&RegionsChanged{Regions: regions})
 }
 
 func (w *residencyWorld) call() {
-	c := &residentCall{host: "h", path: rapid.SampledFrom([]string{"/", "/x/1", "/y"}).Draw(w.T, "path")}
+	c := &residencyCall{host: "h", path: rapid.SampledFrom([]string{"/", "/x/1", "/y"}).Draw(w.T, "path")}
 	w.bind(c)
 	w.calls[c] = true
-	w.give(&CallArrived{Owner: c, Host: []byte(c.host), Path: []byte(c.path)})
+	w.reduce(&CallArrived{Owner: c, Host: []byte(c.host), Path: []byte(c.path)})
 }
 
 // endOne ends an attempt or a probe that is under way.
@@ -207,18 +207,18 @@
 	w.running = slices.Delete(w.running, i, i+1)
 	reading := Reading{Known: true, InFlight: float64(rapid.IntRange(0, 2).Draw(w.T, "load")), Slots: 2, Pace: 1}
 	if x.Kind == Probe {
-		w.give(&ProbeEnded{Target: x.Endpoint, Healthy: true, Reading: reading, Call: x.Call, Attempt: x.Attempt})
+		w.reduce(&ProbeEnded{Target: x.Endpoint, Healthy: true, Reading: reading, Call: x.Call, Attempt: x.Attempt})
 		return
 	}
 	result := rapid.SampledFrom([]AttemptResult{Answered, Answered, Failed, Shed, NotSent, Broken, Misdirected}).Draw(w.T, "result")
-	w.give(&AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: result, Reading: reading})
+	w.reduce(&AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: result, Reading: reading})
 }
 
-func (w *residencyWorld) pass() {
+func (w *residencyWorld) advance() {
 	end := w.now.Add(time.Duration(rapid.IntRange(1, 150).Draw(w.T, "time")) * time.Millisecond)
 	for w.router.NextWake() <= end {
 		w.now = max(w.now, w.router.NextWake())
-		w.give(&Tick{})
+		w.reduce(&Tick{})
 	}
 	w.now = end
 }
@@ -232,7 +232,7 @@
 		w.start()
 		w.changeRegions()
 		w.changeTable()
-		steps := []func(){w.call, w.call, w.call, w.endOne, w.endOne, w.pass, w.pass, w.changeTable, w.changeRegions, w.start}
+		steps := []func(){w.call, w.call, w.call, w.endOne, w.endOne, w.advance, w.advance, w.changeTable, w.changeRegions, w.start}
 		for range 120 {
 			steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")]()
 		}
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -198,7 +198,7 @@
 	case *TableChanged:
 		r.changeTable(v.Table, e)
 	case *RegionsChanged:
-		r.changeRegions(v.Regions, e)
+		r.setRegions(v.Regions, e)
 	case *StopPlanned:
 		r.stopsAt = v.Until
 		r.stopsTaking = r.now.Add(v.Until.Sub(r.now) / 2)
--- a/pkg/core/routing/routes.go
+++ b/pkg/core/routing/routes.go
@@ -94,7 +94,7 @@
 		added := r.newRoute(row)
 		old := r.routes.byKey[key]
 		added.learnFrom(old)
-		added.takeTurns(old, r.settings.Box)
+		added.carryOverTurns(old, r.settings.Box)
 		x.byKey[key] = added
 		x.restricts = x.restricts || added.regions != nil
 		x.byHost[row.Host] = append(x.byHost[row.Host], added)
--- a/pkg/core/routing/script_crash_test.go
+++ b/pkg/core/routing/script_crash_test.go
@@ -12,12 +12,12 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// likeness identifies a call by a word.
-type likeness string
+// wordIdentity identifies a call by a word.
+type wordIdentity string
 
-func (l likeness) Head() uint64   { return crash.Digest([]byte(l)) }
-func (l likeness) Body() uint64   { return 0 }
-func (l likeness) Caller() uint64 { return 1 }
+func (l wordIdentity) Head() uint64   { return crash.Digest([]byte(l)) }
+func (l wordIdentity) Body() uint64   { return 0 }
+func (l wordIdentity) Caller() uint64 { return 1 }
 
 // describeSuspects names the calls that a crash is put down to.
 func describeSuspects(x *crash.Note) string {
@@ -31,7 +31,7 @@
 // checked TARGET how=refused|answered|silent ends a check whether a target has crashed.
 func (s *script) checked(d *datadriven.TestData) {
 	how := s.word(d, "how")
-	s.give(&ProbeEnded{
+	s.reduce(&ProbeEnded{
 		Target: s.probes[d.CmdArgs[0].Key], Attempt: crashProbeNumber, Refused: how == "refused", Answered: how == "answered",
 		Unreachable: how != "answered",
 	})
@@ -50,11 +50,11 @@
 			v.Acknowledged = uint64(number)
 		default:
 			v.Calls = append(v.Calls, crash.Watched{
-				Call: crash.FingerprintOf(likeness(a.Key)), Quarantined: how != "suspect", Trial: number,
+				Call: crash.FingerprintOf(wordIdentity(a.Key)), Quarantined: how != "suspect", Trial: number,
 			})
 		}
 	}
-	s.give(v)
+	s.reduce(v)
 }
 
 // notes lists what the next request for a lease would carry of crashes.
@@ -80,7 +80,7 @@
 
 // addQuarantine puts a call into quarantine: "quarantine CALL".
 func (s *script) addQuarantine(t *table.Table, words []string) {
-	t.Quarantines = append(t.Quarantines, table.Quarantine{Call: crash.FingerprintOf(likeness(words[0])), Since: t.Revision})
+	t.Quarantines = append(t.Quarantines, table.Quarantine{Call: crash.FingerprintOf(wordIdentity(words[0])), Since: t.Revision})
 }
 
 var canaryWords = map[CanaryKind]string{SuspectCalls: "suspect", ClearCall: "clear", RequestCanary: "ask", GrantCanary: "send"}
@@ -102,7 +102,7 @@
 			m.Kind = k
 		}
 	}
-	f := crash.FingerprintOf(likeness(s.word(d, "like"))).AnyCaller()
+	f := crash.FingerprintOf(wordIdentity(s.word(d, "like"))).AnyCaller()
 	if m.Kind == SuspectCalls {
 		f.Caller = 2
 	}
@@ -110,5 +110,5 @@
 	if d.HasArg("call") {
 		m.Call = s.calls[s.word(d, "call")]
 	}
-	s.give(&PeerCanary{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
+	s.reduce(&PeerCanary{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
 }
--- a/pkg/core/routing/script_notice_test.go
+++ b/pkg/core/routing/script_notice_test.go
@@ -52,7 +52,7 @@
 		m.Word.Limited, m.Word.Rate = true, s.rate(d, "limit")
 	}
 	d.MaybeScanArgs(s.t, "version", &m.Word.Version)
-	s.give(&PeerLimit{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
+	s.reduce(&PeerLimit{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
 }
 
 // describeLimit tells of a message on a target's limit.
--- a/pkg/core/routing/script_rollout_test.go
+++ b/pkg/core/routing/script_rollout_test.go
@@ -46,7 +46,7 @@
 // request was sent a moment ago; expose alone gives a grant without one.
 func (s *script) expose(d *datadriven.TestData) {
 	if len(d.CmdArgs) == 0 {
-		s.give(&ExposuresChanged{})
+		s.reduce(&ExposuresChanged{})
 		return
 	}
 	x := rollout.Exposure{Service: units.ServiceName(s.word(d, "service")), Asked: s.now, Until: s.now.Add(s.duration(d, "for"))}
@@ -55,7 +55,7 @@
 	d.ScanArgs(s.t, "since", (*uint64)(&x.Since))
 	d.ScanArgs(s.t, "share", &share)
 	x.Share = units.Percent(share)
-	s.give(&ExposuresChanged{Exposures: []rollout.Exposure{x}})
+	s.reduce(&ExposuresChanged{Exposures: []rollout.Exposure{x}})
 }
 
 // evidence prints what goes to the leader, and whether it is due at once.
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -38,8 +38,8 @@
 	"call":      (*script).call,
 	"end":       (*script).end,
 	"start":     (*script).start,
-	"gone":      (*script).gone,
-	"pass":      (*script).pass,
+	"gone":      (*script).callerGone,
+	"pass":      (*script).advance,
 	"lease":     (*script).lease,
 	"peer":      (*script).peer,
 	"probed":    (*script).probed,
@@ -109,7 +109,7 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-func (s *script) give(e Event) { s.router.Reduce(s.now, e, &s.effects) }
+func (s *script) reduce(e Event) { s.router.Reduce(s.now, e, &s.effects) }
 
 func (s *script) describe(x Effect) string {
 	name, _ := x.Owner.(string)
@@ -208,7 +208,7 @@
 		tableLines[words[0]](s, next, words[1:])
 	}
 	s.table = next
-	s.give(&TableChanged{Table: next})
+	s.reduce(&TableChanged{Table: next})
 }
 
 // tableLines are the lines that a table may have; each adds to it.
@@ -256,7 +256,7 @@
 		Weight: 100, State: table.Active, Registered: true, Slots: 3,
 	}
 	for _, w := range words[2:] {
-		s.setFact(&r, w)
+		s.setRegistration(&r, w)
 	}
 	entry := t.Services[r.Service]
 	entry.Rows = entry.Rows.With(r)
@@ -318,9 +318,9 @@
 	s.requireKeys(t, nil)
 }
 
-// setFact sets what a registered target's line says: "leaving", "silent", "cold=TIME",
+// setRegistration sets what a registered target's line says: "leaving", "silent", "cold=TIME",
 // "software=V" or a domain.
-func (s *script) setFact(r *table.Row, word string) {
+func (s *script) setRegistration(r *table.Row, word string) {
 	if left, isCold := strings.CutPrefix(word, "cold="); isCold {
 		cold, err := time.ParseDuration(left)
 		if err != nil {
@@ -388,12 +388,12 @@
 		Owner: d.CmdArgs[0].Key, Host: []byte(s.word(d, "service")), Path: []byte(path), Deadline: s.duration(d, "deadline"),
 	}
 	if d.HasArg("like") {
-		v.Identity = likeness(s.word(d, "like"))
+		v.Identity = wordIdentity(s.word(d, "like"))
 	}
 	if d.HasArg("key") {
 		v.Credential = apikey.Presented([][]byte{[]byte(s.word(d, "key"))})
 	}
-	s.give(v)
+	s.reduce(v)
 }
 
 // answer CALL TARGET load=N pace=P [cold=TIME] [rest=D] [leaving] gives the answer to a call's probe.
@@ -406,26 +406,26 @@
 	if err != nil {
 		d.Fatalf(s.t, "%v", err)
 	}
-	s.giveProbeEnded(d, ProbeEnded{Healthy: true, Reading: Reading{Known: true, InFlight: float64(load), Slots: 3, Pace: x, Cold: s.duration(d, "cold")}})
+	s.endProbeOf(d, ProbeEnded{Healthy: true, Reading: Reading{Known: true, InFlight: float64(load), Slots: 3, Pace: x, Cold: s.duration(d, "cold")}})
 }
 
 // end-probe CALL TARGET how=unreachable|misdirected|healthy [rest=D] [leaving] ends a call's probe without a load
 // report.
 func (s *script) endProbe(d *datadriven.TestData) {
 	how := s.word(d, "how")
-	s.giveProbeEnded(d, ProbeEnded{Healthy: how == "healthy", Unreachable: how == "unreachable", Misdirected: how == "misdirected"})
+	s.endProbeOf(d, ProbeEnded{Healthy: how == "healthy", Unreachable: how == "unreachable", Misdirected: how == "misdirected"})
 }
 
-func (s *script) giveProbeEnded(d *datadriven.TestData, v ProbeEnded) {
+func (s *script) endProbeOf(d *datadriven.TestData, v ProbeEnded) {
 	probe := s.lastProbe[d.CmdArgs[0].Key]
 	s.setNotice(d, &v.Reading)
 	v.Target, v.Call, v.Attempt = s.probes[d.CmdArgs[1].Key], probe.Call, probe.Attempt
-	s.give(&v)
+	s.reduce(&v)
 }
 
 // stop within=D
 func (s *script) stop(d *datadriven.TestData) {
-	s.give(&StopPlanned{Until: s.now.Add(s.duration(d, "within"))})
+	s.reduce(&StopPlanned{Until: s.now.Add(s.duration(d, "within"))})
 }
 
 // regions DOMAIN=REGION... puts the regions of the failure domains in force.
@@ -434,7 +434,7 @@
 	for _, a := range d.CmdArgs {
 		regions[units.Domain(a.Key)] = units.Region(a.Vals[0])
 	}
-	s.give(&RegionsChanged{Regions: regions})
+	s.reduce(&RegionsChanged{Regions: regions})
 }
 
 // stale lets the router serve without a lease.
@@ -464,7 +464,7 @@
 	v.Refused = d.HasArg("refused")
 	v.Endpoint = s.sent[d.CmdArgs[0].Key][v.Attempt]
 	s.setNotice(d, &v.Reading)
-	s.give(v)
+	s.reduce(v)
 }
 
 // start NAME attempt=N [leaving]
@@ -475,25 +475,27 @@
 	v := &AttemptStarted{Call: s.calls[d.CmdArgs[0].Key], Attempt: AttemptNumber(n), Coming: coming}
 	v.Endpoint = s.sent[d.CmdArgs[0].Key][v.Attempt]
 	s.setNotice(d, &v.Reading)
-	s.give(v)
+	s.reduce(v)
 }
 
-// gone NAME
-func (s *script) gone(d *datadriven.TestData) { s.give(&CallerGone{Call: s.calls[d.CmdArgs[0].Key]}) }
+// callerGone NAME
+func (s *script) callerGone(d *datadriven.TestData) {
+	s.reduce(&CallerGone{Call: s.calls[d.CmdArgs[0].Key]})
+}
 
-// pass time=D lets time pass, with a tick whenever one is due.
-func (s *script) pass(d *datadriven.TestData) {
+// advance time=D lets time advance, with a tick whenever one is due.
+func (s *script) advance(d *datadriven.TestData) {
 	end := s.now.Add(s.duration(d, "time"))
 	for s.router.NextWake() <= end {
 		s.now = max(s.now, s.router.NextWake())
-		s.give(&Tick{})
+		s.reduce(&Tick{})
 	}
 	s.now = end
 }
 
 // lease for=D
 func (s *script) lease(d *datadriven.TestData) {
-	s.give(&LeaseChanged{Until: s.now.Add(s.duration(d, "for")), At: s.now})
+	s.reduce(&LeaseChanged{Until: s.now.Add(s.duration(d, "for")), At: s.now})
 }
 
 // peer BOX kind=K service=S [target=T] [loan=N] [nonce=N] [free=N]
@@ -514,7 +516,7 @@
 	if d.HasArg("term") {
 		m.Term = s.duration(d, "term")
 	}
-	s.give(&PeerMessage{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
+	s.reduce(&PeerMessage{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
 }
 
 // probed TARGET healthy=true|false [answered] [refused] [rest=D] [leaving]
@@ -523,7 +525,7 @@
 	v.Answered, v.Refused = d.HasArg("answered"), d.HasArg("refused")
 	v.Unreachable = v.Refused
 	s.setNotice(d, &v.Reading)
-	s.give(v)
+	s.reduce(v)
 }
 
 // repeat service=S count=N result=R makes calls one after the other, each
@@ -534,11 +536,11 @@
 	result := resultWords[s.word(d, "result")]
 	for i := range n {
 		before := len(s.effects.List)
-		s.give(&CallArrived{Owner: fmt.Sprintf("r%d", i), Host: []byte(s.word(d, "service")), Path: []byte("/")})
+		s.reduce(&CallArrived{Owner: fmt.Sprintf("r%d", i), Host: []byte(s.word(d, "service")), Path: []byte("/")})
 		for k := before; k < len(s.effects.List); k++ {
 			if x := s.effects.List[k]; x.Kind == Send {
 				s.now = s.now.Add(time.Millisecond)
-				s.give(&AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: result})
+				s.reduce(&AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: result})
 			}
 		}
 	}
@@ -589,5 +591,5 @@
 			}
 		}
 	}
-	s.give(&PeerQuota{From: from, Message: m})
+	s.reduce(&PeerQuota{From: from, Message: m})
 }
--- a/pkg/core/routing/split_test.go
+++ b/pkg/core/routing/split_test.go
@@ -32,8 +32,8 @@
 
 // splitBox is a box that calls are made to; it counts those that go to the part of a quarter.
 type splitBox struct {
-	router *Router
-	b      int
+	router   *Router
+	callsToB int
 }
 
 func newSplitBox(t *testing.T, id string) *splitBox {
@@ -55,7 +55,7 @@
 			continue
 		}
 		if effect.Endpoint.Target == "b" {
-			x.b++
+			x.callsToB++
 		}
 		x.router.Reduce(1, &AttemptEnded{Call: effect.Call, Attempt: effect.Attempt, Endpoint: effect.Endpoint, Result: Answered}, &Effects{})
 		return
@@ -73,7 +73,7 @@
 			for range calls {
 				x.call(t)
 			}
-			got += x.b
+			got += x.callsToB
 		}
 		if part := float64(got) / float64(boxes*calls); math.Abs(part-weight) > off {
 			t.Errorf("with %d calls a box the part of %.2f gets %.3f", calls, weight, part)
@@ -89,7 +89,7 @@
 		x.router.Reduce(1, &TableChanged{Table: splitTable(units.Revision(i + 2))}, &Effects{})
 		x.call(t)
 	}
-	if part := float64(x.b) / calls; math.Abs(part-weight) > off {
+	if part := float64(x.callsToB) / calls; math.Abs(part-weight) > off {
 		t.Errorf("the part of %.2f gets %.3f", weight, part)
 	}
 }
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -35,7 +35,7 @@
 	if routesChanged {
 		slices.SortFunc(r.order, compareServices)
 		r.indexRoutes()
-		if r.bindCalls() {
+		if r.rebindCalls() {
 			r.changed = append(r.changed[:0], r.order...)
 		}
 	}
@@ -122,7 +122,7 @@
 		r.findNotices(s)
 		r.takeColdRows(s)
 	}
-	r.markRegions(s, e)
+	r.assignRegions(s, e)
 	r.applyEvacuations(s)
 	r.markVersions(s)
 	r.sweepBy(s, r.now)
--- a/pkg/core/routing/timeline_test.go
+++ b/pkg/core/routing/timeline_test.go
@@ -10,20 +10,20 @@
 // timeline is virtual time, and what is to happen in it.
 type timeline struct {
 	now    units.Instant
-	events *container.Heap[happening]
+	events *container.Heap[scheduledEvent]
 }
 
-type happening struct {
-	at units.Instant
-	do func()
+type scheduledEvent struct {
+	at     units.Instant
+	action func()
 }
 
 func newTimeline(now units.Instant) timeline {
-	return timeline{now: now, events: container.NewHeap(func(a, b happening) bool { return a.at < b.at })}
+	return timeline{now: now, events: container.NewHeap(func(a, b scheduledEvent) bool { return a.at < b.at })}
 }
 
 // after has something happen some time from now.
-func (x *timeline) after(d time.Duration, do func()) { x.events.Push(happening{x.now.Add(d), do}) }
+func (x *timeline) after(d time.Duration, do func()) { x.events.Push(scheduledEvent{x.now.Add(d), do}) }
 
 // every has something happen again and again.
 func (x *timeline) every(d time.Duration, do func()) {
@@ -43,7 +43,7 @@
 		}
 		x.events.Pop()
 		x.now = max(x.now, next.at)
-		next.do()
+		next.action()
 	}
 	x.now = end
 }
--- a/pkg/core/routing/turns.go
+++ b/pkg/core/routing/turns.go
@@ -10,9 +10,9 @@
 // The services of a route take turns by their weights. Hundreds of boxes may get one call each in the time over
 // which users look at the weights, so that each box begins at its own place in the order of turns.
 
-// mostTurns bounds how many turns a box passes over to begin at its own place, which it does for each route whose
+// maxSkippedTurns bounds how many turns a box passes over to begin at its own place, which it does for each route whose
 // weights an operator changes.
-const mostTurns = 1000
+const maxSkippedTurns = 1000
 
 // routePart is a service's part of a route's calls. Credits make each part come up
 // in proportion to its weight, evenly spread.
@@ -22,8 +22,8 @@
 	credit  int
 }
 
-// pick returns the service whose turn it is, or nil when the route has none.
-func (x *route) pick() *service {
+// nextService returns the service whose turn it is, or nil when the route has none.
+func (x *route) nextService() *service {
 	if len(x.parts) == 0 {
 		return nil
 	}
@@ -40,38 +40,38 @@
 	return x.parts[best].service
 }
 
-// takeTurns goes on where the route was before a change of the table; it begins anew where there was none, or
+// carryOverTurns goes on where the route was before a change of the table; it begins anew where there was none, or
 // its parts have changed.
-func (x *route) takeTurns(old *route, box units.BoxID) {
+func (x *route) carryOverTurns(old *route, box units.BoxID) {
 	if old != nil && slices.EqualFunc(x.parts, old.parts, func(a, b routePart) bool { return a.service == b.service && a.weight == b.weight }) {
 		copy(x.parts, old.parts)
 		return
 	}
-	x.beginTurns(box)
+	x.startTurns(box)
 }
 
-// beginTurns has a box begin at its own place in the order of turns.
-func (x *route) beginTurns(box units.BoxID) {
+// startTurns has a box begin at its own place in the order of turns.
+func (x *route) startTurns(box units.BoxID) {
 	if len(x.parts) < 2 {
 		return
 	}
-	passed := rendezvous.Hash(box, x.host+x.prefix) % uint64(min(x.period(), mostTurns))
+	passed := rendezvous.Hash(box, x.host+x.prefix) % uint64(min(x.turnPeriod(), maxSkippedTurns))
 	for range passed {
-		x.pick()
+		x.nextService()
 	}
 }
 
-// period is after how many turns they come round.
-func (x *route) period() int {
+// turnPeriod is after how many turns they come round.
+func (x *route) turnPeriod() int {
 	total, divisor := 0, 0
 	for i := range x.parts {
 		total += x.parts[i].weight
-		divisor = greatestDivisor(divisor, x.parts[i].weight)
+		divisor = greatestCommonDivisor(divisor, x.parts[i].weight)
 	}
 	return total / divisor
 }
 
-func greatestDivisor(a, b int) int {
+func greatestCommonDivisor(a, b int) int {
 	for b > 0 {
 		a, b = b, a%b
 	}
