--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -8,8 +8,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// callArrived decides what becomes of a new call: it is sent, held or refused, at
-// once.
+// callArrived sends, holds or refuses a new call at once.
 func (r *Router) callArrived(v *CallArrived, e *Effects) {
 	id, c := r.calls.Acquire()
 	c.reset()
@@ -26,7 +25,7 @@
 	r.admit(id, c, v, e)
 }
 
-// admit decides what becomes of a call at a box that has a table.
+// admit routes, checks and dispatches a call at a box that has a table.
 func (r *Router) admit(id CallID, c *call, v *CallArrived, e *Effects) {
 	c.route = r.routes.find(v.Host, v.Path)
 	if c.route == nil {
@@ -50,14 +49,15 @@
 	}
 }
 
-// admitAfterCanary goes on with a call that may go to targets, once its workspace's quota lets it.
+// admitAfterCanary continues with a call that needn't wait for a canary turn: it takes a credit of
+// the workspace's quota first.
 func (r *Router) admitAfterCanary(id CallID, c *call, e *Effects) {
 	if !r.waitsForCredit(id, c, e) {
 		r.admitToService(id, c, e)
 	}
 }
 
-// admitToService decides what becomes of a call that is let in.
+// admitToService picks a service for an admitted call and dispatches it, or refuses it.
 func (r *Router) admitToService(id CallID, c *call, e *Effects) {
 	s := r.pickService(c)
 	if s == nil {
@@ -79,7 +79,7 @@
 	r.dispatch(id, c, e)
 }
 
-// dispatch sends a call that was admitted, or holds it.
+// dispatch sends or holds an admitted call.
 func (r *Router) dispatch(id CallID, c *call, e *Effects) {
 	if r.waitsForLink(id, c, e) {
 		return
@@ -95,15 +95,16 @@
 	r.holdOrRefuse(id, c, e)
 }
 
-// noLeaseRetryAfter is when a caller may come back to a box that lost its lease.
+// noLeaseRetryAfter is the retry delay reported by a box that has lost its lease.
 const noLeaseRetryAfter = time.Second
 
-// stoppingRetryAfter is when a caller may come back to another box.
+// stoppingRetryAfter is the retry delay reported by a box that is stopping; the caller is expected
+// to reach another box.
 const stoppingRetryAfter = 10 * time.Millisecond
 
-// mayOutlastBox tells whether a call might still be under way when this box stops as
-// planned. Its connection should have been closed by then; the caller had better open
-// another one elsewhere now than lose its answer.
+// mayOutlastBox reports whether a call might still be in flight at the planned stop of this box.
+// Its connection should have been closed by then, so the caller is better served by opening another
+// one elsewhere now than by losing its answer.
 func (r *Router) mayOutlastBox(x *route, asked time.Duration) bool {
 	if r.stopsAt == 0 || r.now < r.stopsTaking {
 		return false
@@ -111,8 +112,8 @@
 	return r.now.Add(x.deadlineOf(asked, r.settings.MaxDeadline)) > r.stopsAt
 }
 
-// noRouteRefusal is the refusal of a call that the table has no route for. A box whose table
-// is still empty can't know that there is none.
+// noRouteRefusal returns the refusal of a call for which the table has no route. A box whose table
+// is still empty can't know whether there is one.
 func (r *Router) noRouteRefusal() Refusal {
 	if r.tableIsEmpty() {
 		return Refusal{Reason: NoTable, Outcome: NotRun, RetryAfter: noTableRetryAfter}
@@ -124,8 +125,8 @@
 	return len(r.table.Services) == 0 && r.table.Document == 0
 }
 
-// choose picks a target for a call, or returns nil when none takes work now. A call for the
-// new version that finds no room there goes to the others.
+// choose picks a target for a call, or returns nil when no target accepts calls now. A call for a
+// rollout's new version that finds no room there falls back to the other targets.
 func (r *Router) choose(s *service, c *call) *target {
 	if c.onNewVersion {
 		if t := r.chooseFromSide(s, c, r.callSide(s, c)); t != nil {
@@ -136,9 +137,10 @@
 	return r.chooseFromSide(s, c, r.openSide(s))
 }
 
-// chooseFromSide picks a target of a side.
+// chooseFromSide picks a target on one side of a rollout.
 func (r *Router) chooseFromSide(s *service, c *call, from side) *target {
-	// The set is kept in the router, since a policy's argument would be garbage.
+	// The set is stored in the router because passing it to a policy would otherwise allocate it on
+	// the heap.
 	set := &r.candidates
 	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != onTrial, fresh: c.sendsSinceHeld > 0, side: from}
 	if t := set.dueScout(); t != nil {
@@ -155,8 +157,9 @@
 	return s.targets[i]
 }
 
-// chooseIndex leaves the choice to the policy, but where targets are probed: their load
-// reports count only if the best of all of them is taken, not of a few drawn by lot.
+// chooseIndex delegates the choice to the policy, except where targets are probed: their load
+// reports are useful only if the best of all targets is chosen, not the best of a small random
+// sample.
 func (r *Router) chooseIndex(set *candidates) int {
 	if set.service.probesTargets() {
 		return leastOf[*target](set, r.random, set.Cost)
@@ -164,8 +167,8 @@
 	return r.policy.Choose(set, r.random)
 }
 
-// holdOrRefuse holds a call that can't be sent now, unless it would wait in
-// vain; then it is refused at once, so that its caller can turn elsewhere.
+// holdOrRefuse holds a call that can't be sent now. If it isn't expected to be served in time it is
+// refused at once, so that its caller can go elsewhere.
 func (r *Router) holdOrRefuse(id CallID, c *call, e *Effects) {
 	s := c.service
 	c.onNewVersion = false
@@ -214,13 +217,12 @@
 	return 0
 }
 
-// holdMargin is the part of the time a call may be held that its expected wait may
-// take. The rest makes up for the estimate's error, so that few calls are held in
-// vain.
+// holdMargin is the fraction of a call's maximum hold time that its expected wait may use. The rest
+// covers the error of the estimate, so that few calls are held and then refused.
 const holdMargin = 0.6
 
-// oldestHeldAge is how long the oldest held call has waited; the next one will hardly
-// wait less.
+// oldestHeldAge is how long the oldest held call has waited; the next call is unlikely to wait
+// less.
 func (r *Router) oldestHeldAge(s *service) time.Duration {
 	if _, c := r.firstHeld(s); c != nil {
 		return r.now.Sub(c.arrived)
@@ -228,7 +230,7 @@
 	return 0
 }
 
-// hasActiveTarget tells whether a target of the service may take the call, but for its
+// hasActiveTarget reports whether a target of the service may serve the call, regardless of its
 // health and limits.
 func (s *service) hasActiveTarget(c *call) bool {
 	for _, t := range s.targets {
@@ -239,7 +241,7 @@
 	return false
 }
 
-// serveHeld sends held calls, oldest first, while targets take them.
+// serveHeld sends held calls, oldest first, while targets accept them.
 func (r *Router) serveHeld(s *service, e *Effects) {
 	for s.held.length > 0 && r.leased() {
 		i, t := r.nextServable(s)
@@ -253,8 +255,9 @@
 	}
 }
 
-// nextServable returns the place of the oldest held call that a target takes, and that
-// target; nil for none. Calls that may go to some regions only don't keep others waiting.
+// nextServable returns the queue index of the oldest held call that a target accepts, and that
+// target; nil for none. A call that is restricted to regions doesn't block calls with other
+// restrictions.
 func (r *Router) nextServable(s *service) (int, *target) {
 	r.firstHeld(s)
 	var blocked *table.AllowedRegions
@@ -274,8 +277,7 @@
 	return 0, nil
 }
 
-// firstHeld returns the oldest call that is still held, passing over those that
-// have ended meanwhile.
+// firstHeld returns the oldest call that is still held, and drops those before it that have ended.
 func (r *Router) firstHeld(s *service) (CallID, *call) {
 	for s.held.length > 0 {
 		id := s.held.front()
@@ -287,8 +289,8 @@
 	return 0, nil
 }
 
-// heldQueue holds the calls that wait for a target, oldest first. Calls that
-// ended while they waited stay in it until they come to the front.
+// heldQueue is the queue of calls that wait for a target, oldest first. A call that ends while it
+// waits stays in the queue until it reaches the front.
 type heldQueue struct {
 	ids    []CallID
 	head   int
@@ -312,10 +314,10 @@
 
 func (q *heldQueue) front() CallID { return q.ids[q.head] }
 
-// waiting lists the queue, oldest first; it holds until the queue changes.
+// waiting returns the queue, oldest first; the slice is valid until the queue changes.
 func (q *heldQueue) waiting() []CallID { return q.ids[q.head:] }
 
-// remove takes the call at a place counted from the front out of the queue.
+// remove removes the call at an index counted from the front.
 func (q *heldQueue) remove(i int) CallID {
 	id := q.ids[q.head+i]
 	if i == 0 {
@@ -335,7 +337,7 @@
 		q.head = 0
 		return
 	}
-	// Room before the head is reclaimed once it is half of the queue.
+	// The space before the head is reclaimed once it is half of the queue.
 	if q.head > len(q.ids)/2 && q.head > minReclaimedIDs {
 		n := copy(q.ids, q.ids[q.head:])
 		q.ids = q.ids[:n]
@@ -343,7 +345,8 @@
 	}
 }
 
-// minReclaimedIDs is from how many ids on the room before a queue's head is reclaimed: less isn't worth a copy.
+// minReclaimedIDs is the number of ids before a queue's head below which their space isn't
+// reclaimed: copying the queue for fewer costs more than it saves.
 const minReclaimedIDs = 64
 
 func (q *heldQueue) drain() []CallID {
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -15,7 +15,7 @@
 	c.possibleArrivals++
 	c.triedTargets[c.sendsSinceHeld%maxSendsSinceHeld] = t
 	c.sendsSinceHeld++
-	// What the new version fails goes to the old one.
+	// A call that the new version fails is retried at the old one.
 	c.onNewVersion = false
 	*a = attempt{
 		number: c.sends, target: t, sent: r.now, hedge: hedge, typicalTime: c.route.sureTime(),
@@ -56,7 +56,7 @@
 	}
 }
 
-// evidenceFor is what is known of a target now.
+// evidenceFor returns the estimates of a target's state on which a send is based.
 func (r *Router) evidenceFor(t *target) Evidence {
 	x := Evidence{
 		Load: t.load(r.now), Pace: t.expectedPace(r.now), Slowdown: t.currentSlowdown(r.now), ReadingAge: -1,
@@ -68,7 +68,7 @@
 	return x
 }
 
-// release ends an attempt's claim on its target.
+// release frees an attempt's slot at its target.
 func (r *Router) release(c *call, a *attempt, e *Effects) {
 	t := a.target
 	t.unlink(a)
@@ -81,11 +81,11 @@
 	r.freed = append(r.freed, t.service)
 }
 
-// cancelDelay is how long a target may take to learn that a call was canceled;
-// until then the call still counts against the target's limit.
+// cancelDelay is how long a target may take to notice that a call was canceled; until then the call
+// still occupies a slot of the target's limit.
 const cancelDelay = 10 * time.Millisecond
 
-// cancel ends an attempt whose answer nobody wants any more.
+// cancel cancels an attempt whose answer is no longer needed.
 func (r *Router) cancel(id CallID, c *call, a *attempt, e *Effects) {
 	t := a.target
 	e.add(Effect{Kind: Cancel, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint})
@@ -99,7 +99,7 @@
 	r.release(c, a, e)
 }
 
-// findAttempt returns a call and its attempt, nil where it is over.
+// findAttempt returns a call and its attempt; nil for one that has ended.
 func (r *Router) findAttempt(id CallID, n AttemptNumber) (*call, *attempt) {
 	c := r.calls.Get(id)
 	if c == nil {
@@ -108,7 +108,8 @@
 	return c, c.findAttempt(n)
 }
 
-// attemptStarted passes on an answer whose first bytes have come, and ends the call's other attempts.
+// attemptStarted starts streaming an answer whose head has been received, and cancels the call's
+// other attempts.
 func (r *Router) attemptStarted(v *AttemptStarted, e *Effects) {
 	c, a := r.findAttempt(v.Call, v.Attempt)
 	r.hear(v.Endpoint, v.Reading, false, a.limitVersionAtSend(), e)
@@ -116,7 +117,7 @@
 		return
 	}
 	c.streaming = true
-	// The shell may no longer hold the request once its answer is passed on.
+	// The shell may release the request once its answer is streamed.
 	c.identity = nil
 	r.endLimit(a, v.Reading.Limit, e)
 	r.answerBegins(c, a, v.Coming)
@@ -126,8 +127,8 @@
 	c.endProbing()
 }
 
-// endProbing ends a call's probing for a second send, which an answer that passes through
-// makes needless. Sent all the same, it would count at its target for ever.
+// endProbing ends a call's probing for a further send, which is unnecessary once an answer is being
+// streamed. If the call were sent all the same, it would count as in flight at its target forever.
 func (c *call) endProbing() {
 	if !c.probeRound.active {
 		return
@@ -138,7 +139,8 @@
 	}
 }
 
-// cancelOthers cancels the attempts of a call that another one has won, and learns from them.
+// cancelOthers cancels the other attempts of a call once one is being answered, and updates the
+// estimates of their targets.
 func (r *Router) cancelOthers(id CallID, c *call, winner *attempt, e *Effects) {
 	r.noteVersionOvertaken(c, winner)
 	for i := range c.attempts {
@@ -146,14 +148,15 @@
 		if a == winner || a.target == nil {
 			continue
 		}
-		// A loser that is overdue says something about its target.
+		// An overdue attempt that is canceled is still a latency sample of its target.
 		a.target.latency.add(r.timeAtTarget(c, a))
 		r.wentUnanswered(c, a, e)
 		r.cancel(id, c, a, e)
 	}
 }
 
-// attemptEnded learns from how an attempt ended, then delivers its answer or goes on with the call.
+// attemptEnded updates the estimates of an attempt's target from its result, then delivers the
+// answer or continues with the call.
 func (r *Router) attemptEnded(v *AttemptEnded, e *Effects) {
 	c, a := r.findAttempt(v.Call, v.Attempt)
 	r.hear(v.Endpoint, v.Reading, v.Result == Misdirected, a.limitVersionAtSend(), e)
@@ -216,7 +219,7 @@
 	}
 }
 
-// updateTarget takes what an attempt's end says about its target.
+// updateTarget updates a target's state from the result of an attempt.
 func (r *Router) updateTarget(t *target, v *AttemptEnded, took time.Duration, e *Effects) {
 	if v.Result == Withheld {
 		return
@@ -251,7 +254,8 @@
 	case Shed:
 		t.sheds++
 		if t.row.Registered && r.enabled(FailingTargets) && t.knownRoom(r.now) {
-			// It isn't full, so that leaving it alone for longer than it asks for would help nobody.
+			// The target has room, so avoiding it for longer than it asked to be avoided would help
+			// nobody.
 			t.noteFailure(r.now, 1)
 			break
 		}
@@ -264,7 +268,8 @@
 	}
 }
 
-// healthChanged does what follows when a target was ejected or has come back.
+// healthChanged recomputes the weights after a target was ejected or readmitted, and reports the
+// change.
 func (r *Router) healthChanged(t *target, e *Effects) {
 	t.service.weigh(r.now)
 	r.sweepBy(t.service, r.now)
@@ -282,8 +287,8 @@
 	r.finish(v.Call, c, e)
 }
 
-// handleFailedAnswer deals with a whole answer that reports a server error: a
-// repeatable call may be tried elsewhere, any other gets the answer as it is.
+// handleFailedAnswer handles a complete answer that reports a server error: a repeatable call may
+// be retried at another target, any other call gets the answer as it is.
 func (r *Router) handleFailedAnswer(v *AttemptEnded, c *call, t *target, e *Effects) {
 	if c.hasPendingSend() || c.route.work == table.Repeatable && r.retry(v.Call, c, false, e) {
 		r.keepAnswer(v, c, t, e)
@@ -292,7 +297,8 @@
 	r.deliver(v, c, t, e)
 }
 
-// keepAnswer has a failed answer kept while the call is tried elsewhere; the first one is enough.
+// keepAnswer has the shell keep a failed answer while the call is retried at another target. Only
+// the first one is kept.
 func (r *Router) keepAnswer(v *AttemptEnded, c *call, t *target, e *Effects) {
 	if c.kept.endpoint != nil {
 		return
@@ -301,14 +307,14 @@
 	e.add(Effect{Kind: Keep, Call: v.Call, Owner: c.owner, Attempt: v.Attempt, Endpoint: t.endpoint})
 }
 
-// deliverKept ends a call with the failed answer that was kept: it was there, and a refusal
-// would say less.
+// deliverKept ends a call with the failed answer that was kept: it tells the caller more than a
+// refusal would.
 func (r *Router) deliverKept(id CallID, c *call, e *Effects) {
 	e.add(Effect{Kind: Deliver, Call: id, Owner: c.owner, Attempt: c.kept.attempt, Endpoint: c.kept.endpoint})
 	r.finish(id, c, e)
 }
 
-// handleBrokenAttempt deals with a call whose fate at the target isn't known.
+// handleBrokenAttempt handles an attempt of which it isn't known whether the target ran it.
 func (r *Router) handleBrokenAttempt(id CallID, c *call, e *Effects) {
 	if c.hasPendingSend() {
 		return
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -9,16 +9,17 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// maxConcurrentAttempts is how many attempts of a call may be under way at once.
+// maxConcurrentAttempts bounds the attempts of one call that are in flight at the same time.
 const maxConcurrentAttempts = 2
 
-// maxSendsSinceHeld bounds the sends of one call in a row, whatever became of them.
+// maxSendsSinceHeld bounds the consecutive sends of one call, whatever their results. The count
+// restarts when the call is held again.
 const maxSendsSinceHeld = 4
 
-// attempt is one send of a call that is under way.
+// attempt is one send of a call that is in flight.
 type attempt struct {
 	number AttemptNumber
-	// target is nil when this place is free.
+	// target is nil when this entry is unused.
 	target *target
 	sent   units.Instant
 	// previous and next link the attempts of a target, oldest first.
@@ -26,39 +27,44 @@
 	next     *attempt
 	hedge    bool
 	loan     *loan
-	// permitUntil is until when the attempt may begin at a target that names a limit; zero where it
-	// named none.
+	// permitUntil is the latest time at which the attempt may begin at a target that has announced
+	// a rate limit; zero where the target had announced none.
 	permitUntil units.Instant
-	// limitVersion is which word on the target's limit was known at the sending.
+	// limitVersion is the version of the target's rate limit that the box knew when it sent the
+	// attempt.
 	limitVersion uint64
-	// atUsualPace is set when the target was known to go at its usual pace at the sending, full
-	// when it was nearly full then, cold when it was cold.
+	// atUsualPace is set when the target was known to run at its usual pace at the time of the
+	// send, nearlyFull when it was nearly full then, cold when it was cold.
 	atUsualPace bool
 	nearlyFull  bool
 	cold        bool
-	// typicalTime is the route's typicalTime time then.
+	// typicalTime is the typical time of the route's calls at the time of the send, in nanoseconds.
 	typicalTime float64
-	// linkBusyAtSend is for how long large answers had occupied the box's link until the sending.
+	// linkBusyAtSend is the accumulated time for which large answers had occupied the box's link
+	// when the attempt was sent.
 	linkBusyAtSend time.Duration
-	// expectedBytes is how many bytes of a large answer are expectedBytes that hasn't begun.
+	// expectedBytes is the expected size of a large answer that hasn't started yet.
 	expectedBytes float64
-	// answerStarted is set once an answer passes through, answered is how long that took.
+	// answerStarted is set once an answer is being streamed; timeToAnswer is the time at the target
+	// until then.
 	answerStarted bool
 	timeToAnswer  time.Duration
-	// linkTime is for how long an answer that passes through occupies the box's link.
+	// linkTime is how long a streamed answer is estimated to occupy the box's link.
 	linkTime time.Duration
-	// answerTimeout is how long the answer may take before it is missed, overtakenTimeout how long
-	// before it counts that later calls were answered; ahead is how many calls seemed to be
-	// at the target before this one.
+	// answerTimeout is the time without an answer after which the attempt is overdue.
+	// overtakenTimeout is the time after which answers to later calls are evidence that this one
+	// won't be answered. callsAhead is the target's estimated load when the attempt was sent.
 	answerTimeout, overtakenTimeout time.Duration
 	callsAhead                      float64
-	// overtakenBy counts later calls that the target has answered since; missing is set when a
-	// report of its load left the call out, counted once it counts as unanswered.
+	// overtakenBy counts later calls that the target has answered since. missingFromReport is set
+	// when a load report of the target left the call out, countedUnanswered once the attempt has
+	// been counted as unanswered.
 	overtakenBy                          int
 	missingFromReport, countedUnanswered bool
 }
 
-// unknownLimitVersion stands for an answer to a call of which it isn't known which word on the limit was known as it was sent.
+// unknownLimitVersion is used for answers to calls whose limit version at the time of the send
+// isn't known.
 const unknownLimitVersion uint64 = math.MaxUint64
 
 func (a *attempt) limitVersionAtSend() uint64 {
@@ -68,41 +74,41 @@
 	return a.limitVersion
 }
 
-// call is a call that hasn't been answered yet.
+// call is the state of a call that hasn't been answered yet.
 type call struct {
 	owner any
 	route *route
-	// host and path are what the call asked for, regions where targets must be to take it;
-	// a new table binds the call anew.
+	// host and path are those of the request, regions the ones that its targets must be in. A new
+	// table binds the call to a route again.
 	host, path []byte
 	regions    *table.AllowedRegions
-	// identity tells the call apart by its content; nil where that isn't known.
+	// identity identifies the call by its content; nil where that isn't known.
 	identity crash.Identity
-	// workspace is the one whose key let the call in; nil for none.
+	// workspace is the one whose API key authorized the call; nil for none.
 	workspace *table.Workspace
-	// requestedDeadline is the deadline that the caller requestedDeadline for; zero for none.
+	// requestedDeadline is the deadline that the caller requested, as a duration; zero for none.
 	requestedDeadline time.Duration
-	// awaitsCanaryTurn is set while the call waits for the turn to be sent of a request that is suspected.
+	// awaitsCanaryTurn is set while the call waits for its turn to be sent as a canary of a
+	// suspected request.
 	awaitsCanaryTurn bool
-	// awaitsCredit is set while the call waits for a credit of its workspace; creditUntil is until when
-	// the credit that it took would have held, zero for none.
+	// awaitsCredit is set while the call waits for a credit of its workspace. creditValidUntil is
+	// when the credit that it took would have expired; zero for none.
 	awaitsCredit     bool
 	creditValidUntil units.Instant
-	// service is the one of the route's services that the call goes to.
+	// service is the one that was picked among the route's services.
 	service  *service
 	arrived  units.Instant
 	deadline units.Instant
 	attempts [maxConcurrentAttempts]attempt
-	// sends numbers the attempts; a number never comes again.
+	// sends is the number of the last attempt; numbers are never reused.
 	sends AttemptNumber
 	// sendsSinceHeld counts the attempts since the call was last held.
 	sendsSinceHeld int
 	// possibleArrivals counts the sends that may have reached a target.
 	possibleArrivals int
-	// triedTargets are the targets of those attempts.
+	// triedTargets are the targets of the sends since the call was last held.
 	triedTargets [maxSendsSinceHeld]*target
-	// mayHaveRun is set once a byte may have reached a target that didn't say
-	// that it shed the call.
+	// mayHaveRun is set once a byte may have reached a target that didn't report the call as shed.
 	mayHaveRun bool
 	held       bool
 	// permitRequests counts the coordinators that were asked for a permit for the call.
@@ -110,20 +116,20 @@
 	// awaitsTable is set while the call is held for the box's first table.
 	awaitsTable bool
 	probeRound  probeRound
-	// silenceTimerSet is set while a silenceTimer is due for the call.
+	// silenceTimerSet is set while a silenceTimer is pending for the call.
 	silenceTimerSet bool
-	// kept is a failed answer that the caller gets when nothing better comes.
+	// kept is a failed answer that is delivered to the caller if no better one comes.
 	kept keptAnswer
-	// trial is the one that lets a call in quarantine through once; its number is zero for others.
+	// trial admits the call once although it is in quarantine; its number is zero for other calls.
 	trial quarantineTrial
-	// onNewVersion is set while the call is chosen to go to a rollout's new version.
+	// onNewVersion is set while the call is to go to the new version of a rollout.
 	onNewVersion bool
-	// streaming is set once the head of an answer has been passed on.
+	// streaming is set once the head of an answer has been delivered to the caller.
 	streaming bool
 }
 
-// keptAnswer is a whole answer that reports a server's error; its endpoint is nil where
-// there is none.
+// keptAnswer is a complete answer that reports a server error. Its endpoint is nil where there is
+// none.
 type keptAnswer struct {
 	attempt  AttemptNumber
 	endpoint *Endpoint
@@ -137,11 +143,12 @@
 	*c = call{host: host, path: path}
 }
 
-// maxKeptPath is the most bytes of room for a path that are kept for later calls: nearly all
-// paths are shorter, so that few calls need new room, and a long one doesn't hold memory.
+// maxKeptPath is the largest path buffer, in bytes, that is kept for reuse by later calls. Nearly
+// all paths are shorter, so that few calls allocate a buffer, and a long path doesn't hold on to
+// memory.
 const maxKeptPath = 1 << 10
 
-// outcome says what the caller may be told if the call ends now.
+// outcome returns the outcome to report to the caller if the call ends now.
 func (c *call) outcome() Outcome {
 	if c.mayHaveRun || c.inFlight() > 0 {
 		return Unknown
@@ -177,7 +184,7 @@
 	return nil
 }
 
-// wasSentTo tells whether the call has been sent to a target since it was last held.
+// wasSentTo reports whether the call has been sent to a target since it was last held.
 func (c *call) wasSentTo(t *target) bool {
 	for _, p := range c.triedTargets[:min(c.sendsSinceHeld, maxSendsSinceHeld)] {
 		if p == t {
@@ -187,15 +194,15 @@
 	return false
 }
 
-// hasPendingSend tells whether another send of the call is under way or about to be.
+// hasPendingSend reports whether another send of the call is in flight or being prepared.
 func (c *call) hasPendingSend() bool { return c.inFlight() > 0 || c.probeRound.active }
 
-// attemptsExhausted tells whether the call may be sent to no further target.
+// attemptsExhausted reports whether the call may not be sent to any further target.
 func (c *call) attemptsExhausted() bool {
 	return c.sendsSinceHeld >= maxSendsSinceHeld || c.possibleArrivals >= c.route.maxAttempts
 }
 
-// isInFlightAt tells whether an attempt at this target is under way.
+// isInFlightAt reports whether an attempt of the call is in flight at a target.
 func (c *call) isInFlightAt(t *target) bool {
 	for i := range c.attempts {
 		if c.attempts[i].target == t {
@@ -205,35 +212,35 @@
 	return false
 }
 
-// timerKind says what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 const (
 	deadlineTimer timerKind = iota + 1
 	holdTimer
 	hedgeTimer
-	// canceledSlotTimer frees a slot whose call was canceled.
+	// canceledSlotTimer releases the slot of a canceled call.
 	canceledSlotTimer
-	// probeTimer ends the wait for targets' answers.
+	// probeTimer ends the wait for probe answers.
 	probeTimer
 	// firstTableTimer ends the wait for the box's first table.
 	firstTableTimer
-	// linkTimer ends a wait for large answers to come in.
+	// linkTimer ends a call's wait for large answers that are being received.
 	linkTimer
-	// silenceTimer is due when a call's answer is missed.
+	// silenceTimer fires when an attempt's answer is overdue.
 	silenceTimer
-	// crashTimer is due when a target whose calls broke off is to be checked again.
+	// crashTimer fires when a target whose calls broke off is to be probed again.
 	crashTimer
-	// canaryTimer is due when a call of a suspected request looks whether it may go.
+	// canaryTimer fires when a call that waits for a canary turn tries again.
 	canaryTimer
 )
 
-// timer is due at a time; timers of calls that are over are passed over.
+// timer fires at a time. Timers of calls that have ended are ignored.
 type timer struct {
 	at   units.Instant
 	call CallID
 	kind timerKind
-	// target is set for a coolTimer and a crashTimer only.
+	// target is set for a canceledSlotTimer and a crashTimer only.
 	target *target
 	// probeRound is set for a probeTimer only.
 	probeRound AttemptNumber
@@ -289,7 +296,8 @@
 }
 
 func (r *Router) deadlineExpired(id CallID, c *call, e *Effects) {
-	// A target that lets calls run out of time isn't well, unless it serves others.
+	// A target at which calls run into their deadlines is unhealthy, unless it still answers
+	// others.
 	for i := range c.attempts {
 		a := &c.attempts[i]
 		if a.target == nil {
--- a/pkg/core/routing/clientretry.go
+++ b/pkg/core/routing/clientretry.go
@@ -6,41 +6,42 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// While calls come faster than targets can serve them, callers who were refused try again, and
-// the answer to a second try is late. Each slot that it takes is one in which a first try would
-// have been answered in time. With calls of 1.8 times the capacity over 60 boxes and callers who
-// try again once, 35 in 100 calls were answered in aim in place of 29. How long ago a caller's
-// first try was shows in the deadline that it asks for, compared with those of the route's first
+// Under overload, callers whose calls were refused retry, and the answer to a retry comes late.
+// Each slot that a retry takes is one in which a first try would have been answered in time. With
+// calls at 1.8 times the capacity over 60 boxes and callers that retry once, refusing late retries
+// raised the calls answered within their aim from 29 in 100 to 35. The time since a caller's first
+// try is estimated from the deadline that it requests, compared with those of the route's first
 // tries.
 
 const (
-	// clientRetryFraction is the part of callers that ask for less than the usual deadline while there
-	// is room: those who come back after a failure, and a few whose deadlines are unlike the others'.
+	// clientRetryFraction is the fraction of callers that request less than the usual deadline
+	// while there is room: those that retry after a failure, and a few with unusual deadlines.
 	clientRetryFraction = 0.1
-	// deadlineStep is how far the usual deadline moves with each call, as a part of it: one
-	// call in ten with a shorter deadline leaves it where it is.
+	// deadlineStep is how far the estimate moves with each call, as a fraction of it. One call in
+	// ten with a shorter deadline leaves it unchanged on average.
 	deadlineStep = 0.04
-	// minDeadlineSamples is how many calls must have come before anything is said; a box may get
-	// only a few calls of a route each second.
+	// minDeadlineSamples is the number of samples before the estimate is used; a box may get only a
+	// few calls of a route each second.
 	minDeadlineSamples = 4
-	// clientRetryThreshold is the part of the usual deadline below which a caller counts as having come
-	// back: the deadlines of first tries differ a little from caller to caller.
+	// clientRetryThreshold is the fraction of the usual deadline below which a call is taken for a
+	// retry: the deadlines of first tries vary a little between callers.
 	clientRetryThreshold = 0.9
-	// crowdedThreshold is the part of calls that found no target at once from which on late returns
-	// are refused; crowdMemory is for how long that counts, since a box may get a call of a
-	// service only once a second.
+	// crowdedThreshold is the fraction of calls without an immediate target from which on late
+	// retries are refused. crowdedDuration is how long that remains valid, since a box may get only
+	// one call of a service each second.
 	crowdedThreshold = 0.25
 	crowdedDuration  = 2 * time.Second
 )
 
-// deadlineEstimate is what a route's callers ask for when they first come: nearly all of them ask
-// for this much or more. It is learnt while the service has room, when few come back.
+// deadlineEstimate estimates the deadline that a route's callers request at their first try: nearly
+// all of them request this much or more. It is updated while the service has room, when few calls
+// are retries.
 type deadlineEstimate struct {
 	estimate time.Duration
 	samples  int
 }
 
-// observe takes the deadline that a call asks for.
+// observe updates the estimate with the deadline that a call requests.
 func (u *deadlineEstimate) observe(asked time.Duration) {
 	if asked <= 0 {
 		return
@@ -58,15 +59,15 @@
 	u.estimate += time.Duration(clientRetryFraction * step)
 }
 
-// observeEarly takes the least of the first calls' deadlines.
+// observeEarly sets the estimate to the minimum of the first samples.
 func (u *deadlineEstimate) observeEarly(asked time.Duration) {
 	if u.estimate == 0 || asked < u.estimate {
 		u.estimate = asked
 	}
 }
 
-// elapsedSinceFirstTry is how long ago, at the least, the caller's first try was; zero for a first try, and
-// where that can't be told.
+// elapsedSinceFirstTry is a lower bound of the time since the caller's first try; zero for a first
+// try, and where it can't be estimated.
 func (u *deadlineEstimate) elapsedSinceFirstTry(asked time.Duration) time.Duration {
 	if asked <= 0 || u.samples < minDeadlineSamples || float64(asked) >= clientRetryThreshold*float64(u.estimate) {
 		return 0
@@ -74,14 +75,14 @@
 	return u.estimate - asked
 }
 
-// isCrowded tells whether calls have lately found no target at once, so that a slot given to
-// one call is missing for another.
+// isCrowded reports whether many recent calls found no target at once, so that a slot given to one
+// call is missing for another.
 func (s *service) isCrowded(now units.Instant) bool {
 	return s.busyPart >= crowdedThreshold && now.Sub(s.busyAt) < crowdedDuration
 }
 
-// wouldMissAim tells whether a call had better be refused at once: its caller has come back so
-// late that the answer would miss the aim, and first tries need the slots.
+// wouldMissAim reports whether a call should be refused at once because it is such a late retry
+// that its answer would miss the aim, and first tries need the slots.
 func (r *Router) wouldMissAim(c *call, asked time.Duration) bool {
 	x := c.route
 	if !r.enabled(FirstTries) || x.aim == 0 || !c.service.isCrowded(r.now) {
--- a/pkg/core/routing/early.go
+++ b/pkg/core/routing/early.go
@@ -6,21 +6,22 @@
 	"github.com/madderpond/madderpond/pkg/core/apikey"
 )
 
-// A box that has just started gets its table a moment later. Calls that come before are
-// held for it: a caller that is refused comes back later than the table does, and all of
+// A box that has just started receives its table shortly afterwards. Calls that arrive earlier are
+// held until then: callers that were refused would retry later than the table arrives, and all of
 // them at the same time.
 
 const (
-	// firstTableTimeout is for how long after its start a box holds calls for its first table; after a loss
-	// of power of all boxes a leader stands and tables come well within it.
+	// firstTableTimeout is for how long after its start a box holds calls for its first table. When
+	// all boxes restart after a power loss, the cluster elects a leader and distributes tables well
+	// within this time.
 	firstTableTimeout = 500 * time.Millisecond
-	// maxEarlyCalls bounds the calls that are held so.
+	// maxEarlyCalls bounds the calls that are held for the first table.
 	maxEarlyCalls = 512
-	// noTableRetryAfter is when the caller of a box without a table may come back.
+	// noTableRetryAfter is the retry delay reported by a box without a table.
 	noTableRetryAfter = 250 * time.Millisecond
 )
 
-// earlyCall is a call that came before the first table.
+// earlyCall is a call that arrived before the first table.
 type earlyCall struct {
 	id       CallID
 	host     string
@@ -29,7 +30,7 @@
 	deadline time.Duration
 }
 
-// holdEarly holds a call for the first table, and tells whether it does.
+// holdEarly holds a call for the first table, and reports whether it did.
 func (r *Router) holdEarly(id CallID, c *call, v *CallArrived, e *Effects) bool {
 	until := r.startedAt.Add(firstTableTimeout)
 	if !r.enabled(EarlyCalls) || r.now >= until || len(r.early) >= maxEarlyCalls {
@@ -45,8 +46,7 @@
 	return true
 }
 
-// admitEarly decides about the calls that were held for the first table, once that is in
-// force.
+// admitEarly admits the calls that were held for the first table, once that is in force.
 func (r *Router) admitEarly(e *Effects) {
 	if len(r.early) == 0 || r.tableIsEmpty() || !r.leased() {
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-// refuseEarly refuses a call whose table hasn't come in time.
+// refuseEarly refuses a call for which the first table hasn't arrived in time.
 func (r *Router) refuseEarly(id CallID, c *call, e *Effects) {
 	if c.awaitsTable {
 		r.refuse(id, c, Refusal{Reason: NoTable, Outcome: NotRun, RetryAfter: noTableRetryAfter}, e)
--- a/pkg/core/routing/fingerprintset.go
+++ b/pkg/core/routing/fingerprintset.go
@@ -6,8 +6,9 @@
 	"github.com/madderpond/madderpond/pkg/core/crash"
 )
 
-// fingerprintSet is a set of calls by their content. Looking for a call in an empty one costs nothing,
-// and in one that has nothing like it a digest of the call's head: 0.13 us.
+// fingerprintSet is a set of call fingerprints, indexed by the digest of the call's head. A look-up
+// in an empty set costs nothing; in a set without a match it costs one digest of the call's head,
+// 0.13 us.
 type fingerprintSet struct {
 	byHead map[uint64][]crash.Fingerprint
 }
@@ -23,8 +24,8 @@
 
 func (s *fingerprintSet) clear() { clear(s.byHead) }
 
-// match returns what in the set covers a call; ok is false for none, and for a call that has no
-// identity.
+// match returns the fingerprint of the set that covers a call; ok is false if there is none or the
+// call has no identity.
 func (s *fingerprintSet) match(i crash.Identity) (f crash.Fingerprint, ok bool) {
 	if len(s.byHead) == 0 || i == nil {
 		return crash.Fingerprint{}, false
--- a/pkg/core/routing/hedging.go
+++ b/pkg/core/routing/hedging.go
@@ -6,18 +6,17 @@
 	"github.com/madderpond/madderpond/pkg/core/table"
 )
 
-// minHedgeDelay is the least time before a call is hedged: a call that ends sooner gains its
-// caller less than a hedge costs the targets.
+// minHedgeDelay is the minimum delay of a hedge: for a call that ends sooner the caller gains less
+// than the hedge costs the targets.
 const minHedgeDelay = 2 * time.Millisecond
 
-// isHedged tells whether calls like this one are sent a second time when they are late.
+// isHedged reports whether late calls of this kind are hedged.
 func (r *Router) isHedged(c *call) bool {
 	return c.route.work == table.Repeatable && r.enabled(Hedging) && c.service.row.HedgeBudget > 0 && c.route.maxAttempts > 1
 }
 
-// hedgeDelay is how long a call may go unanswered before it is worth a second send:
-// half of its aim, so that the second may still make it, or longer than nearly all
-// calls take where there is no aim.
+// hedgeDelay is how long a call may be unanswered before it is hedged: half of its aim, so that the
+// hedge may still meet the aim, or longer than nearly all calls take where the route has none.
 func (c *call) hedgeDelay() time.Duration {
 	if c.route.aim > 0 {
 		return max(minHedgeDelay, c.route.aim/2)
@@ -25,14 +24,15 @@
 	return c.service.hedgeDelay()
 }
 
-// hedgeDelay is the same by the service's answers alone: longer than nearly all calls take.
+// hedgeDelay is the hedge delay without an aim, from the latency of the service's answers alone:
+// longer than nearly all calls take.
 func (s *service) hedgeDelay() time.Duration {
 	return max(minHedgeDelay, s.latency.quantile())
 }
 
-// hedge sends a call a second time if it is still without an answer, the budget
-// allows it and another target has room. Otherwise it is tried again later: a target that has
-// gone silent would keep the call until its deadline.
+// hedge sends a call a second time if it is still unanswered, the budget allows it and another
+// target has room. Otherwise it tries again later: a target that has stopped answering would keep
+// the call until its deadline.
 func (r *Router) hedge(id CallID, c *call, e *Effects) {
 	for i := range c.attempts {
 		r.watch(id, c, &c.attempts[i])
@@ -42,12 +42,12 @@
 	}
 }
 
-// mayHedge tells whether the call waits for one answer and may be sent once more.
+// mayHedge reports whether the call waits for exactly one answer and may be sent once more.
 func (c *call) mayHedge() bool {
 	return !c.held && !c.streaming && !c.probeRound.active && c.inFlight() == 1 && !c.attemptsExhausted()
 }
 
-// tryHedge hedges a call now if it can be.
+// tryHedge hedges a call now if that is possible.
 func (r *Router) tryHedge(id CallID, c *call, e *Effects) bool {
 	s := c.service
 	if r.isBehindHeld(s, c) || !r.leased() || !r.mayResend(c) {
@@ -61,7 +61,7 @@
 	return true
 }
 
-// scheduleHedge has a call that couldn't be hedged now looked at again.
+// scheduleHedge schedules the next attempt to hedge a call.
 func (r *Router) scheduleHedge(id CallID, c *call) {
 	r.timers.Push(timer{at: r.now.Add(c.hedgeDelay()), call: id, kind: hedgeTimer})
 }
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Targets' load shifts faster than answers report it. Before a call is sent, the box may
-// probe a few targets and send the call to the best of them. Probes draw on the measuring
-// budget; without budget the box chooses by the readings that it has.
+// Targets' load changes faster than answers report it. Before a call is sent, the box may probe a
+// few targets and send the call to the best of them. Probes draw on the measurement budget; without
+// budget the box chooses by the readings that it has.
 
 const (
-	// probeTimeout is how long a call waits for the answers to its probes at the most, besides
+	// probeTimeout is the longest time a call waits for the answers to its probes, in addition to
 	// the extra round trip to targets in other failure domains.
 	probeTimeout = 12 * time.Millisecond
-	// hedgeProbeTimeout is how long a hedge waits for them: its call is under way, so that
-	// nothing is lost by waiting, and given up too soon the probes are spent for nothing.
+	// hedgeProbeTimeout is the longest time a hedge waits for probe answers. Its call is already in
+	// flight, so that waiting costs nothing, and probes that are given up too early are wasted.
 	hedgeProbeTimeout = 100 * time.Millisecond
 	// maxProbesPerSend bounds the targets that are probed for one send.
 	maxProbesPerSend = 4
 	// freshReadingAge is the age up to which a reading is as good as a new one.
 	freshReadingAge = 30 * time.Millisecond
-	// probeBurstTime is for how long a box may save up its part of the budget: probes are
-	// worth most in the seconds in which many calls come. leastSavedUp is what it may save
-	// up however small the part is, in probes.
+	// probeBurstTime is the time for which a box may save up its share of the probe budget: probes
+	// are most useful in the seconds in which many calls arrive. minProbeBurst is the minimum size
+	// of that token bucket, in probes.
 	probeBurstTime = 4 * time.Second
 	minProbeBurst  = 8
 )
 
-// maxGoodPace is the expected pace up to which a target is as good as any.
+// maxGoodPace is the expected pace up to which targets are considered equally good.
 const maxGoodPace = 1.5
 
-// Purpose is what a send is for.
+// Purpose is why a call is sent to a target.
 type Purpose uint8
 
 // The purposes of a send.
@@ -40,22 +40,22 @@
 	HedgeSend
 )
 
-// String returns the word that logs show.
+// String returns the purpose as logs show it.
 func (p Purpose) String() string { return [...]string{"first", "retry", "hedge"}[p] }
 
-// probeRound is a call's present round of probes.
+// probeRound is the current round of probes of a call.
 type probeRound struct {
 	active  bool
 	number  AttemptNumber
 	pending int
 	purpose Purpose
-	// queued is set once the call stands among its service's queued ones.
+	// queued is set once the call is in its service's waiting list.
 	queued bool
-	// rounds counts the rounds of probes that were sent.
+	// rounds counts the rounds in which probes were sent.
 	rounds int
 }
 
-// sendOrProbe sends a call to the target that seems best, or probes a few first.
+// sendOrProbe sends a call to the target that seems best, or probes a few targets first.
 func (r *Router) sendOrProbe(id CallID, c *call, best *target, why Purpose, e *Effects) {
 	if !r.enabled(Probing) || !c.service.probesTargets() || best.notice.limited() || best.hasFreshReading(r.now) && r.isSuitable(c, best) || r.goesUnprobed(c, best) {
 		r.send(id, c, best, why, e)
@@ -78,11 +78,11 @@
 	}
 }
 
-// maxUnreported is how many answers in a row without a load report show that a service's
-// targets send none.
+// maxUnreported is the number of consecutive answers without a load report after which a service's
+// targets are assumed to send none.
 const maxUnreported = 8
 
-// recordReport notes whether an answer carried a load report.
+// recordReport records whether an answer carried a load report.
 func (s *service) recordReport(x Reading) {
 	if x.Known {
 		s.unreported = 0
@@ -91,14 +91,14 @@
 	s.unreported++
 }
 
-// probesTargets tells whether targets are probed before a call is sent. Those that send no
-// load reports aren't; the latency of their answers decides then, until one sends a report.
+// probesTargets reports whether targets are probed before a call is sent. Targets that send no load
+// reports aren't: the latency of their answers decides then, until one sends a report.
 func (s *service) probesTargets() bool {
 	return s.row.ProbeTargets > 0 && s.unreported < maxUnreported
 }
 
-// sendProbes probes the best targets; false means that there is none to probe or no budget
-// for it.
+// sendProbes probes the best targets for a call. It returns false if there is no target to probe or
+// no budget for it.
 func (r *Router) sendProbes(id CallID, c *call, e *Effects) bool {
 	probed := r.targetsToProbe(c, min(c.service.row.ProbeTargets, maxProbesPerSend))
 	if len(probed) < 1 || !r.spendProbeBudget(c.service, len(probed)) {
@@ -120,7 +120,7 @@
 	return true
 }
 
-// probe probes a target for a call.
+// probe sends a probe to a target for a call.
 func (r *Router) probe(id CallID, c *call, t *target, number AttemptNumber, e *Effects) {
 	t.noteProbeSent(r.now)
 	e.add(Effect{
@@ -129,14 +129,16 @@
 	})
 }
 
-// spendProbeBudget takes n probes of a service's targets off the budget, or none.
+// spendProbeBudget takes n probes from the service's probe budget, or none if there aren't as many
+// left.
 func (r *Router) spendProbeBudget(s *service, n int) bool {
 	rate := r.probeBudgetRate(s)
 	burst := max(minProbeBurst, rate*probeBurstTime.Seconds())
 	return s.probeBudget.takeMany(r.now, float64(n), rate, burst)
 }
 
-// probeBudgetRate is how many probes a second this box may send to a service's targets.
+// probeBudgetRate is the rate at which this box may probe a service's targets, in probes per
+// second.
 func (r *Router) probeBudgetRate(s *service) float64 {
 	rate := 0.0
 	for _, t := range s.targets {
@@ -147,9 +149,9 @@
 	return rate
 }
 
-// targetsToProbe returns up to n available targets of the least cost that are worth a probe:
-// the answer of one that was probed a moment ago serves all calls. The slice is used again
-// by the next call.
+// targetsToProbe returns up to n available targets of the lowest cost that have no recent reading
+// and no probe in flight, since probe answers are shared by all calls. The slice is reused by the
+// next call.
 func (r *Router) targetsToProbe(c *call, n int) []*target {
 	from := r.callSide(c.service, c)
 	set := candidates{
@@ -157,14 +159,14 @@
 		side: from,
 	}
 	r.best = r.best[:0]
-	// Targets of the same cost come up in a random order, so that the boxes don't all probe
+	// Targets of the same cost are compared in a random order, so that the boxes don't all probe
 	// the same ones.
 	targets := c.service.targets
 	start := r.random.IntN(max(1, len(targets)))
 	for k := range targets {
 		i := (start + k) % len(targets)
 		t := targets[i]
-		// At a target that names a limit a probe would cost as much as the call.
+		// At a target with an announced rate limit a probe would cost as much as the call.
 		if t.notice.limited() || !set.Available(i) && !set.onlyInDoubt(i) || t.hasFreshReading(r.now) || t.hasProbeInFlight(r.now) {
 			continue
 		}
@@ -177,7 +179,7 @@
 	return r.best
 }
 
-// insertByCost keeps the n targets of the least cost, in order.
+// insertByCost inserts a target into a list of the n lowest costs, in order.
 func insertByCost(best []*target, t *target, n int) []*target {
 	i := len(best)
 	for i > 0 && t.probeOrder < best[i-1].probeOrder {
@@ -194,7 +196,7 @@
 	return best
 }
 
-// probeAnswered takes an answer to a call's probe. A target that suits ends the wait; the
+// probeAnswered handles the answer to a probe for a call. A suitable target ends the call's wait;
 // other answers only add readings.
 func (r *Router) probeAnswered(v *ProbeEnded, t *target, e *Effects) {
 	c := r.calls.Get(v.Call)
@@ -211,8 +213,8 @@
 	}
 }
 
-// concludeProbing sends the call to what is now the best target, if that suits; else it
-// probes others a moment later, as long as the call can wait.
+// concludeProbing sends the call to the target that is now the best, if that is suitable. Otherwise
+// the call probes again after an interval, as long as it can wait.
 func (r *Router) concludeProbing(id CallID, c *call, e *Effects) {
 	wasOnTrial := c.onNewVersion
 	t := r.choose(c.service, c)
@@ -252,8 +254,8 @@
 	r.refuse(id, c, Refusal{Reason: TargetsBusy, Outcome: c.outcome(), RetryAfter: r.busyRetryAfter(c.service)}, e)
 }
 
-// leaveNewVersion has a call that finds no room at the new version go to the others, as a new call
-// would.
+// leaveNewVersion sends a call that finds no room at a rollout's new version to the other targets,
+// like a new call.
 func (r *Router) leaveNewVersion(id CallID, c *call, e *Effects) {
 	c.onNewVersion = false
 	if t := r.choose(c.service, c); t != nil && t.hasFreshReading(r.now) && r.isSuitable(c, t) || !r.sendProbes(id, c, e) {
@@ -261,8 +263,8 @@
 	}
 }
 
-// bestSuitable is the target of the least cost among those that suit a call, or nil. A call
-// that is late takes a nearly full target that is known rather than wait for a better one.
+// bestSuitable returns the suitable target of the lowest cost for a call, or nil. A call that is
+// late is sent to a nearly full target with a known load rather than wait for a better one.
 func (r *Router) bestSuitable(c *call) *target {
 	set := candidates{
 		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c), fresh: true, side: r.callSide(c.service, c),
@@ -279,7 +281,7 @@
 	return best
 }
 
-// probeTimerFired goes on without the answers that haven't come, or probes again.
+// probeTimerFired continues without the outstanding probe answers, or probes again.
 func (r *Router) probeTimerFired(id CallID, c *call, e *Effects) {
 	if r.sendUnprobed(id, c, e) {
 		return
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// minSilenceBeforeProbe is how long an ejected target must have been silent to be worth
-	// a probe.
+	// minSilenceBeforeProbe is how long nothing must have been heard from an ejected target before
+	// it is probed.
 	minSilenceBeforeProbe = 200 * time.Millisecond
-	// defaultSlots stands in for the capacity of a target without a limit.
+	// defaultSlots is the assumed capacity of a target without a limit, in calls.
 	defaultSlots = 3
-	// probeBurst is how many probes a box may save up.
+	// probeBurst is the number of probes that a box may save up, the size of the token bucket.
 	probeBurst = 1
 )
 
-// probeRate is how many probes a second this box may send to a target: its part
-// of the target's measuring budget.
+// probeRate is the rate at which this box may probe a target, in probes per second: its share of
+// the target's measurement budget.
 func (r *Router) probeRate(s *service, t *target) float64 {
 	slots := float64(t.row.MaxInFlight)
 	if slots == 0 {
@@ -27,8 +27,8 @@
 	return busy / r.settings.ProbeCost.Seconds() * t.probeShare.value
 }
 
-// probeIfDue probes a target that is out of the common path. Calls are the
-// first measurement; a target that has them needs no probe.
+// probeIfDue probes a target that gets no calls. Targets that get calls are measured by these and
+// need no probe.
 func (r *Router) probeIfDue(s *service, t *target, e *Effects) {
 	if !t.wantsProbe(r.now) || t.evacuated || t.side > onTrial || t.probing || r.now.Sub(t.lastHeard) < minSilenceBeforeProbe || !r.leased() {
 		return
@@ -82,8 +82,8 @@
 	}
 }
 
-// updateFromProbe takes the answer to a call's probe. What a target reports of its health
-// counts for no more than a reading: the results of calls are better evidence.
+// updateFromProbe updates a target's state from the answer to a probe for a call. The health that
+// the target reports counts for no more than a reading: the results of calls are better evidence.
 func (r *Router) updateFromProbe(t *target, v *ProbeEnded, e *Effects) {
 	if t == nil {
 		return
@@ -106,19 +106,19 @@
 	}
 }
 
-// probeLostAfter is after what time an unanswered probe counts as lost, so that the target may
-// be probed again: a probe behind a large answer, or one whose packet was lost and sent
-// again, is answered within some 0.3 s.
+// probeLostAfter is the time after which an unanswered probe is given up as lost, so that the
+// target may be probed again. A probe behind a large answer, or one that was retransmitted after a
+// packet loss, is answered within about 0.3 s.
 const probeLostAfter = 500 * time.Millisecond
 
-// hasProbeInFlight tells whether a probe of this box is on its way to the target. Another one
-// would wait behind it, and cost the target as much as the first.
+// hasProbeInFlight reports whether a probe of this box to the target is in flight. Another one
+// would queue behind it, and cost the target as much as the first.
 func (t *target) hasProbeInFlight(now units.Instant) bool {
 	return t.probesOut > 0 && now.Sub(t.probedAt) < probeLostAfter
 }
 
-// shareProbeAnswer lets the calls that wait use an answer that the call which asked no longer
-// waits for.
+// shareProbeAnswer makes a probe's answer available to the waiting calls if the call that probed no
+// longer needs it.
 func (r *Router) shareProbeAnswer(t *target) {
 	if t != nil && len(t.service.waiting) > 0 && t.hasFreshReading(r.now) && r.isSuitableByReading(nil, t) {
 		r.freed = append(r.freed, t.service)
--- a/pkg/core/routing/refusal.go
+++ b/pkg/core/routing/refusal.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Outcome says what a refused caller may know of its call.
+// Outcome tells a refused caller whether its call may have been run.
 type Outcome uint8
 
 // The outcomes that a refusal can name.
@@ -16,7 +16,7 @@
 	Unknown
 )
 
-// String returns the word that callers see.
+// String returns the outcome as it is shown to callers.
 func (o Outcome) String() string {
 	if o == NotRun {
 		return "not-run"
@@ -24,10 +24,10 @@
 	return "unknown"
 }
 
-// Reason says why a call was refused.
+// Reason is why a call was refused.
 type Reason uint8
 
-// The reasons for a refusal; reasonTable says what each one means.
+// The reasons for a refusal; reasonTable describes each of them.
 const (
 	NoLease Reason = iota + 1
 	NoService
@@ -57,7 +57,7 @@
 	reasonCount
 )
 
-// reasonInfo are what callers and operators get to see of a reason.
+// reasonInfo is what callers and operators see of a reason.
 type reasonInfo struct {
 	word string
 	// status is the HTTP status of the refusal.
@@ -93,14 +93,14 @@
 	CallerDisconnected: {"caller-gone", 499, "nothing; the caller hung up"},
 }
 
-// String returns the word for a reason.
+// String returns the reason as it is shown to callers and operators.
 func (r Reason) String() string { return reasonTable[r].word }
 
 // Status returns the HTTP status of a refusal for this reason.
 func (r Reason) Status() int { return reasonTable[r].status }
 
-// Status returns the HTTP status of the refusal. A call that hasn't run gets a status that
-// says so, whatever kept it from running; one that may have run never does.
+// Status returns the HTTP status of the refusal. Statuses that promise that the call hasn't run are
+// used for those calls only, and always for them, whatever the reason.
 func (r Refusal) Status() int {
 	status := r.Reason.Status()
 	switch {
@@ -112,7 +112,7 @@
 	return status
 }
 
-// Remedy says what the caller can do.
+// Remedy returns advice for the caller.
 func (r Reason) Remedy() string { return reasonTable[r].remedy }
 
 // Reasons returns all reasons, in order.
@@ -124,10 +124,10 @@
 	return all
 }
 
-// Refusal is a final answer of the box's own.
+// Refusal is an answer of the box itself in place of one from a target. It is final.
 type Refusal struct {
 	Reason  Reason
 	Outcome Outcome
-	// RetryAfter is when the caller may come back.
+	// RetryAfter is how long the caller should wait before it retries.
 	RetryAfter time.Duration
 }
--- a/pkg/core/routing/retrying.go
+++ b/pkg/core/routing/retrying.go
@@ -6,8 +6,8 @@
 	"github.com/madderpond/madderpond/pkg/core/table"
 )
 
-// retry sends a call again to another target, if the budget allows it. A retry is free
-// when nothing of the call can have arrived anywhere.
+// retry sends a call again to another target, if the retry budget allows it. A free retry doesn't
+// draw on the budget; it is used when the call can't have reached any target.
 func (r *Router) retry(id CallID, c *call, free bool, e *Effects) bool {
 	if !r.enabled(Retrying) || c.attemptsExhausted() || !r.leased() || r.isBehindHeld(c.service, c) || !r.mayResend(c) {
 		return false
@@ -20,8 +20,8 @@
 	return true
 }
 
-// resend deals with an attempt that the target certainly didn't run. Any kind
-// of work may be sent again then.
+// resend handles an attempt that the target certainly didn't run. Any kind of work may be sent
+// again then.
 func (r *Router) resend(id CallID, c *call, reason Reason, e *Effects) {
 	if c.hasPendingSend() {
 		return
@@ -35,11 +35,11 @@
 	r.refuse(id, c, Refusal{Reason: reason, Outcome: c.outcome(), RetryAfter: r.resendRetryAfter(c.service, reason)}, e)
 }
 
-// shedRetryAfter is when the caller of a call that targets with room shed may come back: the next
-// target may take it, and waiting would only make the answer late.
+// shedRetryAfter is the retry delay for a call that was shed although targets have room: the next
+// target may accept it, and a longer delay would only make the answer late.
 const shedRetryAfter = 5 * time.Millisecond
 
-// resendRetryAfter is when the caller of a call that no target took may come back.
+// resendRetryAfter is the retry delay for a call that no target accepted.
 func (r *Router) resendRetryAfter(s *service, reason Reason) time.Duration {
 	if reason == TargetShed && !s.isCrowded(r.now) && s.held.length == 0 {
 		return shedRetryAfter
@@ -47,8 +47,8 @@
 	return s.retryAfter(r.now)
 }
 
-// holdAgain puts a patient call back at the front of those held, as long as it
-// may be held at all.
+// holdAgain puts a patient call back at the front of the held queue, as long as it may be held at
+// all.
 func (r *Router) holdAgain(id CallID, c *call, e *Effects) bool {
 	s := c.service
 	until := min(c.deadline, c.arrived.Add(s.row.HoldLimit))
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -2,18 +2,18 @@
 
 import "github.com/madderpond/madderpond/pkg/units"
 
-// isSuitable tells whether a target would serve the call about as well as any could: work
-// goes at its usual pace there, and a slot is free.
+// isSuitable reports whether a target would serve the call about as well as any other: work runs at
+// its usual pace there, and a slot is free.
 func (r *Router) isSuitable(c *call, t *target) bool {
 	if !c.service.probesTargets() || t.notice.limited() {
-		// A target that names a limit has room for what it permits.
+		// A target with an announced rate limit has room for each call that it issues a permit for.
 		return true
 	}
 	return r.isSuitableByReading(c, t) && (t.hasFreshReading(r.now) || !r.mustBeSure(c))
 }
 
-// isSuitableByReading tells whether a target that has just been probed isSuitableByReading a call; nil stands for a call that
-// any target may take.
+// isSuitableByReading reports whether a target is suitable for a call by its current reading. A nil
+// call stands for one that may go to any target.
 func (r *Router) isSuitableByReading(c *call, t *target) bool {
 	if t.expectedPace(r.now) >= maxGoodPace || r.isTooSlow(c, t) {
 		return false
@@ -24,9 +24,9 @@
 	return t.load(r.now)+1 <= t.bestConcurrency()
 }
 
-// isTooSlow tells whether calls take much longer at a target than elsewhere. Where they do
-// at all targets of the service that the call may use, none is too slow: refusing calls would
-// help nobody.
+// isTooSlow reports whether calls take much longer at a target than elsewhere. If that holds for
+// all targets of the service that the call may use, none is too slow: refusing calls would help
+// nobody.
 func (r *Router) isTooSlow(c *call, t *target) bool {
 	slowdown := t.currentSlowdown(r.now)
 	if !r.enabled(SlowTargets) || slowdown < heavySlowdown {
@@ -41,10 +41,10 @@
 	return slowdown > slowAlike*least
 }
 
-// acceptsUnsuitable tells whether a call that can't wait any longer may go to a target that
-// doesn't suit: when the call may have run already and so can't be refused for good, or no
-// target could be probed although the service isn't busy. While it is busy such a call would
-// meet others at a target that nothing is known of, and both would be late.
+// acceptsUnsuitable reports whether a call that can't wait any longer may go to an unsuitable
+// target: either the call may have run already, so that a refusal can't say that it hasn't, or no
+// target could be probed although the service isn't busy. While it is busy, such a call would meet
+// others at a target without a reading, and both would be late.
 func (r *Router) acceptsUnsuitable(c *call) bool {
 	if c.probeRound.purpose == HedgeSend || r.mustBeSure(c) {
 		return false
@@ -52,7 +52,7 @@
 	return c.mayHaveRun || c.probeRound.rounds == 0 && !c.service.isBusy(r.now)
 }
 
-// hasFreshReading tells whether the target's last reading is as good as a new one.
+// hasFreshReading reports whether the target's last reading is as good as a new one.
 func (t *target) hasFreshReading(now units.Instant) bool {
 	return t.reading.Known && now.Sub(t.reading.at) <= freshReadingAge
 }
--- a/pkg/core/routing/waiting.go
+++ b/pkg/core/routing/waiting.go
@@ -8,22 +8,23 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Calls that found no suitable target wait for one: they probe again after a pause, the
-// most urgent first and the oldest of those, and take the slot that an answer shows free.
+// A call that finds no suitable target waits for one: it probes again after an interval, and takes
+// a slot as soon as an answer shows that one is free. Waiting calls are ordered by urgency, and by
+// age where that is equal.
 
-// waitingCall is a call that waits.
+// waitingCall is an entry of a service's waiting list.
 type waitingCall struct {
 	id      CallID
 	urgency urgency
 }
 
 const (
-	// maxProbingCalls is how many of a service's waiting calls probe at a time.
+	// maxProbingCalls bounds the waiting calls of a service that probe at the same time.
 	maxProbingCalls = 8
-	// busyDuration is how long a service counts as busy after a call found no target.
+	// busyDuration is how long a service is considered busy after a call found no target.
 	busyDuration = 500 * time.Millisecond
-	// busyThreshold is the part of calls without a target from which on a service counts as
-	// busy; busyGain is the weight of the newest call.
+	// busyThreshold is the fraction of calls without a target from which on a service is considered
+	// busy. busyGain is the weight of the newest call in that moving average.
 	busyThreshold = 0.5
 	busyGain      = 0.2
 )
@@ -31,24 +32,25 @@
 const (
 	// probeRetryInterval is the time between two rounds of probes of a call that found no target.
 	probeRetryInterval = 15 * time.Millisecond
-	// calmWaitFraction is the part of its aim at which a call that waits is sent or refused; one that
-	// is sent then usually still ends within its aim. crowdedPart is that part while the
-	// service is busy: a target that comes free later serves a call better that has just come.
+	// calmWaitFraction is the fraction of its aim after which a waiting call is sent or refused;
+	// one that is sent then usually still ends within its aim. busyWaitFraction replaces it while
+	// the service is busy: a target that becomes free later is better used for a call that has just
+	// arrived.
 	calmWaitFraction = 0.45
 	busyWaitFraction = 0.25
-	// defaultAimFraction is the part of a call's deadline that stands in for the aim of a route that
-	// has none, so that such a call also leaves most of its time for the answer.
+	// defaultAimFraction is the fraction of a call's deadline that is used as the aim on a route
+	// without one, so that such a call also leaves most of its time for the answer.
 	defaultAimFraction = 0.25
-	// minBusyRetryAfter and mostBusyRetry bound when the caller of a call that found all targets
-	// busy may come back. Few callers wait longer than the latter with most of their time left.
+	// minBusyRetryAfter and maxBusyRetryAfter bound the retry delay that is reported when all
+	// targets are busy. Few callers wait longer than the maximum with most of their time left.
 	minBusyRetryAfter = 60 * time.Millisecond
 	maxBusyRetryAfter = 800 * time.Millisecond
-	// retryAfterJitter is how far the time to come back may lie from its mean, as a part of it, so
-	// that callers who were refused together don't come back together.
+	// retryAfterJitter is how far a retry delay may deviate from its mean, as a fraction of it, so
+	// that callers that were refused together don't retry together.
 	retryAfterJitter = 0.25
 )
 
-// waitFraction is the part of its aim at which a call that waits is sent or refused.
+// waitFraction is the fraction of its aim after which a waiting call is sent or refused.
 func (s *service) waitFraction(now units.Instant) float64 {
 	if s.isBusy(now) {
 		return busyWaitFraction
@@ -56,9 +58,9 @@
 	return calmWaitFraction
 }
 
-// busyRetryAfter is when the caller of a call that found all targets busy may come back. A
-// busy time that has lasted is expected to last as long again. A caller who comes back before
-// its end adds to the load, and is answered late all the same.
+// busyRetryAfter is the retry delay for a call that found all targets busy. A busy period is
+// expected to last as long again as it has lasted so far. A caller that retries before its end adds
+// to the load, and is answered late all the same.
 func (r *Router) busyRetryAfter(s *service) time.Duration {
 	lasted := r.now.Sub(s.busySince)
 	if !s.isBusy(r.now) {
@@ -69,7 +71,8 @@
 	return time.Duration(jitter * float64(after)).Round(time.Millisecond)
 }
 
-// aim is the aim of the call's route, or the part of its deadline that stands in for one.
+// aim returns the aim of the call's route, or a fraction of the call's deadline where the route has
+// none.
 func (c *call) aim() float64 {
 	if c.route.aim > 0 {
 		return float64(c.route.aim)
@@ -77,18 +80,19 @@
 	return defaultAimFraction * float64(c.deadline.Sub(c.arrived))
 }
 
-// aimFractionUsed is how much of its aim the call has spent so far.
+// aimFractionUsed is the fraction of its aim that the call has used up so far.
 func (c *call) aimFractionUsed(now units.Instant) float64 {
 	return float64(now.Sub(c.arrived)) / c.aim()
 }
 
-// isBusy tells whether calls have lately found no target that suits. Then one that
-// nothing recent is known of is likely to be full as well.
+// isBusy reports whether many recent calls found no suitable target. Targets without a recent
+// reading are likely to be full as well then.
 func (s *service) isBusy(now units.Instant) bool {
 	return s.busyPart > busyThreshold && now.Sub(s.busyAt) < busyDuration
 }
 
-// recordTargetFound keeps account of how many of the calls that probe find no target at once.
+// recordTargetFound updates the fraction of probing calls that find no target at their first
+// attempt.
 func (s *service) recordTargetFound(now units.Instant, found bool) {
 	miss := 1.0
 	if found {
@@ -102,7 +106,7 @@
 	}
 }
 
-// enqueueWaiting puts a call behind those that are as urgent or more.
+// enqueueWaiting inserts a call behind all waiting calls of the same or higher urgency.
 func (s *service) enqueueWaiting(w waitingCall) {
 	i := len(s.waiting)
 	for i > 0 && s.waiting[i-1].urgency.compare(w.urgency) > 0 {
@@ -111,8 +115,8 @@
 	s.waiting = slices.Insert(s.waiting, i, w)
 }
 
-// waitForTarget has a call probe, or probe again, a moment later; a target that comes free
-// before goes to the first of those that wait.
+// waitForTarget schedules the next round of probes of a call. A target that becomes free earlier
+// goes to the first waiting call.
 func (r *Router) waitForTarget(id CallID, c *call) {
 	c.onNewVersion = false
 	c.probeRound.pending = 0
@@ -134,7 +138,7 @@
 	r.timers.Push(timer{at: r.now.Add(pause), call: id, kind: probeTimer, probeRound: c.probeRound.number})
 }
 
-// dropFinishedWaiting drops the calls at the front of the waiting ones that wait no more.
+// dropFinishedWaiting removes calls that no longer wait from the front of the waiting list.
 func (r *Router) dropFinishedWaiting(s *service) {
 	for len(s.waiting) > 0 {
 		if c := r.calls.Get(s.waiting[0].id); c != nil && c.probeRound.active && c.service == s {
@@ -144,15 +148,15 @@
 	}
 }
 
-// mayProbe tells whether it is a waiting call's turn to probe: the answers serve all, so
-// only the first ones do.
+// mayProbe reports whether a waiting call may probe now. Probe answers are shared, so only the
+// first few calls probe.
 func (s *service) mayProbe(id CallID) bool {
 	first := s.waiting[:min(len(s.waiting), maxProbingCalls)]
 	return slices.ContainsFunc(first, func(w waitingCall) bool { return w.id == id })
 }
 
-// serveWaiting sends calls that wait for a suitable target, in their order, while there is
-// one. It is done when an answer has shown that a target has room.
+// serveWaiting sends waiting calls, in order, while there is a suitable target. It is called when
+// an answer has shown that a target has room.
 func (r *Router) serveWaiting(s *service, e *Effects) {
 	for {
 		r.dropFinishedWaiting(s)
@@ -168,8 +172,9 @@
 	}
 }
 
-// nextSuitableWaiting returns the place of the first waiting call that a target suits, and that
-// target; nil for none. Calls that may go to some regions only don't keep others waiting.
+// nextSuitableWaiting returns the index of the first waiting call that has a suitable target, and
+// that target; nil for none. A call that is restricted to regions doesn't block calls with other
+// restrictions.
 func (r *Router) nextSuitableWaiting(s *service) (int, *target) {
 	var blocked *table.AllowedRegions
 	for i, w := range s.waiting {
