--- a/pkg/core/routing/canary.go
+++ b/pkg/core/routing/canary.go
@@ -9,67 +9,74 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Until a verdict is there each caller of a request that crashes targets costs one more. So a box that sees a
-// crash tells the others at once which requests were under way, and while they are suspected one call of each goes
-// to a target at a time over all boxes, a canary, whoever calls. An answer to one clears the request everywhere:
-// one that is well is held up for about as long as one call of it takes.
+// Until a quarantine is decided, each caller of a request that crashes targets costs another
+// target. So a box that detects a crash reports the requests that were in flight to all other boxes
+// at once, and while these are suspected only one call of each, a canary, is at a target at a time
+// over all boxes and callers. An answer to a canary clears the request everywhere, so that a
+// harmless request is delayed for about as long as one call of it takes.
 
 const (
-	// suspicionTerm is for how long a crash holds up the requests that were under way: three crashes, one
-	// after the other, are enough for a verdict and take less.
+	// suspicionTerm is for how long after a crash the requests that were in flight are suspected:
+	// three crashes, one after the other, are enough for a quarantine and take less.
 	suspicionTerm = 750 * time.Millisecond
-	// canaryTimeout is for how long a canary's coordinator waits for what becomes of it: an answer, or a crash,
-	// which shows when its target's host has refused two checks.
+	// canaryTimeout is how long a canary's coordinator waits for its result: an answer, or a crash,
+	// which is detected once the target's host has refused two probes.
 	canaryTimeout = 300 * time.Millisecond
-	// verdictDelay is for how long after a crash no canary goes: a note's way to the leader, which may have seen
-	// enough, and the verdict's way back, between regions.
+	// verdictDelay is for how long after a crash no canary is sent: the time for a note to reach
+	// the leader, which may have enough of them, and for its decision to come back, between
+	// regions.
 	verdictDelay = 100 * time.Millisecond
-	// canaryPollInterval is the time between two requests to send a canary, a round trip between regions.
+	// canaryPollInterval is the time between two requests for a canary turn: a round trip between
+	// regions.
 	canaryPollInterval = 25 * time.Millisecond
-	// maxCanaryWait is how long a call waits at the most. It goes on then, as calls did before.
+	// maxCanaryWait is the longest time a call waits for a canary turn. It is sent without one
+	// then.
 	maxCanaryWait = 600 * time.Millisecond
-	// callerYieldTime is for how long after a crash the caller under whose call it was leaves the turn to others:
-	// a crash under another one's shows that the request is to blame whoever sends it.
+	// callerYieldTime is for how long after a crash the caller of the call yields its turn to other
+	// callers: a crash under another caller's call shows that the request is the cause, whoever
+	// sends it.
 	callerYieldTime = 250 * time.Millisecond
-	// maxSuspicions bounds the requests that are suspected at a time; with more, targets crash by
-	// themselves.
+	// maxSuspicions bounds the requests that are suspected at a time. With more of them, targets
+	// crash for another reason.
 	maxSuspicions = 32
-	// broadcastFanout is how many boxes each one tells that is told: connections to all others would cost a small box
-	// the time of its calls, and three steps reach 500.
+	// broadcastFanout is the number of boxes to which each box of the broadcast tree forwards a
+	// message: connections to all others would cost a small box the time of its calls, and three
+	// levels reach 500.
 	broadcastFanout = 8
-	// broadcastRate bounds those messages a second, and tellBurst how many may come at once: a box at which a
-	// failure domain's calls break off must not crowd the others.
+	// broadcastRate bounds the broadcast messages per second, and broadcastBurst how many may be
+	// sent at once: a box at which the calls of a failure domain break off must not overload the
+	// others.
 	broadcastRate  = 500
 	broadcastBurst = 1000
 )
 
-// CanaryKind says what a message on canaries is about.
+// CanaryKind is the kind of a CanaryMessage.
 type CanaryKind uint8
 
 // The kinds of message.
 const (
-	// SuspectCalls names requests under which a target has crashed.
+	// SuspectCalls reports requests that were in flight at a target that crashed.
 	SuspectCalls CanaryKind = iota + 1
-	// ClearCall names a request that a target has answered.
+	// ClearCall reports a request that a target has answered.
 	ClearCall
-	// RequestCanary asks whether a call of a request may go.
+	// RequestCanary asks the coordinator for a turn to send a call of a request.
 	RequestCanary
-	// GrantCanary lets it.
+	// GrantCanary grants that turn.
 	GrantCanary
 )
 
-// CanaryMessage is a message between boxes on requests under which targets crash.
+// CanaryMessage is a message between boxes about requests that may crash targets.
 type CanaryMessage struct {
 	Kind CanaryKind
-	// Calls are the requests: those of a crash with who sent them, others whoever sends them.
+	// Calls are the requests. Those of a crash include the caller, others stand for any caller.
 	Calls []crash.Fingerprint
-	// Origin is the box that tells all others; empty for messages between two.
+	// Origin is the box whose message is broadcast; empty for messages between two boxes.
 	Origin units.BoxID
-	// Call is the one at the asking box that a SendCanary is for.
+	// Call identifies the waiting call at the requesting box.
 	Call CallID
 }
 
-// PeerCanary is a CanaryMessage of another box.
+// PeerCanary is a CanaryMessage received from another box.
 type PeerCanary struct {
 	From    units.BoxID
 	Message CanaryMessage
@@ -77,33 +84,35 @@
 
 func (*PeerCanary) routingEvent() {}
 
-// suspicion is a request of which one call goes at a time.
+// suspicion is a request of which one call is sent at a time.
 type suspicion struct {
 	call  crash.Fingerprint
 	until units.Instant
-	// canaryUntil is until when the coordinator lets no other canary go.
+	// canaryUntil is the time until which the coordinator grants no other turn.
 	canaryUntil units.Instant
-	// lastCrashed is a call of it under which a target lastCrashed last, at is when this box heard of that.
+	// lastCrashed is the call of the request that was in flight at the last crash, crashedAt when
+	// this box was told of that crash.
 	lastCrashed crash.Fingerprint
 	crashedAt   units.Instant
 }
 
-// canaryState is what a box knows of requests under which targets have just crashed.
+// canaryState is what a box knows of requests that were in flight at recent crashes.
 type canaryState struct {
 	suspicions []suspicion
-	// set has the calls of list.
+	// set indexes the calls of suspicions.
 	set        fingerprintSet
 	broadcasts rateLimit
 	status     CanaryStatus
 }
 
-// CanaryStatus is what the dump and the metrics show.
+// CanaryStatus holds the counters that the dump and the metrics show.
 type CanaryStatus struct {
-	// Suspected counts the requests that were suspected, Cleared those that an answer here cleared.
+	// Suspected counts the requests that were suspected, Cleared those that an answer at this box
+	// cleared.
 	Suspected uint64 `json:"suspected"`
 	Cleared   uint64 `json:"cleared"`
-	// Held counts the calls that waited, Sent the canaries, Unsure the calls that went on without
-	// having been let go.
+	// Held counts the calls that waited for a turn, Sent the canaries, Unsure the calls that were
+	// sent without a turn after maxCanaryWait.
 	Held   uint64 `json:"held"`
 	Sent   uint64 `json:"sent"`
 	Unsure uint64 `json:"unsure"`
@@ -118,14 +127,15 @@
 	return &b.suspicions[i]
 }
 
-// recordCrash has one call of a request go at a time after a crash.
+// recordCrash suspects a request after a crash, and delays its next canary.
 func (b *canaryState) recordCrash(f crash.Fingerprint, now units.Instant) {
 	s := b.suspect(f.AnyCaller(), now)
 	s.canaryUntil = now.Add(verdictDelay)
 	s.lastCrashed, s.crashedAt = f, now
 }
 
-// suspect has one call of a request go at a time from now on.
+// suspect adds or renews the suspicion of a request, so that one call of it is sent at a time from
+// now on.
 func (b *canaryState) suspect(f crash.Fingerprint, now units.Instant) *suspicion {
 	s := b.find(f)
 	if s == nil {
@@ -141,7 +151,7 @@
 	return s
 }
 
-// drop lets calls of a request go as they come.
+// drop ends the suspicion of a request.
 func (b *canaryState) drop(f crash.Fingerprint) {
 	b.dropIf(func(s suspicion) bool { return s.call == f })
 }
@@ -162,7 +172,7 @@
 	}
 }
 
-// suspectCrashed suspects the requests of a crash here and at all other boxes.
+// suspectCrashed suspects the requests of a crash at this box and at all others.
 func (r *Router) suspectCrashed(n *crash.Note, e *Effects) {
 	if !r.enabled(Canaries) {
 		return
@@ -176,8 +186,9 @@
 	r.broadcastCanary(&CanaryMessage{Kind: SuspectCalls, Calls: calls, Origin: r.settings.Box}, e)
 }
 
-// broadcastCanary tells the boxes that come after this one in the tree whose root is the message's origin, unless
-// that would be too many messages. All boxes know the tree, by their list.
+// broadcastCanary forwards a message to the box's children in the broadcast tree whose root is the
+// message's origin, unless that would exceed the rate limit. All boxes derive the same tree from
+// the list of boxes.
 func (r *Router) broadcastCanary(m *CanaryMessage, e *Effects) {
 	n := len(r.rank.boxes)
 	root, own := placeOf(m.Origin, r.rank.boxes), r.rank.rank
@@ -194,7 +205,7 @@
 	}
 }
 
-// clearSuspicion clears a request that a target has run to an answer.
+// clearSuspicion ends the suspicion of a request that a target has answered.
 func (r *Router) clearSuspicion(c *call, e *Effects) {
 	b := &r.crashes.canaries
 	f, found := b.set.match(c.identity)
@@ -206,7 +217,7 @@
 	r.broadcastCanary(&CanaryMessage{Kind: ClearCall, Calls: []crash.Fingerprint{f}, Origin: r.settings.Box}, e)
 }
 
-// findSuspicion returns the suspected request that a call is one of.
+// findSuspicion returns the suspected request that a call matches.
 func (r *Router) findSuspicion(c *call) (f crash.Fingerprint, found bool) {
 	b := &r.crashes.canaries
 	if len(b.suspicions) == 0 {
@@ -216,7 +227,8 @@
 	return b.set.match(c.identity)
 }
 
-// holdForCanary has a new call of a suspected request wait until it may go; false means that it may now.
+// holdForCanary holds a new call of a suspected request until it gets a turn. It returns false if
+// the call may be sent now.
 func (r *Router) holdForCanary(id CallID, c *call, e *Effects) bool {
 	f, found := r.findSuspicion(c)
 	if !found {
@@ -232,7 +244,8 @@
 	return true
 }
 
-// takeTurn tells whether a call may go now by this box's own word, and gives it the turn.
+// takeTurn reports whether a call gets a turn now by this box's own decision as the coordinator,
+// and takes the turn.
 func (r *Router) takeTurn(f crash.Fingerprint, c *call) bool {
 	b := &r.crashes.canaries
 	if r.canaryCoordinator(f) != r.settings.Box || b.yieldsTurn(f, c, r.now) || !b.grantTurn(f, r.now) {
@@ -242,13 +255,13 @@
 	return true
 }
 
-// yieldsTurn tells whether a call had better let those of other callers go first.
+// yieldsTurn reports whether a call should let those of other callers go first.
 func (b *canaryState) yieldsTurn(f crash.Fingerprint, c *call, now units.Instant) bool {
 	s := b.find(f)
 	return s != nil && now.Sub(s.crashedAt) < callerYieldTime && s.lastCrashed.Matches(c.identity)
 }
 
-// requestTurn asks the coordinator to let a call go, and will look again.
+// requestTurn asks the coordinator for a turn, and schedules the next request.
 func (r *Router) requestTurn(id CallID, c *call, f crash.Fingerprint, e *Effects) {
 	r.timers.Push(timer{at: r.now.Add(canaryPollInterval), call: id, kind: canaryTimer})
 	coordinator := r.canaryCoordinator(f)
@@ -259,8 +272,8 @@
 	}
 }
 
-// canaryTimerFired looks at a call that waits: it goes when its request isn't suspected any more, when it is its turn, and
-// when it has waited long enough.
+// canaryTimerFired sends a waiting call if its request is no longer suspected, if it gets a turn,
+// or if it has waited for maxCanaryWait. Otherwise it asks for a turn again.
 func (r *Router) canaryTimerFired(id CallID, c *call, e *Effects) {
 	if !c.awaitsCanaryTurn {
 		return
@@ -284,13 +297,13 @@
 	r.admitAfterCanary(id, c, e)
 }
 
-// canaryCoordinator is the box that says whose turn it is: the first by hash of those that stay, so that all ask
-// the same one; this box where there is none.
+// canaryCoordinator returns the box that grants the turns of a request: the first by hash of the
+// boxes that aren't leaving, so that all boxes ask the same one; this box where there is none.
 func (r *Router) canaryCoordinator(f crash.Fingerprint) units.BoxID {
 	return cmp.Or(firstFor(f.String(), staying(r.rank.boxes)), r.settings.Box)
 }
 
-// grantTurn gives the turn away, unless a canary is out.
+// grantTurn takes the request's turn, and reports false if a canary is still out.
 func (b *canaryState) grantTurn(f crash.Fingerprint, now units.Instant) bool {
 	s := b.find(f)
 	if s == nil || now < s.canaryUntil {
@@ -300,7 +313,7 @@
 	return true
 }
 
-// receiveCanaryMessage takes a message of another box.
+// receiveCanaryMessage handles a message of another box.
 func (r *Router) receiveCanaryMessage(from units.BoxID, m *CanaryMessage, e *Effects) {
 	b := &r.crashes.canaries
 	if !r.enabled(Canaries) {
@@ -323,8 +336,8 @@
 	}
 }
 
-// grantPeerTurn lets another box's call go where it is its turn. A coordinator that hasn't heard of the crash
-// takes the asking box's word; one that says nothing is asked again.
+// grantPeerTurn grants a turn to another box's call if the turn is free. A coordinator that hasn't
+// been told of the crash trusts the requesting box. A refusal isn't sent: the box asks again.
 func (r *Router) grantPeerTurn(from units.BoxID, f crash.Fingerprint, id CallID, e *Effects) {
 	b := &r.crashes.canaries
 	b.dropExpired(r.now)
@@ -336,7 +349,8 @@
 	}
 }
 
-// receiveTurn sends the call whose turn it is. One that has ended leaves its turn to nobody until it runs out.
+// receiveTurn sends the call that was granted a turn. If the call has ended, the turn is unused
+// until it times out.
 func (r *Router) receiveTurn(f crash.Fingerprint, id CallID, e *Effects) {
 	if c := r.calls.Get(id); c != nil && c.awaitsCanaryTurn && f.Matches(c.identity) {
 		r.crashes.canaries.status.Sent++
--- a/pkg/core/routing/crash.go
+++ b/pkg/core/routing/crash.go
@@ -8,24 +8,25 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A target's process may end under a call. Its calls break off then, and its host refuses
-// connections until the process is back. Either alone says little: connections are also reset
-// by targets that live on, and hosts refuse connections after a planned end. Both within a
-// short time are a crash, and the calls that broke off are its suspects.
+// A target's process may crash while it runs a call. Its calls break off then, and its host refuses
+// connections until the process is back. Neither is conclusive alone: connections are also reset by
+// targets that stay up, and hosts refuse connections after a planned stop. Both within a short time
+// are recorded as a crash, and the calls that broke off are its suspects.
 
 const (
-	// crashWindow is how long after its calls broke off a target's host may first refuse a
-	// connection: the way there and back, and a box that is late. Targets take longer to start.
+	// crashWindow is the longest time between a target's calls breaking off and its host's first
+	// refused connection: a round trip, and the delay of a box that is late. Targets take longer to
+	// start.
 	crashWindow = 500 * time.Millisecond
-	// crashCheckInterval is the time between two checks of a target whose calls broke off: a
-	// round trip within a region, so that two or three fit into the time in which a call is sent again.
+	// crashCheckInterval is the time between two probes of a target whose calls broke off: a round
+	// trip within a region, so that two or three fit into the time in which a call is sent again.
 	crashCheckInterval = 20 * time.Millisecond
-	// maxSuspects bounds the calls of this box that one crash is put down to. Few targets work
-	// on as many, and the report of a crash stays below some 300 bytes.
+	// maxSuspects bounds the calls of this box that are recorded as suspects of one crash. Few
+	// targets run as many at a time, and the report of a crash stays below about 300 bytes.
 	maxSuspects = 16
 )
 
-// crashProbeNumber is the number of a probe that checks whether a target is still there.
+// crashProbeNumber is the attempt number of probes that check whether a target has crashed.
 const crashProbeNumber AttemptNumber = 1
 
 // brokenCall is a call that broke off at a target.
@@ -34,17 +35,19 @@
 	sent, at    units.Instant
 }
 
-// crashEvidence is what a box holds against a target until it knows whether the target crashed.
+// crashEvidence is what a box has observed at a target until it can decide whether the target
+// crashed.
 type crashEvidence struct {
 	broken []brokenCall
-	// checking is set while a probe is under way that checks the target, or one is due.
+	// checking is set while a crash probe is in flight or scheduled.
 	checking bool
-	// refusedAt is when the target's host first refused a connection since; zero for not yet.
+	// refusedAt is when the target's host first refused a connection since the calls broke off;
+	// zero for not yet.
 	refusedAt units.Instant
 }
 
-// recordBrokenCall takes a call that broke off. Targets that are about to end as planned, or are gone,
-// are left out: what breaks off there says nothing of the call.
+// recordBrokenCall records a call that broke off. Calls at targets that are about to stop as
+// planned, or are gone, are ignored: that they break off says nothing about the call.
 func (r *Router) recordBrokenCall(c *call, a *attempt, e *Effects) {
 	t := a.target
 	if !r.enabled(CrashSuspects) || c.identity == nil || !t.inTable() || t.notice.isLeaving() {
@@ -60,7 +63,8 @@
 	}
 }
 
-// dropExpired forgets the calls that broke off too long ago to belong to a crash that shows now.
+// dropExpired removes the calls that broke off too long ago to belong to a crash that is detected
+// now.
 func (w *crashEvidence) dropExpired(now units.Instant) {
 	w.broken = slices.DeleteFunc(w.broken, func(b brokenCall) bool { return now.Sub(b.at) > crashWindow })
 	if len(w.broken) == 0 {
@@ -68,9 +72,9 @@
 	}
 }
 
-// probeForCrash probes a target whose calls broke off. The probe draws on the measuring budget, but
-// doesn't wait for it: while many targets are down it is spent, and a crash that isn't seen
-// leaves its cause at large.
+// probeForCrash probes a target whose calls broke off. The probe is charged to the probe budget,
+// but doesn't wait for it: while many targets are down the budget is used up, and after a crash
+// that isn't detected the call that caused it would go on crashing targets.
 func (r *Router) probeForCrash(t *target, e *Effects) {
 	if r.probeBudgetRate(t.service) <= 0 || t.notice.forbids(r.now) || t.lacksPermit(r.now) {
 		t.crash.checking = false
@@ -92,7 +96,7 @@
 	r.timers.Push(timer{at: r.now.Add(crashCheckInterval), kind: crashTimer, target: t})
 }
 
-// crashTimerFired checks a target again, unless it is known by now what became of it.
+// crashTimerFired probes a target again, unless the question has been decided meanwhile.
 func (r *Router) crashTimerFired(t *target, e *Effects) {
 	t.crash.dropExpired(r.now)
 	if len(t.crash.broken) == 0 || t.gone {
@@ -102,10 +106,11 @@
 	r.probeForCrash(t, e)
 }
 
-// crashProbeEnded takes the end of a check. A target that answers, whatever it says, hasn't crashed.
+// crashProbeEnded handles the result of a crash probe. A target that answers anything hasn't
+// crashed.
 func (r *Router) crashProbeEnded(t *target, v *ProbeEnded) {
 	if t != nil && v.Refused {
-		// No process was there that the probe could have cost anything.
+		// No process was there, so that the probe didn't cost the target anything.
 		t.service.probeBudget.owe(-1)
 	}
 	switch {
@@ -117,8 +122,9 @@
 	}
 }
 
-// recordConnectionRefused takes a host's refusal of a connection. One alone may come from a target
-// that is full; after a second one, a moment later and with no answer between, the target crashed.
+// recordConnectionRefused records that a host refused a connection. A single refusal may come from
+// a target that is full; after a second one at least crashCheckInterval later, with no answer
+// between, the target has crashed.
 func (r *Router) recordConnectionRefused(t *target, e *Effects) {
 	w := &t.crash
 	w.dropExpired(r.now)
@@ -131,7 +137,7 @@
 	}
 }
 
-// recordCrash notes that a target has crashed under the calls that broke off there.
+// recordCrash records that a target has crashed while it ran the calls that broke off there.
 func (r *Router) recordCrash(t *target, e *Effects) {
 	broken := t.crash.broken
 	t.crash = crashEvidence{}
@@ -152,8 +158,8 @@
 	r.requestNotesSend()
 }
 
-// recordAlive takes an answer of a target, whatever it says. One that was on its way when the
-// target crashed says nothing.
+// recordAlive records an answer of a target, whatever it says: the target hasn't crashed. An answer
+// that was in transit when the calls broke off proves nothing and is ignored.
 func (t *target) recordAlive(now units.Instant) {
 	w := &t.crash
 	if n := len(w.broken); n > 0 && now.Sub(w.broken[n-1].at) >= crashCheckInterval {
--- a/pkg/core/routing/crashnotes.go
+++ b/pkg/core/routing/crashnotes.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	// maxKeptNotes bounds the notes that a box keeps for the next leader: a leader that has just
-	// been elected knows none. Some 100 bytes each.
+	// maxKeptNotes bounds the notes that a box keeps to send them to the next leader: a newly
+	// elected leader has none. A note has about 100 bytes.
 	maxKeptNotes = 64
-	// maxNotesPerRequest bounds the notes of one request for a lease, 3 KB.
+	// maxNotesPerRequest bounds the notes in one lease request, to 3 KB.
 	maxNotesPerRequest = 32
-	// minUrgentRequestInterval is the time between two requests for a lease that notes bring about. A box
-	// whose calls break off at many targets must not crowd the leader.
+	// minUrgentRequestInterval is the minimum time between two lease requests that are sent early
+	// because of notes. A box whose calls break off at many targets must not overload the leader.
 	minUrgentRequestInterval = 20 * time.Millisecond
 )
 
-// crashNotes are a box's notes, of which the leader has those up to taken.
+// crashNotes are a box's notes on crashes. The leader of the term has those with numbers up to
+// acknowledged.
 type crashNotes struct {
 	list         []crash.Note
 	lastNumber   uint64
 	term         units.Term
 	acknowledged uint64
-	// lastUrgentAt is when notes last brought about a request.
+	// lastUrgentAt is when notes last caused an early lease request.
 	lastUrgentAt units.Instant
 }
 
-// add numbers and keeps a note.
+// add assigns a number to a note and keeps it.
 func (x *crashNotes) add(n crash.Note) crash.Note {
 	x.lastNumber++
 	n.Number = x.lastNumber
@@ -39,7 +40,7 @@
 	return n
 }
 
-// acknowledge takes which notes the leader of a term has.
+// acknowledge records the number of the last note that the leader of a term has.
 func (x *crashNotes) acknowledge(term units.Term, noted uint64) {
 	if term != x.term {
 		x.term = term
@@ -48,7 +49,7 @@
 	x.acknowledged = max(x.acknowledged, noted)
 }
 
-// unacknowledged are notes that the leader doesn't have.
+// unacknowledged returns the next notes that the leader doesn't have yet.
 func (x *crashNotes) unacknowledged() []crash.Note {
 	for i, n := range x.list {
 		if n.Number > x.acknowledged {
@@ -58,10 +59,11 @@
 	return nil
 }
 
-// CrashNotes returns notes that the leader may not have.
+// CrashNotes returns the notes to send with the next lease request.
 func (r *Router) CrashNotes() []crash.Note { return r.crashes.notes.unacknowledged() }
 
-// requestNotesSend has the leader told at once: each further crash costs a target.
+// requestNotesSend requests that notes are sent to the leader at once: each further crash costs a
+// target.
 func (r *Router) requestNotesSend() {
 	x := &r.crashes.notes
 	if x.lastUrgentAt != 0 && r.now.Sub(x.lastUrgentAt) < minUrgentRequestInterval {
--- a/pkg/core/routing/quarantine.go
+++ b/pkg/core/routing/quarantine.go
@@ -8,32 +8,37 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Calls in quarantine go to no target, since targets crash when they run them. Most stand in the
-// table, by the leader's verdict on the notes of all boxes. A verdict that hasn't reached a
-// quorum's disks yet comes with the grants, and a box without a leader judges by its own notes.
+// Calls in quarantine are sent to no target, since targets crash when they run them. Most
+// quarantines are in the table, set by the leader from the notes of all boxes. Quarantines that
+// haven't been committed by a quorum yet come with the grants, and a box without a leader decides
+// by its own notes.
 
 const (
-	// quarantineRetryAfter is when the caller of a call in quarantine may come back. Until the target's
-	// software is mended it will be refused again, so the pause is as long as callers heed.
+	// quarantineRetryAfter is the retry delay for a call in quarantine. It will be refused again
+	// until the target's software is fixed, so the delay is as long as callers honour.
 	quarantineRetryAfter = time.Minute
-	// localQuarantineTerm is how long a box that is out of touch keeps a call from targets by its own
-	// verdict. Three more targets may crash after it, so it is long beside the seconds in which
-	// a target starts, and short beside a mistake that nobody can correct meanwhile.
+	// localQuarantineTerm is how long a call stays in quarantine by the decision of a box that is
+	// cut off from the leader. Up to three more targets may crash after it, so it is long compared
+	// with the seconds in which a target starts; it is short compared with a wrong decision that
+	// nobody can correct meanwhile.
 	localQuarantineTerm = time.Minute
-	// trialTerm is how long a box may use a trial: a call that comes at all comes within it.
+	// trialTerm is how long a box may use a trial: a call that is still being sent arrives within
+	// that time.
 	trialTerm = 5 * time.Second
-	// localWatchTerm is for how long a box notes answers to the calls that it has noted as suspects
-	// itself. A call that is sent often is answered within seconds.
+	// localWatchTerm is for how long a box records answers to the calls that it has itself recorded
+	// as suspects. A call that is sent often is answered within seconds.
 	localWatchTerm = time.Minute
-	// maxRecordedAnswers bounds the answers that are noted between two grants, a few times a second.
+	// maxRecordedAnswers bounds the answers that are recorded between two grants, which come a few
+	// times a second.
 	maxRecordedAnswers = 16
-	// maxReportedRefusals bounds the calls that one request for a lease names as refused.
+	// maxReportedRefusals bounds the refused calls that one lease request reports.
 	maxReportedRefusals = 16
 )
 
-// WatchedCallsChanged is what a grant says of calls under which targets crash.
+// WatchedCallsChanged carries what a grant reports about calls that may crash targets.
 type WatchedCallsChanged struct {
-	// Term is the leader's, Noted the last of the box's notes that it has.
+	// Term is the term of the leader, Acknowledged the number of the last of the box's notes that
+	// it has.
 	Term         units.Term
 	Acknowledged uint64
 	Calls        []crash.Watched
@@ -41,39 +46,40 @@
 
 func (*WatchedCallsChanged) routingEvent() {}
 
-// localVerdict is a call that the box keeps from targets by itself.
+// localVerdict is a quarantine that the box has decided on by itself.
 type localVerdict struct {
 	call  crash.Fingerprint
 	until units.Instant
 }
 
-// quarantineTrial lets the box send a call in quarantine once.
+// quarantineTrial permits the box to send a call in quarantine once.
 type quarantineTrial struct {
 	call   crash.Fingerprint
 	number int
 	until  units.Instant
 }
 
-// crashState is what a box knows of crashes and of the calls to blame.
+// crashState is what a box knows of crashes and of the calls suspected to cause them.
 type crashState struct {
 	notes    crashNotes
 	canaries canaryState
 	// ledger holds the box's own notes.
 	ledger *crash.Ledger
-	// watchedByLeader is what the last grant said, own the box's own verdicts.
+	// watchedByLeader are the calls of the last grant, localVerdicts the box's own quarantines.
 	watchedByLeader []crash.Watched
 	localVerdicts   []localVerdict
-	// quarantined are the calls that go nowhere, suspects those that may be to blame, watched
-	// those whose answers are noted, whoever sends them.
+	// quarantined are the calls that are sent to no target, suspects those that may have caused
+	// crashes, watched those whose answers are recorded, regardless of the caller.
 	quarantined, suspects, watched fingerprintSet
-	// recordedAnswers are the calls whose answers were noted since watched last changed.
+	// recordedAnswers are the calls whose answers were recorded since watched last changed.
 	recordedAnswers map[crash.Fingerprint]bool
-	// refreshWatchAt is when the oldest of the box's own suspects need no longer be watched.
+	// refreshWatchAt is when the box's own suspects in watched are next due to be recomputed, since
+	// the oldest may be dropped by then.
 	refreshWatchAt units.Instant
 	trials         []quarantineTrial
-	// lastTrial numbers the last trial of each call that the box was given.
+	// lastTrial is the number of the last trial of each call that the box was granted.
 	lastTrial map[crash.Fingerprint]int
-	// refused are the calls refused since the last request for a lease.
+	// refused are the calls refused since the last lease request.
 	refused []crash.Fingerprint
 }
 
@@ -83,10 +89,10 @@
 	}
 }
 
-// isQuarantineTrial tells whether the call is in quarantine and let through once.
+// isQuarantineTrial reports whether the call is in quarantine and may be sent once.
 func (c *call) isQuarantineTrial() bool { return c.trial.number > 0 }
 
-// isQuarantined tells whether a call may go to no target.
+// isQuarantined reports whether a call may be sent to no target.
 func (r *Router) isQuarantined(c *call) bool {
 	if c.isQuarantineTrial() {
 		return false
@@ -95,8 +101,8 @@
 	return found
 }
 
-// mayResend tells whether a call may be sent to one more target. A suspect that may have run
-// isn't: if it is to blame, each send costs a target.
+// mayResend reports whether a call may be sent to a further target. A suspect that may have run may
+// not: if it causes the crashes, each send costs a target.
 func (r *Router) mayResend(c *call) bool {
 	if r.isQuarantined(c) {
 		return false
@@ -109,8 +115,8 @@
 	return !suspected && !oneAtATime && !c.isQuarantineTrial()
 }
 
-// refuseIfQuarantined refuses a new call that may go to no target, unless it is the one call of
-// a trial.
+// refuseIfQuarantined refuses a new call in quarantine, unless it uses up a trial. It reports
+// whether the call was refused.
 func (r *Router) refuseIfQuarantined(id CallID, c *call, e *Effects) bool {
 	f, found := r.crashes.quarantined.match(c.identity)
 	if !found {
@@ -124,7 +130,7 @@
 	return true
 }
 
-// takeTrial uses up a trial of a call, and returns it; zero for none.
+// takeTrial uses up a trial of a call and returns it; zero for none.
 func (b *crashState) takeTrial(f crash.Fingerprint, now units.Instant) quarantineTrial {
 	i := slices.IndexFunc(b.trials, func(t quarantineTrial) bool { return t.call == f && now < t.until })
 	if i < 0 {
@@ -135,8 +141,8 @@
 	return used
 }
 
-// returnTrial gives back the trial of a call that ends without having been sent: it has shown nothing, and
-// the next one may come only minutes later.
+// returnTrial returns the trial of a call that ends without having been sent: nothing was learned
+// from it, and the next trial may be granted only minutes later.
 func (r *Router) returnTrial(c *call) {
 	if c.isQuarantineTrial() && c.sends == 0 {
 		r.crashes.trials = append(r.crashes.trials, c.trial)
@@ -149,14 +155,15 @@
 	}
 }
 
-// DrainRefused returns the calls in quarantine that were refused since it was last called.
+// DrainRefused returns the calls in quarantine that were refused since the last call of
+// DrainRefused.
 func (r *Router) DrainRefused() []crash.Fingerprint {
 	list := r.crashes.refused
 	r.crashes.refused = nil
 	return list
 }
 
-// applyWatched takes what a grant says.
+// applyWatched applies the calls and trials of a grant.
 func (r *Router) applyWatched(v *WatchedCallsChanged, e *Effects) {
 	b := &r.crashes
 	b.notes.acknowledge(v.Term, v.Acknowledged)
@@ -171,8 +178,8 @@
 	r.enforceQuarantines(e)
 }
 
-// enforceQuarantines puts the quarantines that are known in force: calls that wait are refused,
-// those under way end where they are.
+// enforceQuarantines recomputes and enforces the quarantines: waiting calls are refused, those in
+// flight end where they are.
 func (r *Router) enforceQuarantines(e *Effects) {
 	b := &r.crashes
 	b.localVerdicts = slices.DeleteFunc(b.localVerdicts, func(v localVerdict) bool { return r.now >= v.until })
@@ -203,7 +210,8 @@
 	r.refuseWaitingQuarantined(e)
 }
 
-// watchLocalSuspects has answers noted to the calls under which targets have crashed here lately.
+// watchLocalSuspects records answers to the calls that were in flight at recent crashes seen by
+// this box.
 func (r *Router) watchLocalSuspects() {
 	b := &r.crashes
 	for _, f := range b.ledger.SuspectsSince(r.now.Add(-localWatchTerm)) {
@@ -213,8 +221,8 @@
 	b.refreshWatchAt = r.now.Add(localWatchTerm)
 }
 
-// refuseWaitingQuarantined refuses the calls in quarantine that wait, and ends the search for a
-// second target of those under way.
+// refuseWaitingQuarantined refuses the waiting calls in quarantine, and ends the search for a
+// second target for those in flight.
 func (r *Router) refuseWaitingQuarantined(e *Effects) {
 	if len(r.crashes.quarantined.byHead) == 0 {
 		return
@@ -236,8 +244,8 @@
 	}
 }
 
-// recordWatchedAnswer notes that a target has run a call to an answer which is a suspect or in
-// quarantine. It is noted once until the next grant or change: one answer says all.
+// recordWatchedAnswer records that a target has answered a call that is a suspect or in quarantine.
+// It is recorded once until the next grant or change: further answers add no information.
 func (r *Router) recordWatchedAnswer(c *call, e *Effects) {
 	b := &r.crashes
 	if _, found := b.watched.match(c.identity); !found {
@@ -254,7 +262,7 @@
 	b.recordedAnswers[f] = true
 }
 
-// judgeLocally has the box judge by its own notes while no leader can.
+// judgeLocally quarantines calls by the box's own notes while no leader can.
 func (r *Router) judgeLocally(e *Effects) {
 	b := &r.crashes
 	if r.now < r.leaseUntil || !b.ledger.Undecided() {
@@ -267,7 +275,7 @@
 	r.enforceQuarantines(e)
 }
 
-// expireQuarantines lets go of what has run out.
+// expireQuarantines drops quarantines and suspects that have expired.
 func (r *Router) expireQuarantines(e *Effects) {
 	b := &r.crashes
 	r.judgeLocally(e)
