--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -11,8 +11,9 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// canaryFleet is boxes, targets and a leader who judges by the boxes' notes, in virtual time. Callers send one
-// request that ends each target which runs it, one that many send and that is well, and others.
+// canaryFleet simulates boxes, targets and a leader that decides by the boxes' notes, in virtual
+// time. Callers send one request that crashes each target which runs it, one harmless request that
+// many callers send, and others.
 type canaryFleet struct {
 	timeline
 	random  *rand.Rand
@@ -21,18 +22,19 @@
 	targets map[units.TargetID]*canaryTarget
 	ledger  *crash.Ledger
 	blamed  []crash.Fingerprint
-	// crashed counts the targets that ended under the request.
+	// crashed counts the targets that the request crashed.
 	crashed int
-	// isolated is a box that neither hears nor says anything to others; told counts the messages between boxes.
+	// isolated is a box whose messages to and from other boxes are lost; messages counts the
+	// messages between boxes.
 	isolated units.BoxID
 	messages int
 	counts   map[string]*canaryCount
 }
 
-// canaryCount counts the calls of a request.
+// canaryCount counts the calls of a request by result.
 type canaryCount struct {
 	calls, answered, blamed int
-	// late counts those whose answer took more than lateAnswer.
+	// late counts the calls whose answer took longer than lateAnswer.
 	late int
 }
 
@@ -47,7 +49,7 @@
 	ended  *bool
 }
 
-// canaryRequest identifies a call by what is asked for and who asks.
+// canaryRequest identifies a call by its content and its caller.
 type canaryRequest struct {
 	content string
 	caller  uint64
@@ -57,7 +59,7 @@
 func (q canaryRequest) Body() uint64   { return 0 }
 func (q canaryRequest) Caller() uint64 { return q.caller + 1 }
 
-// canaryCaller is one caller's call; it comes back when it is refused or broken off.
+// canaryCaller is one caller's call; the caller retries when it is refused or breaks off.
 type canaryCaller struct {
 	request canaryRequest
 	at      units.Instant
@@ -133,7 +135,7 @@
 	return x
 }
 
-// reduce gives a router an event, and the leader what it notes.
+// reduce passes an event to a router, and its crash notes to the leader.
 func (f *canaryFleet) reduce(r *Router, event Event) {
 	var e Effects
 	r.Reduce(f.now, event, &e)
@@ -158,7 +160,7 @@
 	}
 }
 
-// judge has the leader look for who is to blame; verdicts go to all boxes.
+// judge has the leader look for calls that cause crashes; its decisions go to all boxes.
 func (f *canaryFleet) judge() {
 	verdicts := f.ledger.Judge(f.now)
 	for _, v := range verdicts {
@@ -216,7 +218,7 @@
 	}
 }
 
-// refused has the caller come back a moment later, as clients do who repeat what isn't known to have run.
+// refused has the caller retry a moment later, like clients that repeat calls of unknown outcome.
 func (f *canaryFleet) refused(x Effect) {
 	c := x.Owner.(*canaryCaller)
 	if x.Refusal.Reason == Quarantined {
@@ -255,7 +257,7 @@
 	})
 }
 
-// crash ends a target's process: what it runs breaks off.
+// crash ends a target's process: the calls that it runs break off.
 func (f *canaryFleet) crash(t *canaryTarget) {
 	running := t.running
 	t.running, t.downUntil = nil, f.now.Add(restartTime)
@@ -287,7 +289,8 @@
 	return Reading{Known: f.now >= t.downUntil, InFlight: float64(n), Slots: 4, Pace: 1}
 }
 
-// call has a request come so often a second, each time of another caller, until a time.
+// call schedules random calls of a request at a mean rate, each of a different caller, until a
+// time.
 func (f *canaryFleet) call(what string, perSecond float64, until units.Instant) {
 	f.after(time.Duration(f.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
 		if f.now > until {
@@ -309,7 +312,7 @@
 	f.reduce(r, &CallArrived{Owner: c, Host: []byte("s"), Path: []byte("/"), Deadline: 2 * time.Second, Identity: identity})
 }
 
-// runLoad has all requests come for some seconds.
+// runLoad sends all requests for 8 seconds and runs 2 seconds longer.
 func (f *canaryFleet) runLoad(deadlyPerSecond float64) {
 	until := f.now.Add(8 * time.Second)
 	f.call(uniqueRequest, 120, until)
@@ -319,8 +322,9 @@
 	f.run(9 * time.Second)
 }
 
-// A request that thirty callers send ends four targets at the most: three show who is to blame, of one caller's and
-// then of all callers' requests, and one may be lost to a call that was under way.
+// A request that thirty callers send crashes at most four targets: three crashes identify it, first
+// for one caller and then for all, and one more target may be lost to a call that was already in
+// flight.
 func TestARequestOfManyCallersEndsFewTargets(t *testing.T) {
 	const aim, seeds = 4, 8
 	total, without := 0, 0
@@ -341,8 +345,8 @@
 	}
 }
 
-// Where the box that says whose turn it is is cut off from the others, calls of a suspected request go on after a
-// while, as they did before, and a request that is well is still answered.
+// If the coordinator of canary turns is isolated from the other boxes, calls of a suspected request
+// are sent without a turn after a while, and a harmless request is still answered.
 func TestASilentCoordinatorHoldsNothingUpForLong(t *testing.T) {
 	f := newCanaryFleet(t, 3)
 	f.isolated = f.routers[0].canaryCoordinator(crash.FingerprintOf(canaryRequest{content: crashingRequest}).AnyCaller())
@@ -361,8 +365,8 @@
 	}
 }
 
-// Targets that end by themselves, all at once, hold up the requests that were under way for as long as one call of each
-// takes, and cost a bounded number of messages.
+// If many targets stop at once for another reason, the requests that were in flight are delayed
+// only for as long as one call of each takes, and the number of messages between boxes is bounded.
 func TestTargetsThatEndByThemselvesHoldUpLittle(t *testing.T) {
 	f := newCanaryFleet(t, 5)
 	f.after(4*time.Second, func() {
--- a/pkg/core/routing/evacuation.go
+++ b/pkg/core/routing/evacuation.go
@@ -7,12 +7,12 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Operators evacuate a failure domain before work on it: its targets get no further calls,
-// neither first sends nor retries, hedges and probes, while calls under way there end by
-// themselves. Targets of a domain that is restored may have become cold meanwhile.
+// Operators evacuate a failure domain before work on it: its targets get no further calls, neither
+// first sends nor retries, hedges and probes, while calls in flight there are allowed to finish.
+// Targets of a domain that is restored may have become cold meanwhile.
 
-// updateEvacuations notes which failure domains a new table restores, and tells whether it
-// changes anything about evacuations. The first table of a box restores all domains that
+// updateEvacuations records which failure domains a new table restores, and reports whether its
+// evacuations differ from those of the last one. The first table of a box restores all domains that
 // were ever evacuated: the box can't know how long ago that was.
 func (r *Router) updateEvacuations(before, after []table.Evacuation) bool {
 	r.restored = r.restored[:0]
@@ -39,7 +39,7 @@
 
 func (r *Router) wasRestored(d units.Domain) bool { return slices.Contains(r.restored, d) }
 
-// noTargetReason says why a service has no target that may take a call.
+// noTargetReason returns why a service has no target for a call.
 func (s *service) noTargetReason(c *call, now units.Instant) Reason {
 	if s.isExcludedByRegion(c) {
 		return RegionNotAllowed
@@ -56,8 +56,8 @@
 	return NoTarget
 }
 
-// refuseUnservable refuses the calls that wait at a service without targets for them: none
-// will come free.
+// refuseUnservable refuses the waiting calls of a service that has no target for them: none will
+// become free.
 func (r *Router) refuseUnservable(s *service, e *Effects) {
 	if len(s.held.waiting())+len(s.waiting) == 0 || s.hasOpenTarget(r.now) && !r.routes.restricts {
 		return
@@ -82,27 +82,27 @@
 	}
 }
 
-// isServable tells whether the service has a target for a call that waits.
+// isServable reports whether the service has a target for a waiting call.
 func (r *Router) isServable(s *service, id CallID) bool {
 	c := r.calls.Get(id)
 	return c != nil && s.canServe(c, r.now)
 }
 
-// canServe tells whether a target may take a call, but for its health and limits, before the call
-// can wait no longer.
+// canServe reports whether the service has a target for a call, regardless of its health and
+// limits, that accepts calls before the call's time to wait is over.
 func (s *service) canServe(c *call, now units.Instant) bool {
 	return s.hasActiveTarget(c) && !s.opensTooLate(c, now)
 }
 
-// hasOpenTarget tells whether a target may take calls, but for its health and limits of the table, and
-// isn't closed.
+// hasOpenTarget reports whether a target may serve calls, regardless of its health and the limits
+// of the table, and isn't closed.
 func (s *service) hasOpenTarget(now units.Instant) bool {
 	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.isActive() && !t.isClosed(now) })
 }
 
-// refuseWaitingCall refuses a call that still waits for a target of the service and isn't under
-// way. A patient one is held until its time is up, unless its regions rule all targets out, or all
-// of them rest or are limited for longer.
+// refuseWaitingCall refuses a call that still waits for a target of the service and isn't in
+// flight. A patient one is held until its hold time ends, unless its regions exclude all targets,
+// or all of them rest or are limited for longer.
 func (r *Router) refuseWaitingCall(s *service, id CallID, e *Effects) {
 	c := r.calls.Get(id)
 	if c == nil || c.service != s || !c.held && !c.probeRound.active || c.inFlight() > 0 {
--- a/pkg/core/routing/mechanism.go
+++ b/pkg/core/routing/mechanism.go
@@ -7,15 +7,15 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-// Mechanism is a part of the routing that can be switched off, to find out what it is
-// worth or to rule it out while a fault is looked for.
+// Mechanism is a part of the routing that can be switched off, to measure its effect or to rule it
+// out while a fault is investigated.
 type Mechanism string
 
 // The mechanisms that can be switched off.
 const (
-	// Probing has targets report their load before a call is sent.
+	// Probing probes targets for their load before a call is sent.
 	Probing Mechanism = "probing"
-	// Waiting lets a call wait until a target suits.
+	// Waiting lets a call wait until a target is suitable.
 	Waiting Mechanism = "waiting"
 	// Hedging sends a call a second time when its answer is late.
 	Hedging Mechanism = "hedging"
@@ -25,45 +25,47 @@
 	SlowTargets Mechanism = "slow-targets"
 	// FailingTargets avoids targets that fail some of their calls.
 	FailingTargets Mechanism = "failing-targets"
-	// Ejection takes targets that fail several calls in a row out of use for a while.
+	// Ejection stops sending calls for a while to targets that fail several in a row.
 	Ejection Mechanism = "ejection"
-	// Ramping gives targets that join or come back a growing part of the calls.
+	// Ramping gives targets that join or come back an increasing share of the calls.
 	Ramping Mechanism = "ramping"
 	// OwnDomain prefers targets in the box's own failure domain.
 	OwnDomain Mechanism = "own-domain"
 	// Concurrency keeps the last slots of targets free where filling them slows all calls.
 	Concurrency Mechanism = "concurrency"
-	// Subsetting has a box prefer a part of a service's targets, so that it knows those well.
+	// Subsetting has a box prefer a subset of a service's targets, so that it has recent readings
+	// of those.
 	Subsetting Mechanism = "subsetting"
-	// EarlyCalls holds calls that come before a box's first table.
+	// EarlyCalls holds calls that arrive before a box's first table.
 	EarlyCalls Mechanism = "early-calls"
-	// Outlook judges targets that nothing recent is known of by the others of their failure
+	// Outlook estimates targets without recent readings from the other targets of their failure
 	// domain.
 	Outlook Mechanism = "outlook"
-	// FirstTries serves callers who have just come before those who come back too late.
+	// FirstTries prefers first tries over late retries of callers while a service is overloaded.
 	FirstTries Mechanism = "first-tries"
-	// SharedLink delays calls with large answers while others are coming in on the box's link, and
-	// doesn't put down to targets what comes late because of these.
+	// SharedLink delays calls with large answers while others are being received on the box's link,
+	// and doesn't attribute the resulting delays to targets.
 	SharedLink Mechanism = "shared-link"
-	// UnansweredCalls closes calls that a target which serves others doesn't answer, and
-	// learns which services hang when full.
+	// UnansweredCalls gives up calls that a target doesn't answer while it serves others, and
+	// detects services whose targets hang when full.
 	UnansweredCalls Mechanism = "unanswered-calls"
-	// CrashSuspects finds the calls under which targets crash, and keeps them from targets.
+	// CrashSuspects finds the calls that crash targets, and keeps them from targets.
 	CrashSuspects Mechanism = "crash-suspects"
-	// Canaries has one call at a time go to a target of a request under which one has just crashed.
+	// Canaries sends one call at a time of a request that was in flight at a recent crash.
 	Canaries Mechanism = "canaries"
 )
 
-// Mechanisms lists all of them.
+// Mechanisms lists all mechanisms.
 var Mechanisms = []Mechanism{
 	Probing, Waiting, Hedging, Retrying, SlowTargets, FailingTargets, Ejection, Ramping, OwnDomain, Concurrency, Subsetting,
 	EarlyCalls, Outlook, FirstTries, SharedLink, UnansweredCalls, CrashSuspects, Canaries,
 }
 
-// mechanismSet tells in constant time which mechanisms are switched off.
+// mechanismSet is a set of mechanisms that are switched off.
 type mechanismSet map[Mechanism]bool
 
-// newMechanismSet returns the set of the named ones; the error is an Invalid fault.
+// newMechanismSet returns the set of the named mechanisms. The error is an Invalid fault for an
+// unknown name.
 func newMechanismSet(names []Mechanism) (mechanismSet, error) {
 	set := mechanismSet{}
 	for _, n := range names {
@@ -75,5 +77,5 @@
 	return set, nil
 }
 
-// enabled tells whether a mechanism is in use.
+// enabled reports whether a mechanism is in use.
 func (r *Router) enabled(m Mechanism) bool { return !r.off[m] }
--- a/pkg/core/routing/mechanism_test.go
+++ b/pkg/core/routing/mechanism_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// A box that does without looking for calls which crash targets keeps none from them either.
+// With the CrashSuspects mechanism off, a box doesn't enforce quarantines either.
 func TestQuarantinesCanBeSwitchedOff(t *testing.T) {
 	for _, off := range [][]Mechanism{nil, {CrashSuspects}} {
 		r, now := newBenchRouter(t, 1, 2, 0, off...)
--- a/pkg/core/routing/policy.go
+++ b/pkg/core/routing/policy.go
@@ -8,27 +8,26 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-// Policy chooses one of several candidates. It is generic, so that the same
-// policies can be tried on anything that has weights and costs.
+// Policy chooses one of several candidates. It is generic, so that the same policies can be used
+// for anything that has weights and costs.
 type Policy[C any] interface {
-	// Choose returns the index of the chosen candidate, or -1 when none can be
-	// had.
+	// Choose returns the index of the chosen candidate, or -1 when none is available.
 	Choose(c Candidates[C], random *rand.Rand) int
 }
 
-// Candidates is what a policy gets to see.
+// Candidates is a policy's view of the candidates.
 type Candidates[C any] interface {
 	Len() int
 	At(i int) C
 	// Sample draws an index by weight.
 	Sample(random *rand.Rand) int
-	// Available tells whether a candidate may be chosen now.
+	// Available reports whether a candidate may be chosen now.
 	Available(i int) bool
-	// Cost tells how bad a choice would be; it is compared, nothing more.
+	// Cost is the cost of choosing a candidate. Costs are only compared with each other.
 	Cost(i int) float64
-	// InFlight is the number of calls that this box has there.
+	// InFlight is the number of this box's calls in flight at a candidate.
 	InFlight(i int) int
-	// Reported is the load that the candidate last reported.
+	// Reported is the load in a candidate's last report.
 	Reported(i int) float64
 }
 
@@ -47,7 +46,7 @@
 // PolicyNames lists the policies in the order in which reports show them.
 var PolicyNames = []PolicyName{PolicyCost, PolicyRandom, PolicyRoundRobin, PolicyInFlight, PolicyReported}
 
-// NewPolicy returns the policy of a name, or an Invalid fault.
+// NewPolicy returns the policy of a name. The error is an Invalid fault for an unknown name.
 func NewPolicy[C any](name PolicyName) (Policy[C], error) {
 	switch name {
 	case PolicyCost, "":
@@ -65,17 +64,16 @@
 }
 
 const (
-	// defaultChoices is how many candidates the cost policy compares when there are
-	// too many to look at all.
+	// defaultChoices is how many candidates the cost policy compares when there are too many to
+	// compare them all.
 	defaultChoices = 3
-	// maxSampleTries bounds the draws before every candidate is looked at.
+	// maxSampleTries bounds the random draws before all candidates are compared.
 	maxSampleTries = 6
-	// maxFullScan is up to how many candidates all are compared.
+	// maxFullScan is the number of candidates up to which all of them are compared.
 	maxFullScan = 32
 )
 
-// leastCost compares a few candidates drawn by weight and takes the one of the
-// least cost.
+// leastCost compares a few candidates drawn by weight and chooses the one of the lowest cost.
 type leastCost[C any] struct{ choices int }
 
 func (p *leastCost[C]) Choose(c Candidates[C], random *rand.Rand) int {
@@ -101,8 +99,8 @@
 	return leastOf(c, random, c.Cost)
 }
 
-// leastOf looks at every candidate, from a random one on, and returns the
-// available one of the least value.
+// leastOf compares all candidates, starting at a random one, and returns the available one of the
+// lowest value.
 func leastOf[C any](c Candidates[C], random *rand.Rand, value func(int) float64) int {
 	n := c.Len()
 	if n == 0 {
@@ -123,7 +121,7 @@
 	return best
 }
 
-// weightedRandom draws by weight and nothing else.
+// weightedRandom draws by weight alone.
 type weightedRandom[C any] struct{}
 
 func (p *weightedRandom[C]) Choose(c Candidates[C], random *rand.Rand) int {
@@ -135,7 +133,7 @@
 	return leastOf(c, random, func(int) float64 { return 0 })
 }
 
-// roundRobin takes the candidates in turn.
+// roundRobin chooses the candidates in rotation.
 type roundRobin[C any] struct{ next int }
 
 func (p *roundRobin[C]) Choose(c Candidates[C], _ *rand.Rand) int {
@@ -149,14 +147,14 @@
 	return -1
 }
 
-// leastInFlight takes the candidate with the fewest of this box's own calls.
+// leastInFlight chooses the candidate with the fewest of this box's calls in flight.
 type leastInFlight[C any] struct{}
 
 func (p *leastInFlight[C]) Choose(c Candidates[C], random *rand.Rand) int {
 	return leastOf(c, random, func(i int) float64 { return float64(c.InFlight(i)) })
 }
 
-// twoChoicesReported draws two candidates and takes the one that reported less load.
+// twoChoicesReported draws two candidates and chooses the one that reported less load.
 type twoChoicesReported[C any] struct{}
 
 func (p *twoChoicesReported[C]) Choose(c Candidates[C], random *rand.Rand) int {
@@ -174,7 +172,7 @@
 	return leastOf(c, random, c.Reported)
 }
 
-// sampleByWeight draws an index from running sums of weights.
+// sampleByWeight draws an index in proportion to the weights, given as running sums.
 func sampleByWeight(sums []float64, random *rand.Rand) int {
 	if len(sums) == 0 || sums[len(sums)-1] <= 0 {
 		return -1
--- a/pkg/core/routing/refusal_test.go
+++ b/pkg/core/routing/refusal_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Callers take 503 as a promise that the call hasn't run.
+// Callers rely on status 503 as a promise that the call hasn't run.
 func TestOnlyCallsThatHaveNotRunGet503(t *testing.T) {
 	for _, reason := range Reasons() {
 		unknown := Refusal{Reason: reason, Outcome: Unknown}
--- a/pkg/core/routing/residency.go
+++ b/pkg/core/routing/residency.go
@@ -9,36 +9,34 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A route may allow some regions only. Its calls then go to targets in these regions alone,
-// whether they are sent for the first time, retried, hedged or only probed for. The region of
-// a target is that of its row's failure domain; a target whose region isn't known is allowed
-// nowhere. A new table binds the calls that are in the box already, except for attempts that
-// are under way.
+// A route may be restricted to some regions. All sends of its calls, first sends, retries, hedges
+// and the probes for them, then go to targets in these regions only. A target is in the region of
+// its row's failure domain; a target whose region isn't known is never allowed on such a route. A
+// new table also applies to the calls that are already in the box, except for attempts in flight.
 
 const (
-	// regionRetryAfter is when the caller of a call may come back whose regions have no target.
-	// Such a region gets targets again when they have started or a table allows more, which
-	// takes seconds; a caller who comes back sooner is refused once more.
+	// regionRetryAfter is the retry delay for a call whose allowed regions have no target. Such a
+	// region has targets again once they have started or a table allows more, which takes seconds;
+	// a caller that retries sooner is refused again.
 	regionRetryAfter = 2 * time.Second
-	// maxUnknownRegions is how many failure domains of unknown region are logged at the most: a table may
-	// name any number, and a box keeps each.
+	// maxUnknownRegions bounds the failure domains of unknown region that are logged: a table may
+	// name any number, and a box remembers each.
 	maxUnknownRegions = 64
 )
 
-// bindRoute notes what a call asks for and where its targets must be.
+// bindRoute records a call's host and path and the regions that its route allows.
 func (c *call) bindRoute(host, path []byte) {
 	c.host = append(c.host[:0], host...)
 	c.path = append(c.path[:0], path...)
 	c.regions = c.route.regions
 }
 
-// mayUse tells whether the call may go to the target as far as regions go; nil stands for a
-// call that may go anywhere.
+// mayUse reports whether the target's region is allowed for the call; a nil call stands for one
+// without a restriction.
 func (c *call) mayUse(t *target) bool { return c == nil || c.regions.Allows(t.region) }
 
-// rebindCalls binds the calls in the box to the routes that hold now, and tells whether that
-// changes where any of them may go. A call that no route matches any more stays bound as it
-// was.
+// rebindCalls applies the present routes to the calls in the box, and reports whether that changes
+// the allowed regions of any of them. A call that no route matches any more keeps its restriction.
 func (r *Router) rebindCalls() bool {
 	bound := false
 	r.calls.Each(func(_ CallID, c *call) {
@@ -54,7 +52,7 @@
 	return bound
 }
 
-// assignRegions gives a service's targets the regions of their failure domains.
+// assignRegions sets the region and distance of a service's targets from their failure domains.
 func (r *Router) assignRegions(s *service, e *Effects) {
 	for _, t := range s.targets {
 		t.region = r.settings.Regions[t.row.Domain]
@@ -65,7 +63,7 @@
 	}
 }
 
-// logUnknownRegion logs a failure domain whose region isn't known, where regions are known at all.
+// logUnknownRegion logs a failure domain whose region isn't known, if any regions are known at all.
 func (r *Router) logUnknownRegion(t *target, e *Effects) {
 	d := t.row.Domain
 	if len(r.settings.Regions) == 0 || r.unknown[d] || len(r.unknown) >= maxUnknownRegions {
@@ -75,7 +73,7 @@
 	e.add(Effect{Kind: RegionUnknown, Endpoint: &Endpoint{Service: t.row.Service, Target: t.row.Target, Domain: d}})
 }
 
-// setRegions puts other regions of the failure domains in force.
+// setRegions replaces the regions of the failure domains.
 func (r *Router) setRegions(regions map[units.Domain]units.Region, e *Effects) {
 	if maps.Equal(r.settings.Regions, regions) {
 		return
@@ -91,9 +89,9 @@
 	}
 }
 
-// pickService returns the service whose turn it is among the route's, or nil when the route
-// has none. Where that has no target for the call because of its regions, another one of the
-// route takes it.
+// pickService returns the next service of the route in weighted round-robin order, or nil when the
+// route has none. If the service has targets only in regions that the call may not use, another
+// service of the route with an allowed target is returned.
 func (r *Router) pickService(c *call) *service {
 	s := c.route.nextService()
 	if s == nil || !s.isExcludedByRegion(c) {
@@ -107,8 +105,8 @@
 	return s
 }
 
-// isExcludedByRegion tells whether the service has targets that could take the call, all of them in
-// regions that it may not go to.
+// isExcludedByRegion reports whether the service has targets, but none in a region that the call
+// may use.
 func (s *service) isExcludedByRegion(c *call) bool {
 	if c.regions == nil {
 		return false
@@ -126,7 +124,7 @@
 	return barred
 }
 
-// retryAfterFor is when a caller may come back that was refused for a reason.
+// retryAfterFor is the retry delay of a refusal for a reason.
 func (s *service) retryAfterFor(reason Reason, now units.Instant) time.Duration {
 	if reason == RegionNotAllowed {
 		return regionRetryAfter
@@ -134,8 +132,8 @@
 	return s.retryAfter(now)
 }
 
-// anyHealth tells whether so many of the targets that a call may use are out of the common
-// path that their health doesn't count.
+// anyHealth reports whether more than half of the targets that a call may use are ejected; their
+// health is ignored then.
 func (r *Router) anyHealth(s *service, c *call) bool {
 	if c.regions == nil {
 		return s.mostlyEjected
@@ -153,8 +151,8 @@
 	return 2*ejected > active
 }
 
-// isBehindHeld tells whether calls are held that come before this one. A call that waits for
-// one region keeps only those behind it that may go to the same: others have room elsewhere.
+// isBehindHeld reports whether held calls come before this one. A held call that is restricted to
+// regions blocks only calls with the same restriction: others have room elsewhere.
 func (r *Router) isBehindHeld(s *service, c *call) bool {
 	return slices.ContainsFunc(s.held.waiting(), func(id CallID) bool {
 		h := r.calls.Get(id)
@@ -162,16 +160,16 @@
 	})
 }
 
-// RestrictedRoute is a route whose calls may go to some regions only, as the dump shows it.
+// RestrictedRoute is a route that is restricted to regions, as the dump shows it.
 type RestrictedRoute struct {
 	Host       string         `json:"host"`
 	PathPrefix string         `json:"pathPrefix"`
 	Regions    []units.Region `json:"regions"`
-	// Targets is how many targets may take its calls now, but for their health and limits.
+	// Targets is how many targets may serve its calls now, regardless of their health and limits.
 	Targets int `json:"targets"`
 }
 
-// restrictedRoutes lists them by host and prefix.
+// restrictedRoutes lists the restricted routes by host and prefix.
 func (r *Router) restrictedRoutes() []RestrictedRoute {
 	var all []RestrictedRoute
 	for key, x := range r.routes.byKey {
@@ -188,7 +186,8 @@
 	return all
 }
 
-// countAllowedTargets is how many targets may take the route's calls, but for their health and limits.
+// countAllowedTargets is how many targets may serve the route's calls, regardless of their health
+// and limits.
 func (x *route) countAllowedTargets() int {
 	c := &call{regions: x.regions}
 	n := 0
--- a/pkg/core/routing/residency_test.go
+++ b/pkg/core/routing/residency_test.go
@@ -14,28 +14,29 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// residencyWorld is one router under a random schedule, with what its sends may be.
+// residencyWorld drives one router through a random schedule and checks each of its sends and
+// probes.
 type residencyWorld struct {
 	*rapid.T
 	router  *Router
 	now     units.Instant
 	table   *table.Table
 	regions map[units.Domain]units.Region
-	// calls are the calls in the box, running their attempts.
+	// calls are the calls in the box, running the sends and probes in flight.
 	calls   map[*residencyCall]bool
 	running []Effect
-	// restricted counts what became of calls that may go to some regions only.
+	// restricted counts the effects on calls that are restricted to regions.
 	restricted residencyCounts
 }
 
-// residencyCall is a call with the regions that bind it.
+// residencyCall is a call with the regions that are allowed for it.
 type residencyCall struct {
 	host, path string
 	id         CallID
 	allowed    *table.AllowedRegions
 }
 
-// residencyCounts show that a schedule has brought the cases about.
+// residencyCounts show that a schedule has covered the cases.
 type residencyCounts struct{ sends, retries, hedges, probes, refusals int }
 
 var (
@@ -63,8 +64,8 @@
 	}
 }
 
-// check looks at one effect: a send or a probe for a call must go to a target of the present
-// table whose region binds the call.
+// check checks one effect: a send or a probe for a call must go to a target of the present table in
+// a region that the call's route allows.
 func (w *residencyWorld) check(x Effect) {
 	c, ok := x.Owner.(*residencyCall)
 	if !ok {
@@ -112,8 +113,8 @@
 	w.restricted.sends++
 }
 
-// bind gives a call the regions of the present table's route. One that no route matches any
-// more stays bound as it was.
+// bind sets a call's allowed regions from the present table's route. A call that no route matches
+// any more keeps its restriction.
 func (w *residencyWorld) bind(c *residencyCall) {
 	longest := -1
 	for _, x := range w.table.Routes {
@@ -123,7 +124,7 @@
 	}
 }
 
-// changeTable draws a table of two services and some routes, each allowing any regions.
+// changeTable draws a table of two services and up to two routes, each with random regions or none.
 func (w *residencyWorld) changeTable() {
 	next := table.NewTable()
 	next.Revision, next.Document = w.table.Revision+1, w.table.Document+1
@@ -180,7 +181,7 @@
 	return &table.AllowedRegions{Names: rapid.SliceOfNDistinct(rapid.SampledFrom(residencyRegions), 0, 2, rapid.ID[units.Region]).Draw(w.T, "allowed")}
 }
 
-// changeRegions draws another map of regions; some domains have none.
+// changeRegions draws new regions of the failure domains; some domains have none.
 func (w *residencyWorld) changeRegions() {
 	regions := map[units.Domain]units.Region{}
 	for _, d := range residencyDomains[:4] {
@@ -197,7 +198,7 @@
 	w.reduce(&CallArrived{Owner: c, Host: []byte(c.host), Path: []byte(c.path)})
 }
 
-// endOne ends an attempt or a probe that is under way.
+// endOne ends a random attempt or probe in flight.
 func (w *residencyWorld) endOne() {
 	if len(w.running) == 0 {
 		return
@@ -223,8 +224,8 @@
 	w.now = end
 }
 
-// Whatever comes and goes, a call is never sent, and no probe made for it, outside the regions
-// that its route allows at that moment.
+// Under random changes of tables and regions, no call is sent, and no probe made for it, outside
+// the regions that its route allows at that moment.
 func TestNoSendLeavesTheAllowedRegions(t *testing.T) {
 	var all residencyCounts
 	rapid.Check(t, func(t *rapid.T) {
--- a/pkg/core/routing/script_crash_test.go
+++ b/pkg/core/routing/script_crash_test.go
@@ -19,7 +19,7 @@
 func (l wordIdentity) Body() uint64   { return 0 }
 func (l wordIdentity) Caller() uint64 { return 1 }
 
-// describeSuspects names the calls that a crash is put down to.
+// describeSuspects lists the suspects of a crash.
 func describeSuspects(x *crash.Note) string {
 	var text []string
 	for _, u := range x.Suspects {
@@ -28,7 +28,7 @@
 	return strings.Join(text, ", ")
 }
 
-// checked TARGET how=refused|answered|silent ends a check whether a target has crashed.
+// checked TARGET how=refused|answered|silent ends a crash probe of a target.
 func (s *script) checked(d *datadriven.TestData) {
 	how := s.word(d, "how")
 	s.reduce(&ProbeEnded{
@@ -37,7 +37,8 @@
 	})
 }
 
-// watched [term=N] [noted=N] CALL=suspect|quarantined|trial-N... is what a grant says of calls.
+// watched [term=N] [noted=N] CALL=suspect|quarantined|trial-N... is what a grant reports about
+// calls.
 func (s *script) watched(d *datadriven.TestData) {
 	v := &WatchedCallsChanged{}
 	for _, a := range d.CmdArgs {
@@ -57,7 +58,7 @@
 	s.reduce(v)
 }
 
-// notes lists what the next request for a lease would carry of crashes.
+// notes lists the crash notes that the next lease request would carry.
 func (s *script) notes(*datadriven.TestData) {}
 
 func (s *script) listNotes() string {
@@ -93,8 +94,8 @@
 	return fmt.Sprintf("%s %s", canaryWords[m.Kind], strings.Join(calls, " "))
 }
 
-// canary BOX kind=suspect|clear|ask|send like=CONTENT [call=NAME] is a message of another box; a suspect is another
-// caller's.
+// canary BOX kind=suspect|clear|ask|send like=CONTENT [call=NAME] is a message of another box. With
+// kind=suspect the call is another caller's.
 func (s *script) canary(d *datadriven.TestData) {
 	m := CanaryMessage{}
 	for k, w := range canaryWords {
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -16,8 +16,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// script drives one router with the commands of a file in testdata. Every
-// command prints the effects that follow from it.
+// script drives one router with the commands of a file in testdata. Every command prints the
+// effects that it causes.
 type script struct {
 	t       *testing.T
 	router  *Router
@@ -28,11 +28,11 @@
 	probes  map[string]*Endpoint
 	// lastProbe is the last probe of each call.
 	lastProbe map[string]Effect
-	// sent are the endpoints that each call was sent to, by attempt.
+	// sent are the endpoints to which each call was sent, by attempt.
 	sent map[string]map[AttemptNumber]*Endpoint
 }
 
-// commands are all that a script can say.
+// commands are the commands of a script.
 var commands = map[string]func(s *script, d *datadriven.TestData){
 	"table":     (*script).setTable,
 	"call":      (*script).call,
@@ -211,7 +211,7 @@
 	s.reduce(&TableChanged{Table: next})
 }
 
-// tableLines are the lines that a table may have; each adds to it.
+// tableLines are the kinds of lines of a table; each adds to the table.
 var tableLines = map[string]func(s *script, t *table.Table, words []string){
 	"boxes":      (*script).addBoxes,
 	"service":    (*script).addService,
@@ -318,8 +318,8 @@
 	s.requireKeys(t, nil)
 }
 
-// setRegistration sets what a registered target's line says: "leaving", "silent", "cold=TIME",
-// "software=V" or a domain.
+// setRegistration sets an attribute of a registered target: "leaving", "silent", "cold=TIME",
+// "born=TIME", "software=V" or a domain.
 func (s *script) setRegistration(r *table.Row, word string) {
 	if left, isCold := strings.CutPrefix(word, "cold="); isCold {
 		cold, err := time.ParseDuration(left)
@@ -379,8 +379,8 @@
 	return text
 }
 
-// call NAME service=S [path=P] [deadline=D] [like=X]: calls that are like the same X have the
-// same content.
+// call NAME service=S [path=P] [deadline=D] [like=X] [key=K]: calls with the same X have the same
+// content.
 func (s *script) call(d *datadriven.TestData) {
 	path := "/"
 	d.MaybeScanArgs(s.t, "path", &path)
@@ -396,7 +396,7 @@
 	s.reduce(v)
 }
 
-// answer CALL TARGET load=N pace=P [cold=TIME] [rest=D] [leaving] gives the answer to a call's probe.
+// answer CALL TARGET load=N pace=P [cold=TIME] [rest=D] [leaving] is the answer to a call's probe.
 func (s *script) probeAnswer(d *datadriven.TestData) {
 	var load int
 	var pace string
@@ -409,8 +409,8 @@
 	s.endProbeOf(d, ProbeEnded{Healthy: true, Reading: Reading{Known: true, InFlight: float64(load), Slots: 3, Pace: x, Cold: s.duration(d, "cold")}})
 }
 
-// end-probe CALL TARGET how=unreachable|misdirected|healthy [rest=D] [leaving] ends a call's probe without a load
-// report.
+// end-probe CALL TARGET how=unreachable|misdirected|healthy [rest=D] [leaving] ends a call's probe
+// without a load report.
 func (s *script) endProbe(d *datadriven.TestData) {
 	how := s.word(d, "how")
 	s.endProbeOf(d, ProbeEnded{Healthy: how == "healthy", Unreachable: how == "unreachable", Misdirected: how == "misdirected"})
@@ -428,7 +428,7 @@
 	s.reduce(&StopPlanned{Until: s.now.Add(s.duration(d, "within"))})
 }
 
-// regions DOMAIN=REGION... puts the regions of the failure domains in force.
+// regions DOMAIN=REGION... sets the regions of the failure domains.
 func (s *script) regions(d *datadriven.TestData) {
 	regions := map[units.Domain]units.Region{}
 	for _, a := range d.CmdArgs {
@@ -440,7 +440,8 @@
 // stale lets the router serve without a lease.
 func (s *script) stale(*datadriven.TestData) { s.router.settings.ServeStale = true }
 
-// keyDoubt limit=D sets for how long keys let calls in at a box that is out of touch.
+// keyDoubt limit=D sets for how long a box without contact to the control replicas accepts API
+// keys.
 func (s *script) keyDoubt(d *datadriven.TestData) {
 	s.router.settings.KeyDoubt = s.duration(d, "limit")
 }
@@ -450,8 +451,8 @@
 	"withheld": Withheld,
 }
 
-// end NAME attempt=N result=R [load=N] [refused] [rest=D] [leaving]: with a load the answer tells
-// it, at a usual pace.
+// end NAME attempt=N result=R [load=N] [refused] [rest=D] [leaving] ends an attempt. With a load
+// the answer reports it, at the usual pace.
 func (s *script) end(d *datadriven.TestData) {
 	var n int
 	d.ScanArgs(s.t, "attempt", &n)
@@ -483,7 +484,7 @@
 	s.reduce(&CallerGone{Call: s.calls[d.CmdArgs[0].Key]})
 }
 
-// advance time=D lets time advance, with a tick whenever one is due.
+// pass time=D advances the time, with a tick whenever one is due.
 func (s *script) advance(d *datadriven.TestData) {
 	end := s.now.Add(s.duration(d, "time"))
 	for s.router.NextWake() <= end {
@@ -528,8 +529,8 @@
 	s.reduce(v)
 }
 
-// repeat service=S count=N result=R makes calls one after the other, each
-// ending at once, and prints how they were spread.
+// repeat service=S count=N result=R makes calls one after the other, each of which ends at once.
+// The targets command shows how they were distributed.
 func (s *script) repeat(d *datadriven.TestData) {
 	var n int
 	d.ScanArgs(s.t, "count", &n)
@@ -547,7 +548,7 @@
 	s.effects.Reset()
 }
 
-// targets prints what the router knows of its targets.
+// targets prints the router's state of its targets.
 func (s *script) targets(*datadriven.TestData) {}
 
 func (s *script) listTargets() string {
@@ -572,8 +573,8 @@
 	return text
 }
 
-// quota BOX kind=ask|grant|return workspace=W count=N [again=D] gives a message of another box; a grant answers the
-// last request to it.
+// quota BOX kind=ask|grant|return workspace=W count=N [again=D] is a message of another box. A
+// grant answers the last request to that box.
 func (s *script) quota(d *datadriven.TestData) {
 	from := units.BoxID(d.CmdArgs[0].Key)
 	var count int
--- a/pkg/core/routing/split_test.go
+++ b/pkg/core/routing/split_test.go
@@ -10,7 +10,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// splitTable has one route whose calls are divided three to one, and another that changes.
+// splitTable has one route whose calls are split three to one, and another one that changes with
+// each revision.
 func splitTable(revision units.Revision) *table.Table {
 	x := table.NewTable()
 	x.Revision, x.Document = revision, units.DocumentVersion(revision)
@@ -30,7 +31,8 @@
 	return x
 }
 
-// splitBox is a box that calls are made to; it counts those that go to the part of a quarter.
+// splitBox is a box that calls are made to; callsToB counts those that go to the service with a
+// quarter of the weight.
 type splitBox struct {
 	router   *Router
 	callsToB int
@@ -63,7 +65,7 @@
 	t.Fatal("the call wasn't sent")
 }
 
-// A route's parts get their weights of the calls, however few come to each of many boxes.
+// Calls are split by the weights of a route's parts, however few calls each of many boxes gets.
 func TestPartsGetTheirWeightsOverManyBoxes(t *testing.T) {
 	const boxes, weight, off = 1000, 0.25, 0.05
 	for calls := 1; calls <= 3; calls++ {
@@ -81,7 +83,7 @@
 	}
 }
 
-// Changes of the table that leave a route alone don't begin its turns anew.
+// Changes of the table that don't concern a route don't restart its sequence of turns.
 func TestPartsGetTheirWeightsWhileTheTableChanges(t *testing.T) {
 	const calls, weight, off = 400, 0.25, 0.02
 	x := newSplitBox(t, "box")
--- a/pkg/core/routing/timeline_test.go
+++ b/pkg/core/routing/timeline_test.go
@@ -7,7 +7,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// timeline is virtual time, and what is to happen in it.
+// timeline is a virtual clock with a schedule of events.
 type timeline struct {
 	now    units.Instant
 	events *container.Heap[scheduledEvent]
@@ -22,10 +22,10 @@
 	return timeline{now: now, events: container.NewHeap(func(a, b scheduledEvent) bool { return a.at < b.at })}
 }
 
-// after has something happen some time from now.
+// after schedules an action after a delay.
 func (x *timeline) after(d time.Duration, do func()) { x.events.Push(scheduledEvent{x.now.Add(d), do}) }
 
-// every has something happen again and again.
+// every schedules an action periodically.
 func (x *timeline) every(d time.Duration, do func()) {
 	x.after(d, func() {
 		do()
@@ -33,7 +33,7 @@
 	})
 }
 
-// run lets time pass.
+// run advances the clock and runs the actions that are due.
 func (x *timeline) run(d time.Duration) {
 	end := x.now.Add(d)
 	for {
--- a/pkg/core/routing/turns.go
+++ b/pkg/core/routing/turns.go
@@ -7,15 +7,16 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// The services of a route take turns by their weights. Hundreds of boxes may get one call each in the time over
-// which users look at the weights, so that each box begins at its own place in the order of turns.
+// The services of a route are picked by smooth weighted round-robin. Hundreds of boxes may get one
+// call each in the time over which users observe the weights, so each box starts at a different
+// position of the sequence.
 
-// maxSkippedTurns bounds how many turns a box passes over to begin at its own place, which it does for each route whose
-// weights an operator changes.
+// maxSkippedTurns bounds how many turns a box skips to get to its start position. It does so for
+// each route whose weights an operator changes.
 const maxSkippedTurns = 1000
 
-// routePart is a service's part of a route's calls. Credits make each part come up
-// in proportion to its weight, evenly spread.
+// routePart is a service of a route with its weight. Credits spread the turns of a service evenly,
+// in proportion to its weight.
 type routePart struct {
 	service *service
 	weight  int
@@ -40,8 +41,8 @@
 	return x.parts[best].service
 }
 
-// carryOverTurns goes on where the route was before a change of the table; it begins anew where there was none, or
-// its parts have changed.
+// carryOverTurns continues at the position that the route had before a change of the table. The
+// sequence starts again if the route is new or its parts have changed.
 func (x *route) carryOverTurns(old *route, box units.BoxID) {
 	if old != nil && slices.EqualFunc(x.parts, old.parts, func(a, b routePart) bool { return a.service == b.service && a.weight == b.weight }) {
 		copy(x.parts, old.parts)
@@ -50,7 +51,7 @@
 	x.startTurns(box)
 }
 
-// startTurns has a box begin at its own place in the order of turns.
+// startTurns moves to the box's start position in the sequence of turns.
 func (x *route) startTurns(box units.BoxID) {
 	if len(x.parts) < 2 {
 		return
@@ -61,7 +62,7 @@
 	}
 }
 
-// turnPeriod is after how many turns they come round.
+// turnPeriod is the number of turns after which the sequence repeats.
 func (x *route) turnPeriod() int {
 	total, divisor := 0, 0
 	for i := range x.parts {
--- a/pkg/core/routing/wants_test.go
+++ b/pkg/core/routing/wants_test.go
@@ -8,8 +8,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A box that holds calls itself lends nothing; what others ask of it must not pile
-// up all the same.
+// A box that holds calls itself lends no slots. Requests of other boxes for slots must not
+// accumulate there without bound all the same.
 func TestOldWantsAreForgotten(t *testing.T) {
 	now := units.Instant(time.Second)
 	r, err := NewRouter(Settings{Box: "me", Loans: true, ShareDelay: time.Second, MaxDeadline: time.Hour}, now)
