--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -13,7 +13,7 @@
 	a := c.freeAttempt()
 	c.sends++
 	c.possibleArrivals++
-	c.triedTargets[c.sendsSinceHeld%maxSendsSinceHeld] = t
+	c.triedTargets[c.sendsSinceHeld%maxSends] = t
 	c.sendsSinceHeld++
 	// A call that the new version fails is retried at the old one.
 	c.onNewVersion = false
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -12,9 +12,10 @@
 // maxConcurrentAttempts bounds the attempts of one call that are in flight at the same time.
 const maxConcurrentAttempts = 2
 
-// maxSendsSinceHeld bounds the consecutive sends of one call, whatever their results. The count
-// restarts when the call is held again.
-const maxSendsSinceHeld = 4
+// maxSends bounds the consecutive sends of one call, whatever their results; the count restarts
+// when the call is held again. It is also the upper bound and the default of a route's maximum
+// number of attempts.
+const maxSends = 4
 
 // attempt is one send of a call that is in flight.
 type attempt struct {
@@ -107,7 +108,7 @@
 	// possibleArrivals counts the sends that may have reached a target.
 	possibleArrivals int
 	// triedTargets are the targets of the sends since the call was last held.
-	triedTargets [maxSendsSinceHeld]*target
+	triedTargets [maxSends]*target
 	// mayHaveRun is set once a byte may have reached a target that didn't report the call as shed.
 	mayHaveRun bool
 	held       bool
@@ -186,7 +187,7 @@
 
 // wasSentTo reports whether the call has been sent to a target since it was last held.
 func (c *call) wasSentTo(t *target) bool {
-	for _, p := range c.triedTargets[:min(c.sendsSinceHeld, maxSendsSinceHeld)] {
+	for _, p := range c.triedTargets[:min(c.sendsSinceHeld, maxSends)] {
 		if p == t {
 			return true
 		}
@@ -199,7 +200,7 @@
 
 // attemptsExhausted reports whether the call may not be sent to any further target.
 func (c *call) attemptsExhausted() bool {
-	return c.sendsSinceHeld >= maxSendsSinceHeld || c.possibleArrivals >= c.route.maxAttempts
+	return c.sendsSinceHeld >= maxSends || c.possibleArrivals >= c.route.maxAttempts
 }
 
 // isInFlightAt reports whether an attempt of the call is in flight at a target.
--- a/pkg/core/routing/canary.go
+++ b/pkg/core/routing/canary.go
@@ -16,9 +16,9 @@
 // harmless request is delayed for about as long as one call of it takes.
 
 const (
-	// suspicionTerm is for how long after a crash the requests that were in flight are suspected:
+	// suspicionDuration is for how long after a crash the requests that were in flight are suspected:
 	// three crashes, one after the other, are enough for a quarantine and take less.
-	suspicionTerm = 750 * time.Millisecond
+	suspicionDuration = 750 * time.Millisecond
 	// canaryTimeout is how long a canary's coordinator waits for its result: an answer, or a crash,
 	// which is detected once the target's host has refused two probes.
 	canaryTimeout = 300 * time.Millisecond
@@ -53,7 +53,7 @@
 // CanaryKind is the kind of a CanaryMessage.
 type CanaryKind uint8
 
-// The kinds of message.
+// The kinds of messages between boxes about canaries.
 const (
 	// SuspectCalls reports requests that were in flight at a target that crashed.
 	SuspectCalls CanaryKind = iota + 1
@@ -111,11 +111,11 @@
 	// cleared.
 	Suspected uint64 `json:"suspected"`
 	Cleared   uint64 `json:"cleared"`
-	// Held counts the calls that waited for a turn, Sent the canaries, Unsure the calls that were
+	// Held counts the calls that waited for a turn, Sent the canaries, TimedOut the calls that were
 	// sent without a turn after maxCanaryWait.
-	Held   uint64 `json:"held"`
-	Sent   uint64 `json:"sent"`
-	Unsure uint64 `json:"unsure"`
+	Held     uint64 `json:"held"`
+	Sent     uint64 `json:"sent"`
+	TimedOut uint64 `json:"unsure"`
 }
 
 // find returns the suspicion of a request, nil for none.
@@ -147,7 +147,7 @@
 		b.status.Suspected++
 		s = &b.suspicions[len(b.suspicions)-1]
 	}
-	s.until = now.Add(suspicionTerm)
+	s.until = now.Add(suspicionDuration)
 	return s
 }
 
@@ -283,7 +283,7 @@
 	case !found:
 		r.endCanaryWait(id, c, e)
 	case r.now.Sub(c.arrived) >= maxCanaryWait:
-		r.crashes.canaries.status.Unsure++
+		r.crashes.canaries.status.TimedOut++
 		r.endCanaryWait(id, c, e)
 	case r.takeTurn(f, c):
 		r.endCanaryWait(id, c, e)
--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -291,15 +291,15 @@
 
 // call schedules random calls of a request at a mean rate, each of a different caller, until a
 // time.
-func (f *canaryFleet) call(what string, perSecond float64, until units.Instant) {
+func (f *canaryFleet) call(content string, perSecond float64, until units.Instant) {
 	f.after(time.Duration(f.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
 		if f.now > until {
 			return
 		}
-		q := canaryRequest{content: what, caller: f.random.Uint64() >> 1}
-		f.counts[what].calls++
+		q := canaryRequest{content: content, caller: f.random.Uint64() >> 1}
+		f.counts[content].calls++
 		f.arrive(&canaryCaller{request: q, at: f.now})
-		f.call(what, perSecond, until)
+		f.call(content, perSecond, until)
 	})
 }
 
@@ -313,12 +313,12 @@
 }
 
 // runLoad sends all requests for 8 seconds and runs 2 seconds longer.
-func (f *canaryFleet) runLoad(deadlyPerSecond float64) {
+func (f *canaryFleet) runLoad(crashingPerSecond float64) {
 	until := f.now.Add(8 * time.Second)
 	f.call(uniqueRequest, 120, until)
 	f.call(popularRequest, 60, until)
 	f.run(time.Second)
-	f.call(crashingRequest, deadlyPerSecond, until)
+	f.call(crashingRequest, crashingPerSecond, until)
 	f.run(9 * time.Second)
 }
 
@@ -332,16 +332,16 @@
 		with, plain := newCanaryFleet(t, seed), newCanaryFleet(t, seed, Canaries)
 		with.runLoad(4)
 		plain.runLoad(4)
-		t.Logf("seed %d: %d targets ended, %d without canaries; popular %+v, %+v without", seed, with.crashed, plain.crashed, *with.counts[popularRequest], *plain.counts[popularRequest])
+		t.Logf("seed %d: %d targets crashed, %d without canaries; popular request %+v, without canaries %+v", seed, with.crashed, plain.crashed, *with.counts[popularRequest], *plain.counts[popularRequest])
 		total += with.crashed
 		without += plain.crashed
 		if n := with.counts[popularRequest]; n.blamed > 0 || n.late*50 > n.calls || n.answered*50 < n.calls*49 {
-			t.Errorf("seed %d: of %d calls of a request that is well %d were answered, %d late, %d refused as quarantined", seed, n.calls, n.answered, n.late, n.blamed)
+			t.Errorf("seed %d: of %d calls of a harmless request %d were answered, %d late, %d refused as quarantined", seed, n.calls, n.answered, n.late, n.blamed)
 		}
 	}
-	t.Logf("%.1f targets in the mean, %.1f without canaries", float64(total)/seeds, float64(without)/seeds)
+	t.Logf("%.1f targets crashed on average, %.1f without canaries", float64(total)/seeds, float64(without)/seeds)
 	if total > aim*seeds {
-		t.Errorf("%d targets ended in %d plays, %d are wanted at the most", total, seeds, aim*seeds)
+		t.Errorf("%d targets crashed in %d runs, want at most %d", total, seeds, aim*seeds)
 	}
 }
 
@@ -352,14 +352,14 @@
 	f.isolated = f.routers[0].canaryCoordinator(crash.FingerprintOf(canaryRequest{content: crashingRequest}).AnyCaller())
 	f.runLoad(4)
 	n := f.counts[popularRequest]
-	t.Logf("%d targets ended; popular %+v, deadly %+v", f.crashed, *n, *f.counts[crashingRequest])
+	t.Logf("%d targets crashed; popular request %+v, crashing request %+v", f.crashed, *n, *f.counts[crashingRequest])
 	if n.answered*50 < n.calls*49 || n.late*20 > n.calls {
-		t.Errorf("of %d calls of a request that is well %d were answered, %d late", n.calls, n.answered, n.late)
+		t.Errorf("of %d calls of a harmless request %d were answered, %d late", n.calls, n.answered, n.late)
 	}
 	for _, r := range f.routers {
 		r.calls.Each(func(_ CallID, c *call) {
 			if c.awaitsCanaryTurn && f.now.Sub(c.arrived) > maxCanaryWait+canaryPollInterval {
-				t.Errorf("a call has waited for %s", f.now.Sub(c.arrived))
+				t.Errorf("a call has waited for a canary turn for %s", f.now.Sub(c.arrived))
 			}
 		})
 	}
@@ -376,11 +376,11 @@
 	})
 	f.runLoad(1e-6)
 	n := f.counts[popularRequest]
-	t.Logf("popular %+v, %d messages", *n, f.messages)
+	t.Logf("popular request %+v, %d messages", *n, f.messages)
 	if n.answered*50 < n.calls*49 || n.late*50 > n.calls || n.blamed > 0 {
 		t.Errorf("of %d calls %d were answered, %d late, %d refused as quarantined", n.calls, n.answered, n.late, n.blamed)
 	}
 	if f.messages > canaryBoxes*(broadcastBurst+9*broadcastRate) {
-		t.Errorf("boxes sent each other %d messages", f.messages)
+		t.Errorf("the boxes sent %d messages", f.messages)
 	}
 }
--- a/pkg/core/routing/closed.go
+++ b/pkg/core/routing/closed.go
@@ -95,7 +95,7 @@
 	if c.route.work == table.Patient {
 		return held
 	}
-	wait := time.Duration(calmWaitFraction * c.aim())
+	wait := time.Duration(normalWaitFraction * c.aim())
 	if s.isLimited(c) {
 		wait = min(wait, limitWait)
 	}
--- a/pkg/core/routing/mechanism.go
+++ b/pkg/core/routing/mechanism.go
@@ -70,7 +70,7 @@
 	set := mechanismSet{}
 	for _, n := range names {
 		if !slices.Contains(Mechanisms, n) {
-			return nil, fault.New(fault.Invalid, fmt.Sprintf("use some of %q", Mechanisms), "mechanism %q isn't known", n)
+			return nil, fault.New(fault.Invalid, fmt.Sprintf("use some of %q", Mechanisms), "mechanism %q is unknown", n)
 		}
 		set[n] = true
 	}
--- a/pkg/core/routing/policy.go
+++ b/pkg/core/routing/policy.go
@@ -60,7 +60,7 @@
 	case PolicyReported:
 		return &twoChoicesReported[C]{}, nil
 	}
-	return nil, fault.New(fault.Invalid, fmt.Sprintf("use one of %q", PolicyNames), "policy %q isn't known", name)
+	return nil, fault.New(fault.Invalid, fmt.Sprintf("use one of %q", PolicyNames), "policy %q is unknown", name)
 }
 
 const (
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -216,9 +216,9 @@
 // concludeProbing sends the call to the target that is now the best, if that is suitable. Otherwise
 // the call probes again after an interval, as long as it can wait.
 func (r *Router) concludeProbing(id CallID, c *call, e *Effects) {
-	wasOnTrial := c.onNewVersion
+	wasOnNewVersion := c.onNewVersion
 	t := r.choose(c.service, c)
-	if wasOnTrial && (!c.onNewVersion || !r.isSuitable(c, t)) {
+	if wasOnNewVersion && (!c.onNewVersion || !r.isSuitable(c, t)) {
 		r.leaveNewVersion(id, c, e)
 		return
 	}
--- a/pkg/core/routing/quarantine.go
+++ b/pkg/core/routing/quarantine.go
@@ -17,17 +17,17 @@
 	// quarantineRetryAfter is the retry delay for a call in quarantine. It will be refused again
 	// until the target's software is fixed, so the delay is as long as callers honour.
 	quarantineRetryAfter = time.Minute
-	// localQuarantineTerm is how long a call stays in quarantine by the decision of a box that is
+	// localQuarantineDuration is how long a call stays in quarantine by the decision of a box that is
 	// cut off from the leader. Up to three more targets may crash after it, so it is long compared
 	// with the seconds in which a target starts; it is short compared with a wrong decision that
 	// nobody can correct meanwhile.
-	localQuarantineTerm = time.Minute
-	// trialTerm is how long a box may use a trial: a call that is still being sent arrives within
+	localQuarantineDuration = time.Minute
+	// trialDuration is how long a box may use a trial: a call that is still being sent arrives within
 	// that time.
-	trialTerm = 5 * time.Second
-	// localWatchTerm is for how long a box records answers to the calls that it has itself recorded
+	trialDuration = 5 * time.Second
+	// localWatchDuration is for how long a box records answers to the calls that it has itself recorded
 	// as suspects. A call that is sent often is answered within seconds.
-	localWatchTerm = time.Minute
+	localWatchDuration = time.Minute
 	// maxRecordedAnswers bounds the answers that are recorded between two grants, which come a few
 	// times a second.
 	maxRecordedAnswers = 16
@@ -171,7 +171,7 @@
 	for _, x := range v.Calls {
 		if x.Trial > b.lastTrial[x.Call] {
 			b.lastTrial[x.Call] = x.Trial
-			b.trials = append(b.trials, quarantineTrial{call: x.Call, number: x.Trial, until: r.now.Add(trialTerm)})
+			b.trials = append(b.trials, quarantineTrial{call: x.Call, number: x.Trial, until: r.now.Add(trialDuration)})
 		}
 	}
 	b.trials = slices.DeleteFunc(b.trials, func(t quarantineTrial) bool { return r.now >= t.until })
@@ -214,11 +214,11 @@
 // this box.
 func (r *Router) watchLocalSuspects() {
 	b := &r.crashes
-	for _, f := range b.ledger.SuspectsSince(r.now.Add(-localWatchTerm)) {
+	for _, f := range b.ledger.SuspectsSince(r.now.Add(-localWatchDuration)) {
 		b.suspects.add(f)
 		b.watched.add(f.AnyCaller())
 	}
-	b.refreshWatchAt = r.now.Add(localWatchTerm)
+	b.refreshWatchAt = r.now.Add(localWatchDuration)
 }
 
 // refuseWaitingQuarantined refuses the waiting calls in quarantine, and ends the search for a
@@ -269,7 +269,7 @@
 		return
 	}
 	for _, v := range b.ledger.Judge(r.now) {
-		b.localVerdicts = append(b.localVerdicts, localVerdict{call: v.Fingerprint, until: r.now.Add(localQuarantineTerm)})
+		b.localVerdicts = append(b.localVerdicts, localVerdict{call: v.Fingerprint, until: r.now.Add(localQuarantineDuration)})
 		e.add(Effect{Kind: CallBlamed, Verdict: &v})
 	}
 	r.enforceQuarantines(e)
--- a/pkg/core/routing/residency_test.go
+++ b/pkg/core/routing/residency_test.go
@@ -89,18 +89,18 @@
 func (w *residencyWorld) checkRegion(x Effect, c *residencyCall) {
 	entry := w.table.Services[x.Endpoint.Service]
 	if entry == nil {
-		w.Fatalf("%s goes to service %s, which the table lacks", c.host+c.path, x.Endpoint.Service)
+		w.Fatalf("%s is sent to service %s, which isn't in the table", c.host+c.path, x.Endpoint.Service)
 	}
 	row := entry.Row(x.Endpoint.Target)
 	if row == nil {
-		w.Fatalf("%s goes to target %s, which the table lacks", c.host+c.path, x.Endpoint.Target)
+		w.Fatalf("%s is sent to target %s, which isn't in the table", c.host+c.path, x.Endpoint.Target)
 	}
 	if c.allowed == nil {
 		return
 	}
 	region := w.regions[row.Domain]
 	if region == "" || !slices.Contains(c.allowed.Names, region) {
-		w.Fatalf("%s goes to %s in region %q, allowed are %q", c.host+c.path, x.Endpoint.Target, region, c.allowed.Names)
+		w.Fatalf("%s is sent to %s in region %q, allowed regions are %q", c.host+c.path, x.Endpoint.Target, region, c.allowed.Names)
 	}
 	switch {
 	case x.Kind == Probe:
@@ -246,6 +246,6 @@
 	})
 	t.Logf("%+v", all)
 	if all.retries == 0 || all.hedges == 0 || all.probes == 0 || all.refusals == 0 {
-		t.Errorf("the schedules don't bring all cases about: %+v", all)
+		t.Errorf("the schedules don't cover all cases: %+v", all)
 	}
 }
--- a/pkg/core/routing/routes.go
+++ b/pkg/core/routing/routes.go
@@ -54,7 +54,7 @@
 // serviceRoute is the route that a service's own hosts and prefix make.
 func serviceRoute(s *service, host string) *route {
 	return &route{
-		host: host, prefix: s.row.PathPrefix, work: s.row.Work, usual: s.row.Deadline, maxAttempts: maxSendsSinceHeld,
+		host: host, prefix: s.row.PathPrefix, work: s.row.Work, usual: s.row.Deadline, maxAttempts: maxSends,
 		parts: []routePart{{service: s, weight: 1}},
 	}
 }
@@ -64,10 +64,10 @@
 func (r *Router) newRoute(row *table.Route) *route {
 	x := &route{
 		host: row.Host, prefix: row.PathPrefix, work: row.Work, deadline: row.Deadline, usual: row.Deadline, aim: row.Aim,
-		maxAttempts: maxSendsSinceHeld, priority: row.Priority, largeAnswers: row.LargeAnswers, public: row.Public, regions: row.Regions,
+		maxAttempts: maxSends, priority: row.Priority, largeAnswers: row.LargeAnswers, public: row.Public, regions: row.Regions,
 	}
 	if row.MaxAttempts > 0 {
-		x.maxAttempts = min(row.MaxAttempts, maxSendsSinceHeld)
+		x.maxAttempts = min(row.MaxAttempts, maxSends)
 	}
 	for _, p := range row.Parts {
 		if s := r.services[p.Service]; s != nil && p.Weight > 0 {
--- a/pkg/core/routing/script_crash_test.go
+++ b/pkg/core/routing/script_crash_test.go
@@ -84,21 +84,21 @@
 	t.Quarantines = append(t.Quarantines, table.Quarantine{Call: crash.FingerprintOf(wordIdentity(words[0])), Since: t.Revision})
 }
 
-var canaryWords = map[CanaryKind]string{SuspectCalls: "suspect", ClearCall: "clear", RequestCanary: "ask", GrantCanary: "send"}
+var canaryKindNames = map[CanaryKind]string{SuspectCalls: "suspect", ClearCall: "clear", RequestCanary: "ask", GrantCanary: "send"}
 
 func describeCanary(m *CanaryMessage) string {
 	var calls []string
 	for _, f := range m.Calls {
 		calls = append(calls, fmt.Sprintf("%.8s", f))
 	}
-	return fmt.Sprintf("%s %s", canaryWords[m.Kind], strings.Join(calls, " "))
+	return fmt.Sprintf("%s %s", canaryKindNames[m.Kind], strings.Join(calls, " "))
 }
 
 // canary BOX kind=suspect|clear|ask|send like=CONTENT [call=NAME] is a message of another box. With
 // kind=suspect the call is another caller's.
 func (s *script) canary(d *datadriven.TestData) {
 	m := CanaryMessage{}
-	for k, w := range canaryWords {
+	for k, w := range canaryKindNames {
 		if w == s.word(d, "kind") {
 			m.Kind = k
 		}
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -173,12 +173,12 @@
 	return "unknown effect"
 }
 
-var loanWords = map[LoanKind]string{
+var loanKindNames = map[LoanKind]string{
 	WantSlots: "want", OfferSlot: "offer", ReturnSlot: "return", RenewLoans: "renew", ConfirmLoans: "confirm", RecallSlots: "recall",
 }
 
 func describeLoan(m LoanMessage) string {
-	text := loanWords[m.Kind]
+	text := loanKindNames[m.Kind]
 	if m.Target != "" {
 		text += " " + string(m.Target)
 	}
@@ -194,7 +194,7 @@
 	return fmt.Sprintf("%s, %d to spare", text, m.Free)
 }
 
-// setTable puts a table in force: lines of "boxes NAME[@DOMAIN[,leaving]]...", "service NAME
+// setTable applies a table: lines of "boxes NAME[@DOMAIN[,leaving]]...", "service NAME
 // COLUMN=VALUE...", "row SERVICE TARGET COLUMN=VALUE...", "registered SERVICE TARGET
 // [DOMAIN] [leaving] [silent] [cold=TIME] [software=V]", "in-force SERVICE V", "rollout SERVICE
 // FROM TO STAGE ORDER SINCE SHARE [TARGET,TARGET...]", "evacuated DOMAIN", "restored DOMAIN REVISION" and
@@ -256,7 +256,7 @@
 		Weight: 100, State: table.Active, Registered: true, Slots: 3,
 	}
 	for _, w := range words[2:] {
-		s.setRegistration(&r, w)
+		s.setRowAttribute(&r, w)
 	}
 	entry := t.Services[r.Service]
 	entry.Rows = entry.Rows.With(r)
@@ -318,9 +318,9 @@
 	s.requireKeys(t, nil)
 }
 
-// setRegistration sets an attribute of a registered target: "leaving", "silent", "cold=TIME",
+// setRowAttribute sets an attribute of a registered target: "leaving", "silent", "cold=TIME",
 // "born=TIME", "software=V" or a domain.
-func (s *script) setRegistration(r *table.Row, word string) {
+func (s *script) setRowAttribute(r *table.Row, word string) {
 	if left, isCold := strings.CutPrefix(word, "cold="); isCold {
 		cold, err := time.ParseDuration(left)
 		if err != nil {
@@ -423,7 +423,7 @@
 	s.reduce(&v)
 }
 
-// stop within=D
+// stop within=D plans a stop of the box.
 func (s *script) stop(d *datadriven.TestData) {
 	s.reduce(&StopPlanned{Until: s.now.Add(s.duration(d, "within"))})
 }
@@ -446,7 +446,7 @@
 	s.router.settings.KeyDoubt = s.duration(d, "limit")
 }
 
-var resultWords = map[string]AttemptResult{
+var resultsByName = map[string]AttemptResult{
 	"answered": Answered, "failed": Failed, "shed": Shed, "misdirected": Misdirected, "not-sent": NotSent, "broken": Broken,
 	"withheld": Withheld,
 }
@@ -456,7 +456,7 @@
 func (s *script) end(d *datadriven.TestData) {
 	var n int
 	d.ScanArgs(s.t, "attempt", &n)
-	v := &AttemptEnded{Call: s.calls[d.CmdArgs[0].Key], Attempt: AttemptNumber(n), Result: resultWords[s.word(d, "result")]}
+	v := &AttemptEnded{Call: s.calls[d.CmdArgs[0].Key], Attempt: AttemptNumber(n), Result: resultsByName[s.word(d, "result")]}
 	if d.HasArg("load") {
 		var load int
 		d.ScanArgs(s.t, "load", &load)
@@ -468,7 +468,7 @@
 	s.reduce(v)
 }
 
-// start NAME attempt=N [leaving]
+// start NAME attempt=N [coming=N] [leaving] starts the answer of an attempt, with the bytes still to come.
 func (s *script) start(d *datadriven.TestData) {
 	var n, coming int
 	d.ScanArgs(s.t, "attempt", &n)
@@ -479,7 +479,7 @@
 	s.reduce(v)
 }
 
-// callerGone NAME
+// gone NAME: the caller has disconnected.
 func (s *script) callerGone(d *datadriven.TestData) {
 	s.reduce(&CallerGone{Call: s.calls[d.CmdArgs[0].Key]})
 }
@@ -494,15 +494,15 @@
 	s.now = end
 }
 
-// lease for=D
+// lease for=D renews the lease.
 func (s *script) lease(d *datadriven.TestData) {
 	s.reduce(&LeaseChanged{Until: s.now.Add(s.duration(d, "for")), At: s.now})
 }
 
-// peer BOX kind=K service=S [target=T] [loan=N] [nonce=N] [free=N]
+// peer BOX kind=K service=S [target=T] [loan=N] [nonce=N] [free=N] [term=D] is a message of another box about loans.
 func (s *script) peer(d *datadriven.TestData) {
 	m := LoanMessage{Service: units.ServiceName(s.word(d, "service")), Count: 1}
-	for k, w := range loanWords {
+	for k, w := range loanKindNames {
 		if w == s.word(d, "kind") {
 			m.Kind = k
 		}
@@ -520,7 +520,7 @@
 	s.reduce(&PeerMessage{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
 }
 
-// probed TARGET healthy=true|false [answered] [refused] [rest=D] [leaving]
+// probed TARGET healthy=true|false [answered] [refused] [rest=D] [leaving] ends a probe that no call waits for.
 func (s *script) probed(d *datadriven.TestData) {
 	v := &ProbeEnded{Target: s.probes[d.CmdArgs[0].Key], Healthy: s.word(d, "healthy") == "true"}
 	v.Answered, v.Refused = d.HasArg("answered"), d.HasArg("refused")
@@ -534,7 +534,7 @@
 func (s *script) repeat(d *datadriven.TestData) {
 	var n int
 	d.ScanArgs(s.t, "count", &n)
-	result := resultWords[s.word(d, "result")]
+	result := resultsByName[s.word(d, "result")]
 	for i := range n {
 		before := len(s.effects.List)
 		s.reduce(&CallArrived{Owner: fmt.Sprintf("r%d", i), Host: []byte(s.word(d, "service")), Path: []byte("/")})
@@ -563,10 +563,10 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-var quotaWords = map[QuotaKind]string{AskCredits: "ask", GrantCredits: "grant", ReturnCredits: "return"}
+var quotaKindNames = map[QuotaKind]string{AskCredits: "ask", GrantCredits: "grant", ReturnCredits: "return"}
 
 func describeQuota(m *QuotaMessage) string {
-	text := fmt.Sprintf("%s %d credits of %s", quotaWords[m.Kind], m.Count, m.Workspace)
+	text := fmt.Sprintf("%s %d credits of %s", quotaKindNames[m.Kind], m.Count, m.Workspace)
 	if m.Again > 0 {
 		text += fmt.Sprintf(", again after %s", m.Again)
 	}
@@ -580,7 +580,7 @@
 	var count int
 	d.ScanArgs(s.t, "count", &count)
 	m := QuotaMessage{Workspace: units.WorkspaceName(s.word(d, "workspace")), Count: count, Again: s.duration(d, "again")}
-	for kind, word := range quotaWords {
+	for kind, word := range quotaKindNames {
 		if word == s.word(d, "kind") {
 			m.Kind = kind
 		}
--- a/pkg/core/routing/split_test.go
+++ b/pkg/core/routing/split_test.go
@@ -67,7 +67,7 @@
 
 // Calls are split by the weights of a route's parts, however few calls each of many boxes gets.
 func TestPartsGetTheirWeightsOverManyBoxes(t *testing.T) {
-	const boxes, weight, off = 1000, 0.25, 0.05
+	const boxes, weight, tolerance = 1000, 0.25, 0.05
 	for calls := 1; calls <= 3; calls++ {
 		got := 0
 		for i := range boxes {
@@ -77,21 +77,21 @@
 			}
 			got += x.callsToB
 		}
-		if part := float64(got) / float64(boxes*calls); math.Abs(part-weight) > off {
-			t.Errorf("with %d calls a box the part of %.2f gets %.3f", calls, weight, part)
+		if part := float64(got) / float64(boxes*calls); math.Abs(part-weight) > tolerance {
+			t.Errorf("with %d calls per box the service of weight %.2f gets %.3f of them", calls, weight, part)
 		}
 	}
 }
 
 // Changes of the table that don't concern a route don't restart its sequence of turns.
 func TestPartsGetTheirWeightsWhileTheTableChanges(t *testing.T) {
-	const calls, weight, off = 400, 0.25, 0.02
+	const calls, weight, tolerance = 400, 0.25, 0.02
 	x := newSplitBox(t, "box")
 	for i := range calls {
 		x.router.Reduce(1, &TableChanged{Table: splitTable(units.Revision(i + 2))}, &Effects{})
 		x.call(t)
 	}
-	if part := float64(x.callsToB) / calls; math.Abs(part-weight) > off {
-		t.Errorf("the part of %.2f gets %.3f", weight, part)
+	if part := float64(x.callsToB) / calls; math.Abs(part-weight) > tolerance {
+		t.Errorf("the service of weight %.2f gets %.3f of the calls", weight, part)
 	}
 }
--- a/pkg/core/routing/turns.go
+++ b/pkg/core/routing/turns.go
@@ -56,8 +56,8 @@
 	if len(x.parts) < 2 {
 		return
 	}
-	passed := rendezvous.Hash(box, x.host+x.prefix) % uint64(min(x.turnPeriod(), maxSkippedTurns))
-	for range passed {
+	skipped := rendezvous.Hash(box, x.host+x.prefix) % uint64(min(x.turnPeriod(), maxSkippedTurns))
+	for range skipped {
 		x.nextService()
 	}
 }
--- a/pkg/core/routing/waiting.go
+++ b/pkg/core/routing/waiting.go
@@ -32,12 +32,12 @@
 const (
 	// probeRetryInterval is the time between two rounds of probes of a call that found no target.
 	probeRetryInterval = 15 * time.Millisecond
-	// calmWaitFraction is the fraction of its aim after which a waiting call is sent or refused;
+	// normalWaitFraction is the fraction of its aim after which a waiting call is sent or refused;
 	// one that is sent then usually still ends within its aim. busyWaitFraction replaces it while
 	// the service is busy: a target that becomes free later is better used for a call that has just
 	// arrived.
-	calmWaitFraction = 0.45
-	busyWaitFraction = 0.25
+	normalWaitFraction = 0.45
+	busyWaitFraction   = 0.25
 	// defaultAimFraction is the fraction of a call's deadline that is used as the aim on a route
 	// without one, so that such a call also leaves most of its time for the answer.
 	defaultAimFraction = 0.25
@@ -55,7 +55,7 @@
 	if s.isBusy(now) {
 		return busyWaitFraction
 	}
-	return calmWaitFraction
+	return normalWaitFraction
 }
 
 // busyRetryAfter is the retry delay for a call that found all targets busy. A busy period is
--- a/pkg/core/routing/wants_test.go
+++ b/pkg/core/routing/wants_test.go
@@ -33,6 +33,6 @@
 		r.Reduce(now, &PeerMessage{From: "other", Message: LoanMessage{Kind: WantSlots, Service: "s", Count: 1, Nonce: n}}, &e)
 	}
 	if n := len(r.services["s"].wants.waiting); n > int(wantAge/time.Millisecond)+1 {
-		t.Fatalf("%d old wants are kept", n)
+		t.Fatalf("%d expired requests for slots are kept", n)
 	}
 }
