--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -16,12 +16,12 @@
 // many callers send, and others.
 type canaryFleet struct {
 	timeline
-	random  *rand.Rand
-	routers []*Router
-	boxes   []table.Box
-	targets map[units.TargetID]*canaryTarget
-	ledger  *crash.Ledger
-	blamed  []crash.Fingerprint
+	random      *rand.Rand
+	routers     []*Router
+	boxes       []table.Box
+	targets     map[units.TargetID]*canaryTarget
+	ledger      *crash.Ledger
+	quarantined []crash.Fingerprint
 	// crashed counts the targets that the request crashed.
 	crashed int
 	// isolated is a box whose messages to and from other boxes are lost; messages counts the
@@ -33,7 +33,7 @@
 
 // canaryCount counts the calls of a request by result.
 type canaryCount struct {
-	calls, answered, blamed int
+	calls, answered, refusedAsQuarantined int
 	// late counts the calls whose answer took longer than lateAnswer.
 	late int
 }
@@ -164,7 +164,7 @@
 func (f *canaryFleet) judge() {
 	verdicts := f.ledger.Judge(f.now)
 	for _, v := range verdicts {
-		f.blamed = append(f.blamed, v.Fingerprint)
+		f.quarantined = append(f.quarantined, v.Fingerprint)
 	}
 	if len(verdicts) == 0 {
 		return
@@ -178,7 +178,7 @@
 
 func (f *canaryFleet) grant(noted uint64) *WatchedCallsChanged {
 	v := &WatchedCallsChanged{Term: 1, Acknowledged: noted}
-	for _, x := range f.blamed {
+	for _, x := range f.quarantined {
 		v.Calls = append(v.Calls, crash.Watched{Call: x, Quarantined: true})
 	}
 	for _, x := range f.ledger.Suspects(8) {
@@ -222,7 +222,7 @@
 func (f *canaryFleet) refused(x Effect) {
 	c := x.Owner.(*canaryCaller)
 	if x.Refusal.Reason == Quarantined {
-		f.counts[c.request.content].blamed++
+		f.counts[c.request.content].refusedAsQuarantined++
 		return
 	}
 	if c.tries++; c.tries < 3 {
@@ -335,8 +335,8 @@
 		t.Logf("seed %d: %d targets crashed, %d without canaries; popular request %+v, without canaries %+v", seed, with.crashed, plain.crashed, *with.counts[popularRequest], *plain.counts[popularRequest])
 		total += with.crashed
 		without += plain.crashed
-		if n := with.counts[popularRequest]; n.blamed > 0 || n.late*50 > n.calls || n.answered*50 < n.calls*49 {
-			t.Errorf("seed %d: of %d calls of a harmless request %d were answered, %d late, %d refused as quarantined", seed, n.calls, n.answered, n.late, n.blamed)
+		if n := with.counts[popularRequest]; n.refusedAsQuarantined > 0 || n.late*50 > n.calls || n.answered*50 < n.calls*49 {
+			t.Errorf("seed %d: of %d calls of a harmless request %d were answered, %d late, %d refused as quarantined", seed, n.calls, n.answered, n.late, n.refusedAsQuarantined)
 		}
 	}
 	t.Logf("%.1f targets crashed on average, %.1f without canaries", float64(total)/seeds, float64(without)/seeds)
@@ -377,8 +377,8 @@
 	f.runLoad(1e-6)
 	n := f.counts[popularRequest]
 	t.Logf("popular request %+v, %d messages", *n, f.messages)
-	if n.answered*50 < n.calls*49 || n.late*50 > n.calls || n.blamed > 0 {
-		t.Errorf("of %d calls %d were answered, %d late, %d refused as quarantined", n.calls, n.answered, n.late, n.blamed)
+	if n.answered*50 < n.calls*49 || n.late*50 > n.calls || n.refusedAsQuarantined > 0 {
+		t.Errorf("of %d calls %d were answered, %d late, %d refused as quarantined", n.calls, n.answered, n.late, n.refusedAsQuarantined)
 	}
 	if f.messages > canaryBoxes*(broadcastBurst+9*broadcastRate) {
 		t.Errorf("the boxes sent %d messages", f.messages)
--- a/pkg/core/routing/clientretry.go
+++ b/pkg/core/routing/clientretry.go
@@ -42,17 +42,17 @@
 }
 
 // observe updates the estimate with the deadline that a call requests.
-func (u *deadlineEstimate) observe(asked time.Duration) {
-	if asked <= 0 {
+func (u *deadlineEstimate) observe(requested time.Duration) {
+	if requested <= 0 {
 		return
 	}
 	u.samples++
 	if u.samples <= minDeadlineSamples {
-		u.observeEarly(asked)
+		u.observeEarly(requested)
 		return
 	}
 	step := deadlineStep * float64(u.estimate)
-	if asked < u.estimate {
+	if requested < u.estimate {
 		u.estimate -= time.Duration((1 - clientRetryFraction) * step)
 		return
 	}
@@ -60,19 +60,19 @@
 }
 
 // observeEarly sets the estimate to the minimum of the first samples.
-func (u *deadlineEstimate) observeEarly(asked time.Duration) {
-	if u.estimate == 0 || asked < u.estimate {
-		u.estimate = asked
+func (u *deadlineEstimate) observeEarly(requested time.Duration) {
+	if u.estimate == 0 || requested < u.estimate {
+		u.estimate = requested
 	}
 }
 
 // elapsedSinceFirstTry is a lower bound of the time since the caller's first try; zero for a first
 // try, and where it can't be estimated.
-func (u *deadlineEstimate) elapsedSinceFirstTry(asked time.Duration) time.Duration {
-	if asked <= 0 || u.samples < minDeadlineSamples || float64(asked) >= clientRetryThreshold*float64(u.estimate) {
+func (u *deadlineEstimate) elapsedSinceFirstTry(requested time.Duration) time.Duration {
+	if requested <= 0 || u.samples < minDeadlineSamples || float64(requested) >= clientRetryThreshold*float64(u.estimate) {
 		return 0
 	}
-	return u.estimate - asked
+	return u.estimate - requested
 }
 
 // isCrowded reports whether many recent calls found no target at once, so that a slot given to one
@@ -83,11 +83,11 @@
 
 // wouldMissAim reports whether a call should be refused at once because it is such a late retry
 // that its answer would miss the aim, and first tries need the slots.
-func (r *Router) wouldMissAim(c *call, asked time.Duration) bool {
+func (r *Router) wouldMissAim(c *call, requested time.Duration) bool {
 	x := c.route
 	if !r.enabled(FirstTries) || x.aim == 0 || !c.service.isCrowded(r.now) {
 		return false
 	}
-	spent := x.asked.elapsedSinceFirstTry(asked)
-	return spent > 0 && spent+time.Duration(x.sureTime()) > x.aim
+	elapsed := x.asked.elapsedSinceFirstTry(requested)
+	return elapsed > 0 && elapsed+time.Duration(x.sureTime()) > x.aim
 }
