--- a/pkg/core/routing/allowances.go
+++ b/pkg/core/routing/allowances.go
@@ -9,8 +9,8 @@
 // allowances are permits or credits that a box holds: until when each may be used, the first to end first.
 type allowances []units.Instant
 
-// any tells whether one is held that may be used now.
-func (a allowances) any(now units.Instant) bool { return len(a) > 0 && now < a[len(a)-1] }
+// available tells whether one is held that may be used now.
+func (a allowances) available(now units.Instant) bool { return len(a) > 0 && now < a[len(a)-1] }
 
 // add keeps some that may be used until an instant.
 func (a *allowances) add(n int, until units.Instant) {
@@ -20,7 +20,7 @@
 
 // use takes the one that ends first; false means that there is none.
 func (a *allowances) use(now units.Instant) (until units.Instant, ok bool) {
-	a.dropEnded(now)
+	a.dropExpired(now)
 	if len(*a) == 0 {
 		return 0, false
 	}
@@ -29,8 +29,8 @@
 	return until, true
 }
 
-// dropEnded drops those that may no longer be used, and returns how many there were.
-func (a *allowances) dropEnded(now units.Instant) int {
+// dropExpired drops those that may no longer be used, and returns how many there were.
+func (a *allowances) dropExpired(now units.Instant) int {
 	n := 0
 	for n < len(*a) && (*a)[n] <= now {
 		n++
--- a/pkg/core/routing/allowances_test.go
+++ b/pkg/core/routing/allowances_test.go
@@ -16,10 +16,10 @@
 	if !slices.Equal(a, allowances{25, 30, 30}) {
 		t.Errorf("held are %v", a)
 	}
-	if n := a.dropEnded(25); n != 1 {
+	if n := a.dropExpired(25); n != 1 {
 		t.Errorf("%d were dropped at 25, want 1", n)
 	}
-	if !a.any(29) || a.any(30) {
+	if !a.available(29) || a.available(30) {
 		t.Error("one until 30 may be used at 29, and not at 30")
 	}
 	if until, ok := a.use(30); ok || len(a) != 0 {
--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -66,7 +66,7 @@
 	}
 	c.service = s
 	s.calls++
-	s.earnExtras()
+	s.earnExtraTokens()
 	c.deadline = c.arrived.Add(c.route.deadlineOf(c.asked, r.settings.MaxDeadline))
 	if !s.isBusy(r.now) {
 		c.route.asked.learn(c.asked)
@@ -184,7 +184,7 @@
 	r.timers.Push(timer{at: until, call: id, kind: holdTimer})
 	r.timers.Push(timer{at: c.deadline, call: id, kind: deadlineTimer})
 	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.deadline})
-	r.askForLoans(s, e)
+	r.requestLoans(s, e)
 }
 
 func (r *Router) refusesToHold(s *service, c *call, until units.Instant) Reason {
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -74,7 +74,7 @@
 	t.unlink(a)
 	r.attemptOver(a)
 	if a.loan != nil {
-		r.endLoanUse(a.loan, e)
+		r.releaseLoan(a.loan, e)
 	}
 	a.target = nil
 	a.loan = nil
@@ -94,7 +94,7 @@
 		r.timers.Push(timer{at: r.now.Add(cancelTime), kind: coolTimer, target: t})
 	}
 	if a.loan != nil {
-		a.loan.coolUntil = r.now.Add(cancelTime)
+		a.loan.cooldownUntil = r.now.Add(cancelTime)
 	}
 	r.release(c, a, e)
 }
--- a/pkg/core/routing/borrowing.go
+++ b/pkg/core/routing/borrowing.go
@@ -12,88 +12,88 @@
 	lender     units.BoxID
 	target     *target
 	validUntil units.Instant
-	usedAt     units.Instant
+	lastUsedAt     units.Instant
 	inUse      bool
 	recalled   bool
-	// coolUntil is when the target has surely let go of a canceled call.
-	coolUntil units.Instant
+	// cooldownUntil is when the target has surely let go of a canceled call.
+	cooldownUntil units.Instant
 }
 
-// wantState is what a service's own requests and those of others come to.
-type wantState struct {
-	probedAt   units.Instant
+// serviceLoans is what a service's own requests and those of others come to.
+type serviceLoans struct {
+	requestedAt   units.Instant
 	recalledAt units.Instant
-	waiting    []waitingWant
-	// peers is what the other boxes last said that they have to spare.
-	peers map[units.BoxID]spare
+	pending    []pendingRequest
+	// spareByPeer is what the other boxes last said that they have to spare.
+	spareByPeer map[units.BoxID]spareReport
 }
 
-// spare is what another box said that it has to spare.
-type spare struct {
+// spareReport is what another box said that it has to spareReport.
+type spareReport struct {
 	slots float64
 	at    units.Instant
 }
 
-// askForLoans asks other boxes for slots when calls are held here.
-func (r *Router) askForLoans(s *service, e *Effects) {
+// requestLoans asks other boxes for slots when calls are held here.
+func (r *Router) requestLoans(s *service, e *Effects) {
 	others := len(r.table.Boxes) - 1
 	if !r.settings.Loans || others < 1 || !r.rank.listed || s.unlimited() {
 		return
 	}
-	r.recallIfNeeded(s, e)
-	if s.wants.probedAt != 0 && r.now.Sub(s.wants.probedAt) < askAgain {
+	r.recallLentSlots(s, e)
+	if s.loans.requestedAt != 0 && r.now.Sub(s.loans.requestedAt) < loanRequestInterval {
 		return
 	}
-	s.wants.probedAt = r.now
-	nonce := r.loans.remember(r.loans.asked, r.now)
-	r.loans.askedTotal++
-	for range min(askedBoxes, others) {
-		box := r.likelyLender(s, others)
-		s.wants.peers[box] = spare{slots: s.wants.peers[box].slots - 1, at: r.now}
-		r.sendLoan(box, LoanMessage{Kind: WantSlots, Service: s.row.Name, Count: s.held.length, Nonce: nonce}, e)
+	s.loans.requestedAt = r.now
+	nonce := r.loans.recordRequest(r.loans.requests, r.now)
+	r.loans.requestTotal++
+	for range min(lendersPerRequest, others) {
+		box := r.selectLender(s, others)
+		s.loans.spareByPeer[box] = spareReport{slots: s.loans.spareByPeer[box].slots - 1, at: r.now}
+		r.sendLoan(box, LoanMessage{Kind: RequestSlots, Service: s.row.Name, Count: s.held.length, Nonce: nonce}, e)
 	}
 }
 
-// likelyLender draws a few boxes and returns the one that seems to have the most
+// selectLender draws a few boxes and returns the one that seems to have the most
 // to spare.
-func (r *Router) likelyLender(s *service, others int) units.BoxID {
+func (r *Router) selectLender(s *service, others int) units.BoxID {
 	var best units.BoxID
 	bestSpare := 0.0
-	for range sampledBoxes {
-		box := r.otherBox(r.random.IntN(others))
-		if x := s.wants.expected(box, r.now); best == "" || x > bestSpare {
+	for range lenderSampleSize {
+		box := r.peerAt(r.random.IntN(others))
+		if x := s.loans.expectedSpare(box, r.now); best == "" || x > bestSpare {
 			best, bestSpare = box, x
 		}
 	}
 	return best
 }
 
-func (w *wantState) expected(box units.BoxID, now units.Instant) float64 {
-	x, known := w.peers[box]
-	if !known || now.Sub(x.at) > spareAge {
-		return unknownSpare
+func (w *serviceLoans) expectedSpare(box units.BoxID, now units.Instant) float64 {
+	x, known := w.spareByPeer[box]
+	if !known || now.Sub(x.at) > spareReportMaxAge {
+		return defaultSpareSlots
 	}
 	return x.slots
 }
 
-// otherBox returns the i-th of the boxes that aren't this one.
-func (r *Router) otherBox(i int) units.BoxID {
+// peerAt returns the i-th of the boxes that aren't this one.
+func (r *Router) peerAt(i int) units.BoxID {
 	if i >= r.rank.rank {
 		i++
 	}
 	return r.table.Boxes[i].ID
 }
 
-func (r *Router) takeOffer(from units.BoxID, m LoanMessage, e *Effects) {
-	asked, known := r.loans.asked[m.Nonce]
+func (r *Router) acceptOffer(from units.BoxID, m LoanMessage, e *Effects) {
+	asked, known := r.loans.requests[m.Nonce]
 	s := r.services[m.Service]
 	t := s.target(m.Target)
-	late := known && r.now >= asked.Add(min(m.Term, loanReclaim-loanTerm))
+	late := known && r.now >= asked.Add(min(m.Term, loanReclaimTimeout-maxLoanTerm))
 	if !known || t == nil || late {
 		r.sendLoan(from, LoanMessage{Kind: ReturnSlot, Loan: m.Loan}, e)
 		return
 	}
-	l := &loan{id: m.Loan, lender: from, target: t, validUntil: asked.Add(m.Term), usedAt: r.now}
+	l := &loan{id: m.Loan, lender: from, target: t, validUntil: asked.Add(m.Term), lastUsedAt: r.now}
 	r.loans.borrowedTotal++
 	r.sweepBy(s, r.now.Add(sweepPeriod))
 	r.loans.borrowed = append(r.loans.borrowed, l)
@@ -101,26 +101,26 @@
 	r.serveHeld(s, e)
 }
 
-// endLoanUse notes that a call on a borrowed slot has ended.
-func (r *Router) endLoanUse(l *loan, e *Effects) {
+// releaseLoan notes that a call on a borrowed slot has ended.
+func (r *Router) releaseLoan(l *loan, e *Effects) {
 	l.inUse = false
-	l.usedAt = r.now
-	if l.mustGoBack(r.now) {
-		r.giveBack(l, e)
+	l.lastUsedAt = r.now
+	if l.mustReturn(r.now) {
+		r.returnLoan(l, e)
 	}
 }
 
-// mustGoBack tells whether an unused loan has to be given back now.
-func (l *loan) mustGoBack(now units.Instant) bool {
-	return now >= l.coolUntil && (l.recalled || now >= l.validUntil)
+// mustReturn tells whether an unused loan has to be given back now.
+func (l *loan) mustReturn(now units.Instant) bool {
+	return now >= l.cooldownUntil && (l.recalled || now >= l.validUntil)
 }
 
-func (r *Router) giveBack(l *loan, e *Effects) {
-	r.forgetLoan(l)
+func (r *Router) returnLoan(l *loan, e *Effects) {
+	r.removeLoan(l)
 	r.sendLoan(l.lender, LoanMessage{Kind: ReturnSlot, Service: l.target.row.Service, Loan: l.id}, e)
 }
 
-func (r *Router) forgetLoan(l *loan) {
+func (r *Router) removeLoan(l *loan) {
 	r.loans.borrowed = slices.DeleteFunc(r.loans.borrowed, func(o *loan) bool { return o == l })
 	l.target.borrowed = slices.DeleteFunc(l.target.borrowed, func(o *loan) bool { return o == l })
 }
@@ -137,15 +137,15 @@
 	}
 }
 
-// recalled gives back the slots of a service that a lender needs itself.
-func (r *Router) recalled(from units.BoxID, m LoanMessage, e *Effects) {
+// handleRecall gives back the slots of a service that a lender needs itself.
+func (r *Router) handleRecall(from units.BoxID, m LoanMessage, e *Effects) {
 	for _, l := range slices.Clone(r.loans.borrowed) {
 		if l.lender != from || l.target.row.Service != m.Service {
 			continue
 		}
 		l.recalled = true
-		if !l.inUse && l.mustGoBack(r.now) {
-			r.giveBack(l, e)
+		if !l.inUse && l.mustReturn(r.now) {
+			r.returnLoan(l, e)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 		}
 	}
 	for _, box := range lenders {
-		m := LoanMessage{Kind: RenewLoans, Nonce: r.loans.remember(r.loans.renewals, r.now)}
+		m := LoanMessage{Kind: RenewLoans, Nonce: r.loans.recordRequest(r.loans.renewals, r.now)}
 		for _, l := range r.loans.borrowed {
 			if l.lender == box {
 				m.Loans = append(m.Loans, l.id)
@@ -168,12 +168,12 @@
 	}
 }
 
-// recallIfNeeded asks for lent slots back when calls are held here.
-func (r *Router) recallIfNeeded(s *service, e *Effects) {
-	if s.wants.recalledAt != 0 && r.now.Sub(s.wants.recalledAt) < askAgain {
+// recallLentSlots asks for lent slots back when calls are held here.
+func (r *Router) recallLentSlots(s *service, e *Effects) {
+	if s.loans.recalledAt != 0 && r.now.Sub(s.loans.recalledAt) < loanRequestInterval {
 		return
 	}
-	s.wants.recalledAt = r.now
+	s.loans.recalledAt = r.now
 	var borrowers []units.BoxID
 	for _, l := range r.loans.lent {
 		if l.target.service == s && !slices.Contains(borrowers, l.borrower) {
--- a/pkg/core/routing/budget.go
+++ b/pkg/core/routing/budget.go
@@ -10,48 +10,48 @@
 	spent uint64
 }
 
-// budgetBurst bounds the tokens that a box can save up where the table doesn't say
+// defaultExtraBurst bounds the tokens that a box can save up where the table doesn't say
 // how many all boxes may.
-const budgetBurst = 10
+const defaultExtraBurst = 10
 
-// shareExtras works out what this box may save up for a service's retries and hedges. A
+// divideExtraBurst works out what this box may save up for a service's retries and hedges. A
 // part of less than one token would never pay for a send, so small parts go into one pool
 // for both; where even that is less than one, whole tokens go to some of the boxes.
-func (r *Router) shareExtras(s *service) {
+func (r *Router) divideExtraBurst(s *service) {
 	boxes := float64(max(1, r.rank.count))
-	s.pooled = false
-	s.burst = budgetBurst
+	s.pooledBudget = false
+	s.extraBurst = defaultExtraBurst
 	if s.row.ExtraBurst == 0 {
 		return
 	}
-	s.burst = float64(s.row.ExtraBurst) / boxes
-	if s.burst >= 1 {
+	s.extraBurst = float64(s.row.ExtraBurst) / boxes
+	if s.extraBurst >= 1 {
 		return
 	}
-	s.pooled = true
+	s.pooledBudget = true
 	s.retries.tokens = 0
 	both := extraKinds * s.row.ExtraBurst
-	s.burst = float64(both) / boxes
-	if s.burst < 1 {
-		s.burst = float64(r.rank.wholeShare(both, r.rank.countBefore(units.TargetID(s.row.Name), r.rank.boxes)))
+	s.extraBurst = float64(both) / boxes
+	if s.extraBurst < 1 {
+		s.extraBurst = float64(r.rank.wholeShare(both, r.rank.countBefore(units.TargetID(s.row.Name), r.rank.boxes)))
 	}
 }
 
 // extraKinds is how many kinds of extra sends there are: retries and hedges.
 const extraKinds = 2
 
-// earnExtras takes what a call earns for retries and hedges.
-func (s *service) earnExtras() {
-	if !s.pooled {
-		s.retries.earn(s.row.RetryBudget, s.burst)
-		s.hedges.earn(s.row.HedgeBudget, s.burst)
+// earnExtraTokens takes what a call earns for retries and hedges.
+func (s *service) earnExtraTokens() {
+	if !s.pooledBudget {
+		s.retries.earn(s.row.RetryBudget, s.extraBurst)
+		s.hedges.earn(s.row.HedgeBudget, s.extraBurst)
 		return
 	}
 	pool := &s.hedges
 	if s.row.HedgeBudget == 0 {
 		pool = &s.retries
 	}
-	pool.earn(s.row.RetryBudget+s.row.HedgeBudget, s.burst)
+	pool.earn(s.row.RetryBudget+s.row.HedgeBudget, s.extraBurst)
 }
 
 // spendRetry takes what a retry costs. A call that failed is worth more than a hedge, so
@@ -87,14 +87,14 @@
 	b.spent--
 }
 
-// rateLimit is a token bucket over time.
-type rateLimit struct {
+// tokenBucket is a token bucket over time.
+type tokenBucket struct {
 	tokens float64
-	at     units.Instant
+	refilledAt     units.Instant
 }
 
 // take takes a token if there is one at a rate per second with a burst.
-func (l *rateLimit) take(now units.Instant, rate, burst float64) bool {
+func (l *tokenBucket) take(now units.Instant, rate, burst float64) bool {
 	l.refill(now, rate, burst)
 	if l.tokens < 1 {
 		return false
@@ -103,8 +103,8 @@
 	return true
 }
 
-// takeMany takes n tokens or none.
-func (l *rateLimit) takeMany(now units.Instant, n, rate, burst float64) bool {
+// takeN takes n tokens or none.
+func (l *tokenBucket) takeN(now units.Instant, n, rate, burst float64) bool {
 	l.refill(now, rate, burst)
 	if l.tokens < n {
 		return false
@@ -113,11 +113,11 @@
 	return true
 }
 
-// owe takes tokens that may not be there yet; what comes next pays for them.
-func (l *rateLimit) owe(n float64) { l.tokens -= n }
+// overdraw takes tokens that may not be there yet; what comes next pays for them.
+func (l *tokenBucket) overdraw(n float64) { l.tokens -= n }
 
-func (l *rateLimit) refill(now units.Instant, rate, burst float64) {
-	passed := now.Sub(l.at).Seconds()
-	l.at = now
+func (l *tokenBucket) refill(now units.Instant, rate, burst float64) {
+	passed := now.Sub(l.refilledAt).Seconds()
+	l.refilledAt = now
 	l.tokens = min(burst, l.tokens+passed*rate)
 }
--- a/pkg/core/routing/budget_test.go
+++ b/pkg/core/routing/budget_test.go
@@ -36,9 +36,9 @@
 		}
 		router.rank = rankOf(b.ID, list)
 		s := newService(table.Service{Name: "shop", ExtraBurst: extra, RetryBudget: 100, HedgeBudget: 100})
-		router.shareExtras(s)
+		router.divideExtraBurst(s)
 		for range 2 * extra {
-			s.earnExtras()
+			s.earnExtraTokens()
 		}
 		total += s.retries.tokens + s.hedges.tokens
 	}
--- a/pkg/core/routing/canary.go
+++ b/pkg/core/routing/canary.go
@@ -93,7 +93,7 @@
 	list []suspicion
 	// set has the calls of list.
 	set    callSet
-	told   rateLimit
+	told   tokenBucket
 	status CanaryStatus
 }
 
@@ -186,7 +186,7 @@
 	}
 	first := (own-root+n)%n*tellOn + 1
 	last := min(first+tellOn, n)
-	if first >= last || !r.crashes.canaries.told.takeMany(r.now, float64(last-first), tellRate, tellBurst) {
+	if first >= last || !r.crashes.canaries.told.takeN(r.now, float64(last-first), tellRate, tellBurst) {
 		return
 	}
 	for k := first; k < last; k++ {
--- a/pkg/core/routing/cold.go
+++ b/pkg/core/routing/cold.go
@@ -39,7 +39,7 @@
 	reported time.Duration
 	// share is this box's part of the rate.
 	share float64
-	rate  rateLimit
+	rate  tokenBucket
 	// listed is the list of boxes that the share was worked out from, by its number.
 	listed int
 }
@@ -108,7 +108,7 @@
 		return
 	}
 	r.shareCold(t)
-	t.cold.rate = rateLimit{at: r.now, tokens: coldBurst}
+	t.cold.rate = tokenBucket{refilledAt: r.now, tokens: coldBurst}
 	if r.now.Sub(r.startedAt) < restartDoubt {
 		t.cold.rate.tokens = 0
 	}
--- a/pkg/core/routing/crash.go
+++ b/pkg/core/routing/crash.go
@@ -81,7 +81,7 @@
 		r.checkCrashLater(t)
 		return
 	}
-	t.service.probeBudget.owe(1)
+	t.service.probeBudget.overdraw(1)
 	e.add(Effect{
 		Kind: Probe, PermitUntil: r.usePermit(t), Attempt: crashCheck, Endpoint: t.endpoint, NotAfter: r.notAfterOf(t), Connections: t.connections,
 		ProbePath: t.service.row.ProbePath,
@@ -106,7 +106,7 @@
 func (r *Router) crashChecked(t *target, v *ProbeEnded) {
 	if t != nil && v.Refused {
 		// No process was there that the probe could have cost anything.
-		t.service.probeBudget.owe(-1)
+		t.service.probeBudget.overdraw(-1)
 	}
 	switch {
 	case t == nil:
--- a/pkg/core/routing/lending.go
+++ b/pkg/core/routing/lending.go
@@ -12,55 +12,55 @@
 	id       LoanID
 	borrower units.BoxID
 	target   *target
-	heard    units.Instant
-	offered  units.Instant
+	confirmedAt    units.Instant
+	offeredAt  units.Instant
 }
 
-// waitingWant is a request of another box that couldn't be met at once.
-type waitingWant struct {
+// pendingRequest is a request of another box that couldn't be met at once.
+type pendingRequest struct {
 	box   units.BoxID
 	nonce uint64
-	until units.Instant
+	expiresAt units.Instant
 }
 
 // spareSlots counts the free slots of this box's own that nobody waits for.
 func (s *service) spareSlots(now units.Instant) int {
 	n := -s.held.length
 	for _, t := range s.targets {
-		if t.mayLend(now) {
+		if t.canLend(now) {
 			n += t.limit() - t.lent - t.cooling - (t.inFlight - t.loansInUse())
 		}
 	}
 	return n
 }
 
-// meetWant lends what this box doesn't need now, and remembers the rest for a
+// handleLoanRequest lends what this box doesn't need now, and remembers the rest for a
 // moment.
-func (r *Router) meetWant(from units.BoxID, m LoanMessage, e *Effects) {
+func (r *Router) handleLoanRequest(from units.BoxID, m LoanMessage, e *Effects) {
 	s := r.services[m.Service]
 	if s == nil || !r.leased() {
 		return
 	}
-	w := waitingWant{box: from, nonce: m.Nonce, until: r.now.Add(wantAge)}
-	if s.held.length == 0 && r.lendOne(s, w, e) {
+	w := pendingRequest{box: from, nonce: m.Nonce, expiresAt: r.now.Add(loanRequestTTL)}
+	if s.held.length == 0 && r.lendSlot(s, w, e) {
 		return
 	}
-	s.wants.dropOld(r.now)
-	s.wants.waiting = append(s.wants.waiting, w)
+	s.loans.dropExpired(r.now)
+	s.loans.pending = append(s.loans.pending, w)
 }
 
-// dropOld forgets the requests whose time is over; they stand in order.
-func (w *wantState) dropOld(now units.Instant) {
+// dropExpired forgets the requests whose time is over; they stand in order.
+func (w *serviceLoans) dropExpired(now units.Instant) {
 	n := 0
-	for n < len(w.waiting) && w.waiting[n].until <= now {
+	for n < len(w.pending) && w.pending[n].expiresAt <= now {
 		n++
 	}
-	w.waiting = slices.Delete(w.waiting, 0, n)
+	w.pending = slices.Delete(w.pending, 0, n)
 }
 
-// lendOne lends a free slot of the service, if there is one.
-func (r *Router) lendOne(s *service, w waitingWant, e *Effects) bool {
-	t := r.cheapestToLend(s)
+// lendSlot lends a free slot of the service, if there is one.
+func (r *Router) lendSlot(s *service, w pendingRequest, e *Effects) bool {
+	t := r.cheapestLendable(s)
 	if t == nil {
 		return false
 	}
@@ -69,7 +69,7 @@
 	t.lent++
 	r.sweepBy(s, r.now.Add(sweepPeriod))
 	r.loans.lent = append(r.loans.lent, &lentSlot{
-		id: r.loans.nextID, borrower: w.box, target: t, heard: r.now, offered: r.now,
+		id: r.loans.nextID, borrower: w.box, target: t, confirmedAt: r.now, offeredAt: r.now,
 	})
 	r.sendLoan(w.box, LoanMessage{
 		Kind: OfferSlot, Service: s.row.Name, Target: t.row.Target, Loan: r.loans.nextID, Nonce: w.nonce, Term: r.loanTerm(),
@@ -77,13 +77,13 @@
 	return true
 }
 
-// cheapestToLend returns the target of the least cost that has a slot to lend, or
+// cheapestLendable returns the target of the least cost that has a slot to lend, or
 // nil.
-func (r *Router) cheapestToLend(s *service) *target {
+func (r *Router) cheapestLendable(s *service) *target {
 	var best *target
 	var bestCost float64
 	for _, t := range s.targets {
-		if !t.mayLend(r.now) {
+		if !t.canLend(r.now) {
 			continue
 		}
 		if cost := t.cost(r.now, nil); best == nil || cost < bestCost {
@@ -97,28 +97,28 @@
 // box's own lease at the latest, since its part of the limit goes to others then.
 func (r *Router) loanTerm() time.Duration {
 	if r.settings.ServeStale {
-		return loanTerm
+		return maxLoanTerm
 	}
-	return min(loanTerm, r.leaseUntil.Sub(r.now))
+	return min(maxLoanTerm, r.leaseUntil.Sub(r.now))
 }
 
-// mayLend tells whether the target has a slot of this box's own that is free.
-func (t *target) mayLend(now units.Instant) bool {
+// canLend tells whether the target has a slot of this box's own that is free.
+func (t *target) canLend(now units.Instant) bool {
 	return t.share.value < unlimited && t.ownRoom() && t.takesIfPermitted(now, false)
 }
 
-// lendFreed lends a slot that has just become free, if nobody here wants it.
-func (r *Router) lendFreed(s *service, e *Effects) {
-	for len(s.wants.waiting) > 0 && s.held.length == 0 && r.leased() {
-		w := s.wants.waiting[0]
-		if r.now < w.until && !r.lendOne(s, w, e) {
+// lendFreedSlots lends a slot that has just become free, if nobody here wants it.
+func (r *Router) lendFreedSlots(s *service, e *Effects) {
+	for len(s.loans.pending) > 0 && s.held.length == 0 && r.leased() {
+		w := s.loans.pending[0]
+		if r.now < w.expiresAt && !r.lendSlot(s, w, e) {
 			return
 		}
-		s.wants.waiting = s.wants.waiting[1:]
+		s.loans.pending = s.loans.pending[1:]
 	}
 }
 
-func (r *Router) takeBack(from units.BoxID, id LoanID) {
+func (r *Router) handleReturn(from units.BoxID, id LoanID) {
 	for _, l := range r.loans.lent {
 		if l.id == id && l.borrower == from {
 			r.reclaim(l)
@@ -133,20 +133,20 @@
 	r.freed = append(r.freed, l.target.service)
 }
 
-// confirmLoans takes a borrower's list: what isn't on it has been given back,
+// handleRenewal takes a borrower's list: what isn't on it has been given back,
 // unless the offer may still be on its way.
-func (r *Router) confirmLoans(from units.BoxID, m LoanMessage, e *Effects) {
+func (r *Router) handleRenewal(from units.BoxID, m LoanMessage, e *Effects) {
 	for _, l := range slices.Clone(r.loans.lent) {
 		if l.borrower != from {
 			continue
 		}
 		if slices.Contains(m.Loans, l.id) {
 			if r.leased() {
-				l.heard = r.now
+				l.confirmedAt = r.now
 			}
 			continue
 		}
-		if r.now.Sub(l.offered) > loanReclaim-loanTerm {
+		if r.now.Sub(l.offeredAt) > loanReclaimTimeout-maxLoanTerm {
 			r.reclaim(l)
 		}
 	}
--- a/pkg/core/routing/loans.go
+++ b/pkg/core/routing/loans.go
@@ -22,8 +22,8 @@
 
 // The kinds of message.
 const (
-	// WantSlots asks for up to Count slots of a service.
-	WantSlots LoanKind = iota + 1
+	// RequestSlots asks for up to Count slots of a service.
+	RequestSlots LoanKind = iota + 1
 	// OfferSlot lends one slot of a target.
 	OfferSlot
 	// ReturnSlot gives a slot back.
@@ -49,58 +49,58 @@
 	// Term is how long what is offered or confirmed may be used, counted from when
 	// it was asked for.
 	Term time.Duration
-	// Free is how many slots of the service the sender has to spare.
-	Free int
+	// SpareSlots is how many slots of the service the sender has to spare.
+	SpareSlots int
 }
 
 const (
-	// loanTerm is how long a borrower may use a loan after it asked for it or
+	// maxLoanTerm is how long a borrower may use a loan after it asked for it or
 	// last had it confirmed.
-	loanTerm = 2 * time.Second
-	// loanReclaim is when a lender takes back a loan that it heard nothing of; it
+	maxLoanTerm = 2 * time.Second
+	// loanReclaimTimeout is when a lender takes back a loan that it heard nothing of; it
 	// is longer than the term, whatever the clocks' speeds.
-	loanReclaim = loanTerm + 500*time.Millisecond
-	// renewLoansEvery is how often a borrower renews.
-	renewLoansEvery = 500 * time.Millisecond
-	// idleLoan is how long a borrower keeps a slot that it doesn't use.
-	idleLoan = 20 * time.Millisecond
-	// askAgain is how long a box waits before it asks for more.
-	askAgain = time.Millisecond
-	// askedBoxes is how many boxes are asked at a time, out of the best of
+	loanReclaimTimeout = maxLoanTerm + 500*time.Millisecond
+	// loanRenewInterval is how often a borrower renews.
+	loanRenewInterval = 500 * time.Millisecond
+	// loanIdleTimeout is how long a borrower keeps a slot that it doesn't use.
+	loanIdleTimeout = 20 * time.Millisecond
+	// loanRequestInterval is how long a box waits before it asks for more.
+	loanRequestInterval = time.Millisecond
+	// lendersPerRequest is how many boxes are asked at a time, out of the best of
 	// sampledBoxes drawn at random.
-	askedBoxes   = 1
-	sampledBoxes = 6
-	// wantAge is how long a lender remembers a request that it couldn't meet.
-	wantAge = 10 * time.Millisecond
+	lendersPerRequest   = 1
+	lenderSampleSize = 6
+	// loanRequestTTL is how long a lender remembers a request that it couldn't meet.
+	loanRequestTTL = 10 * time.Millisecond
 )
 
-// loanBook holds a box's loans in both directions.
-type loanBook struct {
+// loanState holds a box's loans in both directions.
+type loanState struct {
 	nextID   LoanID
 	nonce    uint64
-	asked    map[uint64]units.Instant
+	requests    map[uint64]units.Instant
 	renewals map[uint64]units.Instant
 	borrowed []*loan
 	lent     []*lentSlot
 	renewAt  units.Instant
 
 	// The totals are for the dump.
-	askedTotal, lentTotal, borrowedTotal uint64
+	requestTotal, lentTotal, borrowedTotal uint64
 }
 
-func newLoanBook() loanBook {
-	return loanBook{asked: map[uint64]units.Instant{}, renewals: map[uint64]units.Instant{}}
+func newLoanState() loanState {
+	return loanState{requests: map[uint64]units.Instant{}, renewals: map[uint64]units.Instant{}}
 }
 
-// any tells whether anything is lent or borrowed.
-func (b *loanBook) any() bool { return len(b.borrowed)+len(b.lent) > 0 }
+// active tells whether anything is lent or borrowed.
+func (b *loanState) active() bool { return len(b.borrowed)+len(b.lent) > 0 }
 
-// remember notes when a question was asked and forgets an old one.
-func (b *loanBook) remember(m map[uint64]units.Instant, now units.Instant) uint64 {
+// recordRequest notes when a question was asked and forgets an old one.
+func (b *loanState) recordRequest(m map[uint64]units.Instant, now units.Instant) uint64 {
 	b.nonce++
 	m[b.nonce] = now
 	for n, at := range m {
-		if now.Sub(at) > loanTerm {
+		if now.Sub(at) > maxLoanTerm {
 			delete(m, n)
 		}
 	}
@@ -108,10 +108,10 @@
 }
 
 const (
-	// unknownSpare is what a box is taken to have that said nothing lately.
-	unknownSpare = 0.5
-	// spareAge is how long what a box said counts.
-	spareAge = 30 * time.Millisecond
+	// defaultSpareSlots is what a box is taken to have that said nothing lately.
+	defaultSpareSlots = 0.5
+	// spareReportMaxAge is how long what a box said counts.
+	spareReportMaxAge = 30 * time.Millisecond
 )
 
 func (s *service) unlimited() bool {
@@ -125,7 +125,7 @@
 
 func (r *Router) sendLoan(to units.BoxID, m LoanMessage, e *Effects) {
 	if s := r.services[m.Service]; s != nil {
-		m.Free = s.spareSlots(r.now)
+		m.SpareSlots = s.spareSlots(r.now)
 	}
 	e.add(Effect{Kind: SendPeer, Peer: to, Loan: m})
 }
@@ -135,21 +135,21 @@
 		return
 	}
 	if s := r.services[m.Service]; s != nil {
-		s.wants.peers[from] = spare{slots: float64(m.Free), at: r.now}
+		s.loans.spareByPeer[from] = spareReport{slots: float64(m.SpareSlots), at: r.now}
 	}
 	switch m.Kind {
-	case WantSlots:
-		r.meetWant(from, m, e)
+	case RequestSlots:
+		r.handleLoanRequest(from, m, e)
 	case OfferSlot:
-		r.takeOffer(from, m, e)
+		r.acceptOffer(from, m, e)
 	case ReturnSlot:
-		r.takeBack(from, m.Loan)
+		r.handleReturn(from, m.Loan)
 	case RenewLoans:
-		r.confirmLoans(from, m, e)
+		r.handleRenewal(from, m, e)
 	case ConfirmLoans:
 		r.extendLoans(from, m)
 	case RecallSlots:
-		r.recalled(from, m, e)
+		r.handleRecall(from, m, e)
 	}
 }
 
@@ -169,25 +169,25 @@
 // what nothing was heard of.
 func (r *Router) sweepLoans(e *Effects) {
 	for _, l := range slices.Clone(r.loans.borrowed) {
-		idle := r.now.Sub(l.usedAt) > idleLoan && r.now >= l.coolUntil
-		if !l.inUse && (idle || l.mustGoBack(r.now)) {
-			r.giveBack(l, e)
+		idle := r.now.Sub(l.lastUsedAt) > loanIdleTimeout && r.now >= l.cooldownUntil
+		if !l.inUse && (idle || l.mustReturn(r.now)) {
+			r.returnLoan(l, e)
 		}
 	}
 	for _, l := range slices.Clone(r.loans.lent) {
-		if r.now.Sub(l.heard) > loanReclaim {
+		if r.now.Sub(l.confirmedAt) > loanReclaimTimeout {
 			r.reclaim(l)
 		}
 	}
 	if r.now >= r.loans.renewAt {
-		r.loans.renewAt = r.now.Add(renewLoansEvery)
+		r.loans.renewAt = r.now.Add(loanRenewInterval)
 		r.renewLoans(e)
 	}
 }
 
-// dropLoans forgets the loans with boxes that are no longer listed: their lease
+// dropUnlistedLoans forgets the loans with boxes that are no longer listed: their lease
 // on the table has run out.
-func (r *Router) dropLoans(boxes []table.Box) {
+func (r *Router) dropUnlistedLoans(boxes []table.Box) {
 	listed := func(id units.BoxID) bool {
 		return slices.ContainsFunc(boxes, func(b table.Box) bool { return b.ID == id })
 	}
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -73,12 +73,12 @@
 
 // mayAsk tells whether a request for permits is worth while now.
 func (x *namedLimit) mayAsk(now units.Instant) bool {
-	return !x.permits.any(now) && !x.ask.isOpen(now) && now >= x.again
+	return !x.permits.available(now) && !x.ask.isOpen(now) && now >= x.again
 }
 
 // lacksPermit tells whether the target names a limit and this box has no permit for a call to it.
 func (t *target) lacksPermit(now units.Instant) bool {
-	return t.notice.limited() && !t.notice.limit.permits.any(now)
+	return t.notice.limited() && !t.notice.limit.permits.available(now)
 }
 
 // takesIfPermitted tells whether a new call might go to the target now, were it permitted.
@@ -251,7 +251,7 @@
 			continue
 		}
 		x := t.notice.limit
-		if n := x.permits.dropEnded(r.now); n > 0 {
+		if n := x.permits.dropExpired(r.now); n > 0 {
 			r.returnPermits(t, n, e)
 			// Nothing here needed it, so that others are let ask first.
 			x.again = max(x.again, r.now.Add(permitTerm))
@@ -277,7 +277,7 @@
 		return nil
 	}
 	for i, t := range c.service.targets {
-		if t.notice.limited() && t.notice.limit.permits.any(c.now) && c.now.Sub(t.lastHeard) > scoutAfter && c.Available(i) {
+		if t.notice.limited() && t.notice.limit.permits.available(c.now) && c.now.Sub(t.lastHeard) > scoutAfter && c.Available(i) {
 			return t
 		}
 	}
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -133,7 +133,7 @@
 func (r *Router) spendProbes(s *service, n int) bool {
 	rate := r.probeAllowance(s)
 	burst := max(leastSavedUp, rate*saveUpTime.Seconds())
-	return s.probeBudget.takeMany(r.now, float64(n), rate, burst)
+	return s.probeBudget.takeN(r.now, float64(n), rate, burst)
 }
 
 // probeAllowance is how many probes a second this box may send to a service's targets.
--- a/pkg/core/routing/quotas.go
+++ b/pkg/core/routing/quotas.go
@@ -253,7 +253,7 @@
 			u.waiting = u.waiting[1:]
 			continue
 		}
-		if !u.credits.any(r.now) {
+		if !u.credits.available(r.now) {
 			return
 		}
 		id := u.waiting[0].id
@@ -319,7 +319,7 @@
 			}
 			return lost
 		})
-		u.credits.dropEnded(r.now)
+		u.credits.dropExpired(r.now)
 		r.refuseWaitedOut(u, e)
 		r.askCredits(u, e)
 		if len(u.asks) > 0 {
--- a/pkg/core/routing/retrying.go
+++ b/pkg/core/routing/retrying.go
@@ -60,6 +60,6 @@
 	s.held.pushFront(id)
 	r.sweepBy(s, r.now.Add(sweepPeriod))
 	r.timers.Push(timer{at: until, call: id, kind: holdTimer})
-	r.askForLoans(s, e)
+	r.requestLoans(s, e)
 	return true
 }
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -97,7 +97,7 @@
 	stopsTaking units.Instant
 	calls       *container.Slab[call]
 	timers      *container.Heap[timer]
-	loans       loanBook
+	loans       loanState
 	// outlooks tell how many of each failure domain's targets could be used lately.
 	outlooks map[units.Domain]*outlook
 	// startedAt is when the router began; early are the calls that came before its first
@@ -161,7 +161,7 @@
 		services:    map[units.ServiceName]*service{},
 		calls:       container.NewSlab[call](),
 		timers:      container.NewHeap(timerBefore),
-		loans:       newLoanBook(),
+		loans:       newLoanState(),
 		outlooks:    map[units.Domain]*outlook{},
 		boxLists:    1,
 		neverListed: true,
@@ -236,8 +236,8 @@
 		if s.held.length > 0 {
 			r.serveHeld(s, e)
 		}
-		if len(s.wants.waiting) > 0 {
-			r.lendFreed(s, e)
+		if len(s.loans.pending) > 0 {
+			r.lendFreedSlots(s, e)
 		}
 	}
 }
@@ -259,7 +259,7 @@
 		r.sweepQuotas(e)
 		r.sweepAt = min(r.sweepAt, r.quotas.sweepAt)
 	}
-	if r.loans.any() {
+	if r.loans.active() {
 		r.sweepAt = min(r.sweepAt, r.now.Add(sweepPeriod))
 	}
 }
@@ -290,7 +290,7 @@
 	s.sweepAt = r.now.Add(sweepPeriod)
 	r.serveHeld(s, e)
 	if s.held.length > 0 {
-		r.askForLoans(s, e)
+		r.requestLoans(s, e)
 	}
 }
 
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -174,7 +174,7 @@
 }
 
 var loanWords = map[LoanKind]string{
-	WantSlots: "want", OfferSlot: "offer", ReturnSlot: "return", RenewLoans: "renew", ConfirmLoans: "confirm", RecallSlots: "recall",
+	RequestSlots: "want", OfferSlot: "offer", ReturnSlot: "return", RenewLoans: "renew", ConfirmLoans: "confirm", RecallSlots: "recall",
 }
 
 func describeLoan(m LoanMessage) string {
@@ -191,7 +191,7 @@
 	if m.Term > 0 {
 		text += fmt.Sprintf(" for %s", m.Term)
 	}
-	return fmt.Sprintf("%s, %d to spare", text, m.Free)
+	return fmt.Sprintf("%s, %d to spare", text, m.SpareSlots)
 }
 
 // setTable puts a table in force: lines of "boxes NAME[@DOMAIN[,leaving]]...", "service NAME
@@ -509,8 +509,8 @@
 	}
 	d.MaybeScanArgs(s.t, "loan", (*uint64)(&m.Loan))
 	d.MaybeScanArgs(s.t, "nonce", &m.Nonce)
-	d.MaybeScanArgs(s.t, "free", &m.Free)
-	m.Term = loanTerm
+	d.MaybeScanArgs(s.t, "free", &m.SpareSlots)
+	m.Term = maxLoanTerm
 	if d.HasArg("term") {
 		m.Term = s.duration(d, "term")
 	}
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -34,16 +34,16 @@
 	// recent counts the last sends.
 	recent float64
 	held   heldQueue
-	// burst bounds what each of the budgets saves up, or the one for both where pooled is
+	// extraBurst bounds what each of the budgets saves up, or the one for both where pooled is
 	// set.
-	burst   float64
-	pooled  bool
+	extraBurst   float64
+	pooledBudget  bool
 	retries budget
 	hedges  budget
 	latency latencyEstimate
-	wants   wantState
+	loans   serviceLoans
 	// probeBudget is what is left of the budget for probes before sends.
-	probeBudget rateLimit
+	probeBudget tokenBucket
 	// waiting are the calls that wait for a target that suits, the most urgent first and
 	// the oldest of those; calls that have found one stay until they are passed over.
 	waiting []waitingCall
@@ -73,16 +73,16 @@
 }
 
 func newService(row table.Service) *service {
-	tokens := float64(initialTokens)
+	tokens := float64(initialRetryTokens)
 	if row.ExtraBurst > 0 {
 		// The total over all boxes holds from the start.
 		tokens = 0
 	}
-	return &service{row: row, retries: budget{tokens: tokens}, hedges: budget{tokens: tokens}, wants: wantState{peers: map[units.BoxID]spare{}}}
+	return &service{row: row, retries: budget{tokens: tokens}, hedges: budget{tokens: tokens}, loans: serviceLoans{spareByPeer: map[units.BoxID]spareReport{}}}
 }
 
-// initialTokens let a service retry a few of its first calls.
-const initialTokens = 3
+// initialRetryTokens let a service retry a few of its first calls.
+const initialRetryTokens = 3
 
 func compareServices(a, b *service) int {
 	return strings.Compare(string(a.row.Name), string(b.row.Name))
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -161,7 +161,7 @@
 		Evacuated: r.table.EvacuatedDomains(), Region: r.settings.Regions[r.settings.Domain], Restricted: r.restrictedRoutes(),
 		Inbound: r.inboundStatus(now), Permits: r.permits, Quotas: r.quotaStatuses(), Canaries: r.crashes.canaries.status,
 		Loans: LoanStatus{
-			Asked: r.loans.askedTotal, Lent: r.loans.lentTotal, Borrowed: r.loans.borrowedTotal,
+			Asked: r.loans.requestTotal, Lent: r.loans.lentTotal, Borrowed: r.loans.borrowedTotal,
 			LentNow: len(r.loans.lent), BorrowedNow: len(r.loans.borrowed),
 		},
 	}
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -82,7 +82,7 @@
 	r.boxLists++
 	clear(r.beside)
 	r.inDomain = nil
-	r.dropLoans(boxes)
+	r.dropUnlistedLoans(boxes)
 	return true
 }
 
@@ -126,7 +126,7 @@
 	r.markEvacuated(s)
 	r.markVersions(s)
 	r.sweepBy(s, r.now)
-	r.shareExtras(s)
+	r.divideExtraBurst(s)
 	r.chooseSubset(s)
 	for _, t := range s.targets {
 		r.wantShare(t)
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -48,8 +48,8 @@
 	// place is how many boxes come before this one for the target, once placed.
 	place     int
 	placed    bool
-	rate      rateLimit
-	probes    rateLimit
+	rate      tokenBucket
+	probes    tokenBucket
 	probing   bool
 	lastHeard units.Instant
 
@@ -171,7 +171,7 @@
 
 func (t *target) freeLoan(now units.Instant) *loan {
 	for _, l := range t.borrowed {
-		if !l.inUse && !l.recalled && now < l.validUntil && now >= l.coolUntil {
+		if !l.inUse && !l.recalled && now < l.validUntil && now >= l.cooldownUntil {
 			return l
 		}
 	}
--- a/pkg/core/routing/wants_test.go
+++ b/pkg/core/routing/wants_test.go
@@ -30,9 +30,9 @@
 	for n := range uint64(10_000) {
 		now = now.Add(time.Millisecond)
 		e.Reset()
-		r.Reduce(now, &PeerMessage{From: "other", Message: LoanMessage{Kind: WantSlots, Service: "s", Count: 1, Nonce: n}}, &e)
+		r.Reduce(now, &PeerMessage{From: "other", Message: LoanMessage{Kind: RequestSlots, Service: "s", Count: 1, Nonce: n}}, &e)
 	}
-	if n := len(r.services["s"].wants.waiting); n > int(wantAge/time.Millisecond)+1 {
+	if n := len(r.services["s"].loans.pending); n > int(loanRequestTTL/time.Millisecond)+1 {
 		t.Fatalf("%d old wants are kept", n)
 	}
 }
