--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -88,7 +88,7 @@
 		if t := r.choose(c.service, c); t != nil {
 			r.place(id, c, t, FirstSend, e)
 			r.timers.Push(timer{at: c.deadline, call: id, kind: deadlineTimer})
-			r.scout(c.service, c, e)
+			r.requestCheckPermit(c.service, c, e)
 			return
 		}
 	}
@@ -141,7 +141,7 @@
 	// The set is kept in the router, since a policy's argument would be garbage.
 	set := &r.candidates
 	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != onTrial, fresh: c.tries > 0, side: from}
-	if t := set.dueScout(); t != nil {
+	if t := set.limitCheckTarget(); t != nil {
 		return t
 	}
 	i := r.chooseIndex(set)
@@ -169,7 +169,7 @@
 func (r *Router) holdOrRefuse(id CallID, c *call, e *Effects) {
 	s := c.service
 	c.onTrial = false
-	r.seekPermits(s, c, neededAsks, e)
+	r.requestPermits(s, c, parallelPermitRequests, e)
 	until := min(c.deadline, r.now.Add(s.row.HoldLimit))
 	if s.isLimited(c) {
 		until = min(until, c.waitEnd(s))
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -25,7 +25,7 @@
 		ahead:  t.load(r.now), patience: c.patience(t, r.now), longPatience: c.longPatience(t, r.now),
 	}
 	a.permit = r.usePermit(t)
-	a.limitVersion = t.limitWord().Version
+	a.limitVersion = t.limitState().Version
 	if !t.ownRoom() {
 		a.loan = t.freeLoan(r.now)
 		if a.loan != nil {
@@ -172,7 +172,7 @@
 		r.endLimit(a, v.Reading.Limit, e)
 	}
 	if v.Result == NotSent || v.Result == Withheld {
-		r.unusePermit(t, a.permit, e)
+		r.restorePermit(t, a.permit, e)
 	}
 	wasEjected := t.health.ejected
 	if v.Result == Broken && r.wentUnanswered(c, a, e) {
--- a/pkg/core/routing/canary.go
+++ b/pkg/core/routing/canary.go
@@ -287,7 +287,7 @@
 // canaryCoordinator is the box that says whose turn it is: the first by hash of those that stay, so that all ask
 // the same one; this box where there is none.
 func (r *Router) canaryCoordinator(f crash.Fingerprint) units.BoxID {
-	return cmp.Or(firstFor(f.String(), staying(r.rank.boxes)), r.settings.Box)
+	return cmp.Or(rendezvousOwner(f.String(), staying(r.rank.boxes)), r.settings.Box)
 }
 
 // giveTurn gives the turn away, unless a canary is out.
--- a/pkg/core/routing/closed.go
+++ b/pkg/core/routing/closed.go
@@ -35,7 +35,7 @@
 func (t *target) opensAt(now units.Instant) units.Instant {
 	at := max(now, t.notice.restUntil)
 	if t.lacksPermit(now) {
-		at = max(at, t.notice.limit.opensAt(now))
+		at = max(at, t.notice.limit.nextPermitAt(now))
 	}
 	return at
 }
@@ -60,7 +60,7 @@
 
 // isLimited tells whether all targets that a call may use name limits.
 func (s *service) isLimited(c *call) bool {
-	if s.limited == 0 {
+	if s.limitedTargets == 0 {
 		return false
 	}
 	for _, t := range s.targets {
--- a/pkg/core/routing/cold.go
+++ b/pkg/core/routing/cold.go
@@ -127,10 +127,10 @@
 // shareCold works out this box's part of a cold target's rate, unless that was done for the
 // present list of boxes.
 func (r *Router) shareCold(t *target) {
-	if t.cold.listed == r.boxLists {
+	if t.cold.listed == r.boxListVersion {
 		return
 	}
-	t.cold.listed = r.boxLists
+	t.cold.listed = r.boxListVersion
 	t.cold.share = 0
 	boxes := r.boxesBeside(t)
 	if !slices.ContainsFunc(boxes, func(b table.Box) bool { return b.ID == r.settings.Box }) {
@@ -145,11 +145,11 @@
 // boxesBeside are the boxes in the target's failure domain that stay, or all that stay where
 // there are none.
 func (r *Router) boxesBeside(t *target) []table.Box {
-	if boxes, known := r.beside[t.row.Domain]; known {
+	if boxes, known := r.domainBoxes[t.row.Domain]; known {
 		return boxes
 	}
 	beside := besideIn(r.rank.boxes, t.row.Domain)
-	r.beside[t.row.Domain] = beside
+	r.domainBoxes[t.row.Domain] = beside
 	return beside
 }
 
--- a/pkg/core/routing/coordinator.go
+++ b/pkg/core/routing/coordinator.go
@@ -20,14 +20,14 @@
 
 // The kinds of message.
 const (
-	// AskPermits asks for up to Count permits.
-	AskPermits LimitKind = iota + 1
+	// RequestPermits asks for up to Count permits.
+	RequestPermits LimitKind = iota + 1
 	// GrantPermits gives Count permits, and says when the next are there.
 	GrantPermits
 	// ReturnPermits gives Count permits back that weren't used.
 	ReturnPermits
-	// TellLimit tells what was heard of a limit: that it is over.
-	TellLimit
+	// ReportLimitEnd tells what was heard of a limit: that it is over.
+	ReportLimitEnd
 	// HandOver tells that the sender, which was the coordinator, permits no more calls.
 	HandOver
 )
@@ -42,9 +42,9 @@
 	// Nonce ties a grant to the request that it answers.
 	Nonce uint64
 	Count int
-	// Again is how long after a grant the next permit is there.
-	Again time.Duration
-	Word  limit.Word
+	// RetryAfter is how long after a grant the next permit is there.
+	RetryAfter time.Duration
+	LimitState  limit.Word
 }
 
 // PeerLimit is a LimitMessage of another box.
@@ -55,35 +55,35 @@
 
 func (*PeerLimit) routingEvent() {}
 
-// pastBoxes is a list of boxes that is no longer in force.
-type pastBoxes struct {
+// replacedBoxList is a list of boxes that is no longer in force.
+type replacedBoxList struct {
 	boxes []table.Box
-	until units.Instant
+	replacedAt units.Instant
 }
 
-// coordination is a target's coordinator by one list of boxes.
-type coordination struct {
+// cachedCoordinator is a target's coordinator by one list of boxes.
+type cachedCoordinator struct {
 	box    units.BoxID
-	listed int
+	boxListVersion int
 }
 
 // coordinatorOf returns a target's coordinator; false means that there is none. A box that never had a list of
 // boxes is alone; a list that has become empty says that none is in touch with the control replicas.
 func (r *Router) coordinatorOf(t *target) (units.BoxID, bool) {
 	switch {
-	case r.neverListed:
+	case r.noBoxesSeen:
 		return r.settings.Box, true
 	case len(r.rank.boxes) == 0:
 		return "", false
 	}
-	if t.coordination.listed != r.boxLists {
-		t.coordination = coordination{box: firstFor(t.row.Target, r.boxesBeside(t)), listed: r.boxLists}
+	if t.coordination.boxListVersion != r.boxListVersion {
+		t.coordination = cachedCoordinator{box: rendezvousOwner(t.row.Target, r.boxesBeside(t)), boxListVersion: r.boxListVersion}
 	}
 	return t.coordination.box, t.coordination.box != ""
 }
 
-// firstFor returns the box that comes first for a name by rendezvous hashing; empty for none.
-func firstFor[T ~string](name T, boxes []table.Box) units.BoxID {
+// rendezvousOwner returns the box that comes first for a name by rendezvous hashing; empty for none.
+func rendezvousOwner[T ~string](name T, boxes []table.Box) units.BoxID {
 	var first units.BoxID
 	var highest uint64
 	for _, b := range boxes {
@@ -97,7 +97,7 @@
 // sendLimit sends a message on a target's limit, or takes it at once if it is for this box.
 func (r *Router) sendLimit(to units.BoxID, t *target, m LimitMessage, e *Effects) {
 	m.Service, m.Target, m.Born = t.row.Service, t.row.Target, t.row.Born
-	m.Word = t.limitWord()
+	m.LimitState = t.limitState()
 	if to == r.settings.Box {
 		r.receiveLimit(to, m, e)
 		return
@@ -105,8 +105,8 @@
 	e.add(Effect{Kind: SendLimit, Peer: to, Limit: &m})
 }
 
-// limitWord is what is known of a target's limit.
-func (t *target) limitWord() limit.Word {
+// limitState is what is known of a target's limit.
+func (t *target) limitState() limit.Word {
 	if t.notice == nil || t.notice.limit == nil {
 		return limit.Word{}
 	}
@@ -120,20 +120,20 @@
 	if t == nil || t.row.Born != m.Born {
 		return
 	}
-	r.learnLimit(t, m.Word, e)
+	r.learnLimit(t, m.LimitState, e)
 	switch m.Kind {
-	case AskPermits:
-		r.meetAsk(from, t, &m, e)
+	case RequestPermits:
+		r.handlePermitRequest(from, t, &m, e)
 	case GrantPermits:
-		r.takeGrant(from, t, &m, e)
+		r.acceptPermits(from, t, &m, e)
 	case ReturnPermits:
 		if x := t.account(); x != nil {
-			x.Return(r.now, min(m.Count, mostPermits))
+			x.Return(r.now, min(m.Count, maxPermitsHeld))
 		}
 	case HandOver:
 		if t.notice.limited() {
 			t.notice.limit.handedBy, t.notice.limit.handedAt = from, r.now
-			r.reviewAccount(t)
+			r.updateAccountStart(t)
 		}
 	}
 }
@@ -146,57 +146,57 @@
 	return t.notice.limit.account
 }
 
-// meetAsk answers a request for permits. A limit that is over permits nothing, and the answer says so.
-func (r *Router) meetAsk(from units.BoxID, t *target, m *LimitMessage, e *Effects) {
-	answer := LimitMessage{Kind: GrantPermits, Nonce: m.Nonce, Again: askPause}
+// handlePermitRequest answers a request for permits. A limit that is over permits nothing, and the answer says so.
+func (r *Router) handlePermitRequest(from units.BoxID, t *target, m *LimitMessage, e *Effects) {
+	answer := LimitMessage{Kind: GrantPermits, Nonce: m.Nonce, RetryAfter: permitRetryInterval}
 	if box, _ := r.coordinatorOf(t); box == r.settings.Box && t.notice.limited() && r.leased() {
 		x := t.notice.limit
 		if x.account == nil {
-			x.account = limit.NewAccount(x.word.Rate, x.changedAt, r.coordinatesFrom(t))
+			x.account = limit.NewAccount(x.word.Rate, x.changedAt, r.coordinationStart(t))
 		}
-		answer.Count = x.account.Permit(r.now, min(m.Count, mostPermits))
-		answer.Again = x.account.Wait(r.now)
+		answer.Count = x.account.Permit(r.now, min(m.Count, maxPermitsHeld))
+		answer.RetryAfter = x.account.Wait(r.now)
 		r.permits.Permitted += uint64(answer.Count)
 	}
 	r.sendLimit(from, t, answer, e)
 }
 
-// coordinatesFrom is from when on this box may permit calls to a target whose coordinator it is:
+// coordinationStart is from when on this box may permit calls to a target whose coordinator it is:
 // at once if it has been so for as long as any box may go on by an older list, or the one
 // before has handed over or is no longer listed.
-func (r *Router) coordinatesFrom(t *target) units.Instant {
+func (r *Router) coordinationStart(t *target) units.Instant {
 	from := r.servesFrom
 	x := t.notice.limit
-	for _, p := range r.pastBoxes {
-		switch box := firstFor(t.row.Target, besideIn(p.boxes, t.row.Domain)); {
+	for _, p := range r.replacedBoxLists {
+		switch box := rendezvousOwner(t.row.Target, besideIn(p.boxes, t.row.Domain)); {
 		case box == r.settings.Box:
-		case !r.rank.lists(box):
-			from = max(from, p.until)
-		case x.handedBy == box && x.handedAt.Add(r.settings.ShareDelay) > p.until:
+		case !r.rank.contains(box):
+			from = max(from, p.replacedAt)
+		case x.handedBy == box && x.handedAt.Add(r.settings.ShareDelay) > p.replacedAt:
 			from = max(from, x.handedAt)
 		default:
-			from = max(from, p.until.Add(r.settings.ShareDelay))
+			from = max(from, p.replacedAt.Add(r.settings.ShareDelay))
 		}
 	}
 	return from
 }
 
-func (b boxRank) lists(id units.BoxID) bool {
+func (b boxRank) contains(id units.BoxID) bool {
 	return slices.ContainsFunc(b.boxes, func(x table.Box) bool { return x.ID == id })
 }
 
-// keepPastBoxes remembers the list of boxes that a new one replaces, for as long as boxes may go
+// recordReplacedBoxList remembers the list of boxes that a new one replaces, for as long as boxes may go
 // on by it.
-func (r *Router) keepPastBoxes() {
-	r.pastBoxes = slices.DeleteFunc(r.pastBoxes, func(p pastBoxes) bool { return r.now.Sub(p.until) > r.settings.ShareDelay })
+func (r *Router) recordReplacedBoxList() {
+	r.replacedBoxLists = slices.DeleteFunc(r.replacedBoxLists, func(p replacedBoxList) bool { return r.now.Sub(p.replacedAt) > r.settings.ShareDelay })
 	if len(r.rank.boxes) > 0 {
-		r.pastBoxes = append(r.pastBoxes, pastBoxes{boxes: r.rank.boxes, until: r.now})
+		r.replacedBoxLists = append(r.replacedBoxLists, replacedBoxList{boxes: r.rank.boxes, replacedAt: r.now})
 	}
 }
 
-// reviewCoordination does what follows for the targets that this box permits calls to from a new list
+// updateCoordination does what follows for the targets that this box permits calls to from a new list
 // of boxes: those that another box coordinates now are handed over.
-func (r *Router) reviewCoordination(e *Effects) {
+func (r *Router) updateCoordination(e *Effects) {
 	if len(r.notices) == 0 {
 		return
 	}
@@ -215,9 +215,9 @@
 	}
 }
 
-// reviewAccount works out anew from when on this box may permit calls to a target.
-func (r *Router) reviewAccount(t *target) {
+// updateAccountStart works out anew from when on this box may permit calls to a target.
+func (r *Router) updateAccountStart(t *target) {
 	if x := t.account(); x != nil {
-		x.SetFrom(r.now, r.coordinatesFrom(t))
+		x.SetFrom(r.now, r.coordinationStart(t))
 	}
 }
--- a/pkg/core/routing/namedlimit.go
+++ b/pkg/core/routing/namedlimit.go
@@ -31,7 +31,7 @@
 	// permits are those that are held.
 	permits allowances
 	// ask is the request under way, again when the next one is worth while.
-	ask   permitAsk
+	ask   permitRequest
 	again units.Instant
 	// account is kept by the target's coordinator alone; nil before the first request.
 	account *limit.Account
@@ -76,13 +76,13 @@
 	}
 	r.changeLimit(t.notice, t.endpoint, x.word.Ending(), e)
 	if to, known := r.coordinatorOf(t); known && to != r.settings.Box {
-		r.sendLimit(to, t, LimitMessage{Kind: TellLimit}, e)
+		r.sendLimit(to, t, LimitMessage{Kind: ReportLimitEnd}, e)
 	}
 }
 
 // learnLimit takes the word on a target's limit that another box has sent.
 func (r *Router) learnLimit(t *target, w limit.Word, e *Effects) {
-	if !w.Replaces(t.limitWord()) || t.notice == nil && !w.Limited {
+	if !w.Replaces(t.limitState()) || t.notice == nil && !w.Limited {
 		return
 	}
 	if t.notice == nil {
@@ -100,7 +100,7 @@
 	x.word, x.changedAt = w, r.now
 	switch {
 	case !w.Limited:
-		x.permits, x.ask, x.again, x.account = nil, permitAsk{}, 0, nil
+		x.permits, x.ask, x.again, x.account = nil, permitRequest{}, 0, nil
 	case x.account != nil:
 		x.account.SetRate(r.now, w.Rate)
 	}
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -12,34 +12,34 @@
 // coordinator for as many as its calls need, uses each once, and returns what isn't needed.
 
 const (
-	// permitTerm is how long a box may keep a permit that it has no use for.
-	permitTerm = 300 * time.Millisecond
-	// askTerm is after what time an unanswered request counts as lost. What is granted later
+	// permitLifetime is how long a box may keep a permit that it has no use for.
+	permitLifetime = 300 * time.Millisecond
+	// permitRequestTimeout is after what time an unanswered request counts as lost. What is granted later
 	// goes back, so that no permit is used long after it was counted.
-	askTerm = 250 * time.Millisecond
-	// askPause is when a target's coordinator is asked again that didn't answer, or that isn't
+	permitRequestTimeout = 250 * time.Millisecond
+	// permitRetryInterval is when a target's coordinator is asked again that didn't answer, or that isn't
 	// the coordinator by its own list of boxes.
-	askPause = 100 * time.Millisecond
-	// mostAskPause bounds for how long a box takes a coordinator's word that nothing is left. It
+	permitRetryInterval = 100 * time.Millisecond
+	// maxPermitRetryInterval bounds for how long a box takes a coordinator's word that nothing is left. It
 	// learns within it that the limit is over.
-	mostAskPause = time.Second
-	// askSpread is how far the pauses of boxes lie apart, as a part of them, so that they don't
+	maxPermitRetryInterval = time.Second
+	// permitRetryJitter is how far the pauses of boxes lie apart, as a part of them, so that they don't
 	// all ask at the moment at which the next call is permitted.
-	askSpread = 0.5
-	// mostPermits is how many permits a box asks for at once and keeps of one target.
-	mostPermits = 8
-	// scoutAfter is after what time without an answer of a limited target a call goes there rather
+	permitRetryJitter = 0.5
+	// maxPermitsHeld is how many permits a box asks for at once and keeps of one target.
+	maxPermitsHeld = 8
+	// limitCheckAfter is after what time without an answer of a limited target a call goes there rather
 	// than to a better one, since nothing else shows that the limit is over.
-	scoutAfter = time.Second
-	// scoutPause is the least time between two requests for permits of a service whose calls have
+	limitCheckAfter = time.Second
+	// limitCheckInterval is the least time between two requests for permits of a service whose calls have
 	// other targets, so that they hardly cost more than without limits.
-	scoutPause = 20 * time.Millisecond
-	// neededAsks is how many coordinators are asked at a time for a call that has no other target: most
+	limitCheckInterval = 20 * time.Millisecond
+	// parallelPermitRequests is how many coordinators are asked at a time for a call that has no other target: most
 	// of what is asked for beyond a call's need goes back unused.
-	neededAsks = 2
-	// mostAsks is how many are asked for one call. Where as many have nothing left others hardly have,
+	parallelPermitRequests = 2
+	// maxPermitRequestsPerCall is how many are asked for one call. Where as many have nothing left others hardly have,
 	// and messages would cost the boxes more than the call.
-	mostAsks = 4
+	maxPermitRequestsPerCall = 4
 )
 
 // PermitStatus counts permits and what was asked for; it is for the dump.
@@ -53,27 +53,27 @@
 	nonce     uint64
 }
 
-// permitAsk is a request for permits.
-type permitAsk struct {
+// permitRequest is a request for permits.
+type permitRequest struct {
 	nonce uint64
 	at    units.Instant
-	open  bool
+	pending  bool
 }
 
-// isOpen tells whether an answer to a request may still come.
-func (a *permitAsk) isOpen(now units.Instant) bool { return a.open && now.Sub(a.at) < askTerm }
+// isPending tells whether an answer to a request may still come.
+func (a *permitRequest) isPending(now units.Instant) bool { return a.pending && now.Sub(a.at) < permitRequestTimeout }
 
-// opensAt is when a permit may come, as far as this box knows.
-func (x *namedLimit) opensAt(now units.Instant) units.Instant {
-	if x.ask.isOpen(now) {
+// nextPermitAt is when a permit may come, as far as this box knows.
+func (x *namedLimit) nextPermitAt(now units.Instant) units.Instant {
+	if x.ask.isPending(now) {
 		return now
 	}
 	return max(now, x.again)
 }
 
-// mayAsk tells whether a request for permits is worth while now.
-func (x *namedLimit) mayAsk(now units.Instant) bool {
-	return !x.permits.available(now) && !x.ask.isOpen(now) && now >= x.again
+// mayRequest tells whether a request for permits is worth while now.
+func (x *namedLimit) mayRequest(now units.Instant) bool {
+	return !x.permits.available(now) && !x.ask.isPending(now) && now >= x.again
 }
 
 // lacksPermit tells whether the target names a limit and this box has no permit for a call to it.
@@ -99,8 +99,8 @@
 	return until
 }
 
-// unusePermit gives back the permit of an attempt that wasn't sent.
-func (r *Router) unusePermit(t *target, until units.Instant, e *Effects) {
+// restorePermit gives back the permit of an attempt that wasn't sent.
+func (r *Router) restorePermit(t *target, until units.Instant, e *Effects) {
 	if until == 0 || !t.notice.limited() {
 		return
 	}
@@ -113,32 +113,32 @@
 	r.returnPermits(t, 1, e)
 }
 
-// seekPermits asks for permits of limited targets that a call without another one might go to. A call that is
+// requestPermits asks for permits of limited targets that a call without another one might go to. A call that is
 // under way isn't sent to one as well.
-func (r *Router) seekPermits(s *service, c *call, most int, e *Effects) {
+func (r *Router) requestPermits(s *service, c *call, most int, e *Effects) {
 	if c.underWay() > 0 {
 		return
 	}
 	if c.route.work != table.Patient {
-		most = min(most, mostAsks-c.asks)
+		most = min(most, maxPermitRequestsPerCall-c.asks)
 	}
-	c.asks += r.askSome(s, c, most, func(*target) bool { return true }, e)
+	c.asks += r.requestPermitsFromSome(s, c, most, func(*target) bool { return true }, e)
 }
 
-// scout asks for a permit of a limited target that a call might go to as well as to others, so that what the
+// requestCheckPermit asks for a permit of a limited target that a call might go to as well as to others, so that what the
 // limit allows is used, and its end is noticed.
-func (r *Router) scout(s *service, c *call, e *Effects) {
-	if s.limited == 0 || r.now < s.scoutAt {
+func (r *Router) requestCheckPermit(s *service, c *call, e *Effects) {
+	if s.limitedTargets == 0 || r.now < s.nextLimitCheckAt {
 		return
 	}
-	s.scoutAt = r.now.Add(scoutPause)
-	r.askSome(s, c, 1, func(t *target) bool { return t.near }, e)
+	s.nextLimitCheckAt = r.now.Add(limitCheckInterval)
+	r.requestPermitsFromSome(s, c, 1, func(t *target) bool { return t.near }, e)
 }
 
-// askSome asks for permits of some of the limited targets that a call might go to and that fit, and returns of
+// requestPermitsFromSome asks for permits of some of the limited targets that a call might go to and that fit, and returns of
 // how many.
-func (r *Router) askSome(s *service, c *call, most int, fits func(*target) bool, e *Effects) (asked int) {
-	if s.limited == 0 || !r.leased() {
+func (r *Router) requestPermitsFromSome(s *service, c *call, most int, fits func(*target) bool, e *Effects) (asked int) {
+	if s.limitedTargets == 0 || !r.leased() {
 		return 0
 	}
 	anyHealth := r.anyHealth(s, c)
@@ -148,23 +148,23 @@
 		if asked >= most {
 			break
 		}
-		if t.notice.limited() && t.notice.limit.mayAsk(r.now) && fits(t) && c.mayUse(t) && t.takesIfPermitted(r.now, anyHealth) {
-			r.askPermits(t, min(mostPermits, 1+s.held.length+len(s.waiting)), e)
+		if t.notice.limited() && t.notice.limit.mayRequest(r.now) && fits(t) && c.mayUse(t) && t.takesIfPermitted(r.now, anyHealth) {
+			r.requestTargetPermits(t, min(maxPermitsHeld, 1+s.held.length+len(s.waiting)), e)
 			asked++
 		}
 	}
 	return asked
 }
 
-// seekMore asks for the first call that still waits for a permit. Calls for which enough coordinators were asked in
+// requestPermitsForHeld asks for the first call that still waits for a permit. Calls for which enough coordinators were asked in
 // vain are refused.
-func (r *Router) seekMore(s *service, e *Effects) {
-	for s.limited > 0 && !s.asksPermits(r.now) {
+func (r *Router) requestPermitsForHeld(s *service, e *Effects) {
+	for s.limitedTargets > 0 && !s.hasPendingPermitRequest(r.now) {
 		id, c := r.firstHeld(s)
 		if c == nil || !s.isLimited(c) {
 			return
 		}
-		if r.seekPermits(s, c, 1, e); c.asks < mostAsks || c.route.work == table.Patient || s.asksPermits(r.now) {
+		if r.requestPermits(s, c, 1, e); c.asks < maxPermitRequestsPerCall || c.route.work == table.Patient || s.hasPendingPermitRequest(r.now) {
 			return
 		}
 		s.held.popFront()
@@ -172,42 +172,42 @@
 	}
 }
 
-// asksPermits tells whether a coordinator may still answer.
-func (s *service) asksPermits(now units.Instant) bool {
-	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.notice.limited() && t.notice.limit.ask.isOpen(now) })
+// hasPendingPermitRequest tells whether a coordinator may still answer.
+func (s *service) hasPendingPermitRequest(now units.Instant) bool {
+	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.notice.limited() && t.notice.limit.ask.isPending(now) })
 }
 
-// askPermits asks a target's coordinator for permits.
-func (r *Router) askPermits(t *target, count int, e *Effects) {
+// requestTargetPermits asks a target's coordinator for permits.
+func (r *Router) requestTargetPermits(t *target, count int, e *Effects) {
 	to, known := r.coordinatorOf(t)
 	if !known {
-		t.notice.limit.again = r.now.Add(askPause)
+		t.notice.limit.again = r.now.Add(permitRetryInterval)
 		return
 	}
 	r.permits.nonce++
 	r.permits.Asked++
-	t.notice.limit.ask = permitAsk{nonce: r.permits.nonce, at: r.now, open: true}
-	r.sweepBy(t.service, r.now.Add(askTerm))
-	r.sendLimit(to, t, LimitMessage{Kind: AskPermits, Nonce: r.permits.nonce, Count: count}, e)
+	t.notice.limit.ask = permitRequest{nonce: r.permits.nonce, at: r.now, pending: true}
+	r.sweepBy(t.service, r.now.Add(permitRequestTimeout))
+	r.sendLimit(to, t, LimitMessage{Kind: RequestPermits, Nonce: r.permits.nonce, Count: count}, e)
 }
 
-// takeGrant takes a coordinator's answer. What comes too late goes back.
-func (r *Router) takeGrant(from units.BoxID, t *target, m *LimitMessage, e *Effects) {
+// acceptPermits takes a coordinator's answer. What comes too late goes back.
+func (r *Router) acceptPermits(from units.BoxID, t *target, m *LimitMessage, e *Effects) {
 	if !t.notice.limited() {
 		return
 	}
 	x := t.notice.limit
-	if m.Nonce != x.ask.nonce || !x.ask.isOpen(r.now) {
+	if m.Nonce != x.ask.nonce || !x.ask.isPending(r.now) {
 		r.returnPermitsTo(from, t, m.Count, e)
 		return
 	}
-	x.ask.open = false
-	pause := min(m.Again, mostAskPause)
-	x.again = r.now.Add(pause + time.Duration(askSpread*r.random.Float64()*float64(pause)))
+	x.ask.pending = false
+	pause := min(m.RetryAfter, maxPermitRetryInterval)
+	x.again = r.now.Add(pause + time.Duration(permitRetryJitter*r.random.Float64()*float64(pause)))
 	if m.Count > 0 {
 		r.permits.Granted += uint64(m.Count)
-		until := r.now.Add(permitTerm)
-		x.permits.add(min(m.Count, mostPermits), until)
+		until := r.now.Add(permitLifetime)
+		x.permits.add(min(m.Count, maxPermitsHeld), until)
 		r.sweepBy(t.service, until)
 		r.freed = append(r.freed, t.service)
 		return
@@ -216,12 +216,12 @@
 	r.declined = append(r.declined, t.service)
 }
 
-// settleDeclined asks other coordinators for the calls that wait, and refuses those that wait in vain.
-func (r *Router) settleDeclined(e *Effects) {
+// retryDeclined asks other coordinators for the calls that wait, and refuses those that wait in vain.
+func (r *Router) retryDeclined(e *Effects) {
 	for len(r.declined) > 0 {
 		s := r.declined[len(r.declined)-1]
 		r.declined = r.declined[:len(r.declined)-1]
-		r.seekMore(s, e)
+		r.requestPermitsForHeld(s, e)
 		r.refuseUnservable(s, e)
 	}
 }
@@ -243,7 +243,7 @@
 
 // sweepPermits gives back the permits whose time is over, and notes requests that weren't answered.
 func (r *Router) sweepPermits(s *service, e *Effects) {
-	if s.limited == 0 {
+	if s.limitedTargets == 0 {
 		return
 	}
 	for _, t := range s.targets {
@@ -254,30 +254,30 @@
 		if n := x.permits.dropExpired(r.now); n > 0 {
 			r.returnPermits(t, n, e)
 			// Nothing here needed it, so that others are let ask first.
-			x.again = max(x.again, r.now.Add(permitTerm))
+			x.again = max(x.again, r.now.Add(permitLifetime))
 		}
-		if x.ask.open && !x.ask.isOpen(r.now) {
-			x.ask.open = false
-			x.again = r.now.Add(askPause)
+		if x.ask.pending && !x.ask.isPending(r.now) {
+			x.ask.pending = false
+			x.again = r.now.Add(permitRetryInterval)
 		}
 		if len(x.permits) > 0 {
 			r.sweepBy(s, x.permits[0])
 		}
-		if x.ask.open {
-			r.sweepBy(s, x.ask.at.Add(askTerm))
+		if x.ask.pending {
+			r.sweepBy(s, x.ask.at.Add(permitRequestTimeout))
 		}
 	}
-	r.seekMore(s, e)
+	r.requestPermitsForHeld(s, e)
 }
 
-// dueScout is a limited target that hasn't answered for a while and that a call may go to; nil for
+// limitCheckTarget is a limited target that hasn't answered for a while and that a call may go to; nil for
 // none. Only work that may run twice is sent there, which a hedge saves if the target is slow.
-func (c *candidates) dueScout() *target {
-	if c.service.limited == 0 || c.call.route.work != table.Repeatable || c.call.underWay() > 0 {
+func (c *candidates) limitCheckTarget() *target {
+	if c.service.limitedTargets == 0 || c.call.route.work != table.Repeatable || c.call.underWay() > 0 {
 		return nil
 	}
 	for i, t := range c.service.targets {
-		if t.notice.limited() && t.notice.limit.permits.available(c.now) && c.now.Sub(t.lastHeard) > scoutAfter && c.Available(i) {
+		if t.notice.limited() && t.notice.limit.permits.available(c.now) && c.now.Sub(t.lastHeard) > limitCheckAfter && c.Available(i) {
 			return t
 		}
 	}
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -71,7 +71,7 @@
 		}
 		c.probeRound.open = true
 		r.waitForTarget(id, c)
-		r.seekPermits(c.service, c, 1, e)
+		r.requestPermits(c.service, c, 1, e)
 	}
 	if why == FirstSend {
 		e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.deadline})
@@ -238,7 +238,7 @@
 	}
 	if !late || r.missesAnswer(c) {
 		r.waitForTarget(id, c)
-		r.seekPermits(c.service, c, 1, e)
+		r.requestPermits(c.service, c, 1, e)
 		return
 	}
 	c.probeRound.open = false
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -34,8 +34,8 @@
 		return
 	}
 	if t.lacksPermit(r.now) {
-		if t.notice.limit.mayAsk(r.now) {
-			r.askPermits(t, 1, e)
+		if t.notice.limit.mayRequest(r.now) {
+			r.requestTargetPermits(t, 1, e)
 		}
 		return
 	}
--- a/pkg/core/routing/quotaholder.go
+++ b/pkg/core/routing/quotaholder.go
@@ -81,7 +81,7 @@
 // stands in the first list that it gets, was on the list all the time: nobody has taken its parts, and
 // what it gave before its start is gone.
 func (r *Router) holdsFrom() units.Instant {
-	if r.neverListed || !r.quotas.reviewed && r.rank.listed {
+	if r.noBoxesSeen || !r.quotas.reviewed && r.rank.listed {
 		return r.now
 	}
 	return r.now.Add(r.takeover())
@@ -90,7 +90,7 @@
 // quotaBoxes are the boxes that may hold quotas. Those that are about to go stay holders until they are
 // gone: another one would have to wait for that anyway.
 func (r *Router) quotaBoxes() []units.BoxID {
-	if r.neverListed {
+	if r.noBoxesSeen {
 		return []units.BoxID{r.settings.Box}
 	}
 	ids := make([]units.BoxID, 0, len(r.rank.boxes))
@@ -152,7 +152,7 @@
 
 // mayGrant tells whether this box may give credits of parts that it holds: it is in touch, or was a
 // moment ago, so that nobody else can hold them.
-func (r *Router) mayGrant() bool { return r.neverListed || r.now < r.leaseUntil.Add(unledGrants) }
+func (r *Router) mayGrant() bool { return r.noBoxesSeen || r.now < r.leaseUntil.Add(unledGrants) }
 
 // renewSeats has a box that was out of touch for longer than it gives credits begin anew as a holder:
 // others may hold its parts by now.
--- a/pkg/core/routing/quotas.go
+++ b/pkg/core/routing/quotas.go
@@ -94,11 +94,11 @@
 // reviewQuotas takes the limits and the list of boxes that are in force.
 func (r *Router) reviewQuotas(e *Effects) {
 	b := &r.quotas
-	if b.document == r.table.Document && b.listed == r.boxLists {
+	if b.document == r.table.Document && b.listed == r.boxListVersion {
 		return
 	}
 	limitsChanged := b.document != r.table.Document
-	b.document, b.listed = r.table.Document, r.boxLists
+	b.document, b.listed = r.table.Document, r.boxListVersion
 	if limitsChanged {
 		r.takeQuotas(e)
 	}
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -70,16 +70,16 @@
 	routes   routeIndex
 	keys     keyRing
 	rank     boxRank
-	// boxLists numbers the lists of boxes that were put in force; beside are the boxes of the
+	// boxListVersion numbers the lists of boxes that were put in force; beside are the boxes of the
 	// present one that stay, by the failure domain of the targets they are beside.
-	boxLists int
-	beside   map[units.Domain][]table.Box
-	// inDomain counts the boxes of the present list; nil until that is asked for.
-	inDomain scope.Boxes
-	// neverListed is set until a list of boxes names any.
-	neverListed bool
-	// pastBoxes are the lists of boxes before the present one that other boxes may still go by.
-	pastBoxes []pastBoxes
+	boxListVersion int
+	domainBoxes   map[units.Domain][]table.Box
+	// domainBoxCounts counts the boxes of the present list; nil until that is asked for.
+	domainBoxCounts scope.Boxes
+	// noBoxesSeen is set until a list of boxes names any.
+	noBoxesSeen bool
+	// replacedBoxLists are the lists of boxes before the present one that other boxes may still go by.
+	replacedBoxLists []replacedBoxList
 	// moves are the boxes that came and went with the table that is put in force.
 	moves boxMoves
 	// boxesLost is set while a table is put in force that only lacks boxes.
@@ -163,9 +163,9 @@
 		timers:      container.NewHeap(timerBefore),
 		loans:       newLoanState(),
 		outlooks:    map[units.Domain]*outlook{},
-		boxLists:    1,
-		neverListed: true,
-		beside:      map[units.Domain][]table.Box{},
+		boxListVersion:    1,
+		noBoxesSeen: true,
+		domainBoxes:      map[units.Domain][]table.Box{},
 		inbound:     inbound{rate: s.LinkRate},
 		distances:   map[units.Domain]*domainDistance{},
 		unknown:     map[units.Domain]bool{},
@@ -221,7 +221,7 @@
 		r.receiveCanary(v.From, &v.Message, e)
 	}
 	r.admitEarly(e)
-	r.settleDeclined(e)
+	r.retryDeclined(e)
 	r.useFreed(e)
 }
 
--- a/pkg/core/routing/script_notice_test.go
+++ b/pkg/core/routing/script_notice_test.go
@@ -31,7 +31,7 @@
 }
 
 var limitWords = map[LimitKind]string{
-	AskPermits: "ask", GrantPermits: "grant", ReturnPermits: "return", TellLimit: "tell", HandOver: "hand-over",
+	RequestPermits: "ask", GrantPermits: "grant", ReturnPermits: "return", ReportLimitEnd: "tell", HandOver: "hand-over",
 }
 
 // limit BOX kind=K service=S target=T [born=N] [nonce=N] [count=N] [again=D] [version=N] [limit=R] gives a message of
@@ -47,11 +47,11 @@
 	d.MaybeScanArgs(s.t, "born", (*int64)(&m.Born))
 	d.MaybeScanArgs(s.t, "nonce", &m.Nonce)
 	d.MaybeScanArgs(s.t, "count", &m.Count)
-	m.Again = s.duration(d, "again")
+	m.RetryAfter = s.duration(d, "again")
 	if d.HasArg("limit") {
-		m.Word.Limited, m.Word.Rate = true, s.rate(d, "limit")
+		m.LimitState.Limited, m.LimitState.Rate = true, s.rate(d, "limit")
 	}
-	d.MaybeScanArgs(s.t, "version", &m.Word.Version)
+	d.MaybeScanArgs(s.t, "version", &m.LimitState.Version)
 	s.give(&PeerLimit{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
 }
 
@@ -61,18 +61,18 @@
 	if m.Nonce != 0 {
 		words = append(words, fmt.Sprintf("nonce %d", m.Nonce))
 	}
-	if m.Kind != TellLimit && m.Kind != HandOver {
+	if m.Kind != ReportLimitEnd && m.Kind != HandOver {
 		words = append(words, fmt.Sprintf("count %d", m.Count))
 	}
 	if m.Kind == GrantPermits {
-		words = append(words, fmt.Sprintf("again after %s", m.Again.Round(time.Millisecond)))
+		words = append(words, fmt.Sprintf("again after %s", m.RetryAfter.Round(time.Millisecond)))
 	}
-	if m.Word.Limited {
-		words = append(words, fmt.Sprintf("limit %g", m.Word.Rate))
+	if m.LimitState.Limited {
+		words = append(words, fmt.Sprintf("limit %g", m.LimitState.Rate))
 	} else {
 		words = append(words, "no limit")
 	}
-	return strings.Join(append(words, fmt.Sprintf("version %d", m.Word.Version)), ", ")
+	return strings.Join(append(words, fmt.Sprintf("version %d", m.LimitState.Version)), ", ")
 }
 
 // describeNotice tells of what a target wants as the shell is told.
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -63,11 +63,11 @@
 	crashes uint64
 	// rests counts the rests that targets asked this box for.
 	rests uint64
-	// limited counts the targets that name limits, since limitedSince.
-	limited      int
+	// limitedTargets counts the targets that name limits, since limitedSince.
+	limitedTargets      int
 	limitedSince units.Instant
-	// scoutAt is when a call that has other targets may next ask for a permit of a limited one.
-	scoutAt units.Instant
+	// nextLimitCheckAt is when a call that has other targets may next ask for a permit of a limited one.
+	nextLimitCheckAt units.Instant
 	// rollout is the one that is under way, or nil.
 	rollout *rolloutState
 }
@@ -143,10 +143,10 @@
 	}
 	s.weight = sum
 	s.mostlyEjected = 2*ejected > active
-	if s.limited == 0 {
+	if s.limitedTargets == 0 {
 		s.limitedSince = now
 	}
-	s.limited = limited
+	s.limitedTargets = limited
 }
 
 // retryAfter is when a refused caller may come back: the time in which the
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -43,7 +43,7 @@
 		r.applyQuarantines(e)
 	}
 	if boxesChanged {
-		r.reviewCoordination(e)
+		r.updateCoordination(e)
 	}
 	r.reviewQuotas(e)
 	for _, s := range r.changed {
@@ -71,17 +71,17 @@
 		return false
 	}
 	rank := rankOf(r.settings.Box, boxes)
-	r.keepPastBoxes()
+	r.recordReplacedBoxList()
 	r.moves = r.rank.movesTo(rank)
 	r.boxesLost = r.moves.onlyLost(r.rank, rank)
 	if !r.rank.listed && rank.listed {
 		r.servesFrom = r.now.Add(r.settings.ShareDelay)
 	}
 	r.rank = rank
-	r.neverListed = r.neverListed && len(boxes) == 0
-	r.boxLists++
-	clear(r.beside)
-	r.inDomain = nil
+	r.noBoxesSeen = r.noBoxesSeen && len(boxes) == 0
+	r.boxListVersion++
+	clear(r.domainBoxes)
+	r.domainBoxCounts = nil
 	r.dropUnlistedLoans(boxes)
 	return true
 }
@@ -193,10 +193,10 @@
 
 // boxCounts are how many boxes are in each failure domain.
 func (r *Router) boxCounts() scope.Boxes {
-	if r.inDomain == nil {
-		r.inDomain = table.CountBoxes(r.rank.boxes)
+	if r.domainBoxCounts == nil {
+		r.domainBoxCounts = table.CountBoxes(r.rank.boxes)
 	}
-	return r.inDomain
+	return r.domainBoxCounts
 }
 
 // placeTarget works out how many boxes come before this one for a target, from the
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -75,7 +75,7 @@
 	cold      coldness
 	crash     crashWatch
 	// coordination says which box permits calls to the target while it names a limit.
-	coordination coordination
+	coordination cachedCoordinator
 	// notice is what the target's start has told this box; nil for nothing that is in force.
 	notice *notice
 	// outlook tells how many targets of the same failure domain could be used lately; nil where
--- a/pkg/wire/convert_limit.go
+++ b/pkg/wire/convert_limit.go
@@ -13,8 +13,8 @@
 func FromLimit(m *routing.LimitMessage) *Limit {
 	return &Limit{
 		Kind: int32(m.Kind), Service: string(m.Service), Target: string(m.Target), Born: int64(m.Born), Nonce: m.Nonce,
-		Count: int32(m.Count), Again: int64(m.Again),
-		Version: m.Word.Version, Limited: m.Word.Limited, Rate: float64(m.Word.Rate),
+		Count: int32(m.Count), Again: int64(m.RetryAfter),
+		Version: m.LimitState.Version, Limited: m.LimitState.Limited, Rate: float64(m.LimitState.Rate),
 	}
 }
 
@@ -27,7 +27,7 @@
 	}
 	return routing.LimitMessage{
 		Kind: routing.LimitKind(m.Kind), Service: units.ServiceName(m.Service), Target: units.TargetID(m.Target),
-		Born: units.WallTime(m.Born), Nonce: m.Nonce, Count: max(0, int(m.Count)), Again: max(0, time.Duration(m.Again)),
-		Word: limit.Word{Version: m.Version, Limited: m.Limited, Rate: units.CallRate(rate)},
+		Born: units.WallTime(m.Born), Nonce: m.Nonce, Count: max(0, int(m.Count)), RetryAfter: max(0, time.Duration(m.Again)),
+		LimitState: limit.Word{Version: m.Version, Limited: m.Limited, Rate: units.CallRate(rate)},
 	}
 }
--- a/pkg/wire/convert_limit_test.go
+++ b/pkg/wire/convert_limit_test.go
@@ -13,8 +13,8 @@
 
 func TestLimitMessagesComeAsTheyWereSent(t *testing.T) {
 	sent := routing.LimitMessage{
-		Kind: routing.GrantPermits, Service: "s", Target: "t", Born: 7, Nonce: 8, Count: 2, Again: 30 * time.Millisecond,
-		Word: limit.Word{Version: 5, Limited: true, Rate: 2.5},
+		Kind: routing.GrantPermits, Service: "s", Target: "t", Born: 7, Nonce: 8, Count: 2, RetryAfter: 30 * time.Millisecond,
+		LimitState: limit.Word{Version: 5, Limited: true, Rate: 2.5},
 	}
 	if diff := cmp.Diff(sent, ToLimit(FromLimit(&sent))); diff != "" {
 		t.Error(diff)
@@ -28,8 +28,8 @@
 		message  *Limit
 		expected routing.LimitMessage
 	}{
-		{"less than none", &Limit{Limited: true, Rate: -2}, routing.LimitMessage{Word: limit.Word{Limited: true}}},
-		{"no number", &Limit{Limited: true, Rate: math.NaN()}, routing.LimitMessage{Word: limit.Word{Limited: true}}},
+		{"less than none", &Limit{Limited: true, Rate: -2}, routing.LimitMessage{LimitState: limit.Word{Limited: true}}},
+		{"no number", &Limit{Limited: true, Rate: math.NaN()}, routing.LimitMessage{LimitState: limit.Word{Limited: true}}},
 		{"fewer permits than none", &Limit{Count: -3}, routing.LimitMessage{}},
 		{"a pause of less than nothing", &Limit{Again: -5}, routing.LimitMessage{}},
 	}
