--- a/pkg/core/box/box.go
+++ b/pkg/core/box/box.go
@@ -93,7 +93,7 @@
 			x.Evidence = wire.FromEvidence(b.router.TakeEvidence())
 			x.CrashNotes = wire.FromCrashNotes(b.router.CrashNotes(), now)
 			x.Refused = wire.FromFingerprints(b.router.TakeRefused())
-			x.Uses = wire.FromQuotaUses(b.router.TakeQuotaUses(now))
+			x.Uses = wire.FromQuotaUses(b.router.TakeQuotaUsage(now))
 		}
 	}
 }
--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -52,7 +52,7 @@
 
 // letIn goes on with a call that may go to targets, once its workspace's quota lets it.
 func (r *Router) letIn(id CallID, c *call, e *Effects) {
-	if !r.waitsForCredit(id, c, e) {
+	if !r.blockedByQuota(id, c, e) {
 		r.admitBound(id, c, e)
 	}
 }
--- a/pkg/core/routing/quotaasking.go
+++ b/pkg/core/routing/quotaasking.go
@@ -10,14 +10,14 @@
 // A box asks the holders of a workspace's quota for credits, one after the other, as long as calls wait.
 
 const (
-	// creditAskTerm is after what time an unanswered request counts as lost.
-	creditAskTerm = 100 * time.Millisecond
-	// silentHolder is for how long a holder that didn't answer isn't asked again.
-	silentHolder = 500 * time.Millisecond
-	// creditsAhead is for how much of a box's own calls it asks ahead, mostCredits how many credits a
+	// creditRequestTimeout is after what time an unanswered request counts as lost.
+	creditRequestTimeout = 100 * time.Millisecond
+	// silentHolderBackoff is for how long a holder that didn't answer isn't asked again.
+	silentHolderBackoff = 500 * time.Millisecond
+	// creditPrefetch is for how much of a box's own calls it asks ahead, mostCredits how many credits a
 	// request asks for at the most.
-	creditsAhead = 200 * time.Millisecond
-	mostCredits  = 64
+	creditPrefetch = 200 * time.Millisecond
+	maxCreditsPerRequest  = 64
 )
 
 // QuotaKind says what a message on a quota is about.
@@ -25,8 +25,8 @@
 
 // The kinds of message.
 const (
-	// AskCredits asks for up to Count credits.
-	AskCredits QuotaKind = iota + 1
+	// RequestCredits asks for up to Count credits.
+	RequestCredits QuotaKind = iota + 1
 	// GrantCredits gives Count credits, and says when the next is there.
 	GrantCredits
 	// ReturnCredits gives Count credits back that weren't used.
@@ -40,8 +40,8 @@
 	// Nonce ties a grant to the request that it answers.
 	Nonce uint64
 	Count int
-	// Again is how long after a grant the next credit is there.
-	Again time.Duration
+	// RetryAfter is how long after a grant the next credit is there.
+	RetryAfter time.Duration
 }
 
 // PeerQuota is a QuotaMessage of another box.
@@ -52,29 +52,29 @@
 
 func (*PeerQuota) routingEvent() {}
 
-// creditAsk is a request for credits that is under way.
-type creditAsk struct {
+// creditRequest is a request for credits that is under way.
+type creditRequest struct {
 	nonce  uint64
 	holder units.BoxID
 	count  int
 	at     units.Instant
 }
 
-// askAllCredits asks for whatever waits, of holders that may be others now.
-func (r *Router) askAllCredits(e *Effects) {
+// requestAllCredits asks for whatever waits, of holders that may be others now.
+func (r *Router) requestAllCredits(e *Effects) {
 	for _, u := range r.quotas.order {
 		if len(u.waiting) > 0 {
-			r.askCredits(u, e)
+			r.requestCredits(u, e)
 		}
 	}
 }
 
-// askCredits asks holders for what the calls that wait need, and refuses those that no holder is left for.
-func (r *Router) askCredits(u *quotaUse, e *Effects) {
+// requestCredits asks holders for what the calls that wait need, and refuses those that no holder is left for.
+func (r *Router) requestCredits(u *workspaceQuota, e *Effects) {
 	for {
-		r.serveCredits(u, e)
+		r.admitWithCredits(u, e)
 		need := len(u.waiting)
-		for _, a := range u.asks {
+		for _, a := range u.requests {
 			need -= a.count
 		}
 		if need <= 0 {
@@ -82,49 +82,49 @@
 		}
 		holder := r.nextHolder(u)
 		if holder == "" {
-			r.refuseLast(u, need, e)
+			r.refuseNewest(u, need, e)
 			return
 		}
-		count := min(mostCredits, need+int(u.came.perSecond(r.now)*creditsAhead.Seconds()))
+		count := min(maxCreditsPerRequest, need+int(u.arrivals.perSecond(r.now)*creditPrefetch.Seconds()))
 		if holder == r.settings.Box {
-			r.takeOwnCredits(u, count)
+			r.grantOwnCredits(u, count)
 			continue
 		}
 		r.quotas.nonce++
-		u.asks = append(u.asks, creditAsk{nonce: r.quotas.nonce, holder: holder, count: count, at: r.now})
-		r.sweepQuotasBy(r.now.Add(creditAskTerm))
+		u.requests = append(u.requests, creditRequest{nonce: r.quotas.nonce, holder: holder, count: count, at: r.now})
+		r.scheduleQuotaSweep(r.now.Add(creditRequestTimeout))
 		e.add(Effect{Kind: SendQuota, Peer: holder, Quota: &QuotaMessage{
-			Kind: AskCredits, Workspace: u.name, Nonce: r.quotas.nonce, Count: count,
+			Kind: RequestCredits, Workspace: u.name, Nonce: r.quotas.nonce, Count: count,
 		}})
 	}
 }
 
 // nextHolder returns the next holder to ask; empty for none.
-func (r *Router) nextHolder(u *quotaUse) units.BoxID {
-	for _, h := range r.seatsOf(u.group).order {
-		asked := slices.ContainsFunc(u.asks, func(a creditAsk) bool { return a.holder == h })
-		if !asked && r.now >= u.closed[h] {
+func (r *Router) nextHolder(u *workspaceQuota) units.BoxID {
+	for _, h := range r.holdersOf(u.group).order {
+		asked := slices.ContainsFunc(u.requests, func(a creditRequest) bool { return a.holder == h })
+		if !asked && r.now >= u.unavailableUntil[h] {
 			return h
 		}
 	}
 	return ""
 }
 
-// takeOwnCredits takes credits of this box's own account.
-func (r *Router) takeOwnCredits(u *quotaUse, count int) {
-	n, again := r.permitCredits(u, count)
-	u.credits.add(n, r.now.Add(creditTerm))
+// grantOwnCredits takes credits of this box's own account.
+func (r *Router) grantOwnCredits(u *workspaceQuota, count int) {
+	n, again := r.grantCredits(u, count)
+	u.credits.add(n, r.now.Add(creditLifetime))
 	if n < count {
-		u.closed[r.settings.Box] = r.now.Add(again)
+		u.unavailableUntil[r.settings.Box] = r.now.Add(again)
 	}
 }
 
-// takeCredits takes a holder's answer. What comes too late goes back.
-func (r *Router) takeCredits(from units.BoxID, m *QuotaMessage, e *Effects) {
-	u := r.quotas.uses[m.Workspace]
+// acceptCredits takes a holder's answer. What comes too late goes back.
+func (r *Router) acceptCredits(from units.BoxID, m *QuotaMessage, e *Effects) {
+	u := r.quotas.byWorkspace[m.Workspace]
 	i := -1
 	if u != nil {
-		i = slices.IndexFunc(u.asks, func(a creditAsk) bool { return a.nonce == m.Nonce && a.holder == from })
+		i = slices.IndexFunc(u.requests, func(a creditRequest) bool { return a.nonce == m.Nonce && a.holder == from })
 	}
 	if i < 0 {
 		if m.Count > 0 {
@@ -132,26 +132,26 @@
 		}
 		return
 	}
-	ask := u.asks[i]
-	u.asks = slices.Delete(u.asks, i, i+1)
-	delete(u.closed, from)
+	ask := u.requests[i]
+	u.requests = slices.Delete(u.requests, i, i+1)
+	delete(u.unavailableUntil, from)
 	if m.Count < ask.count {
-		u.closed[from] = r.now.Add(min(m.Again, mostQuotaRetry))
+		u.unavailableUntil[from] = r.now.Add(min(m.RetryAfter, maxQuotaRetryAfter))
 	}
-	u.credits.add(min(m.Count, ask.count), r.now.Add(creditTerm))
-	r.askCredits(u, e)
+	u.credits.add(min(m.Count, ask.count), r.now.Add(creditLifetime))
+	r.requestCredits(u, e)
 }
 
 // receiveQuota takes a message of another box.
 func (r *Router) receiveQuota(from units.BoxID, m *QuotaMessage, e *Effects) {
 	switch m.Kind {
-	case AskCredits:
-		r.meetCreditAsk(from, m, e)
+	case RequestCredits:
+		r.handleCreditRequest(from, m, e)
 	case GrantCredits:
-		r.takeCredits(from, m, e)
+		r.acceptCredits(from, m, e)
 	case ReturnCredits:
-		if u := r.quotas.uses[m.Workspace]; u != nil && u.account != nil {
-			u.account.Return(r.now, min(m.Count, mostCredits))
+		if u := r.quotas.byWorkspace[m.Workspace]; u != nil && u.account != nil {
+			u.account.Return(r.now, min(m.Count, maxCreditsPerRequest))
 		}
 	}
 }
--- a/pkg/core/routing/quotas.go
+++ b/pkg/core/routing/quotas.go
@@ -14,63 +14,63 @@
 // what nobody has a credit for.
 
 const (
-	// creditTerm is how long a box may keep a credit that it has no use for: runs come that much later
+	// creditLifetime is how long a box may keep a credit that it has no use for: runs come that much later
 	// than the holder counted them.
-	creditTerm = 300 * time.Millisecond
-	// creditWait is how long a call waits for credits at all. A holder answers within a few milliseconds.
-	creditWait = 350 * time.Millisecond
-	// maxCreditWaiting bounds the calls of a workspace that wait for credits at a box.
-	maxCreditWaiting = 1024
-	// quotaRateMemory is over what time a box estimates how many calls a workspace sends it.
-	quotaRateMemory = 2 * time.Second
-	// leastQuotaRetry and mostQuotaRetry bound when a caller without a credit may come back.
-	leastQuotaRetry = 200 * time.Millisecond
-	mostQuotaRetry  = 5 * time.Second
+	creditLifetime = 300 * time.Millisecond
+	// creditWaitTimeout is how long a call waits for credits at all. A holder answers within a few milliseconds.
+	creditWaitTimeout = 350 * time.Millisecond
+	// maxCallsAwaitingCredit bounds the calls of a workspace that wait for credits at a box.
+	maxCallsAwaitingCredit = 1024
+	// arrivalRateWindow is over what time a box estimates how many calls a workspace sends it.
+	arrivalRateWindow = 2 * time.Second
+	// minQuotaRetryAfter and mostQuotaRetry bound when a caller without a credit may come back.
+	minQuotaRetryAfter = 200 * time.Millisecond
+	maxQuotaRetryAfter  = 5 * time.Second
 )
 
-// quotaBook is what a box knows of quotas.
-type quotaBook struct {
-	uses map[units.WorkspaceName]*quotaUse
+// quotaState is what a box knows of quotas.
+type quotaState struct {
+	byWorkspace map[units.WorkspaceName]*workspaceQuota
 	// order lists uses by name.
-	order []*quotaUse
-	seats map[quota.Group]*quotaSeats
+	order []*workspaceQuota
+	holders map[quota.Group]*quotaHolders
 	nonce uint64
 	// sweepAt is when time alone may next bring something about.
 	sweepAt units.Instant
-	// reviewed is set once the holders by a list of boxes were worked out.
-	reviewed bool
-	// tellAt is when the leader is next told of uses.
-	tellAt units.Instant
+	// holdersKnown is set once the holders by a list of boxes were worked out.
+	holdersKnown bool
+	// reportAt is when the leader is next told of uses.
+	reportAt units.Instant
 	// document and listed are those that the book was last reviewed for.
 	document units.DocumentVersion
-	listed   int
+	boxListVersion   int
 }
 
-// quotaUse is what a box knows of the quota of one workspace.
-type quotaUse struct {
+// workspaceQuota is what a box knows of the quota of one workspace.
+type workspaceQuota struct {
 	name  units.WorkspaceName
 	rate  units.CallRate
 	burst float64
 	group quota.Group
 	// credits are those on hand.
 	credits allowances
-	waiting []creditCall
-	asks    []creditAsk
-	// closed says until when holders have nothing to give, or don't answer.
-	closed map[units.BoxID]units.Instant
-	// came counts the calls that come here.
-	came eventRate
+	waiting []creditWaiter
+	requests    []creditRequest
+	// unavailableUntil says until when holders have nothing to give, or don't answer.
+	unavailableUntil map[units.BoxID]units.Instant
+	// arrivals counts the calls that come here.
+	arrivals eventRate
 	// account is this box's part, where it is a holder; disappointed counts the requests that it didn't
 	// give all to.
 	account      *limit.Account
-	disappointed eventRate
+	shortfalls eventRate
 	status       QuotaStatus
-	// told is the status that the leader was told of last.
-	told QuotaStatus
+	// reported is the status that the leader was reported of last.
+	reported QuotaStatus
 }
 
-// creditCall is a call that waits for a credit.
-type creditCall struct {
+// creditWaiter is a call that waits for a credit.
+type creditWaiter struct {
 	id    CallID
 	since units.Instant
 }
@@ -84,34 +84,34 @@
 	Granted  uint64 `json:"granted,omitempty"`
 }
 
-func newQuotaBook() quotaBook {
-	return quotaBook{uses: map[units.WorkspaceName]*quotaUse{}, seats: map[quota.Group]*quotaSeats{}}
+func newQuotaState() quotaState {
+	return quotaState{byWorkspace: map[units.WorkspaceName]*workspaceQuota{}, holders: map[quota.Group]*quotaHolders{}}
 }
 
-// any tells whether a workspace's rate is limited.
-func (b *quotaBook) any() bool { return len(b.order) > 0 }
+// active tells whether a workspace's rate is limited.
+func (b *quotaState) active() bool { return len(b.order) > 0 }
 
-// reviewQuotas takes the limits and the list of boxes that are in force.
-func (r *Router) reviewQuotas(e *Effects) {
+// updateQuotas takes the limits and the list of boxes that are in force.
+func (r *Router) updateQuotas(e *Effects) {
 	b := &r.quotas
-	if b.document == r.table.Document && b.listed == r.boxListVersion {
+	if b.document == r.table.Document && b.boxListVersion == r.boxListVersion {
 		return
 	}
 	limitsChanged := b.document != r.table.Document
-	b.document, b.listed = r.table.Document, r.boxListVersion
+	b.document, b.boxListVersion = r.table.Document, r.boxListVersion
 	if limitsChanged {
-		r.takeQuotas(e)
+		r.updateQuotaLimits(e)
 	}
-	if b.any() {
-		r.reviewSeats()
-		r.askAllCredits(e)
+	if b.active() {
+		r.updateHolders()
+		r.requestAllCredits(e)
 	}
 }
 
-// takeQuotas takes the limits of the table's workspaces.
-func (r *Router) takeQuotas(e *Effects) {
+// updateQuotaLimits takes the limits of the table's workspaces.
+func (r *Router) updateQuotaLimits(e *Effects) {
 	b := &r.quotas
-	kept := map[units.WorkspaceName]*quotaUse{}
+	kept := map[units.WorkspaceName]*workspaceQuota{}
 	before := b.order
 	b.order = nil
 	for i := range r.table.Workspaces {
@@ -119,10 +119,10 @@
 		if w.Rate <= 0 {
 			continue
 		}
-		u := b.uses[w.Name]
+		u := b.byWorkspace[w.Name]
 		if u == nil {
-			u = &quotaUse{
-				name: w.Name, group: quota.GroupOf(w.Name), closed: map[units.BoxID]units.Instant{}, status: QuotaStatus{Workspace: w.Name},
+			u = &workspaceQuota{
+				name: w.Name, group: quota.GroupOf(w.Name), unavailableUntil: map[units.BoxID]units.Instant{}, status: QuotaStatus{Workspace: w.Name},
 			}
 		}
 		u.rate, u.burst = w.Rate, w.Burst
@@ -131,16 +131,16 @@
 	}
 	for _, u := range before {
 		if kept[u.name] == nil {
-			r.releaseWaiting(u, e)
+			r.admitUnlimited(u, e)
 		}
 	}
-	b.uses = kept
+	b.byWorkspace = kept
 }
 
-// releaseWaiting lets calls go on that wait for credits of a workspace whose rate is no longer limited.
-func (r *Router) releaseWaiting(u *quotaUse, e *Effects) {
+// admitUnlimited lets calls go on that wait for credits of a workspace whose rate is no longer limited.
+func (r *Router) admitUnlimited(u *workspaceQuota, e *Effects) {
 	for _, w := range u.waiting {
-		if c := r.creditWaiter(w); c != nil {
+		if c := r.stillAwaitsCredit(w); c != nil {
 			c.waitsCredit = false
 			r.admitBound(w.id, c, e)
 		}
@@ -148,39 +148,39 @@
 	u.waiting = nil
 }
 
-// creditWaiter returns the call of an entry of the queue, or nil where it has ended.
-func (r *Router) creditWaiter(w creditCall) *call {
+// stillAwaitsCredit returns the call of an entry of the queue, or nil where it has ended.
+func (r *Router) stillAwaitsCredit(w creditWaiter) *call {
 	if c := r.calls.Get(w.id); c != nil && c.waitsCredit {
 		return c
 	}
 	return nil
 }
 
-// waitsForCredit takes a credit for a call, or has it wait for one, or refuses it; false means that the call may
+// blockedByQuota takes a credit for a call, or has it wait for one, or refuses it; false means that the call may
 // go on.
-func (r *Router) waitsForCredit(id CallID, c *call, e *Effects) bool {
+func (r *Router) blockedByQuota(id CallID, c *call, e *Effects) bool {
 	if c.workspace == nil || c.workspace.Rate <= 0 {
 		return false
 	}
-	u := r.quotas.uses[c.workspace.Name]
+	u := r.quotas.byWorkspace[c.workspace.Name]
 	if u == nil {
 		return false
 	}
-	u.came.note(r.now)
-	if r.takeCredit(u, c) {
+	u.arrivals.record(r.now)
+	if r.useCredit(u, c) {
 		return false
 	}
-	if len(u.waiting) >= maxCreditWaiting {
-		r.refuseCredit(u, id, c, e)
+	if len(u.waiting) >= maxCallsAwaitingCredit {
+		r.refuseForQuota(u, id, c, e)
 		return true
 	}
 	c.waitsCredit = true
-	u.waiting = append(u.waiting, creditCall{id: id, since: r.now})
+	u.waiting = append(u.waiting, creditWaiter{id: id, since: r.now})
 	first := len(e.List)
-	r.askCredits(u, e)
-	if r.creditWaiter(creditCall{id: id}) != nil {
+	r.requestCredits(u, e)
+	if r.stillAwaitsCredit(creditWaiter{id: id}) != nil {
 		// The caller's goroutine needs the call's id before anything else happens to it.
-		e.List = slices.Insert(e.List, first, Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: r.now.Add(creditWait)})
+		e.List = slices.Insert(e.List, first, Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: r.now.Add(creditWaitTimeout)})
 	}
 	return true
 }
@@ -191,23 +191,23 @@
 	at    units.Instant
 }
 
-func (x *eventRate) note(now units.Instant) {
-	x.value = x.perSecond(now) + 1/quotaRateMemory.Seconds()
+func (x *eventRate) record(now units.Instant) {
+	x.value = x.perSecond(now) + 1/arrivalRateWindow.Seconds()
 	x.at = now
 }
 
 func (x *eventRate) perSecond(now units.Instant) float64 {
-	return x.value * max(0, 1-float64(now.Sub(x.at))/float64(quotaRateMemory))
+	return x.value * max(0, 1-float64(now.Sub(x.at))/float64(arrivalRateWindow))
 }
 
-// takeCredit uses a credit on hand for a call, or one of the box's own account.
-func (r *Router) takeCredit(u *quotaUse, c *call) bool {
+// useCredit uses a credit on hand for a call, or one of the box's own account.
+func (r *Router) useCredit(u *workspaceQuota, c *call) bool {
 	until, ok := u.credits.use(r.now)
 	switch {
 	case ok:
 		c.creditUntil = until
 	case len(u.waiting) == 0 && u.account != nil && r.mayGrant() && u.account.Permit(r.now, 1) == 1:
-		c.creditUntil = r.now.Add(creditTerm)
+		c.creditUntil = r.now.Add(creditLifetime)
 	default:
 		return false
 	}
@@ -215,13 +215,13 @@
 	return true
 }
 
-// unuseCredit gives back the credit of a call that ends without having been sent: to the next call while it
+// restoreCredit gives back the credit of a call that ends without having been sent: to the next call while it
 // holds, else to a holder.
-func (r *Router) unuseCredit(c *call, e *Effects) {
+func (r *Router) restoreCredit(c *call, e *Effects) {
 	if c.creditUntil == 0 || c.sends > 0 || c.workspace == nil {
 		return
 	}
-	u := r.quotas.uses[c.workspace.Name]
+	u := r.quotas.byWorkspace[c.workspace.Name]
 	if u == nil {
 		return
 	}
@@ -235,8 +235,8 @@
 }
 
 // returnCredit gives a credit back to a holder, this box if it is one.
-func (r *Router) returnCredit(u *quotaUse, e *Effects) {
-	order := r.seatsOf(u.group).order
+func (r *Router) returnCredit(u *workspaceQuota, e *Effects) {
+	order := r.holdersOf(u.group).order
 	switch {
 	case u.account != nil:
 		u.account.Return(r.now, 1)
@@ -245,10 +245,10 @@
 	}
 }
 
-// serveCredits lets in the calls that wait, the first first, as far as there are credits.
-func (r *Router) serveCredits(u *quotaUse, e *Effects) {
+// admitWithCredits lets in the calls that wait, the first first, as far as there are credits.
+func (r *Router) admitWithCredits(u *workspaceQuota, e *Effects) {
 	for len(u.waiting) > 0 {
-		c := r.creditWaiter(u.waiting[0])
+		c := r.stillAwaitsCredit(u.waiting[0])
 		if c == nil {
 			u.waiting = u.waiting[1:]
 			continue
@@ -258,43 +258,43 @@
 		}
 		id := u.waiting[0].id
 		u.waiting = u.waiting[1:]
-		r.takeCredit(u, c)
+		r.useCredit(u, c)
 		c.waitsCredit = false
 		r.admitBound(id, c, e)
 	}
 }
 
-// refuseLast refuses the calls that came last, for which no holder is left to ask.
-func (r *Router) refuseLast(u *quotaUse, n int, e *Effects) {
+// refuseNewest refuses the calls that came last, for which no holder is left to ask.
+func (r *Router) refuseNewest(u *workspaceQuota, n int, e *Effects) {
 	first := max(0, len(u.waiting)-n)
 	last := slices.Clone(u.waiting[first:])
 	u.waiting = u.waiting[:first]
 	for _, w := range last {
-		if c := r.creditWaiter(w); c != nil {
-			r.refuseCredit(u, w.id, c, e)
+		if c := r.stillAwaitsCredit(w); c != nil {
+			r.refuseForQuota(u, w.id, c, e)
 		}
 	}
 }
 
-func (r *Router) refuseCredit(u *quotaUse, id CallID, c *call, e *Effects) {
+func (r *Router) refuseForQuota(u *workspaceQuota, id CallID, c *call, e *Effects) {
 	c.waitsCredit = false
 	u.status.Refused++
-	r.refuse(id, c, Refusal{Reason: QuotaSpent, Outcome: NotRun, RetryAfter: r.quotaRetry(u)}, e)
+	r.refuse(id, c, Refusal{Reason: QuotaSpent, Outcome: NotRun, RetryAfter: r.quotaRetryAfter(u)}, e)
 }
 
-// quotaRetry is when a caller without a credit may come back: when the first holder has one again. The
+// quotaRetryAfter is when a caller without a credit may come back: when the first holder has one again. The
 // more calls are refused of those that come, the more callers wait for it, so that they are spread over
 // longer.
-func (r *Router) quotaRetry(u *quotaUse) time.Duration {
-	after := mostQuotaRetry
-	for _, until := range u.closed {
+func (r *Router) quotaRetryAfter(u *workspaceQuota) time.Duration {
+	after := maxQuotaRetryAfter
+	for _, until := range u.unavailableUntil {
 		after = min(after, until.Sub(r.now))
 	}
-	after = max(after, leastQuotaRetry)
+	after = max(after, minQuotaRetryAfter)
 	total := u.status.Admitted + u.status.Refused
 	spread := float64(u.status.Refused) / float64(max(1, total))
-	after += time.Duration(spread * r.random.Float64() * float64(mostQuotaRetry))
-	return min(after, mostQuotaRetry).Round(time.Millisecond)
+	after += time.Duration(spread * r.random.Float64() * float64(maxQuotaRetryAfter))
+	return min(after, maxQuotaRetryAfter).Round(time.Millisecond)
 }
 
 // sweepQuotas does what time alone brings about: requests are lost, credits end, calls have waited long
@@ -305,42 +305,42 @@
 		return
 	}
 	b.sweepAt = r.now.Add(calmSweepPeriod)
-	if r.seatsDue() {
-		r.reviewSeats()
+	if r.partsReductionDue() {
+		r.updateHolders()
 	}
 	for _, u := range b.order {
-		if len(u.asks)+len(u.waiting)+len(u.credits) == 0 {
+		if len(u.requests)+len(u.waiting)+len(u.credits) == 0 {
 			continue
 		}
-		u.asks = slices.DeleteFunc(u.asks, func(a creditAsk) bool {
-			lost := r.now.Sub(a.at) >= creditAskTerm
+		u.requests = slices.DeleteFunc(u.requests, func(a creditRequest) bool {
+			lost := r.now.Sub(a.at) >= creditRequestTimeout
 			if lost {
-				u.closed[a.holder] = r.now.Add(silentHolder)
+				u.unavailableUntil[a.holder] = r.now.Add(silentHolderBackoff)
 			}
 			return lost
 		})
 		u.credits.dropExpired(r.now)
-		r.refuseWaitedOut(u, e)
-		r.askCredits(u, e)
-		if len(u.asks) > 0 {
-			r.sweepQuotasBy(r.now.Add(sweepPeriod))
+		r.refuseTimedOut(u, e)
+		r.requestCredits(u, e)
+		if len(u.requests) > 0 {
+			r.scheduleQuotaSweep(r.now.Add(sweepPeriod))
 		}
 	}
 }
 
-// refuseWaitedOut refuses the calls that have waited for as long as they may.
-func (r *Router) refuseWaitedOut(u *quotaUse, e *Effects) {
-	for len(u.waiting) > 0 && r.now.Sub(u.waiting[0].since) >= creditWait {
+// refuseTimedOut refuses the calls that have waited for as long as they may.
+func (r *Router) refuseTimedOut(u *workspaceQuota, e *Effects) {
+	for len(u.waiting) > 0 && r.now.Sub(u.waiting[0].since) >= creditWaitTimeout {
 		w := u.waiting[0]
 		u.waiting = u.waiting[1:]
-		if c := r.creditWaiter(w); c != nil {
-			r.refuseCredit(u, w.id, c, e)
+		if c := r.stillAwaitsCredit(w); c != nil {
+			r.refuseForQuota(u, w.id, c, e)
 		}
 	}
 }
 
-// sweepQuotasBy has quotas looked at by a time at the latest.
-func (r *Router) sweepQuotasBy(at units.Instant) {
+// scheduleQuotaSweep has quotas looked at by a time at the latest.
+func (r *Router) scheduleQuotaSweep(at units.Instant) {
 	r.quotas.sweepAt = min(r.quotas.sweepAt, at)
 	r.sweepAt = min(r.sweepAt, at)
 }
--- a/pkg/core/routing/quotatelling_test.go
+++ b/pkg/core/routing/quotatelling_test.go
@@ -14,7 +14,7 @@
 	admitted, refused := 0, 0
 	tell := func() {
 		for _, b := range f.boxes {
-			for _, u := range b.router.TakeQuotaUses(f.now) {
+			for _, u := range b.router.TakeQuotaUsage(f.now) {
 				admitted += u.Admitted
 				refused += u.Refused
 			}
@@ -25,7 +25,7 @@
 		tell()
 	}
 	w.perSecond = 1e-9
-	f.run(quotaTellEvery)
+	f.run(quotaReportInterval)
 	tell()
 	if admitted != len(w.runs) || refused != w.refused {
 		t.Errorf("boxes told of %d calls let in and %d refused; %d ran and %d were refused", admitted, refused, len(w.runs), w.refused)
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -131,7 +131,7 @@
 	crashes     crashBook
 	notices     noticeBook
 	permits     PermitStatus
-	quotas      quotaBook
+	quotas      quotaState
 	// declined are the services for which a coordinator had no permit during this event.
 	declined []*service
 }
@@ -175,7 +175,7 @@
 		sweepAt:     now,
 		crashes:     newCrashBook(),
 		notices:     noticeBook{},
-		quotas:      newQuotaBook(),
+		quotas:      newQuotaState(),
 	}, nil
 }
 
@@ -203,7 +203,7 @@
 		r.stopsAt = v.Until
 		r.stopsTaking = r.now.Add(v.Until.Sub(r.now) / 2)
 	case *LeaseChanged:
-		r.renewSeats()
+		r.resetStaleHolder()
 		r.leaseUntil, r.leasedAt = v.Until, v.At
 	case *ExposuresChanged:
 		r.takeExposures(v.Exposures, e)
@@ -255,7 +255,7 @@
 	r.sweepLoans(e)
 	r.ageQuarantines(e)
 	r.ageNotices()
-	if r.quotas.any() {
+	if r.quotas.active() {
 		r.sweepQuotas(e)
 		r.sweepAt = min(r.sweepAt, r.quotas.sweepAt)
 	}
@@ -345,7 +345,7 @@
 			r.cancel(id, c, a, e)
 		}
 	}
-	r.unuseCredit(c, e)
+	r.restoreCredit(c, e)
 	c.reset()
 	r.calls.Release(id)
 }
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -560,12 +560,12 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-var quotaWords = map[QuotaKind]string{AskCredits: "ask", GrantCredits: "grant", ReturnCredits: "return"}
+var quotaWords = map[QuotaKind]string{RequestCredits: "ask", GrantCredits: "grant", ReturnCredits: "return"}
 
 func describeQuota(m *QuotaMessage) string {
 	text := fmt.Sprintf("%s %d credits of %s", quotaWords[m.Kind], m.Count, m.Workspace)
-	if m.Again > 0 {
-		text += fmt.Sprintf(", again after %s", m.Again)
+	if m.RetryAfter > 0 {
+		text += fmt.Sprintf(", again after %s", m.RetryAfter)
 	}
 	return text
 }
@@ -576,14 +576,14 @@
 	from := units.BoxID(d.CmdArgs[0].Key)
 	var count int
 	d.ScanArgs(s.t, "count", &count)
-	m := QuotaMessage{Workspace: units.WorkspaceName(s.word(d, "workspace")), Count: count, Again: s.duration(d, "again")}
+	m := QuotaMessage{Workspace: units.WorkspaceName(s.word(d, "workspace")), Count: count, RetryAfter: s.duration(d, "again")}
 	for kind, word := range quotaWords {
 		if word == s.word(d, "kind") {
 			m.Kind = kind
 		}
 	}
-	if u := s.router.quotas.uses[m.Workspace]; u != nil && m.Kind == GrantCredits {
-		for _, a := range u.asks {
+	if u := s.router.quotas.byWorkspace[m.Workspace]; u != nil && m.Kind == GrantCredits {
+		for _, a := range u.requests {
 			if a.holder == from {
 				m.Nonce = a.nonce
 			}
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -45,7 +45,7 @@
 	if boxesChanged {
 		r.updateCoordination(e)
 	}
-	r.reviewQuotas(e)
+	r.updateQuotas(e)
 	for _, s := range r.changed {
 		r.settleCalls(s, e)
 	}
--- a/pkg/wire/convert_quota_test.go
+++ b/pkg/wire/convert_quota_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestQuotaMessagesComeAsTheyWereSent(t *testing.T) {
-	m := routing.QuotaMessage{Kind: routing.GrantCredits, Workspace: "w", Nonce: 7, Count: 3, Again: time.Second}
+	m := routing.QuotaMessage{Kind: routing.GrantCredits, Workspace: "w", Nonce: 7, Count: 3, RetryAfter: time.Second}
 	if d := cmp.Diff(m, ToQuota(FromQuota(&m))); d != "" {
 		t.Error(d)
 	}
@@ -26,7 +26,7 @@
 
 // Another box's message can't make a count negative.
 func TestQuotaMessagesThatMakeNoSense(t *testing.T) {
-	if m := ToQuota(&Quota{Count: -5, Again: -1}); m.Count != 0 || m.Again != 0 {
+	if m := ToQuota(&Quota{Count: -5, Again: -1}); m.Count != 0 || m.RetryAfter != 0 {
 		t.Errorf("read as %+v", m)
 	}
 }
