--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -75,7 +75,7 @@
 		r.refuse(id, c, Refusal{Reason: TooLate, Outcome: NotRun, RetryAfter: r.busyRetryAfter(s)}, e)
 		return
 	}
-	c.onTrial = r.draw(s)
+	c.onTrial = r.selectForTrial(s)
 	r.start(id, c, e)
 }
 
@@ -128,19 +128,19 @@
 // new version that finds no room there goes to the others.
 func (r *Router) choose(s *service, c *call) *target {
 	if c.onTrial {
-		if t := r.chooseOf(s, c, r.callSide(s, c)); t != nil {
+		if t := r.chooseOf(s, c, r.roleForCall(s, c)); t != nil {
 			return t
 		}
 		c.onTrial = false
 	}
-	return r.chooseOf(s, c, r.openSide(s))
+	return r.chooseOf(s, c, r.defaultRole(s))
 }
 
 // chooseOf picks a target of a side.
-func (r *Router) chooseOf(s *service, c *call, from side) *target {
+func (r *Router) chooseOf(s *service, c *call, from versionRole) *target {
 	// The set is kept in the router, since a policy's argument would be garbage.
 	set := &r.candidates
-	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != onTrial, fresh: c.tries > 0, side: from}
+	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != onTrial, fresh: c.tries > 0, role: from}
 	if t := set.limitCheckTarget(); t != nil {
 		return t
 	}
@@ -197,7 +197,7 @@
 	if !s.hasActiveTarget(c) && c.route.work != table.Patient {
 		return s.noTargetReason(c, r.now)
 	}
-	if r.openSide(s) == noSide && c.route.work != table.Patient {
+	if r.defaultRole(s) == noRole && c.route.work != table.Patient {
 		return RolloutUnsure
 	}
 	if s.opensTooLate(c, r.now) {
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -43,8 +43,8 @@
 	t.noteColdSend(r.now)
 	e.add(Effect{
 		Kind: Send, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint,
-		Deadline: c.deadline, NotAfter: r.notAfterOf(t), Connections: t.connections, Once: c.route.work == table.Once,
-		PermitUntil: a.permit, Purpose: why, Evidence: evidence, Aim: c.route.aim, LargeAnswer: c.route.largeAnswers,
+		Deadline: c.deadline, NotAfter: r.targetSelectionExpiry(t), Connections: t.connections, AtMostOnce: c.route.work == table.Once,
+		PermitUntil: a.permit, Purpose: why, Selection: evidence, Aim: c.route.aim, LargeAnswer: c.route.largeAnswers,
 		Workspace: c.workspaceName(),
 	})
 	hedged := !hedge && r.hedges(c)
@@ -57,12 +57,12 @@
 }
 
 // evidenceOf is what is known of a target now.
-func (r *Router) evidenceOf(t *target) Evidence {
-	x := Evidence{
+func (r *Router) evidenceOf(t *target) Selection {
+	x := Selection{
 		Load: t.load(r.now), Pace: t.expectedPace(r.now), Slowdown: t.currentSlowdown(r.now), ReadingAge: -1,
 		Revision: r.table.Revision,
 	}
-	if t.reading.Known {
+	if t.reading.HasLoad {
 		x.ReadingAge = r.now.Sub(t.reading.at)
 	}
 	return x
@@ -119,7 +119,7 @@
 	// The shell may no longer hold the request once its answer is passed on.
 	c.identity = nil
 	r.endLimit(a, v.Reading.Limit, e)
-	r.answerBegins(c, a, v.Coming)
+	r.answerBegins(c, a, v.Remaining)
 	a.target.takeReading(r.now, v.Reading)
 	e.add(Effect{Kind: Deliver, Call: v.Call, Owner: c.owner, Attempt: v.Attempt, Endpoint: a.target.endpoint})
 	r.cancelOthers(v.Call, c, a, e)
@@ -268,7 +268,7 @@
 func (r *Router) healthTurned(t *target, e *Effects) {
 	t.service.weigh(r.now)
 	r.sweepBy(t.service, r.now)
-	e.add(Effect{Kind: TargetTurned, Endpoint: t.endpoint, Ejected: t.health.ejected, Failures: t.health.failures})
+	e.add(Effect{Kind: EjectionChanged, Endpoint: t.endpoint, Ejected: t.health.ejected, Failures: t.health.failures})
 }
 
 func (r *Router) streamEnded(v *AttemptEnded, c *call) {
--- a/pkg/core/routing/bench_test.go
+++ b/pkg/core/routing/bench_test.go
@@ -225,7 +225,7 @@
 // BenchmarkCallBesideLimits is a call at a service of which every second target names a limit, with permits
 // that this box grants itself. BenchmarkCall is the same without any limit.
 func BenchmarkCallBesideLimits(b *testing.B) {
-	benchCallsBeside(b, Reading{Limit: SaidLimit{Named: true, Rate: 2}})
+	benchCallsBeside(b, Reading{Limit: ReportedLimit{Present: true, Rate: 2}})
 }
 
 // benchCallsBeside measures calls at a service of which every second target has said something of itself.
--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -284,7 +284,7 @@
 			n++
 		}
 	}
-	return Reading{Known: f.now >= t.downUntil, InFlight: float64(n), Slots: 4, Pace: 1}
+	return Reading{HasLoad: f.now >= t.downUntil, InFlight: float64(n), Slots: 4, Pace: 1}
 }
 
 // call has a request come so often a second, each time of another caller, until a time.
--- a/pkg/core/routing/crash.go
+++ b/pkg/core/routing/crash.go
@@ -83,7 +83,7 @@
 	}
 	t.service.probeBudget.overdraw(1)
 	e.add(Effect{
-		Kind: Probe, PermitUntil: r.usePermit(t), Attempt: crashCheck, Endpoint: t.endpoint, NotAfter: r.notAfterOf(t), Connections: t.connections,
+		Kind: Probe, PermitUntil: r.usePermit(t), Attempt: crashCheck, Endpoint: t.endpoint, NotAfter: r.targetSelectionExpiry(t), Connections: t.connections,
 		ProbePath: t.service.row.ProbePath,
 	})
 }
--- a/pkg/core/routing/crowd_test.go
+++ b/pkg/core/routing/crowd_test.go
@@ -241,7 +241,7 @@
 	if t.dark {
 		return Reading{}
 	}
-	return Reading{Known: true, InFlight: float64(t.running), Slots: 2, Pace: 1}
+	return Reading{HasLoad: true, InFlight: float64(t.running), Slots: 2, Pace: 1}
 }
 
 // comeBack has a refused caller try once more, when it was told to but within a third of the
--- a/pkg/core/routing/events.go
+++ b/pkg/core/routing/events.go
@@ -82,9 +82,9 @@
 	Attempt  AttemptNumber
 	Endpoint *Endpoint
 	Reading  Reading
-	// Coming is how many bytes of the body are still to come; negative when the answer
+	// Remaining is how many bytes of the body are still to come; negative when the answer
 	// doesn't say how long it is.
-	Coming int
+	Remaining int
 }
 
 // ProbeEnded says how a probe ended.
@@ -106,8 +106,8 @@
 	Misdirected bool
 }
 
-// PeerMessage is a message from another box.
-type PeerMessage struct {
+// PeerLoan is a message from another box.
+type PeerLoan struct {
 	From    units.BoxID
 	Message LoanMessage
 }
@@ -122,7 +122,7 @@
 func (*AttemptEnded) routingEvent()   {}
 func (*AttemptStarted) routingEvent() {}
 func (*ProbeEnded) routingEvent()     {}
-func (*PeerMessage) routingEvent()    {}
+func (*PeerLoan) routingEvent()    {}
 
 // AttemptResult says how a send ended.
 type AttemptResult uint8
@@ -158,8 +158,8 @@
 
 // Reading is what a target says of itself in an answer.
 type Reading struct {
-	// Known is set where the answer reports the target's load: InFlight, Slots and Pace.
-	Known bool
+	// HasLoad is set where the answer reports the target's load: InFlight, Slots and Pace.
+	HasLoad bool
 	// InFlight is the number of calls that the target said it had.
 	InFlight float64
 	// Slots is how many calls it works on at a time; zero when it didn't say.
@@ -173,13 +173,13 @@
 	// Leaving is set when the target says that it is about to end.
 	Leaving bool
 	// Limit is what the target says of the calls that it takes from all boxes together.
-	Limit SaidLimit
+	Limit ReportedLimit
 }
 
-// SaidLimit is what one answer says of a target's limit: that it names one, by Rate, or that it
+// ReportedLimit is what one answer says of a target's limit: that it names one, by Rate, or that it
 // names something that can't be read, or nothing.
-type SaidLimit struct {
-	Named, Unread bool
+type ReportedLimit struct {
+	Present, Malformed bool
 	Rate          units.CallRate
 }
 
@@ -210,8 +210,8 @@
 	RestBegins, LeaveBegins, LimitBegins, LimitEnds bool
 }
 
-// Evidence is what a choice of a target rested on.
-type Evidence struct {
+// Selection is what a choice of a target rested on.
+type Selection struct {
 	// Load is how many calls the target seemed to have, Pace how long work seemed to
 	// take there over the usual, Slowdown how much longer than elsewhere calls took.
 	Load, Pace, Slowdown float64
@@ -239,32 +239,32 @@
 	Cancel
 	// Probe Endpoint.
 	Probe
-	// TargetTurned tells that Endpoint has been taken out of the common path, or has
+	// EjectionChanged tells that Endpoint has been taken out of the common path, or has
 	// come back; it is for the log.
-	TargetTurned
+	EjectionChanged
 	// ServiceHangs tells that targets of Endpoint's service are found not to answer calls that
 	// they can't queue; it is for the log.
 	ServiceHangs
 	// TargetCrashed tells that the process at Endpoint has ended under the calls that Crash
 	// names; it is for the log.
 	TargetCrashed
-	// CallBlamed tells that the box keeps a call from targets by its own verdict; it is for the
+	// CallQuarantined tells that the box keeps a call from targets by its own verdict; it is for the
 	// log.
-	CallBlamed
+	CallQuarantined
 	// TargetNotice tells what the target at Endpoint wants by Notice: nothing that hasn't been sent
 	// yet may be sent there until then.
 	TargetNotice
-	// SendPeer sends Loan to the box Peer.
-	SendPeer
+	// SendLoan sends Loan to the box Peer.
+	SendLoan
 	// SendLimit sends Limit to the box Peer.
 	SendLimit
 	// SendQuota sends Quota to the box Peer.
 	SendQuota
 	// SendCanaryMessage sends Canary to the box Peer.
 	SendCanaryMessage
-	// ExposureTurned tells that the box's exposure to a new version began or ended, by Turn;
+	// ExposureSwitched tells that the box's exposure to a new version began or ended, by Turn;
 	// it is for the log.
-	ExposureTurned
+	ExposureSwitched
 	// RegionUnknown tells that the region of Endpoint's failure domain isn't known; it is for
 	// the log, once for each domain.
 	RegionUnknown
@@ -287,8 +287,8 @@
 	// Connections is how many connections this box may have to the endpoint; zero
 	// means no limit.
 	Connections int
-	// Once is set for a Send of work that must not run twice.
-	Once bool
+	// AtMostOnce is set for a Send of work that must not run twice.
+	AtMostOnce bool
 	// Workspace is the one whose key let a call in that is sent or refused; empty for none.
 	Workspace units.WorkspaceName
 	// Aim is the aim of the call's route, zero for none; LargeAnswer is set where the route's
@@ -303,14 +303,14 @@
 	Failures int
 	// Purpose says what a Send is for, Evidence what was known of its target.
 	Purpose  Purpose
-	Evidence Evidence
+	Selection Selection
 	Refusal  Refusal
 	Peer     units.BoxID
 	Loan     LoanMessage
 	Limit    *LimitMessage
 	Quota    *QuotaMessage
 	Canary   *CanaryMessage
-	Turn     *ExposureTurn
+	ExposureSwitch     *ExposureSwitch
 	Crash    *crash.Note
 	Verdict  *crash.Verdict
 	Notice   *Notice
--- a/pkg/core/routing/evidence.go
+++ b/pkg/core/routing/evidence.go
@@ -74,7 +74,7 @@
 	case result == Answered:
 		v.evidence.of(v.isNew(t), c.route.host, c.route.prefix).addGood(took)
 		if v.isNew(t) {
-			r.noteNewAnswer(v, false, e)
+			r.recordNewVersionAnswer(v, false, e)
 		}
 	case result == Broken && !r.mayRepeat(c):
 		// A suspect breaks off whatever the version.
@@ -87,7 +87,7 @@
 func (r *Router) noteBad(v *rolloutState, c *call, t *target, e *Effects) {
 	v.evidence.of(v.isNew(t), c.route.host, c.route.prefix).bad++
 	if v.isNew(t) {
-		r.noteNewAnswer(v, true, e)
+		r.recordNewVersionAnswer(v, true, e)
 	}
 }
 
--- a/pkg/core/routing/evidence_test.go
+++ b/pkg/core/routing/evidence_test.go
@@ -29,13 +29,13 @@
 func TestLotKeepsToItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		l := newLot(random)
+		l := newTrialSampler(random)
 		want, got := 0.0, 0.0
 		for range rapid.IntRange(1, 5).Draw(t, "shares") {
 			share := rapid.Float64Range(0, 0.5).Draw(t, "share")
 			for range 200 {
 				want += share
-				if l.draw(share, random) {
+				if l.sample(share, random) {
 					got++
 				}
 				if math.Abs(got-want) > 1+1e-9 && got > want {
--- a/pkg/core/routing/expectation.go
+++ b/pkg/core/routing/expectation.go
@@ -186,7 +186,7 @@
 
 // expectedPace is how long work is expected to take there, over the usual.
 func (t *target) expectedPace(now units.Instant) float64 {
-	if !t.reading.Known || t.reading.Pace == 0 {
+	if !t.reading.HasLoad || t.reading.Pace == 0 {
 		return usualPace
 	}
 	left := remaining(now.Sub(t.reading.at), paceMemory)
--- a/pkg/core/routing/exposure.go
+++ b/pkg/core/routing/exposure.go
@@ -16,33 +16,33 @@
 func (*ExposuresChanged) routingEvent() {}
 
 const (
-	// ownStopAnswers is how many bad answers of a new version end a box's own exposure, if
+	// localStopFailures is how many bad answers of a new version end a box's own exposure, if
 	// they are at least ownStopPart of that version's answers. Hardly any good version has
 	// as many, and a version that fails most calls is stopped in a few of them, without a
 	// leader. Fewer may be one target's or link's fault.
-	ownStopAnswers = 3
-	ownStopPart    = 0.25
-	// ownStopMemory is after how many answers earlier ones count for half, so that a version
+	localStopFailures = 3
+	localStopFailureRatio    = 0.25
+	// localStopWindow is after how many answers earlier ones count for half, so that a version
 	// which turns bad late is stopped as soon as one that is bad at once.
-	ownStopMemory = 16
-	// ownStopTime is how long such a box sends the new version nothing. The leader, who gets
+	localStopWindow = 16
+	// localStopDuration is how long such a box sends the new version nothing. The leader, who gets
 	// the evidence of all boxes meanwhile, has decided by then in most cases: it hears from
 	// each box 2 to 3 times a second.
-	ownStopTime = time.Second
-	// shiftPause is how long a box sends nothing to a new version that has taken over all
+	localStopDuration = time.Second
+	// shiftedStopDuration is how long a box sends nothing to a new version that has taken over all
 	// calls, after bad answers, until it goes on with a grant that the leader gave knowing of
 	// them. Its calls are refused meanwhile, so the pause is short. Without it a version that
 	// turned bad during the shift got 576 of 4,034 calls, where a tenth and 50 are allowed by
 	// default, although it was rolled back after 0.6 s.
-	shiftPause = 200 * time.Millisecond
-	// urgentPause is the time between two requests for a lease that bad answers bring about: a
+	shiftedStopDuration = 200 * time.Millisecond
+	// urgentRenewalInterval is the time between two requests for a lease that bad answers bring about: a
 	// box with a hundred bad answers a second must not crowd the leader, which hears from it
 	// 2 to 3 times a second anyway.
-	urgentPause = 200 * time.Millisecond
+	urgentRenewalInterval = 200 * time.Millisecond
 )
 
-// takeExposures takes what the newest grant says.
-func (r *Router) takeExposures(list []rollout.Exposure, e *Effects) {
+// updateExposures takes what the newest grant says.
+func (r *Router) updateExposures(list []rollout.Exposure, e *Effects) {
 	r.exposures = list
 	for _, v := range r.rollouts {
 		was := v.exposed(r.now)
@@ -50,7 +50,7 @@
 		if v.service.rollout != v || was == v.exposed(r.now) {
 			continue
 		}
-		e.add(Effect{Kind: ExposureTurned, Turn: v.turn(!was, false)})
+		e.add(Effect{Kind: ExposureSwitched, ExposureSwitch: v.describeSwitch(!was, false)})
 		r.freed = append(r.freed, v.service)
 	}
 }
@@ -86,59 +86,59 @@
 	case v.stop.at == 0:
 		return false
 	case v.record.Stage == table.RolloutShifted:
-		return v.exposure.Asked < v.stop.at || now < v.stop.at.Add(shiftPause)
+		return v.exposure.Asked < v.stop.at || now < v.stop.at.Add(shiftedStopDuration)
 	}
-	return v.exposure.Asked < v.stop.at.Add(ownStopTime)
+	return v.exposure.Asked < v.stop.at.Add(localStopDuration)
 }
 
-// draw decides by lot whether a new call goes to the new version.
-func (r *Router) draw(s *service) bool {
+// selectForTrial decides by lot whether a new call goes to the new version.
+func (r *Router) selectForTrial(s *service) bool {
 	v := s.rollout
 	if v == nil || v.record.Stage != table.RolloutTrial || !v.exposed(r.now) {
 		return false
 	}
-	return v.lot.draw(v.exposure.Share.Of(1), r.random)
+	return v.sampler.sample(v.exposure.Share.Of(1), r.random)
 }
 
-// lot chooses a part of the calls: one at random of each run of as many as the part allows.
+// trialSampler chooses a part of the calls: one at random of each run of as many as the part allows.
 // Each box is off by one call at the most. Were each call drawn alone, many boxes would together
 // be off by the square root of the number of calls chosen.
-type lot struct {
-	// passed is how much of the present run has passed, chosen where in it the chosen call
+type trialSampler struct {
+	// position is how much of the present run has position, selected where in it the selected call
 	// lies.
-	passed, chosen float64
+	position, selected float64
 }
 
-func newLot(random *rand.Rand) lot { return lot{chosen: random.Float64()} }
-
-// draw tells whether the next call is chosen, given the share of the calls that is.
-func (l *lot) draw(share float64, random *rand.Rand) bool {
-	before := l.passed
-	l.passed += share
-	hit := before <= l.chosen && l.chosen < l.passed
-	if l.passed >= 1 {
-		l.passed--
-		l.chosen = random.Float64()
-		hit = hit || l.chosen < l.passed
+func newTrialSampler(random *rand.Rand) trialSampler { return trialSampler{selected: random.Float64()} }
+
+// sample tells whether the next call is chosen, given the share of the calls that is.
+func (l *trialSampler) sample(share float64, random *rand.Rand) bool {
+	before := l.position
+	l.position += share
+	hit := before <= l.selected && l.selected < l.position
+	if l.position >= 1 {
+		l.position--
+		l.selected = random.Float64()
+		hit = hit || l.selected < l.position
 	}
 	return hit
 }
 
-// ownStop is a box's own end of its exposure.
-type ownStop struct {
+// localStop is a box's own end of its exposure.
+type localStop struct {
 	// good and bad count the new version's last answers.
 	good, bad int
 	// at is when the exposure was ended; zero for not.
 	at units.Instant
 }
 
-// noteNewAnswer takes an answer of the new version. After several bad ones the leader gets
+// recordNewVersionAnswer takes an answer of the new version. After several bad ones the leader gets
 // the evidence at once, and the box's exposure ends for a while.
-func (r *Router) noteNewAnswer(v *rolloutState, bad bool, e *Effects) {
+func (r *Router) recordNewVersionAnswer(v *rolloutState, bad bool, e *Effects) {
 	if v.stop.at != 0 && !v.stopped(r.now) {
-		v.stop = ownStop{}
+		v.stop = localStop{}
 	}
-	if v.stop.good+v.stop.bad >= ownStopMemory {
+	if v.stop.good+v.stop.bad >= localStopWindow {
 		v.stop.good /= 2
 		v.stop.bad /= 2
 	}
@@ -147,34 +147,34 @@
 		return
 	}
 	v.stop.bad++
-	if v.stop.at != 0 || v.stop.bad < ownStopAnswers || float64(v.stop.bad) < ownStopPart*float64(v.stop.good+v.stop.bad) {
+	if v.stop.at != 0 || v.stop.bad < localStopFailures || float64(v.stop.bad) < localStopFailureRatio*float64(v.stop.good+v.stop.bad) {
 		return
 	}
-	if v.urgentAt == 0 || r.now.Sub(v.urgentAt) >= urgentPause {
-		v.urgentAt = r.now
+	if v.urgentRenewalAt == 0 || r.now.Sub(v.urgentRenewalAt) >= urgentRenewalInterval {
+		v.urgentRenewalAt = r.now
 		r.evidenceDue = true
 	}
 	v.stop.at = r.now
-	e.add(Effect{Kind: ExposureTurned, Turn: v.turn(false, true)})
+	e.add(Effect{Kind: ExposureSwitched, ExposureSwitch: v.describeSwitch(false, true)})
 }
 
-// ExposureTurn is what the log says when a box's exposure begins or ends.
-type ExposureTurn struct {
+// ExposureSwitch is what the log says when a box's exposure begins or ends.
+type ExposureSwitch struct {
 	Service  units.ServiceName
 	Software units.Software
 	Order    units.Revision
 	Share    units.Percent
-	// On is set where it begins. Stopped is set where the box ended it by itself, after
+	// Active is set where it begins. Stopped is set where the box ended it by itself, after
 	// Bad of the new version's last Bad+Good answers.
-	On, Stopped bool
+	Active, Stopped bool
 	Good, Bad   int
 }
 
-// turn describes for the log that the exposure begins or ends.
-func (v *rolloutState) turn(on, stopped bool) *ExposureTurn {
-	return &ExposureTurn{
+// describeSwitch describes for the log that the exposure begins or ends.
+func (v *rolloutState) describeSwitch(on, stopped bool) *ExposureSwitch {
+	return &ExposureSwitch{
 		Service: v.record.Service, Software: v.record.To, Order: v.record.Order, Share: v.exposure.Share,
-		On: on, Stopped: stopped, Good: v.stop.good, Bad: v.stop.bad,
+		Active: on, Stopped: stopped, Good: v.stop.good, Bad: v.stop.bad,
 	}
 }
 
--- a/pkg/core/routing/health.go
+++ b/pkg/core/routing/health.go
@@ -57,7 +57,7 @@
 
 // knownRoom tells whether the target is known to have had a slot free a moment ago.
 func (t *target) knownRoom(now units.Instant) bool {
-	return t.reading.Known && now.Sub(t.reading.at) < loadMemory && t.load(now) < t.slots()
+	return t.reading.HasLoad && now.Sub(t.reading.at) < loadMemory && t.load(now) < t.slots()
 }
 
 // failed notes a failed call; it returns true when the target was ejected by it.
--- a/pkg/core/routing/inbound_test.go
+++ b/pkg/core/routing/inbound_test.go
@@ -100,7 +100,7 @@
 				w.pass(t, time.Duration(rapid.IntRange(1, 200).Draw(t, "ms"))*time.Millisecond)
 			case kind == 3:
 				a := w.draw(t)
-				w.give(t, &AttemptStarted{Call: a.call, Attempt: a.number, Coming: rapid.IntRange(-1, 540_000).Draw(t, "coming")})
+				w.give(t, &AttemptStarted{Call: a.call, Attempt: a.number, Remaining: rapid.IntRange(-1, 540_000).Draw(t, "coming")})
 			case kind == 4:
 				a := w.draw(t)
 				result := AttemptResult(rapid.IntRange(int(Answered), int(Canceled)).Draw(t, "result"))
--- a/pkg/core/routing/limit_fleet_test.go
+++ b/pkg/core/routing/limit_fleet_test.go
@@ -335,11 +335,11 @@
 
 // answer is what the target says of itself, which a box is thereby told.
 func (t *limitTarget) answer(f *limitFleet, b *limitBox) Reading {
-	r := Reading{Known: true, InFlight: 1, Slots: 6, Pace: 1}
+	r := Reading{HasLoad: true, InFlight: 1, Slots: 6, Pace: 1}
 	if !t.limited {
 		return r
 	}
-	r.Limit = SaidLimit{Named: true, Rate: units.CallRate(t.rate)}
+	r.Limit = ReportedLimit{Present: true, Rate: units.CallRate(t.rate)}
 	if _, told := t.told[b]; !told {
 		t.told[b] = f.now
 	}
--- a/pkg/core/routing/loans.go
+++ b/pkg/core/routing/loans.go
@@ -127,7 +127,7 @@
 	if s := r.services[m.Service]; s != nil {
 		m.SpareSlots = s.spareSlots(r.now)
 	}
-	e.add(Effect{Kind: SendPeer, Peer: to, Loan: m})
+	e.add(Effect{Kind: SendLoan, Peer: to, Loan: m})
 }
 
 func (r *Router) receiveLoan(from units.BoxID, m LoanMessage, e *Effects) {
--- a/pkg/core/routing/namedlimit.go
+++ b/pkg/core/routing/namedlimit.go
@@ -65,9 +65,9 @@
 // endLimit takes a good answer that names no limit. It ends one only if its call was sent once the newest word was
 // known, and after this box last heard of the limit: an answer that was on its way then says nothing. The
 // coordinator tells the other boxes when they ask.
-func (r *Router) endLimit(a *attempt, said SaidLimit, e *Effects) {
+func (r *Router) endLimit(a *attempt, said ReportedLimit, e *Effects) {
 	t := a.target
-	if said.Named || said.Unread || !t.notice.limited() {
+	if said.Present || said.Malformed || !t.notice.limited() {
 		return
 	}
 	x := t.notice.limit
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -89,7 +89,7 @@
 // misdirected answer comes from another target at the address. base is which word on the target's limit was
 // known as the call was sent.
 func (r *Router) hear(x *Endpoint, said Reading, misdirected bool, base uint64, e *Effects) {
-	if x == nil || said.Rest <= 0 && !said.Leaving && !said.Limit.Named {
+	if x == nil || said.Rest <= 0 && !said.Leaving && !said.Limit.Present {
 		return
 	}
 	o := x.origin()
@@ -127,7 +127,7 @@
 // takeNotice keeps what a start of a target said, and has it bind all targets that are this start.
 func (r *Router) takeNotice(o origin, x *Endpoint, said Reading, base uint64, e *Effects) {
 	n := r.noticeOf(o)
-	if said.Limit.Named {
+	if said.Limit.Present {
 		r.nameLimit(n, x, said.Limit.Rate, base, e)
 	}
 	restBegins := said.Rest > 0 && !n.rests(r.now)
--- a/pkg/core/routing/notice_random_test.go
+++ b/pkg/core/routing/notice_random_test.go
@@ -115,7 +115,7 @@
 
 // words draws what an answer says, and notes that the box will have heard it.
 func (x *talkers) words(e *Endpoint) Reading {
-	r := Reading{Known: true, InFlight: float64(rapid.IntRange(0, 4).Draw(x.T, "load")), Slots: 3, Pace: 1}
+	r := Reading{HasLoad: true, InFlight: float64(rapid.IntRange(0, 4).Draw(x.T, "load")), Slots: 3, Pace: 1}
 	switch rapid.IntRange(0, 5).Draw(x.T, "words") {
 	case 0:
 		r.Rest = time.Duration(rapid.IntRange(1, 3000).Draw(x.T, "rest")) * time.Millisecond
@@ -160,7 +160,7 @@
 
 func (x *talkers) begin(t *rapid.T) {
 	s := takeOut(t, &x.sends)
-	x.give(&AttemptStarted{Call: s.Call, Attempt: s.Attempt, Endpoint: s.Endpoint, Reading: x.words(s.Endpoint), Coming: -1})
+	x.give(&AttemptStarted{Call: s.Call, Attempt: s.Attempt, Endpoint: s.Endpoint, Reading: x.words(s.Endpoint), Remaining: -1})
 	x.sends = append(x.sends, s)
 }
 
--- a/pkg/core/routing/outlook.go
+++ b/pkg/core/routing/outlook.go
@@ -77,7 +77,7 @@
 // doubt is by how much the cost of a target rises that nothing recent is known of, for what
 // its failure domain's other targets were like.
 func (t *target) doubt(now units.Instant) float64 {
-	if t.outlook == nil || t.reading.Known && now.Sub(t.reading.at) < loadMemory {
+	if t.outlook == nil || t.reading.HasLoad && now.Sub(t.reading.at) < loadMemory {
 		return 1
 	}
 	return 1 / t.outlook.part(now)
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -84,7 +84,7 @@
 
 // noteReport notes whether an answer carried a load report.
 func (s *service) noteReport(x Reading) {
-	if x.Known {
+	if x.HasLoad {
 		s.unreported = 0
 		return
 	}
@@ -124,7 +124,7 @@
 func (r *Router) probe(id CallID, c *call, t *target, number AttemptNumber, e *Effects) {
 	t.noteProbeSent(r.now)
 	e.add(Effect{
-		Kind: Probe, PermitUntil: r.usePermit(t), Call: id, Owner: c.owner, Attempt: number, Endpoint: t.endpoint, NotAfter: r.notAfterOf(t),
+		Kind: Probe, PermitUntil: r.usePermit(t), Call: id, Owner: c.owner, Attempt: number, Endpoint: t.endpoint, NotAfter: r.targetSelectionExpiry(t),
 		Connections: t.connections, ProbePath: c.service.row.ProbePath,
 	})
 }
@@ -151,10 +151,10 @@
 // the answer of one that was probed a moment ago serves all calls. The slice is used again
 // by the next call.
 func (r *Router) bestTargets(c *call, n int) []*target {
-	from := r.callSide(c.service, c)
+	from := r.roleForCall(c.service, c)
 	set := candidates{
 		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c) && from != onTrial, fresh: c.tries > 0,
-		side: from,
+		role: from,
 	}
 	r.best = r.best[:0]
 	// Targets of the same cost come up in a random order, so that the boxes don't all probe
@@ -265,7 +265,7 @@
 // that is late takes a nearly full target that is known rather than wait for a better one.
 func (r *Router) bestSuitable(c *call) *target {
 	set := candidates{
-		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c), fresh: true, side: r.callSide(c.service, c),
+		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c), fresh: true, role: r.roleForCall(c.service, c),
 	}
 	var best *target
 	for i, t := range c.service.targets {
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -44,7 +44,7 @@
 	}
 	t.probing = true
 	t.probesSent++
-	e.add(Effect{Kind: Probe, PermitUntil: r.usePermit(t), Endpoint: t.endpoint, NotAfter: r.notAfter(), Connections: t.connections})
+	e.add(Effect{Kind: Probe, PermitUntil: r.usePermit(t), Endpoint: t.endpoint, NotAfter: r.selectionExpiry(), Connections: t.connections})
 }
 
 func (r *Router) probeEnded(v *ProbeEnded, e *Effects) {
--- a/pkg/core/routing/quarantine.go
+++ b/pkg/core/routing/quarantine.go
@@ -262,7 +262,7 @@
 	}
 	for _, v := range b.ledger.Judge(r.now) {
 		b.own = append(b.own, ownVerdict{call: v.Fingerprint, until: r.now.Add(ownQuarantine)})
-		e.add(Effect{Kind: CallBlamed, Verdict: &v})
+		e.add(Effect{Kind: CallQuarantined, Verdict: &v})
 	}
 	r.applyQuarantines(e)
 }
--- a/pkg/core/routing/reading.go
+++ b/pkg/core/routing/reading.go
@@ -23,7 +23,7 @@
 )
 
 func (r *reading) take(now units.Instant, x Reading) {
-	if !x.Known {
+	if !x.HasLoad {
 		return
 	}
 	r.Reading = x
@@ -33,7 +33,7 @@
 
 // takeReading takes a target's load report.
 func (t *target) takeReading(now units.Instant, x Reading) {
-	if x.Known {
+	if x.HasLoad {
 		t.sentSince = 0
 	}
 	t.reading.take(now, x)
@@ -44,7 +44,7 @@
 
 // estimate returns how many calls of other boxes the target seems to have.
 func (r *reading) estimate(now units.Instant, own int) float64 {
-	if !r.Known {
+	if !r.HasLoad {
 		return 0
 	}
 	return max(0, r.InFlight-float64(own)) * freshness(now.Sub(r.at), readingAge) * r.trust
--- a/pkg/core/routing/regions_test.go
+++ b/pkg/core/routing/regions_test.go
@@ -144,7 +144,7 @@
 }
 
 func (f *regionFleet) reading(x *Endpoint, known bool) Reading {
-	return Reading{Known: known, InFlight: float64(f.load[x.Target]), Slots: fleetSlots, Pace: 1}
+	return Reading{HasLoad: known, InFlight: float64(f.load[x.Target]), Slots: fleetSlots, Pace: 1}
 }
 
 func (f *regionFleet) send(d units.Domain, x Effect) {
--- a/pkg/core/routing/rollout.go
+++ b/pkg/core/routing/rollout.go
@@ -13,20 +13,20 @@
 // by lot, to a few targets, then all of them. A box sends calls to the new version only
 // while it holds a fresh exposure, so that a box without a link to the leader stops by itself.
 
-// side says which calls a target takes, by the version of its software.
-type side uint8
+// versionRole says which calls a target takes, by the version of its software.
+type versionRole uint8
 
 const (
 	// inForce takes the service's calls.
-	inForce side = iota
+	inForce versionRole = iota
 	// onTrial takes the part of the calls that a trial sends to the new version.
 	onTrial
 	// replaced took the calls until a rollout shifted them.
 	replaced
 	// closed takes no calls.
 	closed
-	// noSide is that of no target.
-	noSide
+	// noRole is that of no target.
+	noRole
 )
 
 // rolloutState is what a box keeps of a rollout of a service while that is under way.
@@ -35,16 +35,16 @@
 	record  *table.Rollout
 	// exposure is what the newest grant says of the service; zero for nothing.
 	exposure rollout.Exposure
-	lot      lot
-	stop     ownStop
-	// urgentAt is when bad answers last brought about a request for a lease.
-	urgentAt units.Instant
+	sampler      trialSampler
+	stop     localStop
+	// urgentRenewalAt is when bad answers last brought about a request for a lease.
+	urgentRenewalAt units.Instant
 	evidence evidence
 }
 
-// sideOf says which calls a row's target takes, given the version in force and the service's
+// versionRoleOf says which calls a row's target takes, given the version in force and the service's
 // last rollout, which may be nil.
-func sideOf(row *table.Row, current units.Software, x *table.Rollout) side {
+func versionRoleOf(row *table.Row, current units.Software, x *table.Rollout) versionRole {
 	isOld := current == "" || row.Software == current
 	isNew := x != nil && row.Software == x.To && row.Software != current
 	switch {
@@ -70,18 +70,18 @@
 	return !slices.Equal(before.InForce, after.InForce) || !slices.EqualFunc(before.Rollouts, after.Rollouts, same)
 }
 
-// markVersions applies to a service's targets what the table says of versions.
-func (r *Router) markVersions(s *service) {
+// updateVersionRoles applies to a service's targets what the table says of versions.
+func (r *Router) updateVersionRoles(s *service) {
 	record := r.table.Rollout(s.row.Name)
 	current := r.table.SoftwareInForce(s.row.Name)
-	r.followRollout(s, record)
+	r.updateRollout(s, record)
 	for _, t := range s.targets {
-		t.side = sideOf(&t.row, current, record)
+		t.side = versionRoleOf(&t.row, current, record)
 	}
 }
 
-// followRollout begins, goes on with or ends what is kept of a service's rollout.
-func (r *Router) followRollout(s *service, record *table.Rollout) {
+// updateRollout begins, goes on with or ends what is kept of a service's rollout.
+func (r *Router) updateRollout(s *service, record *table.Rollout) {
 	v := s.rollout
 	if v != nil && (!record.Active() || v.record.Order != record.Order) {
 		s.rollout = nil
@@ -104,7 +104,7 @@
 			return v
 		}
 	}
-	v := &rolloutState{service: s, record: record, lot: newLot(r.random)}
+	v := &rolloutState{service: s, record: record, sampler: newTrialSampler(r.random)}
 	v.exposure = r.exposureFor(record.Service)
 	r.rollouts = append(r.rollouts, v)
 	return v
@@ -116,13 +116,13 @@
 	return !record.Active() || record.Order != v.record.Order
 }
 
-// openSide is the side whose targets take a service's calls that no lot sends elsewhere.
+// defaultRole is the side whose targets take a service's calls that no lot sends elsewhere.
 //
 // Once a rollout has shifted them a box without a fresh exposure knows neither whether the
 // new version was rolled back nor whether the old targets still run: it sends to neither. A
 // box that serves without a lease, by its settings, takes the old ones: they were good when
 // its link failed. One that has just started waits for its first grant.
-func (r *Router) openSide(s *service) side {
+func (r *Router) defaultRole(s *service) versionRole {
 	v := s.rollout
 	if v == nil || v.record.Stage != table.RolloutShifted || v.exposed(r.now) {
 		return inForce
@@ -130,24 +130,24 @@
 	if r.settings.ServeStale && r.leaseUntil != 0 && r.now >= r.leaseUntil {
 		return replaced
 	}
-	return noSide
+	return noRole
 }
 
-// callSide is the side that a call is tried at first.
-func (r *Router) callSide(s *service, c *call) side {
+// roleForCall is the side that a call is tried at first.
+func (r *Router) roleForCall(s *service, c *call) versionRole {
 	if c.onTrial && s.rollout != nil && s.rollout.exposed(r.now) {
 		return onTrial
 	}
-	return r.openSide(s)
+	return r.defaultRole(s)
 }
 
-// notAfterOf returns when a choice of a target made now may be out of date.
-func (r *Router) notAfterOf(t *target) units.Instant {
+// targetSelectionExpiry returns when a choice of a target made now may be out of date.
+func (r *Router) targetSelectionExpiry(t *target) units.Instant {
 	v := t.service.rollout
 	if v == nil || t.row.Software != v.record.To {
-		return r.notAfter()
+		return r.selectionExpiry()
 	}
-	return min(r.notAfter(), v.exposure.Until)
+	return min(r.selectionExpiry(), v.exposure.Until)
 }
 
 // hasOtherVersions tells whether targets of the service take no calls for their version alone.
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -206,12 +206,12 @@
 		r.resetStaleHolder()
 		r.leaseUntil, r.leasedAt = v.Until, v.At
 	case *ExposuresChanged:
-		r.takeExposures(v.Exposures, e)
+		r.updateExposures(v.Exposures, e)
 	case *WatchedChanged:
 		r.takeWatched(v, e)
 	case *ProbeEnded:
 		r.probeEnded(v, e)
-	case *PeerMessage:
+	case *PeerLoan:
 		r.receiveLoan(v.From, v.Message, e)
 	case *PeerLimit:
 		r.receiveLimit(v.From, v.Message, e)
@@ -314,8 +314,8 @@
 	return r.settings.ServeStale || r.now < r.leaseUntil
 }
 
-// notAfter returns when a choice made now may be out of date.
-func (r *Router) notAfter() units.Instant {
+// selectionExpiry returns when a choice made now may be out of date.
+func (r *Router) selectionExpiry() units.Instant {
 	if r.settings.ServeStale {
 		return r.now.Add(r.settings.MaxDeadline)
 	}
--- a/pkg/core/routing/script_notice_test.go
+++ b/pkg/core/routing/script_notice_test.go
@@ -15,9 +15,9 @@
 func (s *script) setNotice(d *datadriven.TestData, x *Reading) {
 	x.Rest = s.duration(d, "rest")
 	x.Leaving = d.HasArg("leaving")
-	x.Limit.Unread = d.HasArg("unread-limit")
+	x.Limit.Malformed = d.HasArg("unread-limit")
 	if d.HasArg("limit") {
-		x.Limit.Named, x.Limit.Rate = true, s.rate(d, "limit")
+		x.Limit.Present, x.Limit.Rate = true, s.rate(d, "limit")
 	}
 }
 
--- a/pkg/core/routing/script_rollout_test.go
+++ b/pkg/core/routing/script_rollout_test.go
@@ -76,10 +76,10 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-func describeTurn(x *ExposureTurn) string {
+func describeTurn(x *ExposureSwitch) string {
 	word := "ended"
 	switch {
-	case x.On:
+	case x.Active:
 		word = "began"
 	case x.Stopped:
 		word = fmt.Sprintf("stopped after %d bad of %d", x.Bad, x.Bad+x.Good)
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -147,21 +147,21 @@
 		s.calls[name] = x.Call
 		s.lastProbe[name] = x
 		return fmt.Sprintf("probe %s for %s", x.Endpoint.Target, name)
-	case TargetTurned:
+	case EjectionChanged:
 		return ""
-	case ExposureTurned:
-		return describeTurn(x.Turn)
+	case ExposureSwitched:
+		return describeTurn(x.ExposureSwitch)
 	case RegionUnknown:
 		return "the region of " + string(x.Endpoint.Domain) + " isn't known"
 	case ServiceHangs:
 		return fmt.Sprintf("%s hangs, by %d unanswered calls", x.Endpoint.Service, x.Failures)
 	case TargetCrashed:
 		return fmt.Sprintf("%s crashed under %s", x.Endpoint.Target, describeSuspects(x.Crash))
-	case CallBlamed:
+	case CallQuarantined:
 		return fmt.Sprintf("%.8s is to blame for %v", x.Verdict.Fingerprint, x.Verdict.Targets)
 	case TargetNotice:
 		return s.describeNotice(x)
-	case SendPeer:
+	case SendLoan:
 		return fmt.Sprintf("tell %s: %s", x.Peer, describeLoan(x.Loan))
 	case SendQuota:
 		return fmt.Sprintf("tell %s: %s", x.Peer, describeQuota(x.Quota))
@@ -406,7 +406,7 @@
 	if err != nil {
 		d.Fatalf(s.t, "%v", err)
 	}
-	s.giveProbeEnded(d, ProbeEnded{Healthy: true, Reading: Reading{Known: true, InFlight: float64(load), Slots: 3, Pace: x, Cold: s.duration(d, "cold")}})
+	s.giveProbeEnded(d, ProbeEnded{Healthy: true, Reading: Reading{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: x, Cold: s.duration(d, "cold")}})
 }
 
 // end-probe CALL TARGET how=unreachable|misdirected|healthy [rest=D] [leaving] ends a call's probe without a load
@@ -459,7 +459,7 @@
 	if d.HasArg("load") {
 		var load int
 		d.ScanArgs(s.t, "load", &load)
-		v.Reading = Reading{Known: true, InFlight: float64(load), Slots: 3, Pace: 1}
+		v.Reading = Reading{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: 1}
 	}
 	v.Refused = d.HasArg("refused")
 	v.Endpoint = s.sent[d.CmdArgs[0].Key][v.Attempt]
@@ -472,7 +472,7 @@
 	var n, coming int
 	d.ScanArgs(s.t, "attempt", &n)
 	d.MaybeScanArgs(s.t, "coming", &coming)
-	v := &AttemptStarted{Call: s.calls[d.CmdArgs[0].Key], Attempt: AttemptNumber(n), Coming: coming}
+	v := &AttemptStarted{Call: s.calls[d.CmdArgs[0].Key], Attempt: AttemptNumber(n), Remaining: coming}
 	v.Endpoint = s.sent[d.CmdArgs[0].Key][v.Attempt]
 	s.setNotice(d, &v.Reading)
 	s.give(v)
@@ -514,7 +514,7 @@
 	if d.HasArg("term") {
 		m.Term = s.duration(d, "term")
 	}
-	s.give(&PeerMessage{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
+	s.give(&PeerLoan{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
 }
 
 // probed TARGET healthy=true|false [answered] [refused] [rest=D] [leaving]
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -187,8 +187,8 @@
 	anyHealth bool
 	// fresh leaves out the targets that the call has been sent to.
 	fresh bool
-	// side is that of the targets to choose from.
-	side side
+	// role is that of the targets to choose from.
+	role versionRole
 }
 
 func (c *candidates) Len() int                     { return len(c.service.targets) }
@@ -203,13 +203,13 @@
 
 func (c *candidates) Available(i int) bool {
 	t := c.service.targets[i]
-	return t.side == c.side && t.takesWork(c.now, c.anyHealth) && !c.excluded(t)
+	return t.side == c.role && t.takesWork(c.now, c.anyHealth) && !c.excluded(t)
 }
 
 // onlyInDoubt tells whether a target would be available if a probe showed it warm.
 func (c *candidates) onlyInDoubt(i int) bool {
 	t := c.service.targets[i]
-	return t.side == c.side && t.inDoubt(c.now) && !t.lacksPermit(c.now) && t.takesWhenWarm(c.now, c.anyHealth) && !c.excluded(t)
+	return t.side == c.role && t.inDoubt(c.now) && !t.lacksPermit(c.now) && t.takesWhenWarm(c.now, c.anyHealth) && !c.excluded(t)
 }
 
 // excluded tells whether the call itself rules a target out. A call that is under way isn't sent to a
--- a/pkg/core/routing/silence.go
+++ b/pkg/core/routing/silence.go
@@ -128,7 +128,7 @@
 // noteMissing marks the calls that a report leaves out: when the target was asked, it had
 // fewer calls in all than this box waits for. The oldest are the ones it hasn't got.
 func (t *target) noteMissing(now units.Instant, x Reading, asked units.Instant) {
-	if !x.Known || now < t.service.silence.doubtUntil {
+	if !x.HasLoad || now < t.service.silence.doubtUntil {
 		return
 	}
 	left := -int(x.InFlight)
@@ -273,7 +273,7 @@
 	if t.service.silence.note(r.now, n) {
 		e.add(Effect{
 			Kind: ServiceHangs, Endpoint: t.endpoint, Failures: int(t.service.silence.calls),
-			Evidence: Evidence{
+			Selection: Selection{
 				Load: a.ahead, Pace: t.expectedPace(r.now), Slowdown: float64(r.now.Sub(a.sent)) / float64(max(1, a.patience)),
 				ReadingAge: -1, Revision: r.table.Revision,
 			},
--- a/pkg/core/routing/silence_test.go
+++ b/pkg/core/routing/silence_test.go
@@ -134,7 +134,7 @@
 func attemptName(call string, n AttemptNumber) string { return fmt.Sprintf("%s #%d", call, n) }
 
 func (x *hangingTarget) reading() Reading {
-	return Reading{Known: true, InFlight: float64(len(x.present)), Slots: float64(x.slots), Pace: 1}
+	return Reading{HasLoad: true, InFlight: float64(len(x.present)), Slots: float64(x.slots), Pace: 1}
 }
 
 // take works on a call, or drops it.
--- a/pkg/core/routing/starvation_test.go
+++ b/pkg/core/routing/starvation_test.go
@@ -31,7 +31,7 @@
 }
 
 func (x *fullTargets) reading(target units.TargetID) Reading {
-	return Reading{Known: true, InFlight: float64(x.running[target]), Slots: float64(x.slots), Pace: 1}
+	return Reading{HasLoad: true, InFlight: float64(x.running[target]), Slots: float64(x.slots), Pace: 1}
 }
 
 // rows are the targets as they register.
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -54,5 +54,5 @@
 
 // isFresh tells whether the target's last reading is as good as a new one.
 func (t *target) isFresh(now units.Instant) bool {
-	return t.reading.Known && now.Sub(t.reading.at) <= freshReading
+	return t.reading.HasLoad && now.Sub(t.reading.at) <= freshReading
 }
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -124,7 +124,7 @@
 	}
 	r.markRegions(s, e)
 	r.markEvacuated(s)
-	r.markVersions(s)
+	r.updateVersionRoles(s)
 	r.sweepBy(s, r.now)
 	r.divideExtraBurst(s)
 	r.chooseSubset(s)
@@ -139,7 +139,7 @@
 // end as they would have.
 func (r *Router) dropService(s *service, e *Effects) {
 	delete(r.services, s.row.Name)
-	r.followRollout(s, nil)
+	r.updateRollout(s, nil)
 	for _, id := range s.held.drain() {
 		if c := r.calls.Get(id); c != nil && c.held {
 			r.refuse(id, c, Refusal{Reason: NoService, Outcome: c.outcome()}, e)
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -71,7 +71,7 @@
 	borrowed []*loan
 	// evacuated is set while the target's failure domain is evacuated.
 	evacuated bool
-	side      side
+	side      versionRole
 	cold      coldness
 	crash     crashWatch
 	// coordination says which box permits calls to the target while it names a limit.
--- a/pkg/core/routing/underway.go
+++ b/pkg/core/routing/underway.go
@@ -12,7 +12,7 @@
 
 // reportedLoad is the part that rests on the target's reports.
 func (t *target) reportedLoad(now units.Instant) float64 {
-	if !t.reading.Known {
+	if !t.reading.HasLoad {
 		return 0
 	}
 	left := remaining(now.Sub(t.reading.at), loadMemory)
--- a/pkg/core/routing/wants_test.go
+++ b/pkg/core/routing/wants_test.go
@@ -30,7 +30,7 @@
 	for n := range uint64(10_000) {
 		now = now.Add(time.Millisecond)
 		e.Reset()
-		r.Reduce(now, &PeerMessage{From: "other", Message: LoanMessage{Kind: RequestSlots, Service: "s", Count: 1, Nonce: n}}, &e)
+		r.Reduce(now, &PeerLoan{From: "other", Message: LoanMessage{Kind: RequestSlots, Service: "s", Count: 1, Nonce: n}}, &e)
 	}
 	if n := len(r.services["s"].loans.pending); n > int(loanRequestTTL/time.Millisecond)+1 {
 		t.Fatalf("%d old wants are kept", n)
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -220,19 +220,19 @@
 		x.Owner.(*call).cancel(x.Attempt)
 	case routing.Probe:
 		e.startProbe(x)
-	case routing.TargetTurned:
+	case routing.EjectionChanged:
 		e.logTurn(&x)
-	case routing.ExposureTurned:
-		e.logExposure(x.Turn)
+	case routing.ExposureSwitched:
+		e.logExposure(x.ExposureSwitch)
 	case routing.ServiceHangs:
 		e.logHangs(&x)
 	case routing.TargetCrashed:
 		e.logCrash(&x)
-	case routing.CallBlamed:
+	case routing.CallQuarantined:
 		e.logBlamed(&x)
 	case routing.TargetNotice:
 		e.takeNotice(&x)
-	case routing.SendPeer:
+	case routing.SendLoan:
 		e.peers.send(x.Peer, &wire.Envelope{Body: &wire.Envelope_Loan{Loan: wire.FromLoan(x.Loan)}})
 	case routing.SendLimit:
 		e.peers.send(x.Peer, &wire.Envelope{Body: &wire.Envelope_Limit{Limit: wire.FromLimit(x.Limit)}})
--- a/pkg/entry/peer_links.go
+++ b/pkg/entry/peer_links.go
@@ -100,7 +100,7 @@
 func (e *Entry) takePeerMessage(from units.BoxID, m *wire.Envelope) bool {
 	switch {
 	case m.GetLoan() != nil:
-		e.reduce(&routing.PeerMessage{From: from, Message: wire.ToLoan(m.GetLoan())})
+		e.reduce(&routing.PeerLoan{From: from, Message: wire.ToLoan(m.GetLoan())})
 	case m.GetLimit() != nil:
 		e.reduce(&routing.PeerLimit{From: from, Message: wire.ToLimit(m.GetLimit())})
 	case m.GetQuota() != nil:
--- a/pkg/entry/trace.go
+++ b/pkg/entry/trace.go
@@ -32,7 +32,7 @@
 	attempt  routing.AttemptNumber
 	endpoint *routing.Endpoint
 	purpose  routing.Purpose
-	evidence routing.Evidence
+	evidence routing.Selection
 	// workspace is the one that a send goes out for, or a call is refused to; empty for none.
 	workspace units.WorkspaceName
 	result    routing.AttemptResult
@@ -91,7 +91,7 @@
 	s := step{at: e.Clock.Now(), attempt: x.Attempt, endpoint: x.Endpoint}
 	switch x.Kind {
 	case routing.Send:
-		s.what, s.purpose, s.evidence, s.workspace = stepSent, x.Purpose, x.Evidence, x.Workspace
+		s.what, s.purpose, s.evidence, s.workspace = stepSent, x.Purpose, x.Selection, x.Workspace
 	case routing.Refuse:
 		s.what, s.refusal, s.workspace = stepRefused, x.Refusal, x.Workspace
 		if x.Refusal.Reason == routing.Quarantined && !c.answered {
@@ -205,10 +205,10 @@
 }
 
 // logExposure logs that this box begins to send calls to a new version, or ends it.
-func (e *Entry) logExposure(x *routing.ExposureTurn) {
+func (e *Entry) logExposure(x *routing.ExposureSwitch) {
 	kind, text := "exposure-ended", "calls may no longer be sent to the new version"
 	switch {
-	case x.On:
+	case x.Active:
 		kind, text = "exposure-began", "calls may be sent to the new version"
 	case x.Stopped:
 		kind, text = "exposure-stopped", "this box sends the new version nothing after its bad answers"
@@ -223,7 +223,7 @@
 func (e *Entry) logHangs(x *routing.Effect) {
 	e.Log.WithFields(logrus.Fields{
 		"kind": "service-hangs", "service": x.Endpoint.Service, "target": x.Endpoint.Target, "unanswered": x.Failures,
-		"ahead": round(x.Evidence.Load), "overPatience": round(x.Evidence.Slowdown), "revision": x.Evidence.Revision,
+		"ahead": round(x.Selection.Load), "overPatience": round(x.Selection.Slowdown), "revision": x.Selection.Revision,
 	}).Warning("targets of a service don't answer some calls although they serve others; they may hang when full")
 }
 
@@ -260,7 +260,7 @@
 		f["load"], f["pace"], f["slowdown"] = round(s.evidence.Load), round(s.evidence.Pace), round(s.evidence.Slowdown)
 		f["readingAgeMs"], f["revision"] = millis(s.evidence.ReadingAge), s.evidence.Revision
 	case stepProbed:
-		f["known"], f["healthy"], f["unreachable"] = s.probed.Reading.Known, s.probed.Healthy, s.probed.Unreachable
+		f["known"], f["healthy"], f["unreachable"] = s.probed.Reading.HasLoad, s.probed.Healthy, s.probed.Unreachable
 		f["misdirected"], f["load"], f["pace"] = s.probed.Misdirected, s.probed.Reading.InFlight, round(s.probed.Reading.Pace)
 		f["coldMs"] = millis(s.probed.Reading.Cold)
 		addNotice(f, &s.probed.Reading)
@@ -293,7 +293,7 @@
 	if said.Leaving {
 		f["leaving"] = true
 	}
-	if said.Limit.Named {
+	if said.Limit.Present {
 		f["limit"] = round(float64(said.Limit.Rate))
 	}
 }
--- a/pkg/replay/simulation.go
+++ b/pkg/replay/simulation.go
@@ -198,7 +198,7 @@
 		s.cancelAttempt(x)
 	case routing.Probe:
 		s.probe(b, x)
-	case routing.SendPeer:
+	case routing.SendLoan:
 		s.sendPeer(b, x)
 	}
 }
@@ -245,7 +245,7 @@
 	m := x.Loan
 	s.after(s.delay(b.domain, to.domain), func() {
 		if !to.cut {
-			s.give(to, &routing.PeerMessage{From: b.id, Message: m})
+			s.give(to, &routing.PeerLoan{From: b.id, Message: m})
 		}
 	})
 }
--- a/pkg/replay/target.go
+++ b/pkg/replay/target.go
@@ -46,9 +46,9 @@
 // load is what the target says of itself.
 func (t *target) load() routing.Reading {
 	if t.lies {
-		return routing.Reading{Known: true}
+		return routing.Reading{HasLoad: true}
 	}
-	return routing.Reading{Known: true, InFlight: float64(len(t.busy) + len(t.queue))}
+	return routing.Reading{HasLoad: true, InFlight: float64(len(t.busy) + len(t.queue))}
 }
 
 // arrive takes a job in, or sheds it.
--- a/pkg/target/attempt.go
+++ b/pkg/target/attempt.go
@@ -61,7 +61,7 @@
 // NewAttempt returns an attempt that hasn't begun.
 func (p *Pools) NewAttempt(x *routing.Effect) *Attempt {
 	idleLimit := p.settings.IdleLimit
-	if x.Once {
+	if x.AtMostOnce {
 		idleLimit = p.settings.OnceIdle
 	}
 	return &Attempt{
--- a/pkg/target/attempt_test.go
+++ b/pkg/target/attempt_test.go
@@ -147,7 +147,7 @@
 		}
 		pools.settings.IdleLimit = 3 * time.Hour
 		a := pools.NewAttempt(&routing.Effect{
-			Endpoint: &routing.Endpoint{Service: "s", Target: "t", Address: address, Registered: true}, Once: once,
+			Endpoint: &routing.Endpoint{Service: "s", Target: "t", Address: address, Registered: true}, AtMostOnce: once,
 			Deadline: pools.clock.Now().Add(10 * time.Second), NotAfter: pools.clock.Now().Add(time.Minute),
 		})
 		a.Request.SetRequestURI("/")
@@ -212,7 +212,7 @@
 		var b strings.Builder
 		for _, line := range strings.Split(d.Input, "\n") {
 			r := parseReading(line)
-			fmt.Fprintf(&b, "known=%t in-flight=%g slots=%g pace=%g\n", r.Known, r.InFlight, r.Slots, r.Pace)
+			fmt.Fprintf(&b, "known=%t in-flight=%g slots=%g pace=%g\n", r.HasLoad, r.InFlight, r.Slots, r.Pace)
 		}
 		return b.String()
 	})
--- a/pkg/target/limit.go
+++ b/pkg/target/limit.go
@@ -14,15 +14,15 @@
 
 // limitOf reads how many calls a second a target takes from all boxes together. Where it says so
 // several times the least counts. What can't be read is returned: it names no limit, and ends none.
-func limitOf(h *fasthttp.ResponseHeader, header string) (said routing.SaidLimit, unread string) {
+func limitOf(h *fasthttp.ResponseHeader, header string) (said routing.ReportedLimit, unread string) {
 	for _, value := range h.PeekAll(header) {
 		rate, ok := parseLimit(string(bytes.TrimSpace(value)))
 		switch {
 		case !ok:
 			unread = string(value[:min(len(value), maxUnread)])
-			said.Unread = true
-		case !said.Named || rate < said.Rate:
-			said.Named, said.Rate = true, rate
+			said.Malformed = true
+		case !said.Present || rate < said.Rate:
+			said.Present, said.Rate = true, rate
 		}
 	}
 	return said, unread
--- a/pkg/target/reading.go
+++ b/pkg/target/reading.go
@@ -18,7 +18,7 @@
 	if text == "" {
 		return routing.Reading{}
 	}
-	reading := routing.Reading{Known: true, Pace: 1}
+	reading := routing.Reading{HasLoad: true, Pace: 1}
 	for i, word := range strings.Split(text, ",") {
 		x, err := strconv.ParseFloat(strings.TrimSpace(word), 64)
 		if err != nil || x < 0 {
--- a/pkg/target/rest_test.go
+++ b/pkg/target/rest_test.go
@@ -42,12 +42,12 @@
 }
 
 // describeLimit says what an answer said of the target's limit, if it said anything.
-func describeLimit(x routing.SaidLimit, unread string) string {
+func describeLimit(x routing.ReportedLimit, unread string) string {
 	text := ""
-	if x.Named {
+	if x.Present {
 		text += fmt.Sprintf(", limit %g", x.Rate)
 	}
-	if x.Unread {
+	if x.Malformed {
 		text += fmt.Sprintf(", unread limit %q", unread)
 	}
 	return text
