--- a/pkg/config/defaults.go
+++ b/pkg/config/defaults.go
@@ -37,7 +37,7 @@
 			Loans:           true,
 			Disable:         []routing.Mechanism{},
 			ShareDelay:      Duration(routing.DefaultShareDelay),
-			ColdDoubt:       Duration(routing.DefaultColdDoubt),
+			ColdDoubt:       Duration(routing.DefaultAssumedColdPeriod),
 			MaxCalls:        4096,
 			MaxConnections:  20_000,
 			MaxBody:         1 << 20,
--- a/pkg/core/box/fleet_test.go
+++ b/pkg/core/box/fleet_test.go
@@ -103,7 +103,7 @@
 		Start: m.start, Seed: f.random.Uint64(),
 	}, routing.Settings{
 		Box: boxName(m.index), Seed: f.random.Uint64(), ServeStale: m.index%2 == 0, ShareDelay: time.Second,
-		ColdDoubt: routing.DefaultColdDoubt, ProbeCost: routing.DefaultProbeCost, MaxDeadline: time.Minute,
+		AssumedColdPeriod: routing.DefaultAssumedColdPeriod, ProbeCost: routing.DefaultProbeCost, MaxDeadline: time.Minute,
 	}, f.now)
 	if err != nil {
 		f.t.Fatal(err)
--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -67,9 +67,9 @@
 	c.service = s
 	s.calls++
 	s.earnExtraTokens()
-	c.deadline = c.arrived.Add(c.route.deadlineOf(c.asked, r.settings.MaxDeadline))
+	c.deadline = c.arrived.Add(c.route.callDeadline(c.asked, r.settings.MaxDeadline))
 	if !s.isBusy(r.now) {
-		c.route.asked.learn(c.asked)
+		c.route.callerDeadline.learn(c.asked)
 	}
 	if r.comesTooLate(c, c.asked) {
 		r.refuse(id, c, Refusal{Reason: TooLate, Outcome: NotRun, RetryAfter: r.busyRetryAfter(s)}, e)
@@ -105,10 +105,10 @@
 // planned. Its connection should have been closed by then; the caller had better open
 // another one elsewhere now than lose its answer.
 func (r *Router) stopsTooSoon(x *route, asked time.Duration) bool {
-	if r.stopsAt == 0 || r.now < r.stopsTaking {
+	if r.stopsAt == 0 || r.now < r.stopsAdmittingAt {
 		return false
 	}
-	return r.now.Add(x.deadlineOf(asked, r.settings.MaxDeadline)) > r.stopsAt
+	return r.now.Add(x.callDeadline(asked, r.settings.MaxDeadline)) > r.stopsAt
 }
 
 // noRoute is the refusal of a call that the table has no route for. A box whose table
@@ -140,13 +140,13 @@
 func (r *Router) chooseOf(s *service, c *call, from versionRole) *target {
 	// The set is kept in the router, since a policy's argument would be garbage.
 	set := &r.candidates
-	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != onTrial, fresh: c.tries > 0, role: from}
+	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != onTrial, excludeTried: c.tries > 0, role: from}
 	if t := set.limitCheckTarget(); t != nil {
 		return t
 	}
 	i := r.chooseIndex(set)
-	if i < 0 && set.fresh {
-		set.fresh = false
+	if i < 0 && set.excludeTried {
+		set.excludeTried = false
 		i = r.chooseIndex(set)
 	}
 	if i < 0 {
@@ -179,7 +179,7 @@
 		return
 	}
 	c.held = true
-	r.sweepBy(s, r.now.Add(sweepPeriod))
+	r.scheduleSweep(s, r.now.Add(sweepPeriod))
 	s.held.pushBack(id)
 	r.timers.Push(timer{at: until, call: id, kind: holdTimer})
 	r.timers.Push(timer{at: c.deadline, call: id, kind: deadlineTimer})
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -78,7 +78,7 @@
 	}
 	a.target = nil
 	a.loan = nil
-	r.freed = append(r.freed, t.service)
+	r.freedServices = append(r.freedServices, t.service)
 }
 
 // cancelTime is how long a target may take to learn that a call was canceled;
@@ -266,8 +266,8 @@
 
 // healthTurned does what follows when a target was ejected or has come back.
 func (r *Router) healthTurned(t *target, e *Effects) {
-	t.service.weigh(r.now)
-	r.sweepBy(t.service, r.now)
+	t.service.updateWeights(r.now)
+	r.scheduleSweep(t.service, r.now)
 	e.add(Effect{Kind: EjectionChanged, Endpoint: t.endpoint, Ejected: t.health.ejected, Failures: t.health.failures})
 }
 
--- a/pkg/core/routing/borrowing.go
+++ b/pkg/core/routing/borrowing.go
@@ -95,7 +95,7 @@
 	}
 	l := &loan{id: m.Loan, lender: from, target: t, validUntil: asked.Add(m.Term), lastUsedAt: r.now}
 	r.loans.borrowedTotal++
-	r.sweepBy(s, r.now.Add(sweepPeriod))
+	r.scheduleSweep(s, r.now.Add(sweepPeriod))
 	r.loans.borrowed = append(r.loans.borrowed, l)
 	t.borrowed = append(t.borrowed, l)
 	r.serveHeld(s, e)
--- a/pkg/core/routing/budget.go
+++ b/pkg/core/routing/budget.go
@@ -33,7 +33,7 @@
 	both := extraKinds * s.row.ExtraBurst
 	s.extraBurst = float64(both) / boxes
 	if s.extraBurst < 1 {
-		s.extraBurst = float64(r.rank.wholeShare(both, r.rank.countBefore(units.TargetID(s.row.Name), r.rank.boxes)))
+		s.extraBurst = float64(r.rank.integerShare(both, r.rank.countBefore(units.TargetID(s.row.Name), r.rank.boxes)))
 	}
 }
 
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -251,7 +251,7 @@
 		switch t.kind {
 		case coolTimer:
 			t.target.cooling--
-			r.freed = append(r.freed, t.target.service)
+			r.freedServices = append(r.freedServices, t.target.service)
 			continue
 		case crashTimer:
 			r.crashTimePassed(t.target, e)
--- a/pkg/core/routing/canary.go
+++ b/pkg/core/routing/canary.go
@@ -180,7 +180,7 @@
 // that would be too many messages. All boxes know the tree, by their list.
 func (r *Router) tellCanaries(m *CanaryMessage, e *Effects) {
 	n := len(r.rank.boxes)
-	root, own := placeOf(m.Origin, r.rank.boxes), r.rank.rank
+	root, own := indexOf(m.Origin, r.rank.boxes), r.rank.rank
 	if root < 0 || own < 0 {
 		return
 	}
@@ -227,7 +227,7 @@
 	}
 	r.crashes.canaries.status.Held++
 	c.waitsCanary = true
-	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.arrived.Add(c.route.deadlineOf(c.asked, r.settings.MaxDeadline))})
+	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.arrived.Add(c.route.callDeadline(c.asked, r.settings.MaxDeadline))})
 	r.askCanary(id, c, f, e)
 	return true
 }
--- a/pkg/core/routing/cold.go
+++ b/pkg/core/routing/cold.go
@@ -98,7 +98,7 @@
 // doubtWarmth notes that a target may have become cold.
 func (r *Router) doubtWarmth(t *target) {
 	wasCold := t.isCold(r.now)
-	t.cold.doubtUntil = r.now.Add(r.settings.ColdDoubt)
+	t.cold.doubtUntil = r.now.Add(r.settings.AssumedColdPeriod)
 	r.beginCold(t, wasCold)
 }
 
--- a/pkg/core/routing/cold_test.go
+++ b/pkg/core/routing/cold_test.go
@@ -49,7 +49,7 @@
 
 func (f *coldFleet) newRouter(b table.Box, seed uint64) *Router {
 	r, err := NewRouter(Settings{
-		Box: b.ID, Domain: b.Domain, Seed: seed, ServeStale: true, ShareDelay: time.Second, ColdDoubt: DefaultColdDoubt, ProbeCost: DefaultProbeCost, MaxDeadline: time.Minute,
+		Box: b.ID, Domain: b.Domain, Seed: seed, ServeStale: true, ShareDelay: time.Second, AssumedColdPeriod: DefaultAssumedColdPeriod, ProbeCost: DefaultProbeCost, MaxDeadline: time.Minute,
 	}, f.now)
 	if err != nil {
 		f.t.Fatal(err)
@@ -207,7 +207,7 @@
 	evacuated := f.served("d1", f.now.Add(-time.Second))
 	since := f.now
 	f.evacuate("d1", false)
-	f.pass(DefaultColdDoubt - 100*time.Millisecond)
+	f.pass(DefaultAssumedColdPeriod - 100*time.Millisecond)
 	if evacuated > 0 {
 		t.Errorf("targets of an evacuated domain got %d calls", evacuated)
 	}
--- a/pkg/core/routing/concurrency_test.go
+++ b/pkg/core/routing/concurrency_test.go
@@ -29,7 +29,7 @@
 			v := newTarget(s, table.Row{})
 			v.update(table.Row{Registered: true, Slots: c.slots})
 			for range c.answers {
-				s.whenFull.learn(c.ratio)
+				s.nearFullSlowdown.learn(c.ratio)
 			}
 			if got := v.bestConcurrency(); got != c.want {
 				t.Errorf("%.0f calls at a time, not %.0f", got, c.want)
--- a/pkg/core/routing/coordinator.go
+++ b/pkg/core/routing/coordinator.go
@@ -165,7 +165,7 @@
 // at once if it has been so for as long as any box may go on by an older list, or the one
 // before has handed over or is no longer listed.
 func (r *Router) coordinationStart(t *target) units.Instant {
-	from := r.servesFrom
+	from := r.servingFrom
 	x := t.notice.limit
 	for _, p := range r.replacedBoxLists {
 		switch box := rendezvousOwner(t.row.Target, besideIn(p.boxes, t.row.Domain)); {
--- a/pkg/core/routing/distance.go
+++ b/pkg/core/routing/distance.go
@@ -46,7 +46,7 @@
 
 // distanceTo returns what is known of the round trip to a domain.
 func (r *Router) distanceTo(d units.Domain) *domainDistance {
-	x := r.distances[d]
+	x := r.domainDistances[d]
 	if x != nil {
 		return x
 	}
@@ -54,7 +54,7 @@
 	if d != r.settings.Domain {
 		x.own = r.distanceTo(r.settings.Domain)
 	}
-	r.distances[d] = x
+	r.domainDistances[d] = x
 	r.placeDistance(d, x)
 	return x
 }
--- a/pkg/core/routing/early.go
+++ b/pkg/core/routing/early.go
@@ -32,14 +32,14 @@
 // holdEarly holds a call for the first table, and tells whether it does.
 func (r *Router) holdEarly(id CallID, c *call, v *CallArrived, e *Effects) bool {
 	until := r.startedAt.Add(earlyHold)
-	if !r.on(EarlyCalls) || r.now >= until || len(r.early) >= maxEarly {
+	if !r.on(EarlyCalls) || r.now >= until || len(r.earlyCalls) >= maxEarly {
 		return false
 	}
 	if v.Deadline > 0 {
 		until = min(until, r.now.Add(v.Deadline))
 	}
 	c.early = true
-	r.early = append(r.early, earlyCall{id: id, host: string(v.Host), path: string(v.Path), key: v.Credential.Detached(), deadline: v.Deadline})
+	r.earlyCalls = append(r.earlyCalls, earlyCall{id: id, host: string(v.Host), path: string(v.Path), key: v.Credential.Detached(), deadline: v.Deadline})
 	r.timers.Push(timer{at: until, call: id, kind: earlyTimer})
 	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: until})
 	return true
@@ -48,11 +48,11 @@
 // admitEarly decides about the calls that were held for the first table, once that is in
 // force.
 func (r *Router) admitEarly(e *Effects) {
-	if len(r.early) == 0 || r.tableIsEmpty() || !r.leased() {
+	if len(r.earlyCalls) == 0 || r.tableIsEmpty() || !r.leased() {
 		return
 	}
-	list := r.early
-	r.early = nil
+	list := r.earlyCalls
+	r.earlyCalls = nil
 	for _, x := range list {
 		c := r.calls.Get(x.id)
 		if c == nil || !c.early {
--- a/pkg/core/routing/evacuation.go
+++ b/pkg/core/routing/evacuation.go
@@ -15,10 +15,10 @@
 // changes anything about evacuations. The first table of a box restores all domains that
 // were ever evacuated: the box can't know how long ago that was.
 func (r *Router) changeEvacuations(before, after []table.Evacuation) bool {
-	r.restored = r.restored[:0]
+	r.restoredDomains = r.restoredDomains[:0]
 	for _, x := range after {
 		if !x.Active && !slices.Contains(before, x) {
-			r.restored = append(r.restored, x.Domain)
+			r.restoredDomains = append(r.restoredDomains, x.Domain)
 		}
 	}
 	return !slices.Equal(before, after)
@@ -37,7 +37,7 @@
 	}
 }
 
-func (r *Router) wasRestored(d units.Domain) bool { return slices.Contains(r.restored, d) }
+func (r *Router) wasRestored(d units.Domain) bool { return slices.Contains(r.restoredDomains, d) }
 
 // noTargetReason says why a service has no target that may take a call.
 func (s *service) noTargetReason(c *call, now units.Instant) Reason {
@@ -59,7 +59,7 @@
 // refuseUnservable refuses the calls that wait at a service without targets for them: none
 // will come free.
 func (r *Router) refuseUnservable(s *service, e *Effects) {
-	if len(s.held.waiting())+len(s.waiting) == 0 || s.hasOpenTarget(r.now) && !r.routes.restricts {
+	if len(s.held.waiting())+len(s.waiting) == 0 || s.hasOpenTarget(r.now) && !r.routes.restrictsRegions {
 		return
 	}
 	var unservable []CallID
--- a/pkg/core/routing/expectation.go
+++ b/pkg/core/routing/expectation.go
@@ -35,9 +35,9 @@
 		time *= nearlyFullPace
 	}
 	if t.isCold(now) {
-		time *= t.service.whenCold.value()
+		time *= t.service.coldSlowdown.value()
 	}
-	if !t.service.off[FailingTargets] {
+	if !t.service.disabled[FailingTargets] {
 		time *= 1 + failureCost*t.failingPart(now)
 	}
 	if load > slots {
@@ -74,7 +74,7 @@
 func (t *target) bestConcurrency() float64 {
 	slots := t.slots()
 	below := math.Ceil(nearlyFull*slots) - 1
-	if below >= 1 && t.service.whenFull.value()*below > slots {
+	if below >= 1 && t.service.nearFullSlowdown.value()*below > slots {
 		return below
 	}
 	return slots
@@ -109,18 +109,18 @@
 // when the call was sent: what it took beyond the route's typical time is the target's
 // own slowdown.
 func (t *target) noteTime(now units.Instant, x *route, took time.Duration, a *attempt) {
-	if x.answers < sureAnswers {
+	if x.latencySamples < sureAnswers {
 		if !a.full && !a.cold {
 			x.learnTime(float64(took))
 		}
 		return
 	}
-	ratio := min(float64(took)/x.typical, greatestSlowdown)
+	ratio := min(float64(took)/x.typicalLatency, greatestSlowdown)
 	switch {
 	case a.cold:
-		t.service.whenCold.learn(ratio)
+		t.service.coldSlowdown.learn(ratio)
 	case a.full:
-		t.service.whenFull.learn(ratio)
+		t.service.nearFullSlowdown.learn(ratio)
 	default:
 		t.slowdown = t.currentSlowdown(now) + slowdownGain*(ratio-t.currentSlowdown(now))
 		t.slowdownAt = now
@@ -131,28 +131,28 @@
 // learnTime moves the typical time, which is the median of the first answers and follows
 // that of the later ones in small steps.
 func (x *route) learnTime(took float64) {
-	if x.answers < sureAnswers {
-		x.first[x.answers] = took
-		x.answers++
-		if x.answers == sureAnswers {
-			slices.Sort(x.first[:])
-			x.typical = x.first[sureAnswers/2]
+	if x.latencySamples < sureAnswers {
+		x.firstLatencies[x.latencySamples] = took
+		x.latencySamples++
+		if x.latencySamples == sureAnswers {
+			slices.Sort(x.firstLatencies[:])
+			x.typicalLatency = x.firstLatencies[sureAnswers/2]
 		}
 		return
 	}
-	if took > x.typical {
-		x.typical *= 1 + typicalStep
+	if took > x.typicalLatency {
+		x.typicalLatency *= 1 + typicalStep
 	} else {
-		x.typical *= 1 - typicalStep
+		x.typicalLatency *= 1 - typicalStep
 	}
 }
 
 // sureTime is the route's typical time once it is a measure, else zero.
 func (x *route) sureTime() float64 {
-	if x.answers < sureAnswers {
+	if x.latencySamples < sureAnswers {
 		return 0
 	}
-	return x.typical
+	return x.typicalLatency
 }
 
 // currentSlowdown is how much longer than elsewhere calls take at the target; it fades, so
--- a/pkg/core/routing/expectation_test.go
+++ b/pkg/core/routing/expectation_test.go
@@ -30,7 +30,7 @@
 func TestAnOddFirstAnswerIsSoonForgotten(t *testing.T) {
 	for _, first := range []time.Duration{time.Millisecond, 10 * time.Millisecond, time.Second, 10 * time.Second} {
 		x := newLearningRoute(first)
-		if ratio := x.typical / float64(usualTime); ratio < 0.6 || ratio > 1.6 {
+		if ratio := x.typicalLatency / float64(usualTime); ratio < 0.6 || ratio > 1.6 {
 			t.Errorf("after a first answer of %s the typical time is %.2f of the usual", first, ratio)
 		}
 	}
@@ -105,7 +105,7 @@
 			for _, slowdown := range s.slowdowns {
 				x := newTarget(v, table.Row{Registered: true})
 				x.row = table.Row{Registered: true, State: table.Active, Weight: 1, Slots: 3}
-				x.share.fix(unlimited)
+				x.share.setImmediately(unlimited)
 				x.slowdown, x.slowdownAt = slowdown, testNow
 				x.takeReading(testNow, Reading{HasLoad: true, Slots: 3, Pace: 1})
 				v.targets = append(v.targets, x)
--- a/pkg/core/routing/exposure.go
+++ b/pkg/core/routing/exposure.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		e.add(Effect{Kind: ExposureSwitched, ExposureSwitch: v.describeSwitch(!was, false)})
-		r.freed = append(r.freed, v.service)
+		r.freedServices = append(r.freedServices, v.service)
 	}
 }
 
--- a/pkg/core/routing/inbound.go
+++ b/pkg/core/routing/inbound.go
@@ -84,11 +84,11 @@
 
 // learnSize takes how many bytes of an answer came behind those that are held for a retry.
 func (x *route) learnSize(bytes float64) {
-	if x.sized {
-		x.size += sizeGain * (bytes - x.size)
+	if x.hasAnswerSize {
+		x.meanAnswerBytes += sizeGain * (bytes - x.meanAnswerBytes)
 		return
 	}
-	x.size, x.sized = bytes, true
+	x.meanAnswerBytes, x.hasAnswerSize = bytes, true
 }
 
 // answerBegins notes an answer that begins to pass through. One that doesn't say how long it
@@ -98,7 +98,7 @@
 	a.begun = true
 	r.expectNoMore(a)
 	if coming < 0 {
-		a.takes = r.inbound.begins(r.now, c.route.size)
+		a.takes = r.inbound.begins(r.now, c.route.meanAnswerBytes)
 		return
 	}
 	bytes := min(float64(coming), r.inbound.rate*mostOccupied.Seconds())
@@ -110,8 +110,8 @@
 func (r *Router) expect(x *route, a *attempt) {
 	a.busyAt = r.inbound.busyBy(r.now)
 	if x.largeAnswers {
-		a.expected = x.size
-		r.expected += a.expected
+		a.expected = x.meanAnswerBytes
+		r.expectedBytes += a.expected
 	}
 }
 
@@ -125,7 +125,7 @@
 // expectNoMore no longer counts the bytes that an attempt may bring: the answer has begun, or
 // won't come.
 func (r *Router) expectNoMore(a *attempt) {
-	r.expected -= a.expected
+	r.expectedBytes -= a.expected
 	a.expected = 0
 }
 
@@ -157,7 +157,7 @@
 	if hidden <= 0 {
 		return took
 	}
-	return max(min(took, time.Duration(c.route.typical)), took-hidden)
+	return max(min(took, time.Duration(c.route.typicalLatency)), took-hidden)
 }
 
 // saysNothing tells whether an attempt that wasn't answered in time says nothing of its
@@ -214,7 +214,7 @@
 	if !c.route.largeAnswers || !r.on(SharedLink) || c.route.aim == 0 || !c.service.hasActiveTarget(c) {
 		return false
 	}
-	coming := r.inbound.left(r.now) + r.inbound.timeOf(r.expected)
+	coming := r.inbound.left(r.now) + r.inbound.timeOf(r.expectedBytes)
 	room := time.Duration(inboundPart * float64(c.route.aim))
 	waited := r.now.Sub(c.arrived)
 	most := time.Duration(inboundWait * float64(min(c.route.aim, c.deadline.Sub(c.arrived))))
--- a/pkg/core/routing/inbound_test.go
+++ b/pkg/core/routing/inbound_test.go
@@ -63,8 +63,8 @@
 			w.sent = append(w.sent, sentAttempt{call: x.Call, number: x.Attempt})
 		}
 	}
-	if w.router.expected < -1 {
-		t.Fatalf("%f bytes are expected", w.router.expected)
+	if w.router.expectedBytes < -1 {
+		t.Fatalf("%f bytes are expected", w.router.expectedBytes)
 	}
 	if x := &w.router.inbound; x.passing < 0 || x.left(w.now) > x.passing {
 		t.Fatalf("the link is occupied for %s by answers that take %s", x.left(w.now), x.passing)
@@ -110,8 +110,8 @@
 			}
 		}
 		w.pass(t, 2*time.Second)
-		if math.Abs(w.router.expected) > 1 {
-			t.Fatalf("%f bytes are still expected of no call", w.router.expected)
+		if math.Abs(w.router.expectedBytes) > 1 {
+			t.Fatalf("%f bytes are still expected of no call", w.router.expectedBytes)
 		}
 		if passing, left := w.router.inbound.passing, w.router.inbound.left(w.now); passing != 0 || left != 0 {
 			t.Fatalf("answers of %s occupy the link for another %s, but no call is under way", passing, left)
--- a/pkg/core/routing/keys.go
+++ b/pkg/core/routing/keys.go
@@ -12,9 +12,9 @@
 // Where the table names workspaces, a call of a route that isn't public needs the key of one.
 // Each call is judged by the table in force as it comes; one that was let in may end.
 
-// keyDoubtRetry is when a caller may come back to a box that can't know which keys hold. Most
+// staleKeysRetryAfter is when a caller may come back to a box that can't know which keys hold. Most
 // links that are cut are back, or the caller finds another box, within it.
-const keyDoubtRetry = time.Second
+const staleKeysRetryAfter = time.Second
 
 // keyRing finds the workspaces of keys.
 type keyRing struct {
@@ -54,8 +54,8 @@
 	if !r.keys.required || c.route.public {
 		return false
 	}
-	if r.doubtsKeys() {
-		r.refuse(id, c, Refusal{Reason: KeysInDoubt, Outcome: NotRun, RetryAfter: keyDoubtRetry}, e)
+	if r.keysStale() {
+		r.refuse(id, c, Refusal{Reason: KeysInDoubt, Outcome: NotRun, RetryAfter: staleKeysRetryAfter}, e)
 		return true
 	}
 	c.workspace = r.keys.owner(presented)
@@ -66,10 +66,10 @@
 	return false
 }
 
-// doubtsKeys tells whether a key may have been taken away without this box having heard of it
+// keysStale tells whether a key may have been taken away without this box having heard of it
 // in time.
-func (r *Router) doubtsKeys() bool {
-	return r.settings.KeyDoubt > 0 && r.now > r.leasedAt.Add(r.settings.KeyDoubt)
+func (r *Router) keysStale() bool {
+	return r.settings.MaxKeyStaleness > 0 && r.now > r.leaseConfirmedAt.Add(r.settings.MaxKeyStaleness)
 }
 
 // workspaceName is the name of the call's workspace; empty for a call without one.
@@ -82,29 +82,29 @@
 
 // urgency ranks calls that wait.
 type urgency struct {
-	// missed is set for calls whose answer is missed. They come behind all others: most of them
+	// overdue is set for calls whose answer is overdue. They come behind all others: most of them
 	// are late already, so that a slot does more for a call that has just come.
-	missed bool
-	// first and second are priorities; 0 is the highest.
-	first, second int
+	overdue bool
+	// primary and secondary are priorities; 0 is the highest.
+	primary, secondary int
 }
 
 // urgency is how urgent a call is: its workspace's priority comes before its route's.
 func (c *call) urgency() urgency {
-	u := urgency{first: c.route.priority, second: c.route.priority}
+	u := urgency{primary: c.route.priority, secondary: c.route.priority}
 	if c.workspace != nil && c.workspace.Ranked {
-		u.first = c.workspace.Priority
+		u.primary = c.workspace.Priority
 	}
 	return u
 }
 
 // compare orders the most urgent first.
 func (u urgency) compare(o urgency) int {
-	if u.missed != o.missed {
-		if u.missed {
+	if u.overdue != o.overdue {
+		if u.overdue {
 			return 1
 		}
 		return -1
 	}
-	return cmp.Or(cmp.Compare(u.first, o.first), cmp.Compare(u.second, o.second))
+	return cmp.Or(cmp.Compare(u.primary, o.primary), cmp.Compare(u.secondary, o.secondary))
 }
--- a/pkg/core/routing/lending.go
+++ b/pkg/core/routing/lending.go
@@ -67,7 +67,7 @@
 	r.loans.nextID++
 	r.loans.lentTotal++
 	t.lent++
-	r.sweepBy(s, r.now.Add(sweepPeriod))
+	r.scheduleSweep(s, r.now.Add(sweepPeriod))
 	r.loans.lent = append(r.loans.lent, &lentSlot{
 		id: r.loans.nextID, borrower: w.box, target: t, confirmedAt: r.now, offeredAt: r.now,
 	})
@@ -130,7 +130,7 @@
 func (r *Router) reclaim(l *lentSlot) {
 	l.target.lent--
 	r.loans.lent = slices.DeleteFunc(r.loans.lent, func(o *lentSlot) bool { return o == l })
-	r.freed = append(r.freed, l.target.service)
+	r.freedServices = append(r.freedServices, l.target.service)
 }
 
 // handleRenewal takes a borrower's list: what isn't on it has been given back,
--- a/pkg/core/routing/mechanism.go
+++ b/pkg/core/routing/mechanism.go
@@ -76,4 +76,4 @@
 }
 
 // on tells whether a mechanism is in use.
-func (r *Router) on(m Mechanism) bool { return !r.off[m] }
+func (r *Router) on(m Mechanism) bool { return !r.disabled[m] }
--- a/pkg/core/routing/namedlimit.go
+++ b/pkg/core/routing/namedlimit.go
@@ -114,7 +114,7 @@
 	e.add(Effect{Kind: TargetNotice, Endpoint: endpoint, Notice: news})
 	for _, s := range r.bindEverywhere(n, endpoint, e) {
 		if ends {
-			r.freed = append(r.freed, s)
+			r.freedServices = append(r.freedServices, s)
 		}
 	}
 }
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -145,7 +145,7 @@
 	e.add(Effect{Kind: TargetNotice, Endpoint: x, Notice: news})
 	for _, s := range r.bindEverywhere(n, x, e) {
 		if restBegins {
-			s.rests++
+			s.restRequests++
 		}
 	}
 }
@@ -206,8 +206,8 @@
 // settleNotice does what follows for a service when one of its targets rests, leaves, or names or no
 // longer names a limit.
 func (r *Router) settleNotice(s *service, e *Effects) {
-	s.weigh(r.now)
-	r.sweepBy(s, r.now)
+	s.updateWeights(r.now)
+	r.scheduleSweep(s, r.now)
 	r.refuseUnservable(s, e)
 }
 
@@ -288,7 +288,7 @@
 		return
 	}
 	r.dropNotice(t.notice)
-	t.service.weigh(r.now)
-	r.freed = append(r.freed, t.service)
+	t.service.updateWeights(r.now)
+	r.freedServices = append(r.freedServices, t.service)
 	e.add(Effect{Kind: TargetNotice, Endpoint: t.endpoint, Notice: &Notice{}})
 }
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -107,7 +107,7 @@
 	r.permits.Used--
 	if r.now < until {
 		t.notice.limit.permits.add(1, until)
-		r.sweepBy(t.service, until)
+		r.scheduleSweep(t.service, until)
 		return
 	}
 	r.returnPermits(t, 1, e)
@@ -187,7 +187,7 @@
 	r.permits.nonce++
 	r.permits.Asked++
 	t.notice.limit.ask = permitRequest{nonce: r.permits.nonce, at: r.now, pending: true}
-	r.sweepBy(t.service, r.now.Add(permitRequestTimeout))
+	r.scheduleSweep(t.service, r.now.Add(permitRequestTimeout))
 	r.sendLimit(to, t, LimitMessage{Kind: RequestPermits, Nonce: r.permits.nonce, Count: count}, e)
 }
 
@@ -208,19 +208,19 @@
 		r.permits.Granted += uint64(m.Count)
 		until := r.now.Add(permitLifetime)
 		x.permits.add(min(m.Count, maxPermitsHeld), until)
-		r.sweepBy(t.service, until)
-		r.freed = append(r.freed, t.service)
+		r.scheduleSweep(t.service, until)
+		r.freedServices = append(r.freedServices, t.service)
 		return
 	}
 	// The next coordinator is asked when the event is over.
-	r.declined = append(r.declined, t.service)
+	r.declinedServices = append(r.declinedServices, t.service)
 }
 
 // retryDeclined asks other coordinators for the calls that wait, and refuses those that wait in vain.
 func (r *Router) retryDeclined(e *Effects) {
-	for len(r.declined) > 0 {
-		s := r.declined[len(r.declined)-1]
-		r.declined = r.declined[:len(r.declined)-1]
+	for len(r.declinedServices) > 0 {
+		s := r.declinedServices[len(r.declinedServices)-1]
+		r.declinedServices = r.declinedServices[:len(r.declinedServices)-1]
 		r.requestPermitsForHeld(s, e)
 		r.refuseUnservable(s, e)
 	}
@@ -261,10 +261,10 @@
 			x.again = r.now.Add(permitRetryInterval)
 		}
 		if len(x.permits) > 0 {
-			r.sweepBy(s, x.permits[0])
+			r.scheduleSweep(s, x.permits[0])
 		}
 		if x.ask.pending {
-			r.sweepBy(s, x.ask.at.Add(permitRequestTimeout))
+			r.scheduleSweep(s, x.ask.at.Add(permitRequestTimeout))
 		}
 	}
 	r.requestPermitsForHeld(s, e)
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -85,16 +85,16 @@
 // noteReport notes whether an answer carried a load report.
 func (s *service) noteReport(x Reading) {
 	if x.HasLoad {
-		s.unreported = 0
+		s.answersWithoutReport = 0
 		return
 	}
-	s.unreported++
+	s.answersWithoutReport++
 }
 
 // probesTargets tells whether targets are probed before a call is sent. Those that send no
 // load reports aren't; the latency of their answers decides then, until one sends a report.
 func (s *service) probesTargets() bool {
-	return s.row.ProbeTargets > 0 && s.unreported < unreportedLimit
+	return s.row.ProbeTargets > 0 && s.answersWithoutReport < unreportedLimit
 }
 
 // sendProbes probes the best targets; false means that there is none to probe or no budget
@@ -153,10 +153,10 @@
 func (r *Router) bestTargets(c *call, n int) []*target {
 	from := r.roleForCall(c.service, c)
 	set := candidates{
-		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c) && from != onTrial, fresh: c.tries > 0,
+		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c) && from != onTrial, excludeTried: c.tries > 0,
 		role: from,
 	}
-	r.best = r.best[:0]
+	r.probeCandidates = r.probeCandidates[:0]
 	// Targets of the same cost come up in a random order, so that the boxes don't all probe
 	// the same ones.
 	targets := c.service.targets
@@ -165,16 +165,16 @@
 		i := (start + k) % len(targets)
 		t := targets[i]
 		// At a target that names a limit a probe would cost as much as the call.
-		if t.notice.limited() || !set.Available(i) && !set.onlyInDoubt(i) || t.isFresh(r.now) || t.awaitsProbe(r.now) {
+		if t.notice.limited() || !set.Available(i) && !set.availableIfWarm(i) || t.isFresh(r.now) || t.awaitsProbe(r.now) {
 			continue
 		}
 		if t.probedAt != 0 && r.now.Sub(t.probedAt) < t.probeLimit() {
 			continue
 		}
 		t.probeOrder = t.cost(r.now, c.route)
-		r.best = insertByCost(r.best, t, n)
+		r.probeCandidates = insertByCost(r.probeCandidates, t, n)
 	}
-	return r.best
+	return r.probeCandidates
 }
 
 // insertByCost keeps the n targets of the least cost, in order.
@@ -265,7 +265,7 @@
 // that is late takes a nearly full target that is known rather than wait for a better one.
 func (r *Router) bestSuitable(c *call) *target {
 	set := candidates{
-		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c), fresh: true, role: r.roleForCall(c.service, c),
+		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c), excludeTried: true, role: r.roleForCall(c.service, c),
 	}
 	var best *target
 	for i, t := range c.service.targets {
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -78,7 +78,7 @@
 	}
 	if t.health.succeeded(r.now) {
 		r.healthTurned(t, e)
-		r.freed = append(r.freed, t.service)
+		r.freedServices = append(r.freedServices, t.service)
 	}
 }
 
@@ -121,7 +121,7 @@
 // waits for.
 func (r *Router) shareAnswer(t *target) {
 	if t != nil && len(t.service.waiting) > 0 && t.isFresh(r.now) && r.suits(nil, t) {
-		r.freed = append(r.freed, t.service)
+		r.freedServices = append(r.freedServices, t.service)
 	}
 }
 
--- a/pkg/core/routing/quotas.go
+++ b/pkg/core/routing/quotas.go
@@ -304,7 +304,7 @@
 	if r.now < b.sweepAt {
 		return
 	}
-	b.sweepAt = r.now.Add(calmSweepPeriod)
+	b.sweepAt = r.now.Add(idleSweepPeriod)
 	if r.partsReductionDue() {
 		r.updateHolders()
 	}
--- a/pkg/core/routing/residency.go
+++ b/pkg/core/routing/residency.go
@@ -49,7 +49,7 @@
 			bound = bound || !c.regions.Equal(x.regions)
 			c.regions = x.regions
 		}
-		r.routes.restricts = r.routes.restricts || c.regions != nil
+		r.routes.restrictsRegions = r.routes.restrictsRegions || c.regions != nil
 	})
 	return bound
 }
@@ -68,10 +68,10 @@
 // tellUnknown logs a failure domain whose region isn't known, where regions are known at all.
 func (r *Router) tellUnknown(t *target, e *Effects) {
 	d := t.row.Domain
-	if len(r.settings.Regions) == 0 || r.unknown[d] || len(r.unknown) >= maxUnknown {
+	if len(r.settings.Regions) == 0 || r.unknownRegions[d] || len(r.unknownRegions) >= maxUnknown {
 		return
 	}
-	r.unknown[d] = true
+	r.unknownRegions[d] = true
 	e.add(Effect{Kind: RegionUnknown, Endpoint: &Endpoint{Service: t.row.Service, Target: t.row.Target, Domain: d}})
 }
 
@@ -81,13 +81,13 @@
 		return
 	}
 	r.settings.Regions = regions
-	clear(r.unknown)
-	for d, x := range r.distances {
+	clear(r.unknownRegions)
+	for d, x := range r.domainDistances {
 		r.placeDistance(d, x)
 	}
 	for _, s := range r.order {
 		r.markRegions(s, e)
-		r.settleCalls(s, e)
+		r.recheckWaitingCalls(s, e)
 	}
 }
 
--- a/pkg/core/routing/residency_test.go
+++ b/pkg/core/routing/residency_test.go
@@ -45,7 +45,7 @@
 
 func (w *residencyWorld) start() {
 	r, err := NewRouter(Settings{
-		Box: "me", Domain: "d1", Regions: w.regions, Seed: 1, ServeStale: true, ShareDelay: time.Second, ColdDoubt: DefaultColdDoubt,
+		Box: "me", Domain: "d1", Regions: w.regions, Seed: 1, ServeStale: true, ShareDelay: time.Second, AssumedColdPeriod: DefaultAssumedColdPeriod,
 		ProbeCost: DefaultProbeCost, MaxDeadline: time.Minute,
 	}, w.now)
 	if err != nil {
--- a/pkg/core/routing/retrying.go
+++ b/pkg/core/routing/retrying.go
@@ -58,7 +58,7 @@
 	c.held = true
 	c.tries = 0
 	s.held.pushFront(id)
-	r.sweepBy(s, r.now.Add(sweepPeriod))
+	r.scheduleSweep(s, r.now.Add(sweepPeriod))
 	r.timers.Push(timer{at: until, call: id, kind: holdTimer})
 	r.requestLoans(s, e)
 	return true
--- a/pkg/core/routing/returning.go
+++ b/pkg/core/routing/returning.go
@@ -77,7 +77,7 @@
 // isCrowded tells whether calls have lately found no target at once, so that a slot given to
 // one call is missing for another.
 func (s *service) isCrowded(now units.Instant) bool {
-	return s.busyPart >= crowdedFrom && now.Sub(s.busyAt) < crowdMemory
+	return s.busyFraction >= crowdedFrom && now.Sub(s.busyUpdatedAt) < crowdMemory
 }
 
 // comesTooLate tells whether a call had better be refused at once: its caller has come back so
@@ -87,6 +87,6 @@
 	if !r.on(FirstTries) || x.aim == 0 || !c.service.isCrowded(r.now) {
 		return false
 	}
-	spent := x.asked.spent(asked)
+	spent := x.callerDeadline.spent(asked)
 	return spent > 0 && spent+time.Duration(x.sureTime()) > x.aim
 }
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -25,9 +25,9 @@
 	// ShareDelay is how long a share waits before it rises; it must be longer
 	// than any other box can go on with an older table.
 	ShareDelay time.Duration
-	// ColdDoubt is for how long after its failure domain was restored a target may be cold
+	// AssumedColdPeriod is for how long after its failure domain was restored a target may be cold
 	// without having said so.
-	ColdDoubt time.Duration
+	AssumedColdPeriod time.Duration
 	// ProbeCost is how long a probe keeps a slot of a target busy.
 	ProbeCost time.Duration
 	// Loans lets the boxes lend each other slots.
@@ -39,9 +39,9 @@
 	LinkRate float64
 	// QuotaSlack is how many calls beyond its rate and burst a workspace may run at a time.
 	QuotaSlack int
-	// KeyDoubt is how long after it last knew its table to be in force the box lets calls in by
+	// MaxKeyStaleness is how long after it last knew its table to be in force the box lets calls in by
 	// their keys; zero means for ever.
-	KeyDoubt time.Duration
+	MaxKeyStaleness time.Duration
 	// Disable are the mechanisms that aren't used.
 	Disable []Mechanism
 }
@@ -50,7 +50,7 @@
 const (
 	DefaultShareDelay  = 3 * time.Second
 	DefaultProbeCost   = 5 * time.Millisecond
-	DefaultColdDoubt   = 2 * time.Second
+	DefaultAssumedColdPeriod   = 2 * time.Second
 	DefaultMaxDeadline = 5 * time.Minute
 	DefaultQuotaSlack  = 2 * quota.Seats
 )
@@ -62,8 +62,8 @@
 	policy   Policy[*target]
 	// candidates is the set that the policy chooses from at the moment.
 	candidates candidates
-	// best is room for the targets that are compared for a round of probes.
-	best     []*target
+	// probeCandidates is room for the targets that are compared for a round of probes.
+	probeCandidates     []*target
 	table    *table.Table
 	services map[units.ServiceName]*service
 	order    []*service
@@ -80,21 +80,21 @@
 	noBoxesSeen bool
 	// replacedBoxLists are the lists of boxes before the present one that other boxes may still go by.
 	replacedBoxLists []replacedBoxList
-	// moves are the boxes that came and went with the table that is put in force.
-	moves boxMoves
-	// boxesLost is set while a table is put in force that only lacks boxes.
-	boxesLost bool
-	// restored are the failure domains that the table which is put in force restores.
-	restored []units.Domain
-	// servesFrom is when a box that was listed anew has had time to get its shares.
-	servesFrom units.Instant
+	// boxChanges are the boxes that came and went with the table that is put in force.
+	boxChanges boxListChange
+	// onlyBoxesLost is set while a table is put in force that only lacks boxes.
+	onlyBoxesLost bool
+	// restoredDomains are the failure domains that the table which is put in force restores.
+	restoredDomains []units.Domain
+	// servingFrom is when a box that was listed anew has had time to get its shares.
+	servingFrom units.Instant
 	leaseUntil units.Instant
-	// leasedAt is when the table was last known to be in force.
-	leasedAt units.Instant
+	// leaseConfirmedAt is when the table was last known to be in force.
+	leaseConfirmedAt units.Instant
 	// stopsAt is when the box will have stopped as planned, zero for never; from
 	// stopsTaking on only calls that are sure to end before are taken.
 	stopsAt     units.Instant
-	stopsTaking units.Instant
+	stopsAdmittingAt units.Instant
 	calls       *container.Slab[call]
 	timers      *container.Heap[timer]
 	loans       loanState
@@ -103,25 +103,25 @@
 	// startedAt is when the router began; early are the calls that came before its first
 	// table.
 	startedAt units.Instant
-	early     []earlyCall
-	off       mechanismSet
+	earlyCalls     []earlyCall
+	disabled       mechanismSet
 	now       units.Instant
 	sweepAt   units.Instant
 	refusals  [reasonCount]uint64
 	// inbound is what is coming in, expected how many bytes of answers that haven't begun;
 	// linkWaits counts the calls' waits for it.
 	inbound   inbound
-	expected  float64
+	expectedBytes  float64
 	linkWaits uint64
-	// unknown are the failure domains whose region isn't known and that the log has been told
+	// unknownRegions are the failure domains whose region isn't known and that the log has been told
 	// of.
-	unknown map[units.Domain]bool
-	// distances are what is known of the round trips to failure domains.
-	distances map[units.Domain]*domainDistance
-	// changed is room for the services that a new table changes.
-	changed []*service
-	// freed are the services at which room has come up during this event.
-	freed []*service
+	unknownRegions map[units.Domain]bool
+	// domainDistances are what is known of the round trips to failure domains.
+	domainDistances map[units.Domain]*domainDistance
+	// changedServices is room for the services that a new table changes.
+	changedServices []*service
+	// freedServices are the services at which room has come up during this event.
+	freedServices []*service
 	// rollouts are those under way, and those over whose evidence is to be sent once more;
 	// exposures are what the newest grant said.
 	rollouts  []*rolloutState
@@ -132,15 +132,15 @@
 	notices     noticeBook
 	permits     PermitStatus
 	quotas      quotaState
-	// declined are the services for which a coordinator had no permit during this event.
-	declined []*service
+	// declinedServices are the services for which a coordinator had no permit during this event.
+	declinedServices []*service
 }
 
 // sweepPeriod is how often shares, ejections and probes are looked at.
 const sweepPeriod = 10 * time.Millisecond
 
-// calmSweepPeriod is how often a service is looked at where nothing is under way.
-const calmSweepPeriod = 500 * time.Millisecond
+// idleSweepPeriod is how often a service is looked at where nothing is under way.
+const idleSweepPeriod = 500 * time.Millisecond
 
 // NewRouter returns a router that has no table yet. The error is an Invalid
 // fault when the policy isn't known.
@@ -167,11 +167,11 @@
 		noBoxesSeen: true,
 		domainBoxes:      map[units.Domain][]table.Box{},
 		inbound:     inbound{rate: s.LinkRate},
-		distances:   map[units.Domain]*domainDistance{},
-		unknown:     map[units.Domain]bool{},
+		domainDistances:   map[units.Domain]*domainDistance{},
+		unknownRegions:     map[units.Domain]bool{},
 		now:         now,
 		startedAt:   now,
-		off:         off,
+		disabled:         off,
 		sweepAt:     now,
 		crashes:     newCrashBook(),
 		notices:     noticeBook{},
@@ -196,15 +196,15 @@
 	case *Tick:
 		r.tick(e)
 	case *TableChanged:
-		r.changeTable(v.Table, e)
+		r.applyTable(v.Table, e)
 	case *RegionsChanged:
 		r.changeRegions(v.Regions, e)
 	case *StopPlanned:
 		r.stopsAt = v.Until
-		r.stopsTaking = r.now.Add(v.Until.Sub(r.now) / 2)
+		r.stopsAdmittingAt = r.now.Add(v.Until.Sub(r.now) / 2)
 	case *LeaseChanged:
 		r.resetStaleHolder()
-		r.leaseUntil, r.leasedAt = v.Until, v.At
+		r.leaseUntil, r.leaseConfirmedAt = v.Until, v.At
 	case *ExposuresChanged:
 		r.updateExposures(v.Exposures, e)
 	case *WatchedChanged:
@@ -222,14 +222,14 @@
 	}
 	r.admitEarly(e)
 	r.retryDeclined(e)
-	r.useFreed(e)
+	r.serveFreed(e)
 }
 
-// useFreed gives the room that came up during an event to calls that wait.
-func (r *Router) useFreed(e *Effects) {
-	for len(r.freed) > 0 {
-		s := r.freed[len(r.freed)-1]
-		r.freed = r.freed[:len(r.freed)-1]
+// serveFreed gives the room that came up during an event to calls that wait.
+func (r *Router) serveFreed(e *Effects) {
+	for len(r.freedServices) > 0 {
+		s := r.freedServices[len(r.freedServices)-1]
+		r.freedServices = r.freedServices[:len(r.freedServices)-1]
 		if len(s.waiting) > 0 {
 			r.serveWaiting(s, e)
 		}
@@ -247,7 +247,7 @@
 	if r.now < r.sweepAt {
 		return
 	}
-	r.sweepAt = r.now.Add(calmSweepPeriod)
+	r.sweepAt = r.now.Add(idleSweepPeriod)
 	for _, s := range r.order {
 		r.sweep(s, e)
 		r.sweepAt = min(r.sweepAt, s.sweepAt)
@@ -264,8 +264,8 @@
 	}
 }
 
-// sweepBy has a service looked at by a time at the latest.
-func (r *Router) sweepBy(s *service, at units.Instant) {
+// scheduleSweep has a service looked at by a time at the latest.
+func (r *Router) scheduleSweep(s *service, at units.Instant) {
 	s.sweepAt = min(s.sweepAt, at)
 	r.sweepAt = min(r.sweepAt, at)
 }
@@ -275,14 +275,14 @@
 	if r.now < s.sweepAt {
 		return
 	}
-	s.sweepAt = r.now.Add(calmSweepPeriod)
+	s.sweepAt = r.now.Add(idleSweepPeriod)
 	for _, t := range s.targets {
-		if r.settleShare(t) || t.health.ejected || t.health.ramping(r.now) {
+		if r.advanceShares(t) || t.health.ejected || t.health.ramping(r.now) {
 			s.sweepAt = r.now.Add(sweepPeriod)
 		}
 		r.probeIfDue(s, t, e)
 	}
-	s.weigh(r.now)
+	s.updateWeights(r.now)
 	r.sweepPermits(s, e)
 	if s.held.length == 0 {
 		return
--- a/pkg/core/routing/routes.go
+++ b/pkg/core/routing/routes.go
@@ -12,8 +12,8 @@
 	byHost map[string][]*route
 	// byKey holds the table's routes, for what was learnt of them to outlast a change.
 	byKey map[table.RouteKey]*route
-	// restricts is set where a route, or a call in the box, may go to some regions only.
-	restricts bool
+	// restrictsRegions is set where a route, or a call in the box, may go to some regions only.
+	restrictsRegions bool
 }
 
 // route is what a box knows of a route: one of the table's, or the one that a
@@ -22,10 +22,10 @@
 	host   string
 	prefix string
 	work   table.Work
-	// deadline bounds what a caller may ask for; zero leaves that to the settings.
-	deadline time.Duration
-	// usual is the deadline of a caller that asks for none.
-	usual       time.Duration
+	// maxDeadline bounds what a caller may ask for; zero leaves that to the settings.
+	maxDeadline time.Duration
+	// defaultDeadline is the deadline of a caller that asks for none.
+	defaultDeadline       time.Duration
 	aim         time.Duration
 	maxAttempts int
 	priority    int
@@ -33,28 +33,28 @@
 	largeAnswers bool
 	// public is set where calls need no key.
 	public bool
-	// size is how many bytes of its answers come while they pass through, as a mean; sized
+	// meanAnswerBytes is how many bytes of its answers come while they pass through, as a mean; sized
 	// is set once one has come.
-	size  float64
-	sized bool
+	meanAnswerBytes  float64
+	hasAnswerSize bool
 	// regions are where targets must be to take the route's calls; nil allows all.
 	regions *table.AllowedRegions
-	// typical is the median time of the route's calls at a target's usual pace, in
+	// typicalLatency is the median time of the route's calls at a target's usual pace, in
 	// nanoseconds; zero before the first.
-	typical float64
-	// answers counts the answers that the typical time was learnt from.
-	answers int
-	// first are the first answers' times, which the typical time starts from.
-	first [sureAnswers]float64
-	// asked is what the route's callers begin with.
-	asked usualDeadline
+	typicalLatency float64
+	// latencySamples counts the latencySamples that the typical time was learnt from.
+	latencySamples int
+	// firstLatencies are the firstLatencies answers' times, which the typical time starts from.
+	firstLatencies [sureAnswers]float64
+	// callerDeadline is what the route's callers begin with.
+	callerDeadline usualDeadline
 	parts []routePart
 }
 
 // serviceRoute is the route that a service's own hosts and prefix make.
 func serviceRoute(s *service, host string) *route {
 	return &route{
-		host: host, prefix: s.row.PathPrefix, work: s.row.Work, usual: s.row.Deadline, maxAttempts: maxAttempts,
+		host: host, prefix: s.row.PathPrefix, work: s.row.Work, defaultDeadline: s.row.Deadline, maxAttempts: maxAttempts,
 		parts: []routePart{{service: s, weight: 1}},
 	}
 }
@@ -63,7 +63,7 @@
 // no calls.
 func (r *Router) newRoute(row *table.Route) *route {
 	x := &route{
-		host: row.Host, prefix: row.PathPrefix, work: row.Work, deadline: row.Deadline, usual: row.Deadline, aim: row.Aim,
+		host: row.Host, prefix: row.PathPrefix, work: row.Work, maxDeadline: row.Deadline, defaultDeadline: row.Deadline, aim: row.Aim,
 		maxAttempts: maxAttempts, priority: row.Priority, largeAnswers: row.LargeAnswers, public: row.Public, regions: row.Regions,
 	}
 	if row.MaxAttempts > 0 {
@@ -77,12 +77,12 @@
 	return x
 }
 
-// learnFrom takes over what was learnt of the route before a change, if there was one.
-func (x *route) learnFrom(old *route) {
+// copyEstimates takes over what was learnt of the route before a change, if there was one.
+func (x *route) copyEstimates(old *route) {
 	if old != nil {
-		x.typical, x.answers, x.first = old.typical, old.answers, old.first
-		x.asked = old.asked
-		x.size, x.sized = old.size, old.sized
+		x.typicalLatency, x.latencySamples, x.firstLatencies = old.typicalLatency, old.latencySamples, old.firstLatencies
+		x.callerDeadline = old.callerDeadline
+		x.meanAnswerBytes, x.hasAnswerSize = old.meanAnswerBytes, old.hasAnswerSize
 	}
 }
 
@@ -93,10 +93,10 @@
 	for key, row := range r.table.Routes {
 		added := r.newRoute(row)
 		old := r.routes.byKey[key]
-		added.learnFrom(old)
+		added.copyEstimates(old)
 		added.takeTurns(old, r.settings.Box)
 		x.byKey[key] = added
-		x.restricts = x.restricts || added.regions != nil
+		x.restrictsRegions = x.restrictsRegions || added.regions != nil
 		x.byHost[row.Host] = append(x.byHost[row.Host], added)
 	}
 	for _, s := range r.order {
@@ -137,13 +137,13 @@
 	return nil
 }
 
-// deadlineOf is how long a call of the route may take.
-func (x *route) deadlineOf(asked, most time.Duration) time.Duration {
+// callDeadline is how long a call of the route may take.
+func (x *route) callDeadline(asked, most time.Duration) time.Duration {
 	if asked <= 0 {
-		return x.usual
+		return x.defaultDeadline
 	}
-	if x.deadline > 0 {
-		most = x.deadline
+	if x.maxDeadline > 0 {
+		most = x.maxDeadline
 	}
 	return min(asked, most)
 }
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -69,7 +69,7 @@
 			probes: map[string]*Endpoint{}, lastProbe: map[string]Effect{}, sent: map[string]map[AttemptNumber]*Endpoint{},
 		}
 		router, err := NewRouter(Settings{
-			Box: "me", Domain: "here", Seed: 1, ShareDelay: time.Second, ColdDoubt: DefaultColdDoubt, ProbeCost: 5 * time.Millisecond,
+			Box: "me", Domain: "here", Seed: 1, ShareDelay: time.Second, AssumedColdPeriod: DefaultAssumedColdPeriod, ProbeCost: 5 * time.Millisecond,
 			Loans: true, MaxDeadline: time.Minute,
 			LinkRate: 875_000,
 		}, s.now)
@@ -442,7 +442,7 @@
 
 // keyDoubt limit=D sets for how long keys let calls in at a box that is out of touch.
 func (s *script) keyDoubt(d *datadriven.TestData) {
-	s.router.settings.KeyDoubt = s.duration(d, "limit")
+	s.router.settings.MaxKeyStaleness = s.duration(d, "limit")
 }
 
 var resultWords = map[string]AttemptResult{
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -14,25 +14,25 @@
 	entry   *table.Entry
 	row     table.Service
 	targets []*target
-	// whenFull and whenCold are how much longer calls took at targets that were nearly full,
+	// nearFullSlowdown and whenCold are how much longer calls took at targets that were nearly full,
 	// or cold.
-	whenFull learntSlowdown
-	whenCold learntSlowdown
+	nearFullSlowdown learntSlowdown
+	coldSlowdown learntSlowdown
 	// silence is what is known of calls that were never answered.
 	silence silence
-	// off are the mechanisms that aren't used.
-	off mechanismSet
+	// disabled are the mechanisms that aren't used.
+	disabled mechanismSet
 	// domain is the box's own failure domain.
 	domain units.Domain
-	// sums are running sums of the weights that count now.
-	sums []float64
-	// weight is the sum of all weights that count now.
-	weight float64
+	// cumulativeWeights are running cumulativeWeights of the weights that count now.
+	cumulativeWeights []float64
+	// totalWeight is the sum of all weights that count now.
+	totalWeight float64
 	// mostlyEjected is set while so many targets are out of the common path that the
 	// rest would collapse; then their health doesn't count.
 	mostlyEjected bool
-	// recent counts the last sends.
-	recent float64
+	// recentSends counts the last sends.
+	recentSends float64
 	held   heldQueue
 	// extraBurst bounds what each of the budgets saves up, or the one for both where pooled is
 	// set.
@@ -47,22 +47,22 @@
 	// waiting are the calls that wait for a target that suits, the most urgent first and
 	// the oldest of those; calls that have found one stay until they are passed over.
 	waiting []waitingCall
-	// busyPart is the part of the last calls that found no target that suits at once;
+	// busyFraction is the part of the last calls that found no target that suits at once;
 	// busyAt is when that was last noted.
-	busyPart float64
-	busyAt   units.Instant
+	busyFraction float64
+	busyUpdatedAt   units.Instant
 	// busySince is when the service last began to count as busy.
 	busySince units.Instant
-	// unreported counts the answers in a row that carried no load report.
-	unreported int
+	// answersWithoutReport counts the answers in a row that carried no load report.
+	answersWithoutReport int
 	// sweepAt is when time alone may next bring something about.
 	sweepAt units.Instant
 	calls   uint64
 	refused uint64
 	// crashes counts the crashes of targets under calls of this box.
 	crashes uint64
-	// rests counts the rests that targets asked this box for.
-	rests uint64
+	// restRequests counts the restRequests that targets asked this box for.
+	restRequests uint64
 	// limitedTargets counts the targets that name limits, since limitedSince.
 	limitedTargets      int
 	limitedSince units.Instant
@@ -120,10 +120,10 @@
 	s.targets = targets
 }
 
-// weigh works out the weights that count now; it is due whenever a target's health,
+// updateWeights works out the weights that count now; it is due whenever a target's health,
 // state or weight has changed.
-func (s *service) weigh(now units.Instant) {
-	s.sums = s.sums[:0]
+func (s *service) updateWeights(now units.Instant) {
+	s.cumulativeWeights = s.cumulativeWeights[:0]
 	sum := 0.0
 	active, ejected, limited := 0, 0, 0
 	for _, t := range s.targets {
@@ -132,7 +132,7 @@
 			limited++
 		}
 		sum += t.weight
-		s.sums = append(s.sums, sum)
+		s.cumulativeWeights = append(s.cumulativeWeights, sum)
 		if !t.isActive() {
 			continue
 		}
@@ -141,7 +141,7 @@
 			ejected++
 		}
 	}
-	s.weight = sum
+	s.totalWeight = sum
 	s.mostlyEjected = 2*ejected > active
 	if s.limitedTargets == 0 {
 		s.limitedSince = now
@@ -185,15 +185,15 @@
 	call *call
 	// anyHealth lets ejected targets be chosen.
 	anyHealth bool
-	// fresh leaves out the targets that the call has been sent to.
-	fresh bool
+	// excludeTried leaves out the targets that the call has been sent to.
+	excludeTried bool
 	// role is that of the targets to choose from.
 	role versionRole
 }
 
 func (c *candidates) Len() int                     { return len(c.service.targets) }
 func (c *candidates) At(i int) *target             { return c.service.targets[i] }
-func (c *candidates) Sample(random *rand.Rand) int { return sampleByWeight(c.service.sums, random) }
+func (c *candidates) Sample(random *rand.Rand) int { return sampleByWeight(c.service.cumulativeWeights, random) }
 func (c *candidates) InFlight(i int) int           { return c.service.targets[i].inFlight }
 func (c *candidates) Reported(i int) float64       { return c.service.targets[i].reading.InFlight }
 
@@ -206,8 +206,8 @@
 	return t.side == c.role && t.takesWork(c.now, c.anyHealth) && !c.excluded(t)
 }
 
-// onlyInDoubt tells whether a target would be available if a probe showed it warm.
-func (c *candidates) onlyInDoubt(i int) bool {
+// availableIfWarm tells whether a target would be available if a probe showed it warm.
+func (c *candidates) availableIfWarm(i int) bool {
 	t := c.service.targets[i]
 	return t.side == c.role && t.inDoubt(c.now) && !t.lacksPermit(c.now) && t.takesWhenWarm(c.now, c.anyHealth) && !c.excluded(t)
 }
@@ -215,5 +215,5 @@
 // excluded tells whether the call itself rules a target out. A call that is under way isn't sent to a
 // target that names a limit as well: the permit serves another call better.
 func (c *candidates) excluded(t *target) bool {
-	return !c.call.mayUse(t) || c.fresh && c.call.tried(t) || c.call.uses(t) || t.notice.limited() && c.call.underWay() > 0
+	return !c.call.mayUse(t) || c.excludeTried && c.call.tried(t) || c.call.uses(t) || t.notice.limited() && c.call.underWay() > 0
 }
--- a/pkg/core/routing/share.go
+++ b/pkg/core/routing/share.go
@@ -22,52 +22,52 @@
 }
 
 func rankOf(box units.BoxID, boxes []table.Box) boxRank {
-	rank := placeOf(box, boxes)
+	rank := indexOf(box, boxes)
 	return boxRank{box: box, boxes: boxes, rank: rank, count: len(boxes), listed: rank >= 0}
 }
 
-// placeOf returns a box's place in a list, or -1.
-func placeOf(box units.BoxID, boxes []table.Box) int {
+// indexOf returns a box's place in a list, or -1.
+func indexOf(box units.BoxID, boxes []table.Box) int {
 	return slices.IndexFunc(boxes, func(b table.Box) bool { return b.ID == box })
 }
 
-// boxMoves are the boxes that came and went with a new list.
-type boxMoves struct {
-	came []table.Box
-	went []table.Box
+// boxListChange are the boxes that came and went with a new list.
+type boxListChange struct {
+	joined []table.Box
+	left []table.Box
 }
 
-func (b boxRank) movesTo(next boxRank) boxMoves {
-	var m boxMoves
+func (b boxRank) changeTo(next boxRank) boxListChange {
+	var m boxListChange
 	known := make(map[units.BoxID]bool, len(b.boxes))
 	for _, x := range b.boxes {
 		known[x.ID] = true
 	}
 	for _, x := range next.boxes {
 		if !known[x.ID] {
-			m.came = append(m.came, x)
+			m.joined = append(m.joined, x)
 		}
 		delete(known, x.ID)
 	}
 	for _, x := range b.boxes {
 		if known[x.ID] {
-			m.went = append(m.went, x)
+			m.left = append(m.left, x)
 		}
 	}
 	return m
 }
 
-// onlyLost tells whether the new list is the old one without some boxes, this
+// onlyRemoves tells whether the new list is the old one without some boxes, this
 // one not among them.
-func (m boxMoves) onlyLost(from, to boxRank) bool {
-	return from.listed && to.listed && len(m.came) == 0 && len(m.went) > 0
+func (m boxListChange) onlyRemoves(from, to boxRank) bool {
+	return from.listed && to.listed && len(m.joined) == 0 && len(m.left) > 0
 }
 
-// wholeShare returns this box's part of a limit that counts whole things, given
+// integerShare returns this box's part of a limit that counts whole things, given
 // how many boxes come before it for the target. The parts of all listed boxes add
 // up to the limit exactly. The odd ones go to the boxes that come first by
 // rendezvous hashing, so that the loss of a box takes nothing from any other.
-func (b boxRank) wholeShare(limit, place int) int {
+func (b boxRank) integerShare(limit, place int) int {
 	if limit == 0 {
 		return unlimited
 	}
@@ -101,51 +101,51 @@
 	return rate / float64(b.count)
 }
 
-// settledValue is a share that falls at once and rises only when every other
+// delayedShare is a share that falls at once and rises only when every other
 // box must have seen its own fall, or has lost its lease. It is the least of
 // the values wanted over the last delay.
-type settledValue struct {
-	history []wantedValue
+type delayedShare struct {
+	history []requestedShare
 	value   float64
 }
 
-type wantedValue struct {
+type requestedShare struct {
 	at    units.Instant
 	value float64
 }
 
-// fix has a share hold at once.
-func (s *settledValue) fix(value float64) {
-	s.history = append(s.history[:0], wantedValue{value: value, at: -units.Instant(time.Hour)})
+// setImmediately has a share hold at once.
+func (s *delayedShare) setImmediately(value float64) {
+	s.history = append(s.history[:0], requestedShare{value: value, at: -units.Instant(time.Hour)})
 	s.value = value
 }
 
-// want notes a new wanted value.
-func (s *settledValue) want(now units.Instant, value float64, delay time.Duration) {
+// request notes a new wanted value.
+func (s *delayedShare) request(now units.Instant, value float64, delay time.Duration) {
 	if value >= unlimited {
 		// Without a limit there is nothing that others could exceed.
-		s.history = append(s.history[:0], wantedValue{at: now.Add(-delay), value: value})
+		s.history = append(s.history[:0], requestedShare{at: now.Add(-delay), value: value})
 	} else if n := len(s.history); n == 0 || s.history[n-1].value != value {
-		s.history = append(s.history, wantedValue{at: now, value: value})
+		s.history = append(s.history, requestedShare{at: now, value: value})
 	}
-	s.settle(now, delay)
+	s.advance(now, delay)
 }
 
 // raise puts a higher value in force at once. It is for the loss of boxes whose
 // lease has run out: no other box's share falls by it, so there is nothing to wait
 // for. A share that hasn't settled waits all the same.
-func (s *settledValue) raise(now units.Instant, value float64, delay time.Duration) {
+func (s *delayedShare) raise(now units.Instant, value float64, delay time.Duration) {
 	if len(s.history) == 1 && value >= s.history[0].value && s.history[0].at.Add(delay) <= now {
 		s.history[0].value = value
 		s.value = value
 		return
 	}
-	s.want(now, value, delay)
+	s.request(now, value, delay)
 }
 
-// settle works out the value at a time, and returns when it may next rise, or
+// advance works out the value at a time, and returns when it may next rise, or
 // zero when it has settled.
-func (s *settledValue) settle(now units.Instant, delay time.Duration) units.Instant {
+func (s *delayedShare) advance(now units.Instant, delay time.Duration) units.Instant {
 	// The value that was wanted when the delay began still counts.
 	for len(s.history) > 1 && s.history[1].at.Add(delay) <= now {
 		s.history = s.history[1:]
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -47,7 +47,7 @@
 func (r *Router) inboundStatus(now units.Instant) InboundStatus {
 	return InboundStatus{
 		LeftMs: r.inbound.left(now).Milliseconds(), BusyMs: r.inbound.busyBy(now).Milliseconds(),
-		Expected: int64(r.expected), Waits: r.linkWaits,
+		Expected: int64(r.expectedBytes), Waits: r.linkWaits,
 	}
 }
 
@@ -180,7 +180,7 @@
 	status := ServiceStatus{
 		Service: s.row.Name, Version: s.entry.Version, Calls: s.calls, Refused: s.refused, Held: s.held.length,
 		Retries: s.retries.spent, Hedges: s.hedges.spent, Latency: s.latency.mean(), HedgeDelay: s.hedgeDelay(),
-		Crashes: s.crashes, Rests: s.rests, Unanswered: s.silence.calls, Hangs: s.silence.hangs(now), HangsFrom: s.silence.from,
+		Crashes: s.crashes, Rests: s.restRequests, Unanswered: s.silence.calls, Hangs: s.silence.hangs(now), HangsFrom: s.silence.from,
 	}
 	if s.rollout != nil {
 		status.Rollout = s.rollout.status(now)
@@ -226,7 +226,7 @@
 		InFlight: t.inFlight, Share: share, Lent: t.lent, Borrowed: len(t.borrowed),
 		Ejected: t.health.ejected, Ramp: t.health.ramp(now), Latency: t.latency.mean(),
 		Sends: t.sends, Answers: t.answers, Failures: t.failures, Sheds: t.sheds, Unanswered: t.unansweredCalls, Probes: t.probesSent,
-		Measured: time.Duration(t.probesSent) * r.settings.ProbeCost, ProbeRate: r.probeRate(t.service, t), Bound: t.bound(now),
+		Measured: time.Duration(t.probesSent) * r.settings.ProbeCost, ProbeRate: r.probeRate(t.service, t), Bound: t.blockedBy(now),
 		SaysLeaving: t.notice.isLeaving(),
 	}
 	if t.notice.rests(now) {
@@ -241,8 +241,8 @@
 	return status
 }
 
-// bound names the first thing that keeps new calls from the target.
-func (t *target) bound(now units.Instant) string {
+// blockedBy names the first thing that keeps new calls from the target.
+func (t *target) blockedBy(now units.Instant) string {
 	switch {
 	case t.row.State.String() != "active":
 		return "leaving"
@@ -282,9 +282,9 @@
 // box that isn't serving does what it can with calls that come all the same.
 func (r *Router) Serving(now units.Instant) bool {
 	if r.settings.ServeStale {
-		return !r.tableIsEmpty() && (now >= r.servesFrom || !r.hasLimits())
+		return !r.tableIsEmpty() && (now >= r.servingFrom || !r.hasLimits())
 	}
-	return now < r.leaseUntil && r.rank.listed && now >= r.servesFrom
+	return now < r.leaseUntil && r.rank.listed && now >= r.servingFrom
 }
 
 // hasLimits tells whether any target has a limit that is divided among the boxes.
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -7,9 +7,9 @@
 	"github.com/madderpond/madderpond/pkg/core/table"
 )
 
-// changeTable puts a table in force. What it doesn't change costs nothing, so
+// applyTable puts a table in force. What it doesn't change costs nothing, so
 // that an edit of one service is cheap however many there are.
-func (r *Router) changeTable(t *table.Table, e *Effects) {
+func (r *Router) applyTable(t *table.Table, e *Effects) {
 	tableRoutesChanged := t.Document != r.table.Document
 	evacuationsChanged := r.changeEvacuations(r.table.Evacuations, t.Evacuations)
 	rolloutsChanged := versionsChanged(r.table, t)
@@ -18,9 +18,9 @@
 	if t.Document != r.keys.document {
 		r.keys = newKeyRing(t)
 	}
-	boxesChanged := r.changeBoxes(t.Boxes)
-	routesChanged := r.dropMissing(t, e) || tableRoutesChanged
-	r.changed = r.changed[:0]
+	boxesChanged := r.applyBoxes(t.Boxes)
+	routesChanged := r.dropMissingServices(t, e) || tableRoutesChanged
+	r.changedServices = r.changedServices[:0]
 	for _, n := range t.ServiceNames() {
 		entry := t.Services[n]
 		s := r.services[n]
@@ -30,13 +30,13 @@
 		if s == nil || !sameRoutes(&s.row, &entry.Service) {
 			routesChanged = true
 		}
-		r.changed = append(r.changed, r.putService(entry, e))
+		r.changedServices = append(r.changedServices, r.applyService(entry, e))
 	}
 	if routesChanged {
 		slices.SortFunc(r.order, compareServices)
 		r.indexRoutes()
 		if r.bindCalls() {
-			r.changed = append(r.changed[:0], r.order...)
+			r.changedServices = append(r.changedServices[:0], r.order...)
 		}
 	}
 	if quarantinesChanged {
@@ -46,8 +46,8 @@
 		r.updateCoordination(e)
 	}
 	r.updateQuotas(e)
-	for _, s := range r.changed {
-		r.settleCalls(s, e)
+	for _, s := range r.changedServices {
+		r.recheckWaitingCalls(s, e)
 	}
 }
 
@@ -56,26 +56,26 @@
 	return slices.EqualFunc(a, b, func(x, y table.Quarantine) bool { return x.Call == y.Call })
 }
 
-// settleCalls refuses the calls that wait for a service without a target for them, and sends
+// recheckWaitingCalls refuses the calls that wait for a service without a target for them, and sends
 // those that a target takes.
-func (r *Router) settleCalls(s *service, e *Effects) {
+func (r *Router) recheckWaitingCalls(s *service, e *Effects) {
 	r.refuseUnservable(s, e)
 	r.serveHeld(s, e)
 }
 
-// changeBoxes notes a new list of boxes, and tells whether it differs.
-func (r *Router) changeBoxes(boxes []table.Box) bool {
+// applyBoxes notes a new list of boxes, and tells whether it differs.
+func (r *Router) applyBoxes(boxes []table.Box) bool {
 	if slices.Equal(r.rank.boxes, boxes) {
-		r.boxesLost = false
-		r.moves = boxMoves{}
+		r.onlyBoxesLost = false
+		r.boxChanges = boxListChange{}
 		return false
 	}
 	rank := rankOf(r.settings.Box, boxes)
 	r.recordReplacedBoxList()
-	r.moves = r.rank.movesTo(rank)
-	r.boxesLost = r.moves.onlyLost(r.rank, rank)
+	r.boxChanges = r.rank.changeTo(rank)
+	r.onlyBoxesLost = r.boxChanges.onlyRemoves(r.rank, rank)
 	if !r.rank.listed && rank.listed {
-		r.servesFrom = r.now.Add(r.settings.ShareDelay)
+		r.servingFrom = r.now.Add(r.settings.ShareDelay)
 	}
 	r.rank = rank
 	r.noBoxesSeen = r.noBoxesSeen && len(boxes) == 0
@@ -86,9 +86,9 @@
 	return true
 }
 
-// dropMissing drops the services that the table no longer has, and tells whether
+// dropMissingServices drops the services that the table no longer has, and tells whether
 // there were any.
-func (r *Router) dropMissing(t *table.Table, e *Effects) bool {
+func (r *Router) dropMissingServices(t *table.Table, e *Effects) bool {
 	kept := r.order[:0]
 	for _, s := range r.order {
 		if t.Services[s.row.Name] != nil {
@@ -106,14 +106,14 @@
 	return a.PathPrefix == b.PathPrefix && slices.Equal(a.Hosts, b.Hosts)
 }
 
-// putService takes a service of a new table. What waits for it is settled once the table's
+// applyService takes a service of a new table. What waits for it is settled once the table's
 // routes hold too.
-func (r *Router) putService(entry *table.Entry, e *Effects) *service {
+func (r *Router) applyService(entry *table.Entry, e *Effects) *service {
 	s := r.services[entry.Service.Name]
 	if s == nil {
 		s = newService(entry.Service)
 		s.domain = r.settings.Domain
-		s.off = r.off
+		s.disabled = r.disabled
 		r.services[entry.Service.Name] = s
 		r.order = append(r.order, s)
 	}
@@ -125,13 +125,13 @@
 	r.markRegions(s, e)
 	r.markEvacuated(s)
 	r.updateVersionRoles(s)
-	r.sweepBy(s, r.now)
+	r.scheduleSweep(s, r.now)
 	r.divideExtraBurst(s)
 	r.chooseSubset(s)
 	for _, t := range s.targets {
-		r.wantShare(t)
+		r.updateShares(t)
 	}
-	s.weigh(r.now)
+	s.updateWeights(r.now)
 	return s
 }
 
@@ -147,7 +147,7 @@
 	}
 }
 
-func (r *Router) wantShare(t *target) {
+func (r *Router) updateShares(t *target) {
 	if t.isCold(r.now) {
 		r.shareCold(t)
 	}
@@ -155,19 +155,19 @@
 		r.shareRegistered(t)
 		return
 	}
-	r.placeTarget(t)
-	limit := r.rank.wholeShare(t.row.MaxInFlight, t.place)
-	connections := r.rank.wholeShare(t.row.MaxConnections, t.place)
+	r.updatePlace(t)
+	limit := r.rank.integerShare(t.row.MaxInFlight, t.place)
+	connections := r.rank.integerShare(t.row.MaxConnections, t.place)
 	t.connections = connections
-	r.want(&t.share, float64(min(limit, connections)))
-	r.want(&t.rateShare, r.rank.rateShare(t.row.MaxRate))
-	r.want(&t.probeShare, r.rank.rateShare(1))
+	r.requestShare(&t.share, float64(min(limit, connections)))
+	r.requestShare(&t.rateShare, r.rank.rateShare(t.row.MaxRate))
+	r.requestShare(&t.probeShare, r.rank.rateShare(1))
 }
 
 // shareRegistered gives this box its part of a registered target's connections. It
 // holds at once: the bound is the target's own, which sheds what is too much.
 func (r *Router) shareRegistered(t *target) {
-	sharers := r.sharersOf(t)
+	sharers := r.maxSharers(t)
 	t.connections = 0
 	if t.row.MaxConnections > 0 {
 		t.connections = max(1, t.row.MaxConnections/sharers)
@@ -176,13 +176,13 @@
 	if t.row.MaxInFlight > 0 {
 		limit = max(1, float64(t.row.MaxInFlight)/float64(sharers))
 	}
-	t.share.fix(limit)
-	t.rateShare.fix(unlimited)
-	t.probeShare.fix(1 / float64(sharers))
+	t.share.setImmediately(limit)
+	t.rateShare.setImmediately(unlimited)
+	t.probeShare.setImmediately(1 / float64(sharers))
 }
 
-// sharersOf bounds how many boxes may use a registered target.
-func (r *Router) sharersOf(t *target) int {
+// maxSharers bounds how many boxes may use a registered target.
+func (r *Router) maxSharers(t *target) int {
 	all := max(1, r.rank.count)
 	if len(t.service.entry.Division) == 0 {
 		return all
@@ -199,31 +199,31 @@
 	return r.domainBoxCounts
 }
 
-// placeTarget works out how many boxes come before this one for a target, from the
+// updatePlace works out how many boxes come before this one for a target, from the
 // boxes that came and went where the others have been counted already.
-func (r *Router) placeTarget(t *target) {
+func (r *Router) updatePlace(t *target) {
 	if !t.placed {
 		t.placed = true
 		t.place = r.rank.countBefore(t.row.Target, r.rank.boxes)
 		return
 	}
-	t.place += r.rank.countBefore(t.row.Target, r.moves.came) - r.rank.countBefore(t.row.Target, r.moves.went)
+	t.place += r.rank.countBefore(t.row.Target, r.boxChanges.joined) - r.rank.countBefore(t.row.Target, r.boxChanges.left)
 }
 
-func (r *Router) want(s *settledValue, value float64) {
-	if r.boxesLost {
+func (r *Router) requestShare(s *delayedShare, value float64) {
+	if r.onlyBoxesLost {
 		s.raise(r.now, value, r.settings.ShareDelay)
 		return
 	}
-	s.want(r.now, value, r.settings.ShareDelay)
+	s.request(r.now, value, r.settings.ShareDelay)
 }
 
-// settleShare lets a target's shares rise that have waited long enough, and
+// advanceShares lets a target's shares rise that have waited long enough, and
 // tells whether any of them has still to wait.
-func (r *Router) settleShare(t *target) bool {
+func (r *Router) advanceShares(t *target) bool {
 	unsettled := false
-	for _, s := range []*settledValue{&t.share, &t.rateShare, &t.probeShare} {
-		if s.settle(r.now, r.settings.ShareDelay) != 0 {
+	for _, s := range []*delayedShare{&t.share, &t.rateShare, &t.probeShare} {
+		if s.advance(r.now, r.settings.ShareDelay) != 0 {
 			unsettled = true
 		}
 	}
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -41,9 +41,9 @@
 	oldest *attempt
 	newest *attempt
 
-	share       settledValue
-	rateShare   settledValue
-	probeShare  settledValue
+	share       delayedShare
+	rateShare   delayedShare
+	probeShare  delayedShare
 	connections int
 	// place is how many boxes come before this one for the target, once placed.
 	place     int
@@ -119,7 +119,7 @@
 		t.cold.reported = row.Cold
 	}
 	t.row = row
-	t.remote = !t.service.off[OwnDomain] && row.Domain != "" && t.service.domain != "" && row.Domain != t.service.domain
+	t.remote = !t.service.disabled[OwnDomain] && row.Domain != "" && t.service.domain != "" && row.Domain != t.service.domain
 	t.gone = false
 }
 
@@ -128,7 +128,7 @@
 	if t.row.State != table.Active || t.evacuated || t.side != inForce || t.notice.isLeaving() {
 		return 0
 	}
-	if t.service.off[Ramping] {
+	if t.service.disabled[Ramping] {
 		return float64(t.row.Weight)
 	}
 	return float64(t.row.Weight) * t.health.ramp(now)
@@ -199,7 +199,7 @@
 	if !t.inTable() || t.evacuated || t.side == closed || t.notice.forbids(now) || now < t.notBefore || t.mayHang(now) {
 		return false
 	}
-	if !anyHealth && !t.service.off[Ejection] && (!t.health.admits(now, t.inFlight) || t.health.ejected && t.row.Silent) {
+	if !anyHealth && !t.service.disabled[Ejection] && (!t.health.admits(now, t.inFlight) || t.health.ejected && t.row.Silent) {
 		return false
 	}
 	if !t.hasRoom(now) {
@@ -220,7 +220,7 @@
 // its part of the weights. The second keeps to the weights where targets are much
 // alike, the first leaves them where one of them isn't well.
 func (t *target) cost(now units.Instant, x *route) float64 {
-	if t.row.Registered && t.service.unreported < unreportedLimit {
+	if t.row.Registered && t.service.answersWithoutReport < unreportedLimit {
 		return t.expectedTime(now, x)
 	}
 	queue := float64(t.inFlight) + t.reading.estimate(now, t.inFlight)
@@ -260,10 +260,10 @@
 // the weights, as a part of the latter; it is at least -1.
 func (t *target) surplus() float64 {
 	s := t.service
-	if s.weight <= 0 {
+	if s.totalWeight <= 0 {
 		return 0
 	}
-	want := s.recent * t.weight / s.weight
+	want := s.recentSends * t.weight / s.totalWeight
 	return (t.recent - want) / (want + 1)
 }
 
@@ -275,11 +275,11 @@
 func (t *target) noteSend() {
 	s := t.service
 	t.recent++
-	s.recent++
-	if s.recent < recentCalls*float64(len(s.targets)) {
+	s.recentSends++
+	if s.recentSends < recentCalls*float64(len(s.targets)) {
 		return
 	}
-	s.recent /= 2
+	s.recentSends /= 2
 	for _, o := range s.targets {
 		o.recent /= 2
 	}
--- a/pkg/core/routing/waiting.go
+++ b/pkg/core/routing/waiting.go
@@ -83,7 +83,7 @@
 // isBusy tells whether calls have lately found no target that suits. Then one that
 // nothing recent is known of is likely to be full as well.
 func (s *service) isBusy(now units.Instant) bool {
-	return s.busyPart > busyFrom && now.Sub(s.busyAt) < busyMemory
+	return s.busyFraction > busyFrom && now.Sub(s.busyUpdatedAt) < busyMemory
 }
 
 // noteFound keeps account of how many of the calls that probe find no target at once.
@@ -93,8 +93,8 @@
 		miss = 0
 	}
 	wasBusy := s.isBusy(now)
-	s.busyPart += busyGain * (miss - s.busyPart)
-	s.busyAt = now
+	s.busyFraction += busyGain * (miss - s.busyFraction)
+	s.busyUpdatedAt = now
 	if !wasBusy {
 		s.busySince = now
 	}
@@ -119,7 +119,7 @@
 	if !c.probeRound.waiting {
 		c.probeRound.waiting = true
 		w := waitingCall{id: id, urgency: c.urgency()}
-		w.urgency.missed = missed
+		w.urgency.overdue = missed
 		if !missed {
 			c.service.noteFound(r.now, false)
 		}
