--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -140,7 +140,7 @@
 func (r *Router) chooseOf(s *service, c *call, from versionRole) *target {
 	// The set is kept in the router, since a policy's argument would be garbage.
 	set := &r.candidates
-	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != onTrial, excludeTried: c.tries > 0, role: from}
+	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != trialVersion, excludeTried: c.tries > 0, role: from}
 	if t := set.limitCheckTarget(); t != nil {
 		return t
 	}
@@ -197,7 +197,7 @@
 	if !s.hasActiveTarget(c) && c.route.work != table.Patient {
 		return s.noTargetReason(c, r.now)
 	}
-	if r.defaultRole(s) == noRole && c.route.work != table.Patient {
+	if r.defaultRole(s) == noVersion && c.route.work != table.Patient {
 		return RolloutUnsure
 	}
 	if s.opensTooLate(c, r.now) {
--- a/pkg/core/routing/budget_test.go
+++ b/pkg/core/routing/budget_test.go
@@ -14,7 +14,7 @@
 func TestBoxesSaveUpNoMoreThanTheTableAllows(t *testing.T) {
 	for _, boxes := range []int{1, 3, 17, 47, 50, 95, 110, 473} {
 		for _, extra := range []int{1, 18, 52, 70, 189} {
-			saved := savedUpBy(t, boxes, extra)
+			saved := totalSaved(t, boxes, extra)
 			both := float64(extraKinds * extra)
 			if saved > both+1e-6 || saved < both/2 {
 				t.Errorf("%d boxes save up %.2f of %.0f", boxes, saved, both)
@@ -23,7 +23,7 @@
 	}
 }
 
-func savedUpBy(t *testing.T, boxes, extra int) float64 {
+func totalSaved(t *testing.T, boxes, extra int) float64 {
 	var list []table.Box
 	for i := range boxes {
 		list = append(list, table.Box{ID: units.BoxID(fmt.Sprintf("box-%03d", i))})
--- a/pkg/core/routing/limit_fleet_test.go
+++ b/pkg/core/routing/limit_fleet_test.go
@@ -16,12 +16,12 @@
 
 // What is checked: from limitGrace after a start of a target first named a limit, it gets in no limitWindow
 // more than what its limit comes to in that time and in the time for which permits are kept, and what its coordinator
-// may have saved up, from boxes that had been told toldGrace before, but for those that were disturbed. That is well below the promise
+// may have saved up, from boxes that had been told informedGrace before, but for those that were disturbed. That is well below the promise
 // to users, one and a half times what the limit allows and five calls more: most faults of the rule would stay below it.
 const (
 	limitWindow = 4 * time.Second
 	limitGrace  = 3 * time.Second
-	toldGrace   = 500 * time.Millisecond
+	informedGrace   = 500 * time.Millisecond
 	// limitSlack is for the call that may be under way as a limit falls.
 	limitSlack = 1
 )
@@ -37,15 +37,15 @@
 	revision units.Revision
 	targets  []*limitTarget
 	work     table.Work
-	// loss is the part of messages that are lost, late the part that take up to two seconds.
-	loss, late float64
+	// lossRate is the part of messages that are lost, delayed the part that take up to two seconds.
+	lossRate, delayed float64
 	// slow is the part of connections that take up to half a second.
 	slow float64
 	// calls, refusals and messages are counted; slowest is how long a call was out that was refused.
 	calls, refusals, messages int
 	slowest                   time.Duration
-	// waits is for how long calls have waited for their first send.
-	waits time.Duration
+	// totalWait is for how long calls have waited for their first send.
+	totalWait time.Duration
 	// faults are those that were brought about, for the log.
 	faults []string
 }
@@ -58,8 +58,8 @@
 	start  int
 	// limited are the endpoints that name limits by the router's word.
 	limited map[*Endpoint]bool
-	// cut is set while nothing but targets and callers reach it, frozenUntil is when it wakes.
-	cut         bool
+	// isolated is set while nothing but targets and callers reach it, frozenUntil is when it wakes.
+	isolated         bool
 	frozenUntil units.Instant
 	wakeAt      units.Instant
 	// disturbedAt is when it was last disturbed.
@@ -76,12 +76,12 @@
 	// rates are the limits of the present start, each from a time on; since is when it first named one
 	// without having stopped.
 	rates []limitRate
-	since units.Instant
+	limitedSince units.Instant
 	// startedAt is when it last started; zero for before the test.
 	startedAt units.Instant
-	// told is when each box was first told of the present limit.
-	told map[*limitBox]units.Instant
-	came []limitArrival
+	// informedAt is when each box was first informedAt of the present limit.
+	informedAt map[*limitBox]units.Instant
+	arrivals []limitArrival
 	// total counts calls and probes, calls the calls among them.
 	total, calls int
 }
@@ -102,7 +102,7 @@
 	}
 	for i := range targets {
 		f.targets = append(f.targets, &limitTarget{
-			id: units.TargetID(fmt.Sprintf("t%d", i)), domain: f.domain(i), born: 1, told: map[*limitBox]units.Instant{},
+			id: units.TargetID(fmt.Sprintf("t%d", i)), domain: f.domain(i), born: 1, informedAt: map[*limitBox]units.Instant{},
 		})
 	}
 	for i := range boxes {
@@ -130,7 +130,7 @@
 	b.router = router
 	b.limited = map[*Endpoint]bool{}
 	b.wakeAt = 0
-	f.give(b, &TableChanged{Table: f.table()})
+	f.deliver(b, &TableChanged{Table: f.table()})
 }
 
 // wake has the box look at the time again when that is due.
@@ -144,7 +144,7 @@
 	f.after(at.Sub(f.now), func() {
 		if b.start == start && b.wakeAt == at {
 			b.wakeAt = 0
-			f.give(b, &Tick{})
+			f.deliver(b, &Tick{})
 		}
 	})
 }
@@ -168,9 +168,9 @@
 	return t
 }
 
-// spread puts the list of boxes and the rows as they are now in force on all boxes that are in touch, at
+// publishTable puts the list of boxes and the rows as they are now in force on all boxes that are in touch, at
 // different moments.
-func (f *limitFleet) spread() {
+func (f *limitFleet) publishTable() {
 	t := f.table()
 	for _, b := range f.boxes {
 		start := b.start
@@ -180,20 +180,20 @@
 			delay = 2500 * time.Millisecond
 		}
 		f.after(time.Duration(f.random.Int64N(int64(delay))), func() {
-			if !b.cut && b.start == start {
-				f.give(b, &TableChanged{Table: t})
+			if !b.isolated && b.start == start {
+				f.deliver(b, &TableChanged{Table: t})
 			}
 		})
 	}
 }
 
-// give gives a box an event, or once it wakes.
-func (f *limitFleet) give(b *limitBox, event Event) {
+// deliver gives a box an event, or once it wakes.
+func (f *limitFleet) deliver(b *limitBox, event Event) {
 	if f.now < b.frozenUntil {
 		start := b.start
 		f.after(b.frozenUntil.Sub(f.now), func() {
 			if b.start == start {
-				f.give(b, event)
+				f.deliver(b, event)
 			}
 		})
 		return
@@ -226,11 +226,11 @@
 		f.post(b, x)
 	case Send:
 		if x.Attempt == 1 {
-			f.waits += f.now.Sub(x.Owner.(*limitCall).arrived)
+			f.totalWait += f.now.Sub(x.Owner.(*limitCall).arrived)
 		}
-		later(f.connects(), func() { f.send(b, x) })
+		later(f.connectTime(), func() { f.send(b, x) })
 	case Probe:
-		later(f.connects(), func() { f.probe(b, x) })
+		later(f.connectTime(), func() { f.probe(b, x) })
 	case Refuse:
 		c := x.Owner.(*limitCall)
 		f.refusals++
@@ -238,8 +238,8 @@
 	}
 }
 
-// connects is how long a connection takes.
-func (f *limitFleet) connects() time.Duration {
+// connectTime is how long a connection takes.
+func (f *limitFleet) connectTime() time.Duration {
 	if f.random.Float64() < f.slow {
 		return time.Duration(f.random.Int64N(int64(500 * time.Millisecond)))
 	}
@@ -250,18 +250,18 @@
 func (f *limitFleet) post(from *limitBox, x Effect) {
 	f.messages++
 	to := f.box(x.Peer)
-	if to == nil || from.cut || f.random.Float64() < f.loss {
+	if to == nil || from.isolated || f.random.Float64() < f.lossRate {
 		return
 	}
 	delay := time.Millisecond + time.Duration(f.random.Int64N(int64(3*time.Millisecond)))
-	if f.random.Float64() < f.late {
+	if f.random.Float64() < f.delayed {
 		delay = time.Duration(f.random.Int64N(int64(2 * time.Second)))
 	}
 	m := *x.Limit
 	start := to.start
 	f.after(delay, func() {
-		if !to.cut && !from.cut && to.start == start {
-			f.give(to, &PeerLimit{From: from.id, Message: m})
+		if !to.isolated && !from.isolated && to.start == start {
+			f.deliver(to, &PeerLimit{From: from.id, Message: m})
 		}
 	})
 }
@@ -299,7 +299,7 @@
 	ended := &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Endpoint: x.Endpoint}
 	if f.withheld(b, x) {
 		ended.Result = Withheld
-		f.give(b, ended)
+		f.deliver(b, ended)
 		return
 	}
 	t := f.targetOf(x.Endpoint)
@@ -313,14 +313,14 @@
 		}
 		ended.Reading = t.answer(f, b)
 		if b.start == start {
-			f.give(b, ended)
+			f.deliver(b, ended)
 		}
 	})
 }
 
 func (f *limitFleet) probe(b *limitBox, x Effect) {
 	if f.withheld(b, x) {
-		f.give(b, &ProbeEnded{Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt})
+		f.deliver(b, &ProbeEnded{Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt})
 		return
 	}
 	t := f.targetOf(x.Endpoint)
@@ -328,7 +328,7 @@
 	start := b.start
 	f.after(2*time.Millisecond, func() {
 		if b.start == start {
-			f.give(b, &ProbeEnded{Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Healthy: true, Answered: true, Reading: t.answer(f, b)})
+			f.deliver(b, &ProbeEnded{Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Healthy: true, Answered: true, Reading: t.answer(f, b)})
 		}
 	})
 }
@@ -340,49 +340,49 @@
 		return r
 	}
 	r.Limit = ReportedLimit{Present: true, Rate: units.CallRate(t.rate)}
-	if _, told := t.told[b]; !told {
-		t.told[b] = f.now
+	if _, told := t.informedAt[b]; !told {
+		t.informedAt[b] = f.now
 	}
 	return r
 }
 
-// name has the target name a limit from now on, or none.
-func (t *limitTarget) name(f *limitFleet, limited bool, rate float64) {
+// advertise has the target advertise a limit from now on, or none.
+func (t *limitTarget) advertise(f *limitFleet, limited bool, rate float64) {
 	if limited && t.startedAt != 0 && f.now.Sub(t.startedAt) < limitGrace {
 		// Boxes whose rows don't tell of the new start yet put what it says down to the one before.
 		return
 	}
 	if !limited || !t.limited {
-		t.since, t.rates, t.came = f.now, nil, nil
-		clear(t.told)
+		t.limitedSince, t.rates, t.arrivals = f.now, nil, nil
+		clear(t.informedAt)
 	}
 	t.limited, t.rate = limited, rate
 	t.rates = append(t.rates, limitRate{f.now, rate})
 }
 
-// startAgain has the target start again, which has named nothing.
-func (t *limitTarget) startAgain(f *limitFleet) {
+// restart has the target start again, which has named nothing.
+func (t *limitTarget) restart(f *limitFleet) {
 	t.born++
-	t.name(f, false, 0)
+	t.advertise(f, false, 0)
 	t.startedAt = f.now
-	f.spread()
+	f.publishTable()
 }
 
 // arrive takes a call or probe and checks the promise.
 func (t *limitTarget) arrive(f *limitFleet, b *limitBox) {
 	t.total++
-	if told, ok := t.told[b]; !t.limited || !ok || f.now.Sub(told) < toldGrace {
+	if told, ok := t.informedAt[b]; !t.limited || !ok || f.now.Sub(told) < informedGrace {
 		return
 	}
 	begin := f.now.Add(-limitWindow)
-	t.came = append(t.came, limitArrival{f.now, b})
-	t.came = slices.DeleteFunc(t.came, func(a limitArrival) bool { return a.at < begin })
-	if f.now.Sub(t.since) < limitGrace {
+	t.arrivals = append(t.arrivals, limitArrival{f.now, b})
+	t.arrivals = slices.DeleteFunc(t.arrivals, func(a limitArrival) bool { return a.at < begin })
+	if f.now.Sub(t.limitedSince) < limitGrace {
 		return
 	}
 	n := 0
 	from := map[units.BoxID]int{}
-	for _, a := range t.came {
+	for _, a := range t.arrivals {
 		if a.box.disturbedAt == 0 || a.box.disturbedAt.Add(limitGrace) < begin {
 			n++
 			from[a.box.id]++
@@ -433,7 +433,7 @@
 func (f *limitFleet) keepCalling(b *limitBox, rate float64) {
 	f.after(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), func() {
 		f.calls++
-		f.give(b, &CallArrived{Owner: &limitCall{arrived: f.now}, Host: []byte("s"), Path: []byte("/"), Deadline: 2 * time.Second})
+		f.deliver(b, &CallArrived{Owner: &limitCall{arrived: f.now}, Host: []byte("s"), Path: []byte("/"), Deadline: 2 * time.Second})
 		f.keepCalling(b, rate)
 	})
 }
@@ -456,15 +456,15 @@
 	}},
 	// The box is cut off from all others and from the control replicas, which drop it from the list.
 	{"cut", func(f *limitFleet, b *limitBox, _ *limitTarget) {
-		if b.cut {
+		if b.isolated {
 			return
 		}
-		b.cut, b.disturbedAt = true, f.now.Add(time.Hour)
+		b.isolated, b.disturbedAt = true, f.now.Add(time.Hour)
 		f.after(time.Second, func() { f.unlist(b) })
 		f.after(time.Duration(f.random.Int64N(int64(6*time.Second))), func() {
-			b.cut, b.disturbedAt = false, f.now
+			b.isolated, b.disturbedAt = false, f.now
 			// It gets the table of the replica that it finds before the leader hears of it.
-			f.give(b, &TableChanged{Table: f.table()})
+			f.deliver(b, &TableChanged{Table: f.table()})
 			f.after(100*time.Millisecond, func() { f.enlist(b) })
 		})
 	}},
@@ -477,14 +477,14 @@
 			f.after(time.Second, func() { f.setLeaving(b, false); f.enlist(b) })
 		})
 	}},
-	{"limit", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.name(f, true, f.random.Float64()*12) }},
-	{"low limit", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.name(f, true, f.random.Float64()) }},
-	{"no limit", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.name(f, false, 0) }},
-	{"start again", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.startAgain(f) }},
+	{"limit", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.advertise(f, true, f.random.Float64()*12) }},
+	{"low limit", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.advertise(f, true, f.random.Float64()) }},
+	{"no limit", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.advertise(f, false, 0) }},
+	{"start again", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.restart(f) }},
 }
 
-// fault brings about one of them.
-func (f *limitFleet) fault() {
+// injectFault brings about one of them.
+func (f *limitFleet) injectFault() {
 	x := limitFaults[f.random.IntN(len(limitFaults))]
 	b, t := f.anyBox(), f.anyTarget()
 	f.faults = append(f.faults, fmt.Sprintf("%s (%s, %s) at %s", x.name, b.id, t.id, time.Duration(f.now)))
@@ -500,7 +500,7 @@
 		f.list = append(f.list, table.Box{ID: b.id, Domain: b.domain})
 		slices.SortFunc(f.list, func(a, b table.Box) int { return compareBoxes(a, b) })
 	}
-	f.spread()
+	f.publishTable()
 }
 
 func compareBoxes(a, b table.Box) int {
@@ -512,7 +512,7 @@
 
 func (f *limitFleet) unlist(b *limitBox) {
 	f.list = slices.DeleteFunc(slices.Clone(f.list), func(x table.Box) bool { return x.ID == b.id })
-	f.spread()
+	f.publishTable()
 }
 
 func (f *limitFleet) setLeaving(b *limitBox, on bool) {
@@ -522,7 +522,7 @@
 			f.list[i].Leaving = on
 		}
 	}
-	f.spread()
+	f.publishTable()
 }
 
 // Whatever becomes of boxes, targets and messages, no start of a target gets more from the boxes that it has told
@@ -531,14 +531,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		f := newLimitFleet(t, rapid.IntRange(1, 9).Draw(t, "boxes"), rapid.IntRange(1, 4).Draw(t, "targets"), seed)
-		f.loss, f.late, f.slow = 0.03, 0.03, 0.1
+		f.lossRate, f.delayed, f.slow = 0.03, 0.03, 0.1
 		rate := rapid.Float64Range(1, 40).Draw(t, "calls")
 		for _, b := range f.boxes {
 			f.keepCalling(b, rate)
 		}
 		f.run(4 * time.Second)
 		for range rapid.IntRange(4, 25).Draw(t, "faults") {
-			f.fault()
+			f.injectFault()
 			f.run(time.Duration(f.random.Int64N(int64(2500 * time.Millisecond))))
 		}
 		f.run(5 * time.Second)
@@ -571,7 +571,7 @@
 			}
 			f.run(2 * time.Second)
 			for _, x := range f.targets {
-				x.name(f, true, s.rate)
+				x.advertise(f, true, s.rate)
 			}
 			f.run(4 * time.Second)
 			before, messages, calls := f.total(), f.messages, f.calls
@@ -617,11 +617,11 @@
 	}
 	f.run(3 * time.Second)
 	for _, x := range f.targets {
-		x.name(f, true, 2)
+		x.advertise(f, true, 2)
 	}
 	f.run(8 * time.Second)
 	for _, x := range f.targets {
-		x.name(f, false, 0)
+		x.advertise(f, false, 0)
 	}
 	// Calls of the half seconds, by target; probes aren't among them.
 	var sends [][]int
@@ -665,17 +665,17 @@
 		f.keepCalling(b, calls/boxes)
 	}
 	f.run(3 * time.Second)
-	before := f.waits
+	before := f.totalWait
 	f.run(10 * time.Second)
-	without := f.waits - before
+	without := f.totalWait - before
 	for _, x := range f.targets[:2] {
-		x.name(f, true, 1)
+		x.advertise(f, true, 1)
 	}
 	f.run(4 * time.Second)
 	f.refusals = 0
-	before = f.waits
+	before = f.totalWait
 	f.run(10 * time.Second)
-	with := f.waits - before
+	with := f.totalWait - before
 	t.Logf("calls waited for their first send for %s in all without limits, %s with them", without, with)
 	if f.refusals > 0 {
 		t.Errorf("%d calls were refused though eight targets have room for all", f.refusals)
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -140,7 +140,7 @@
 func (r *Router) probeAllowance(s *service) float64 {
 	rate := 0.0
 	for _, t := range s.targets {
-		if t.side <= onTrial {
+		if t.side <= trialVersion {
 			rate += r.probeRate(s, t)
 		}
 	}
@@ -153,7 +153,7 @@
 func (r *Router) bestTargets(c *call, n int) []*target {
 	from := r.roleForCall(c.service, c)
 	set := candidates{
-		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c) && from != onTrial, excludeTried: c.tries > 0,
+		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c) && from != trialVersion, excludeTried: c.tries > 0,
 		role: from,
 	}
 	r.probeCandidates = r.probeCandidates[:0]
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -30,7 +30,7 @@
 // probeIfDue probes a target that is out of the common path. Calls are the
 // first measurement; a target that has them needs no probe.
 func (r *Router) probeIfDue(s *service, t *target, e *Effects) {
-	if !t.wantsProbe(r.now) || t.evacuated || t.side > onTrial || t.probing || r.now.Sub(t.lastHeard) < probeAfter || !r.leased() {
+	if !t.wantsProbe(r.now) || t.evacuated || t.side > trialVersion || t.probing || r.now.Sub(t.lastHeard) < probeAfter || !r.leased() {
 		return
 	}
 	if t.lacksPermit(r.now) {
--- a/pkg/core/routing/quota_fleet_test.go
+++ b/pkg/core/routing/quota_fleet_test.go
@@ -44,16 +44,16 @@
 	loss     float64
 	messages int
 	faults   []string
-	// full are targets that bear so much; nil for those that answer whatever comes.
-	full *fullTargets
+	// shedding are targets that bear so much; nil for those that answer whatever comes.
+	shedding *sheddingTargets
 }
 
 // quotaBox is one box. A cut box reaches neither the leader nor other boxes on the other side.
 type quotaBox struct {
 	id          units.BoxID
 	router      *Router
-	life        int
-	side        int
+	incarnation        int
+	partition        int
 	frozenUntil units.Instant
 	revision    units.Revision
 	wakeAt      units.Instant
@@ -94,7 +94,7 @@
 	for _, b := range f.boxes {
 		f.start(b)
 	}
-	f.every(quotaRenew, f.lead)
+	f.every(quotaRenew, f.expireLeases)
 	return f
 }
 
@@ -111,18 +111,18 @@
 		panic(err)
 	}
 	b.router, b.revision, b.wakeAt = router, 0, 0
-	b.life++
-	life := b.life
+	b.incarnation++
+	life := b.incarnation
 	f.after(f.upTo(quotaRenew), func() { f.renew(b, life) })
 }
 
 // renew has a box ask for a lease, which comes with the newest table.
 func (f *quotaFleet) renew(b *quotaBox, life int) {
-	if b.life != life {
+	if b.incarnation != life {
 		return
 	}
 	f.after(quotaRenew, func() { f.renew(b, life) })
-	if f.now < b.frozenUntil || f.leaderless || b.side != 0 {
+	if f.now < b.frozenUntil || f.leaderless || b.partition != 0 {
 		return
 	}
 	sent := f.now
@@ -138,9 +138,9 @@
 			f.revision++
 		}
 		f.after(f.upTo(20*time.Millisecond), func() {
-			if b.life == life && b.side == 0 {
-				f.giveList(b, revision, list)
-				f.give(b, &LeaseChanged{Until: sent.Add(quotaLease), At: sent})
+			if b.incarnation == life && b.partition == 0 {
+				f.sendBoxList(b, revision, list)
+				f.deliver(b, &LeaseChanged{Until: sent.Add(quotaLease), At: sent})
 			}
 		})
 	})
@@ -154,8 +154,8 @@
 	}
 }
 
-// lead takes boxes off the list whose leases have run out.
-func (f *quotaFleet) lead() {
+// expireLeases takes boxes off the list whose leases have run out.
+func (f *quotaFleet) expireLeases() {
 	if f.leaderless {
 		return
 	}
@@ -166,21 +166,21 @@
 		}
 	}
 	for _, b := range f.boxes {
-		if b.side == 0 && b.revision != f.revision {
-			life := b.life
+		if b.partition == 0 && b.revision != f.revision {
+			life := b.incarnation
 			f.after(f.upTo(100*time.Millisecond), func() {
-				if b.life == life && b.side == 0 && !f.leaderless {
-					f.giveTable(b)
+				if b.incarnation == life && b.partition == 0 && !f.leaderless {
+					f.sendTable(b)
 				}
 			})
 		}
 	}
 }
 
-func (f *quotaFleet) giveTable(b *quotaBox) { f.giveList(b, f.revision, f.listed) }
+func (f *quotaFleet) sendTable(b *quotaBox) { f.sendBoxList(b, f.revision, f.listed) }
 
-// giveList gives a box the table of a revision, unless it has it or a later one.
-func (f *quotaFleet) giveList(b *quotaBox, revision units.Revision, list map[*quotaBox]bool) {
+// sendBoxList gives a box the table of a revision, unless it has it or a later one.
+func (f *quotaFleet) sendBoxList(b *quotaBox, revision units.Revision, list map[*quotaBox]bool) {
 	if b.revision >= revision {
 		return
 	}
@@ -202,12 +202,12 @@
 	for _, w := range f.workspaces {
 		t.Workspaces = append(t.Workspaces, w.workspace)
 	}
-	f.give(b, &TableChanged{Table: t})
+	f.deliver(b, &TableChanged{Table: t})
 }
 
 func (f *quotaFleet) row(id units.TargetID) table.Row {
-	if f.full != nil {
-		return f.full.row(id)
+	if f.shedding != nil {
+		return f.shedding.row(id)
 	}
 	return table.Row{Service: "s", Target: id, Address: "127.0.0.1:1", Weight: 1, State: table.Active}
 }
@@ -216,17 +216,17 @@
 func (f *quotaFleet) changeTable() {
 	f.revision++
 	for _, b := range f.boxes {
-		f.giveTable(b)
+		f.sendTable(b)
 	}
 }
 
-// give gives a box an event, once it isn't frozen any more.
-func (f *quotaFleet) give(b *quotaBox, event Event) {
+// deliver gives a box an event, once it isn't frozen any more.
+func (f *quotaFleet) deliver(b *quotaBox, event Event) {
 	if f.now < b.frozenUntil {
-		life := b.life
+		life := b.incarnation
 		f.after(b.frozenUntil.Sub(f.now), func() {
-			if b.life == life {
-				f.give(b, event)
+			if b.incarnation == life {
+				f.deliver(b, event)
 			}
 		})
 		return
@@ -245,10 +245,10 @@
 		return
 	}
 	b.wakeAt = next
-	life := b.life
+	life := b.incarnation
 	f.after(next.Sub(f.now), func() {
-		if b.life == life && b.wakeAt == next {
-			f.give(b, &Tick{})
+		if b.incarnation == life && b.wakeAt == next {
+			f.deliver(b, &Tick{})
 		}
 	})
 }
@@ -279,13 +279,13 @@
 	case SendQuota:
 		f.messages++
 		to := f.box(x.Peer)
-		if to == nil || to.side != b.side || f.random.Float64() < f.loss {
+		if to == nil || to.partition != b.partition || f.random.Float64() < f.loss {
 			return
 		}
-		m, toLife := *x.Quota, to.life
+		m, toLife := *x.Quota, to.incarnation
 		f.after(time.Millisecond+f.upTo(4*time.Millisecond), func() {
-			if to.life == toLife && to.side == b.side {
-				f.give(to, &PeerQuota{From: b.id, Message: m})
+			if to.incarnation == toLife && to.partition == b.partition {
+				f.deliver(to, &PeerQuota{From: b.id, Message: m})
 			}
 		})
 	}
@@ -293,14 +293,14 @@
 
 // send has a target answer.
 func (f *quotaFleet) send(b *quotaBox, x Effect) {
-	life, id, attempt, endpoint := b.life, x.Call, x.Attempt, x.Endpoint
+	life, id, attempt, endpoint := b.incarnation, x.Call, x.Attempt, x.Endpoint
 	done := func(result AttemptResult, said Reading) {
-		if b.life == life {
-			f.give(b, &AttemptEnded{Call: id, Attempt: attempt, Endpoint: endpoint, Result: result, Reading: said})
+		if b.incarnation == life {
+			f.deliver(b, &AttemptEnded{Call: id, Attempt: attempt, Endpoint: endpoint, Result: result, Reading: said})
 		}
 	}
-	if f.full != nil {
-		f.full.take(f, endpoint.Target, done)
+	if f.shedding != nil {
+		f.shedding.handle(f, endpoint.Target, done)
 		return
 	}
 	f.after(f.upTo(40*time.Millisecond), func() { done(Answered, Reading{}) })
@@ -315,8 +315,8 @@
 	return nil
 }
 
-// begin has a workspace's callers call at a rate, at any box.
-func (f *quotaFleet) begin(w *quotaCaller, perSecond float64) {
+// setCallRate has a workspace's callers call at a rate, at any box.
+func (f *quotaFleet) setCallRate(w *quotaCaller, perSecond float64) {
 	begun := w.perSecond > 0
 	w.perSecond = perSecond
 	if !begun {
@@ -328,7 +328,7 @@
 	f.after(time.Duration(f.random.ExpFloat64()/w.perSecond*float64(time.Second)), func() {
 		w.calls++
 		b := f.boxes[f.random.IntN(len(f.boxes))]
-		f.give(b, &CallArrived{Owner: &quotaCall{caller: w, at: f.now}, Host: []byte("s"), Path: []byte("/"), Credential: w.key})
+		f.deliver(b, &CallArrived{Owner: &quotaCall{caller: w, at: f.now}, Host: []byte("s"), Path: []byte("/"), Credential: w.key})
 		f.nextCall(w)
 	})
 }
@@ -352,8 +352,8 @@
 	}
 }
 
-// oneFault brings a random fault about.
-func (f *quotaFleet) oneFault() {
+// injectFault brings a random fault about.
+func (f *quotaFleet) injectFault() {
 	b := f.boxes[f.random.IntN(len(f.boxes))]
 	note := func(what string) {
 		f.faults = append(f.faults, fmt.Sprintf("%s %s at %.1fs", what, b.id, f.now.Sub(0).Seconds()))
@@ -367,15 +367,15 @@
 		b.frozenUntil = f.now.Add(f.upTo(8 * time.Second))
 	case 2:
 		note("cut")
-		b.side = 1 + f.random.IntN(1000)
-		f.after(f.upTo(15*time.Second), func() { b.side = 0 })
+		b.partition = 1 + f.random.IntN(1000)
+		f.after(f.upTo(15*time.Second), func() { b.partition = 0 })
 	case 3:
 		note("cut a third beside")
 		side := 1 + f.random.IntN(1000)
 		for i, o := range f.boxes {
 			if i%3 == 0 {
-				o.side = side
-				f.after(f.upTo(15*time.Second), func() { o.side = 0 })
+				o.partition = side
+				f.after(f.upTo(15*time.Second), func() { o.partition = 0 })
 			}
 		}
 	case 4:
@@ -409,10 +409,10 @@
 		f := newQuotaFleet(seed, 3+i%15, 0.5, 4, 60)
 		f.run(8 * time.Second)
 		for _, w := range f.workspaces {
-			f.begin(w, float64(w.workspace.Rate)*(0.5+6*f.random.Float64()))
+			f.setCallRate(w, float64(w.workspace.Rate)*(0.5+6*f.random.Float64()))
 		}
 		for range 12 {
-			f.oneFault()
+			f.injectFault()
 			f.run(f.upTo(3 * time.Second))
 		}
 		f.run(10 * time.Second)
@@ -431,11 +431,11 @@
 		f := newQuotaFleet(7, boxes, rates...)
 		f.run(8 * time.Second)
 		for _, w := range f.workspaces {
-			f.begin(w, float64(w.workspace.Rate)/1.6)
+			f.setCallRate(w, float64(w.workspace.Rate)/1.6)
 		}
 		f.run(3 * time.Second)
 		hot := f.workspaces[1]
-		f.begin(hot, 5*float64(hot.workspace.Rate))
+		f.setCallRate(hot, 5*float64(hot.workspace.Rate))
 		calls, runs, refused := hot.calls, len(hot.runs), hot.refused
 		f.run(20 * time.Second)
 		f.checkWindows(t, 7)
@@ -466,7 +466,7 @@
 	f := newQuotaFleet(11, 114, 300, 40, 4, 1)
 	f.run(8 * time.Second)
 	for _, w := range f.workspaces {
-		f.begin(w, float64(w.workspace.Rate)/1.6)
+		f.setCallRate(w, float64(w.workspace.Rate)/1.6)
 	}
 	f.run(5 * time.Second)
 	for _, b := range f.boxes {
--- a/pkg/core/routing/quotatelling_test.go
+++ b/pkg/core/routing/quotatelling_test.go
@@ -10,7 +10,7 @@
 	f := newQuotaFleet(9, 18, 40)
 	w := f.workspaces[0]
 	f.run(8 * time.Second)
-	f.begin(w, 100)
+	f.setCallRate(w, 100)
 	admitted, refused := 0, 0
 	tell := func() {
 		for _, b := range f.boxes {
--- a/pkg/core/routing/rollout.go
+++ b/pkg/core/routing/rollout.go
@@ -17,16 +17,16 @@
 type versionRole uint8
 
 const (
-	// inForce takes the service's calls.
-	inForce versionRole = iota
-	// onTrial takes the part of the calls that a trial sends to the new version.
-	onTrial
-	// replaced took the calls until a rollout shifted them.
-	replaced
-	// closed takes no calls.
-	closed
-	// noRole is that of no target.
-	noRole
+	// currentVersion takes the service's calls.
+	currentVersion versionRole = iota
+	// trialVersion takes the part of the calls that a trial sends to the new version.
+	trialVersion
+	// replacedVersion took the calls until a rollout shifted them.
+	replacedVersion
+	// inactiveVersion takes no calls.
+	inactiveVersion
+	// noVersion is that of no target.
+	noVersion
 )
 
 // rolloutState is what a box keeps of a rollout of a service while that is under way.
@@ -49,17 +49,17 @@
 	isNew := x != nil && row.Software == x.To && row.Software != current
 	switch {
 	case isNew && x.Stage == table.RolloutShifted:
-		return inForce
+		return currentVersion
 	case isNew && x.Stage == table.RolloutTrial && slices.Contains(x.Targets, row.Target):
-		return onTrial
+		return trialVersion
 	case isNew && x.Stage != table.RolloutCompleted:
-		return closed
+		return inactiveVersion
 	case isOld && x != nil && x.Stage == table.RolloutShifted:
-		return replaced
+		return replacedVersion
 	case isOld:
-		return inForce
+		return currentVersion
 	}
-	return closed
+	return inactiveVersion
 }
 
 // versionsChanged tells whether two tables differ in what they say of versions.
@@ -125,18 +125,18 @@
 func (r *Router) defaultRole(s *service) versionRole {
 	v := s.rollout
 	if v == nil || v.record.Stage != table.RolloutShifted || v.exposed(r.now) {
-		return inForce
+		return currentVersion
 	}
 	if r.settings.ServeStale && r.leaseUntil != 0 && r.now >= r.leaseUntil {
-		return replaced
+		return replacedVersion
 	}
-	return noRole
+	return noVersion
 }
 
 // roleForCall is the side that a call is tried at first.
 func (r *Router) roleForCall(s *service, c *call) versionRole {
 	if c.onTrial && s.rollout != nil && s.rollout.exposed(r.now) {
-		return onTrial
+		return trialVersion
 	}
 	return r.defaultRole(s)
 }
@@ -152,5 +152,5 @@
 
 // hasOtherVersions tells whether targets of the service take no calls for their version alone.
 func (s *service) hasOtherVersions() bool {
-	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.inTable() && !t.evacuated && t.side != inForce })
+	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.inTable() && !t.evacuated && t.side != currentVersion })
 }
--- a/pkg/core/routing/script_rollout_test.go
+++ b/pkg/core/routing/script_rollout_test.go
@@ -76,7 +76,7 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-func describeTurn(x *ExposureSwitch) string {
+func describeSwitch(x *ExposureSwitch) string {
 	word := "ended"
 	switch {
 	case x.Active:
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -150,7 +150,7 @@
 	case EjectionChanged:
 		return ""
 	case ExposureSwitched:
-		return describeTurn(x.ExposureSwitch)
+		return describeSwitch(x.ExposureSwitch)
 	case RegionUnknown:
 		return "the region of " + string(x.Endpoint.Domain) + " isn't known"
 	case ServiceHangs:
--- a/pkg/core/routing/share_test.go
+++ b/pkg/core/routing/share_test.go
@@ -14,8 +14,8 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// drawList draws a sorted list of boxes.
-func drawList(t *rapid.T) []table.Box {
+// drawBoxes draws a sorted list of boxes.
+func drawBoxes(t *rapid.T) []table.Box {
 	var boxes []table.Box
 	for i, in := range rapid.SliceOfN(rapid.Bool(), 1, 9).Draw(t, "boxes") {
 		if in {
@@ -46,12 +46,12 @@
 		var e Effects
 		listed := 0
 		for step := range rapid.IntRange(1, 8).Draw(t, "steps") {
-			next := &table.Table{Revision: units.Revision(step + 1), Boxes: drawList(t), Services: map[units.ServiceName]*table.Entry{"s": entry}}
+			next := &table.Table{Revision: units.Revision(step + 1), Boxes: drawBoxes(t), Services: map[units.ServiceName]*table.Entry{"s": entry}}
 			listed = len(next.Boxes)
 			// The boxes see the change at different moments, all within the delay.
 			for i, r := range routers {
 				r.Reduce(now.Add(time.Duration(i)*50*time.Millisecond), &TableChanged{Table: next}, &e)
-				if sum := sumOfShares(routers); sum > limit && !lostBoxKeeps(routers, next) {
+				if sum := sumOfShares(routers); sum > limit && !lostBoxHoldsShare(routers, next) {
 					t.Fatalf("the parts add up to %d of %d", sum, limit)
 				}
 			}
@@ -80,9 +80,9 @@
 	return sum
 }
 
-// lostBoxKeeps tells whether a box that has gone from the list hasn't seen it yet.
+// lostBoxHoldsShare tells whether a box that has gone from the list hasn't seen it yet.
 // It goes only once its lease has run out, so what it keeps is never used.
-func lostBoxKeeps(routers []*Router, next *table.Table) bool {
+func lostBoxHoldsShare(routers []*Router, next *table.Table) bool {
 	for _, r := range routers {
 		rank := rankOf(r.settings.Box, next.Boxes)
 		if s := r.services["s"]; !rank.listed && s != nil && s.targets[0].share.value > 0 {
--- a/pkg/core/routing/starvation_test.go
+++ b/pkg/core/routing/starvation_test.go
@@ -8,8 +8,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// fullTargets answer quotaFleet's calls in their slots, and shed what finds none free.
-type fullTargets struct {
+// sheddingTargets answer quotaFleet's calls in their slots, and shed what finds none free.
+type sheddingTargets struct {
 	slots   int
 	work    time.Duration
 	running map[units.TargetID]int
@@ -17,8 +17,8 @@
 
 const shedAfter = 2 * time.Millisecond
 
-// take has a target begin with a call, or shed it; done is told how that ends.
-func (x *fullTargets) take(f *quotaFleet, target units.TargetID, done func(AttemptResult, Reading)) {
+// handle has a target begin with a call, or shed it; done is told how that ends.
+func (x *sheddingTargets) handle(f *quotaFleet, target units.TargetID, done func(AttemptResult, Reading)) {
 	if x.running[target] >= x.slots {
 		f.after(shedAfter, func() { done(Shed, x.reading(target)) })
 		return
@@ -30,12 +30,12 @@
 	})
 }
 
-func (x *fullTargets) reading(target units.TargetID) Reading {
+func (x *sheddingTargets) reading(target units.TargetID) Reading {
 	return Reading{HasLoad: true, InFlight: float64(x.running[target]), Slots: float64(x.slots), Pace: 1}
 }
 
 // rows are the targets as they register.
-func (x *fullTargets) row(id units.TargetID) table.Row {
+func (x *sheddingTargets) row(id units.TargetID) table.Row {
 	return table.Row{Service: "s", Target: id, Address: "127.0.0.1:1", Weight: 100, State: table.Active, Registered: true, Slots: x.slots}
 }
 
@@ -60,7 +60,7 @@
 		load, hotTimes, aboveUsual  = 1.5, 8, 1.6
 		leastPart                   = 0.25
 	)
-	full := &fullTargets{slots: 2, work: 40 * time.Millisecond, running: map[units.TargetID]int{}}
+	full := &sheddingTargets{slots: 2, work: 40 * time.Millisecond, running: map[units.TargetID]int{}}
 	capacity := float64(quotaTargets*full.slots) / full.work.Seconds()
 	usual := zipf(workspaces, load*capacity)
 	rates := make([]float64, workspaces)
@@ -68,15 +68,15 @@
 		rates[i] = aboveUsual * usual[i]
 	}
 	f := newQuotaFleet(21, boxes, rates...)
-	f.full = full
+	f.shedding = full
 	f.changeTable()
 	f.run(8 * time.Second)
 	for i, w := range f.workspaces {
-		f.begin(w, usual[i])
+		f.setCallRate(w, usual[i])
 	}
 	f.run(3 * time.Second)
 	hot := f.workspaces[hotPlace]
-	f.begin(hot, hotTimes*usual[hotPlace])
+	f.setCallRate(hot, hotTimes*usual[hotPlace])
 	for _, w := range f.workspaces {
 		w.calls, w.served = 0, 0
 	}
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -254,7 +254,7 @@
 		return "named-limit"
 	case t.evacuated:
 		return "evacuated"
-	case t.side > onTrial:
+	case t.side > trialVersion:
 		return "version"
 	case t.row.Weight == 0:
 		return "weight"
--- a/pkg/core/routing/subset.go
+++ b/pkg/core/routing/subset.go
@@ -40,7 +40,7 @@
 	}
 	for _, t := range s.targets {
 		// All boxes send calls to the few targets of a trial.
-		t.near = t.side == onTrial
+		t.near = t.side == trialVersion
 	}
 	slices.SortFunc(own, func(a, b *target) int { return compareHashes(s.row.Name, a.row.Target, b.row.Target) })
 	first := place * len(own) / len(boxes)
@@ -54,7 +54,7 @@
 func (r *Router) ownTargets(s *service) []*target {
 	var own, all []*target
 	for _, t := range s.targets {
-		if t.row.State != table.Active || t.row.Silent || t.evacuated || t.side != inForce {
+		if t.row.State != table.Active || t.row.Silent || t.evacuated || t.side != currentVersion {
 			continue
 		}
 		all = append(all, t)
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -125,7 +125,7 @@
 
 // effectiveWeight is the weight that draws calls now.
 func (t *target) effectiveWeight(now units.Instant) float64 {
-	if t.row.State != table.Active || t.evacuated || t.side != inForce || t.notice.isLeaving() {
+	if t.row.State != table.Active || t.evacuated || t.side != currentVersion || t.notice.isLeaving() {
 		return 0
 	}
 	if t.service.disabled[Ramping] {
@@ -186,7 +186,7 @@
 // isActive tells whether the target may take the service's calls, but for its health, its limits
 // and a rest.
 func (t *target) isActive() bool {
-	return t.inTable() && !t.evacuated && t.side == inForce && !t.notice.isLeaving()
+	return t.inTable() && !t.evacuated && t.side == currentVersion && !t.notice.isLeaving()
 }
 
 // takesWork tells whether a new call may go to the target now.
@@ -196,7 +196,7 @@
 
 // takesWhenWarm tells whether a new call might go to the target now, were it warm.
 func (t *target) takesWhenWarm(now units.Instant, anyHealth bool) bool {
-	if !t.inTable() || t.evacuated || t.side == closed || t.notice.forbids(now) || now < t.notBefore || t.mayHang(now) {
+	if !t.inTable() || t.evacuated || t.side == inactiveVersion || t.notice.forbids(now) || now < t.notBefore || t.mayHang(now) {
 		return false
 	}
 	if !anyHealth && !t.service.disabled[Ejection] && (!t.health.admits(now, t.inFlight) || t.health.ejected && t.row.Silent) {
