--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -52,7 +52,7 @@
 // admitAfterCanary continues with a call that needn't wait for a canary turn: it takes a credit of
 // the workspace's quota first.
 func (r *Router) admitAfterCanary(id CallID, c *call, e *Effects) {
-	if !r.waitsForCredit(id, c, e) {
+	if !r.blockedByQuota(id, c, e) {
 		r.admitToService(id, c, e)
 	}
 }
@@ -66,16 +66,16 @@
 	}
 	c.service = s
 	s.calls++
-	s.earnExtras()
-	c.deadline = c.arrived.Add(c.route.deadlineOf(c.requestedDeadline, r.settings.MaxDeadline))
+	s.earnExtraTokens()
+	c.deadline = c.arrived.Add(c.route.callDeadline(c.requestedDeadline, r.settings.MaxDeadline))
 	if !s.isBusy(r.now) {
-		c.route.asked.observe(c.requestedDeadline)
+		c.route.callerDeadline.observe(c.requestedDeadline)
 	}
 	if r.wouldMissAim(c, c.requestedDeadline) {
 		r.refuse(id, c, Refusal{Reason: TooLate, Outcome: NotRun, RetryAfter: r.busyRetryAfter(s)}, e)
 		return
 	}
-	c.onNewVersion = r.draw(s)
+	c.onNewVersion = r.selectForTrial(s)
 	r.dispatch(id, c, e)
 }
 
@@ -88,7 +88,7 @@
 		if t := r.choose(c.service, c); t != nil {
 			r.sendOrProbe(id, c, t, FirstSend, e)
 			r.timers.Push(timer{at: c.deadline, call: id, kind: deadlineTimer})
-			r.scout(c.service, c, e)
+			r.requestCheckPermit(c.service, c, e)
 			return
 		}
 	}
@@ -106,10 +106,10 @@
 // Its connection should have been closed by then, so the caller is better served by opening another
 // one elsewhere now than by losing its answer.
 func (r *Router) mayOutlastBox(x *route, asked time.Duration) bool {
-	if r.stopsAt == 0 || r.now < r.stopsTaking {
+	if r.stopsAt == 0 || r.now < r.stopsAdmittingAt {
 		return false
 	}
-	return r.now.Add(x.deadlineOf(asked, r.settings.MaxDeadline)) > r.stopsAt
+	return r.now.Add(x.callDeadline(asked, r.settings.MaxDeadline)) > r.stopsAt
 }
 
 // noRouteRefusal returns the refusal of a call for which the table has no route. A box whose table
@@ -129,26 +129,26 @@
 // rollout's new version that finds no room there falls back to the other targets.
 func (r *Router) choose(s *service, c *call) *target {
 	if c.onNewVersion {
-		if t := r.chooseFromSide(s, c, r.callSide(s, c)); t != nil {
+		if t := r.chooseFromSide(s, c, r.roleForCall(s, c)); t != nil {
 			return t
 		}
 		c.onNewVersion = false
 	}
-	return r.chooseFromSide(s, c, r.openSide(s))
+	return r.chooseFromSide(s, c, r.defaultRole(s))
 }
 
 // chooseFromSide picks a target on one side of a rollout.
-func (r *Router) chooseFromSide(s *service, c *call, from side) *target {
+func (r *Router) chooseFromSide(s *service, c *call, from versionRole) *target {
 	// The set is stored in the router because passing it to a policy would otherwise allocate it on
 	// the heap.
 	set := &r.candidates
-	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != onTrial, fresh: c.sendsSinceHeld > 0, side: from}
-	if t := set.dueScout(); t != nil {
+	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != trialVersion, excludeTried: c.sendsSinceHeld > 0, role: from}
+	if t := set.limitCheckTarget(); t != nil {
 		return t
 	}
 	i := r.chooseIndex(set)
-	if i < 0 && set.fresh {
-		set.fresh = false
+	if i < 0 && set.excludeTried {
+		set.excludeTried = false
 		i = r.chooseIndex(set)
 	}
 	if i < 0 {
@@ -172,7 +172,7 @@
 func (r *Router) holdOrRefuse(id CallID, c *call, e *Effects) {
 	s := c.service
 	c.onNewVersion = false
-	r.seekPermits(s, c, neededAsks, e)
+	r.requestPermits(s, c, parallelPermitRequests, e)
 	until := min(c.deadline, r.now.Add(s.row.HoldLimit))
 	if s.allLimited(c) {
 		until = min(until, c.waitDeadline(s))
@@ -182,12 +182,12 @@
 		return
 	}
 	c.held = true
-	r.sweepBy(s, r.now.Add(sweepPeriod))
+	r.scheduleSweep(s, r.now.Add(sweepPeriod))
 	s.held.pushBack(id)
 	r.timers.Push(timer{at: until, call: id, kind: holdTimer})
 	r.timers.Push(timer{at: c.deadline, call: id, kind: deadlineTimer})
 	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.deadline})
-	r.askForLoans(s, e)
+	r.requestLoans(s, e)
 }
 
 func (r *Router) reasonNotToHold(s *service, c *call, until units.Instant) Reason {
@@ -200,7 +200,7 @@
 	if !s.hasActiveTarget(c) && c.route.work != table.Patient {
 		return s.noTargetReason(c, r.now)
 	}
-	if r.openSide(s) == noSide && c.route.work != table.Patient {
+	if r.defaultRole(s) == noVersion && c.route.work != table.Patient {
 		return RolloutUnsure
 	}
 	if s.isBlockedTooLong(c, r.now) {
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -25,7 +25,7 @@
 		callsAhead:  t.load(r.now), answerTimeout: c.answerTimeout(t, r.now), overtakenTimeout: c.overtakenTimeout(t, r.now),
 	}
 	a.permitUntil = r.usePermit(t)
-	a.limitVersion = t.limitWord().Version
+	a.limitVersion = t.limitState().Version
 	if !t.hasOwnFreeSlot() {
 		a.loan = t.freeLoan(r.now)
 		if a.loan != nil {
@@ -43,8 +43,8 @@
 	t.countColdSend(r.now)
 	e.add(Effect{
 		Kind: Send, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint,
-		Deadline: c.deadline, NotAfter: r.notAfterOf(t), Connections: t.maxConnections, Once: c.route.work == table.AtMostOnce,
-		PermitUntil: a.permitUntil, Purpose: why, Evidence: evidence, Aim: c.route.aim, LargeAnswer: c.route.largeAnswers,
+		Deadline: c.deadline, NotAfter: r.targetSelectionExpiry(t), Connections: t.maxConnections, AtMostOnce: c.route.work == table.AtMostOnce,
+		PermitUntil: a.permitUntil, Purpose: why, Selection: evidence, Aim: c.route.aim, LargeAnswer: c.route.largeAnswers,
 		Workspace: c.workspaceName(),
 	})
 	hedged := !hedge && r.isHedged(c)
@@ -57,12 +57,12 @@
 }
 
 // evidenceFor returns the estimates of a target's state on which a send is based.
-func (r *Router) evidenceFor(t *target) Evidence {
-	x := Evidence{
+func (r *Router) evidenceFor(t *target) Selection {
+	x := Selection{
 		Load: t.load(r.now), Pace: t.expectedPace(r.now), Slowdown: t.currentSlowdown(r.now), ReadingAge: -1,
 		Revision: r.table.Revision,
 	}
-	if t.report.Known {
+	if t.report.HasLoad {
 		x.ReadingAge = r.now.Sub(t.report.receivedAt)
 	}
 	return x
@@ -74,11 +74,11 @@
 	t.removeAttempt(a)
 	r.releaseInbound(a)
 	if a.loan != nil {
-		r.endLoanUse(a.loan, e)
+		r.releaseLoan(a.loan, e)
 	}
 	a.target = nil
 	a.loan = nil
-	r.freed = append(r.freed, t.service)
+	r.freedServices = append(r.freedServices, t.service)
 }
 
 // cancelDelay is how long a target may take to notice that a call was canceled; until then the call
@@ -94,7 +94,7 @@
 		r.timers.Push(timer{at: r.now.Add(cancelDelay), kind: canceledSlotTimer, target: t})
 	}
 	if a.loan != nil {
-		a.loan.coolUntil = r.now.Add(cancelDelay)
+		a.loan.cooldownUntil = r.now.Add(cancelDelay)
 	}
 	r.release(c, a, e)
 }
@@ -120,7 +120,7 @@
 	// The shell may release the request once its answer is streamed.
 	c.identity = nil
 	r.recordNoLimit(a, v.Reading.Limit, e)
-	r.recordAnswerStart(c, a, v.Coming)
+	r.recordAnswerStart(c, a, v.Remaining)
 	a.target.recordReport(r.now, v.Reading)
 	e.add(Effect{Kind: Deliver, Call: v.Call, Owner: c.owner, Attempt: v.Attempt, Endpoint: a.target.endpoint})
 	r.cancelOthers(v.Call, c, a, e)
@@ -175,7 +175,7 @@
 		r.recordNoLimit(a, v.Reading.Limit, e)
 	}
 	if v.Result == NotSent || v.Result == Withheld {
-		r.unusePermit(t, a.permitUntil, e)
+		r.restorePermit(t, a.permitUntil, e)
 	}
 	wasEjected := t.health.ejected
 	if v.Result == Broken && r.recordIfUnanswered(c, a, e) {
@@ -271,9 +271,9 @@
 // healthChanged recomputes the weights after a target was ejected or readmitted, and reports the
 // change.
 func (r *Router) healthChanged(t *target, e *Effects) {
-	t.service.weigh(r.now)
-	r.sweepBy(t.service, r.now)
-	e.add(Effect{Kind: TargetTurned, Endpoint: t.endpoint, Ejected: t.health.ejected, Failures: t.health.consecutiveFailures})
+	t.service.updateWeights(r.now)
+	r.scheduleSweep(t.service, r.now)
+	e.add(Effect{Kind: EjectionChanged, Endpoint: t.endpoint, Ejected: t.health.ejected, Failures: t.health.consecutiveFailures})
 }
 
 func (r *Router) streamEnded(v *AttemptEnded, c *call) {
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -259,7 +259,7 @@
 		switch t.kind {
 		case canceledSlotTimer:
 			t.target.cancelingSlots--
-			r.freed = append(r.freed, t.target.service)
+			r.freedServices = append(r.freedServices, t.target.service)
 			continue
 		case crashTimer:
 			r.crashTimerFired(t.target, e)
--- a/pkg/core/routing/canary.go
+++ b/pkg/core/routing/canary.go
@@ -101,7 +101,7 @@
 	suspicions []suspicion
 	// set indexes the calls of suspicions.
 	set        fingerprintSet
-	broadcasts rateLimit
+	broadcasts tokenBucket
 	status     CanaryStatus
 }
 
@@ -191,13 +191,13 @@
 // the list of boxes.
 func (r *Router) broadcastCanary(m *CanaryMessage, e *Effects) {
 	n := len(r.rank.boxes)
-	root, own := placeOf(m.Origin, r.rank.boxes), r.rank.rank
+	root, own := indexOf(m.Origin, r.rank.boxes), r.rank.rank
 	if root < 0 || own < 0 {
 		return
 	}
 	first := (own-root+n)%n*broadcastFanout + 1
 	last := min(first+broadcastFanout, n)
-	if first >= last || !r.crashes.canaries.broadcasts.takeMany(r.now, float64(last-first), broadcastRate, broadcastBurst) {
+	if first >= last || !r.crashes.canaries.broadcasts.takeN(r.now, float64(last-first), broadcastRate, broadcastBurst) {
 		return
 	}
 	for k := first; k < last; k++ {
@@ -239,7 +239,7 @@
 	}
 	r.crashes.canaries.status.Held++
 	c.awaitsCanaryTurn = true
-	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.arrived.Add(c.route.deadlineOf(c.requestedDeadline, r.settings.MaxDeadline))})
+	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.arrived.Add(c.route.callDeadline(c.requestedDeadline, r.settings.MaxDeadline))})
 	r.requestTurn(id, c, f, e)
 	return true
 }
@@ -300,7 +300,7 @@
 // canaryCoordinator returns the box that grants the turns of a request: the first by hash of the
 // boxes that aren't leaving, so that all boxes ask the same one; this box where there is none.
 func (r *Router) canaryCoordinator(f crash.Fingerprint) units.BoxID {
-	return cmp.Or(firstFor(f.String(), withoutLeaving(r.rank.boxes)), r.settings.Box)
+	return cmp.Or(rendezvousOwner(f.String(), withoutLeaving(r.rank.boxes)), r.settings.Box)
 }
 
 // grantTurn takes the request's turn, and reports false if a canary is still out.
--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -286,7 +286,7 @@
 			n++
 		}
 	}
-	return Reading{Known: f.now >= t.downUntil, InFlight: float64(n), Slots: 4, Pace: 1}
+	return Reading{HasLoad: f.now >= t.downUntil, InFlight: float64(n), Slots: 4, Pace: 1}
 }
 
 // call schedules random calls of a request at a mean rate, each of a different caller, until a
--- a/pkg/core/routing/clientretry.go
+++ b/pkg/core/routing/clientretry.go
@@ -78,7 +78,7 @@
 // isCrowded reports whether many recent calls found no target at once, so that a slot given to one
 // call is missing for another.
 func (s *service) isCrowded(now units.Instant) bool {
-	return s.busyPart >= crowdedThreshold && now.Sub(s.busyAt) < crowdedDuration
+	return s.busyFraction >= crowdedThreshold && now.Sub(s.busyUpdatedAt) < crowdedDuration
 }
 
 // wouldMissAim reports whether a call should be refused at once because it is such a late retry
@@ -88,6 +88,6 @@
 	if !r.enabled(FirstTries) || x.aim == 0 || !c.service.isCrowded(r.now) {
 		return false
 	}
-	elapsed := x.asked.elapsedSinceFirstTry(requested)
+	elapsed := x.callerDeadline.elapsedSinceFirstTry(requested)
 	return elapsed > 0 && elapsed+time.Duration(x.knownTypicalTime()) > x.aim
 }
--- a/pkg/core/routing/cold.go
+++ b/pkg/core/routing/cold.go
@@ -40,7 +40,7 @@
 	rowRemaining time.Duration
 	// share is this box's fraction of the rate.
 	share  float64
-	bucket rateLimit
+	bucket tokenBucket
 	// boxListVersion is the number of the list of boxes that the share was computed from.
 	boxListVersion int
 }
@@ -99,7 +99,7 @@
 // markPossiblyCold records that a target may have become cold.
 func (r *Router) markPossiblyCold(t *target) {
 	wasCold := t.isCold(r.now)
-	t.cold.possibleUntil = r.now.Add(r.settings.ColdDoubt)
+	t.cold.possibleUntil = r.now.Add(r.settings.AssumedColdPeriod)
 	r.startColdRate(t, wasCold)
 }
 
@@ -109,7 +109,7 @@
 		return
 	}
 	r.updateColdShare(t)
-	t.cold.bucket = rateLimit{at: r.now, tokens: coldBurst}
+	t.cold.bucket = tokenBucket{refilledAt: r.now, tokens: coldBurst}
 	if r.now.Sub(r.startedAt) < restartGrace {
 		t.cold.bucket.tokens = 0
 	}
@@ -127,10 +127,10 @@
 // updateColdShare computes this box's fraction of a cold target's rate, unless that was done for
 // the current list of boxes.
 func (r *Router) updateColdShare(t *target) {
-	if t.cold.boxListVersion == r.boxLists {
+	if t.cold.boxListVersion == r.boxListVersion {
 		return
 	}
-	t.cold.boxListVersion = r.boxLists
+	t.cold.boxListVersion = r.boxListVersion
 	t.cold.share = 0
 	boxes := r.boxesInDomainOf(t)
 	if !slices.ContainsFunc(boxes, func(b table.Box) bool { return b.ID == r.settings.Box }) {
@@ -145,11 +145,11 @@
 // boxesInDomainOf returns the boxes in the target's failure domain that aren't leaving, or all
 // boxes that aren't leaving if the domain has none.
 func (r *Router) boxesInDomainOf(t *target) []table.Box {
-	if boxes, known := r.beside[t.row.Domain]; known {
+	if boxes, known := r.domainBoxes[t.row.Domain]; known {
 		return boxes
 	}
 	boxes := boxesInDomain(r.rank.boxes, t.row.Domain)
-	r.beside[t.row.Domain] = boxes
+	r.domainBoxes[t.row.Domain] = boxes
 	return boxes
 }
 
--- a/pkg/core/routing/concurrency_test.go
+++ b/pkg/core/routing/concurrency_test.go
@@ -29,7 +29,7 @@
 			v := newTarget(s, table.Row{})
 			v.update(table.Row{Registered: true, Slots: c.slots})
 			for range c.answers {
-				s.whenFull.add(c.ratio)
+				s.nearFullSlowdown.add(c.ratio)
 			}
 			if got := v.bestConcurrency(); got != c.want {
 				t.Errorf("the best concurrency is %.0f, want %.0f", got, c.want)
--- a/pkg/core/routing/coordinator.go
+++ b/pkg/core/routing/coordinator.go
@@ -10,44 +10,45 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// The coordinator of a target is the one box that permits calls to it while it names a limit. It is the
-// box that comes first for the target, by rendezvous hashing, of those in the target's failure domain
-// that stay. A box that becomes the coordinator waits until no box can go by a list that names
-// another one, unless the one before has handed the target over.
+// While a target advertises a rate limit, one box, its coordinator, issues the permits for calls to
+// it. The coordinator is the first box by rendezvous hashing among those in the target's failure
+// domain that aren't leaving. A box that becomes coordinator issues no permits while another box
+// may still act on a list that names a different coordinator, unless the previous coordinator has
+// handed the target over.
 
-// LimitKind says what a message on a target's limit is about.
+// LimitKind is the kind of a LimitMessage.
 type LimitKind uint8
 
-// The kinds of message.
+// The kinds of LimitMessage.
 const (
-	// AskPermits asks for up to Count permits.
-	AskPermits LimitKind = iota + 1
-	// GrantPermits gives Count permits, and says when the next are there.
+	// RequestPermits requests up to Count permits.
+	RequestPermits LimitKind = iota + 1
+	// GrantPermits grants Count permits and gives the time until the next ones.
 	GrantPermits
-	// ReturnPermits gives Count permits back that weren't used.
+	// ReturnPermits returns Count unused permits.
 	ReturnPermits
-	// TellLimit tells what was heard of a limit: that it is over.
-	TellLimit
-	// HandOver tells that the sender, which was the coordinator, permits no more calls.
+	// ReportLimitEnd reports that the target no longer advertises a limit.
+	ReportLimitEnd
+	// HandOver reports that the sender, the previous coordinator, issues no more permits.
 	HandOver
 )
 
-// LimitMessage is a message between two boxes on the limit of a start of a target. Each of them
-// carries the newest that its sender knows of the limit.
+// LimitMessage is a message between two boxes about the limit of one instance of a target. Each
+// message carries the newest limit state that its sender knows.
 type LimitMessage struct {
 	Kind    LimitKind
 	Service units.ServiceName
 	Target  units.TargetID
 	Born    units.WallTime
-	// Nonce ties a grant to the request that it answers.
+	// Nonce matches a grant to its request.
 	Nonce uint64
 	Count int
-	// Again is how long after a grant the next permit is there.
-	Again time.Duration
-	Word  limit.State
+	// RetryAfter is the time from a grant until the next permit is available.
+	RetryAfter time.Duration
+	LimitState limit.State
 }
 
-// PeerLimit is a LimitMessage of another box.
+// PeerLimit is a LimitMessage received from another box.
 type PeerLimit struct {
 	From    units.BoxID
 	Message LimitMessage
@@ -55,35 +56,37 @@
 
 func (*PeerLimit) routingEvent() {}
 
-// pastBoxes is a list of boxes that is no longer in force.
-type pastBoxes struct {
-	boxes []table.Box
-	until units.Instant
+// replacedBoxList is a former list of boxes; replacedAt is when the next list replaced it.
+type replacedBoxList struct {
+	boxes      []table.Box
+	replacedAt units.Instant
 }
 
-// coordination is a target's coordinator by one list of boxes.
-type coordination struct {
-	box    units.BoxID
-	listed int
+// cachedCoordinator is a target's coordinator, computed from the list of boxes boxListVersion.
+type cachedCoordinator struct {
+	box            units.BoxID
+	boxListVersion int
 }
 
-// coordinatorOf returns a target's coordinator; false means that there is none. A box that never had a list of
-// boxes is alone; a list that has become empty says that none is in touch with the control replicas.
+// coordinatorOf returns a target's coordinator; false means that there is none. A box that never
+// had a list of boxes acts alone. A list that has become empty means that no box is connected to
+// the control replicas.
 func (r *Router) coordinatorOf(t *target) (units.BoxID, bool) {
 	switch {
-	case r.neverListed:
+	case r.noBoxesSeen:
 		return r.settings.Box, true
 	case len(r.rank.boxes) == 0:
 		return "", false
 	}
-	if t.coordination.listed != r.boxLists {
-		t.coordination = coordination{box: firstFor(t.row.Target, r.boxesInDomainOf(t)), listed: r.boxLists}
+	if t.coordination.boxListVersion != r.boxListVersion {
+		t.coordination = cachedCoordinator{box: rendezvousOwner(t.row.Target, r.boxesInDomainOf(t)), boxListVersion: r.boxListVersion}
 	}
 	return t.coordination.box, t.coordination.box != ""
 }
 
-// firstFor returns the box that comes first for a name by rendezvous hashing; empty for none.
-func firstFor[T ~string](name T, boxes []table.Box) units.BoxID {
+// rendezvousOwner returns the box with the highest rendezvous hash for a name; empty if there are
+// no boxes.
+func rendezvousOwner[T ~string](name T, boxes []table.Box) units.BoxID {
 	var first units.BoxID
 	var highest uint64
 	for _, b := range boxes {
@@ -94,10 +97,11 @@
 	return first
 }
 
-// sendLimit sends a message on a target's limit, or takes it at once if it is for this box.
+// sendLimit sends a message about a target's limit, or handles it directly if this box is the
+// recipient.
 func (r *Router) sendLimit(to units.BoxID, t *target, m LimitMessage, e *Effects) {
 	m.Service, m.Target, m.Born = t.row.Service, t.row.Target, t.row.Born
-	m.Word = t.limitWord()
+	m.LimitState = t.limitState()
 	if to == r.settings.Box {
 		r.receiveLimit(to, m, e)
 		return
@@ -105,40 +109,41 @@
 	e.add(Effect{Kind: SendLimit, Peer: to, Limit: &m})
 }
 
-// limitWord is what is known of a target's limit.
-func (t *target) limitWord() limit.State {
+// limitState is the newest known state of a target's limit.
+func (t *target) limitState() limit.State {
 	if t.notice == nil || t.notice.limit == nil {
 		return limit.State{}
 	}
 	return t.notice.limit.current
 }
 
-// receiveLimit takes a message. One on another start of the target than the one that this box knows says
-// nothing here: the table will tell one of the two boxes about it.
+// receiveLimit handles a message. A message about another instance of the target is ignored: the
+// next table updates whichever of the two boxes is behind.
 func (r *Router) receiveLimit(from units.BoxID, m LimitMessage, e *Effects) {
 	t := r.services[m.Service].target(m.Target)
 	if t == nil || t.row.Born != m.Born {
 		return
 	}
-	r.updateLimitFromPeer(t, m.Word, e)
+	r.updateLimitFromPeer(t, m.LimitState, e)
 	switch m.Kind {
-	case AskPermits:
-		r.meetAsk(from, t, &m, e)
+	case RequestPermits:
+		r.handlePermitRequest(from, t, &m, e)
 	case GrantPermits:
-		r.takeGrant(from, t, &m, e)
+		r.acceptPermits(from, t, &m, e)
 	case ReturnPermits:
 		if x := t.account(); x != nil {
-			x.Return(r.now, min(m.Count, mostPermits))
+			x.Return(r.now, min(m.Count, maxPermitsHeld))
 		}
 	case HandOver:
 		if t.notice.isLimited() {
 			t.notice.limit.handedOverBy, t.notice.limit.handedOverAt = from, r.now
-			r.reviewAccount(t)
+			r.updateAccountStart(t)
 		}
 	}
 }
 
-// account is what this box may permit of the target; nil where it was never asked.
+// account is the token bucket from which this box issues permits for the target; nil before the
+// first request.
 func (t *target) account() *limit.TokenBucket {
 	if !t.notice.isLimited() {
 		return nil
@@ -146,57 +151,58 @@
 	return t.notice.limit.account
 }
 
-// meetAsk answers a request for permits. A limit that is over permits nothing, and the answer says so.
-func (r *Router) meetAsk(from units.BoxID, t *target, m *LimitMessage, e *Effects) {
-	answer := LimitMessage{Kind: GrantPermits, Nonce: m.Nonce, Again: askPause}
+// handlePermitRequest answers a request for permits. Once the limit has ended it grants none; the
+// limit state in the answer shows the end.
+func (r *Router) handlePermitRequest(from units.BoxID, t *target, m *LimitMessage, e *Effects) {
+	answer := LimitMessage{Kind: GrantPermits, Nonce: m.Nonce, RetryAfter: permitRetryInterval}
 	if box, _ := r.coordinatorOf(t); box == r.settings.Box && t.notice.isLimited() && r.leased() {
 		x := t.notice.limit
 		if x.account == nil {
-			x.account = limit.NewTokenBucket(x.current.Rate, x.changedAt, r.coordinatesFrom(t))
+			x.account = limit.NewTokenBucket(x.current.Rate, x.changedAt, r.coordinationStart(t))
 		}
-		answer.Count = x.account.Permit(r.now, min(m.Count, mostPermits))
-		answer.Again = x.account.WaitTime(r.now)
+		answer.Count = x.account.Permit(r.now, min(m.Count, maxPermitsHeld))
+		answer.RetryAfter = x.account.WaitTime(r.now)
 		r.permits.Permitted += uint64(answer.Count)
 	}
 	r.sendLimit(from, t, answer, e)
 }
 
-// coordinatesFrom is from when on this box may permit calls to a target whose coordinator it is:
-// at once if it has been so for as long as any box may go on by an older list, or the one
-// before has handed over or is no longer listed.
-func (r *Router) coordinatesFrom(t *target) units.Instant {
-	from := r.servesFrom
+// coordinationStart is when this box, as a target's coordinator, may begin to issue permits. This
+// is at once if no box can still act on a list with another coordinator, or if that coordinator has
+// handed over or is no longer listed.
+func (r *Router) coordinationStart(t *target) units.Instant {
+	from := r.servingFrom
 	x := t.notice.limit
-	for _, p := range r.pastBoxes {
-		switch box := firstFor(t.row.Target, boxesInDomain(p.boxes, t.row.Domain)); {
+	for _, p := range r.replacedBoxLists {
+		switch box := rendezvousOwner(t.row.Target, boxesInDomain(p.boxes, t.row.Domain)); {
 		case box == r.settings.Box:
-		case !r.rank.lists(box):
-			from = max(from, p.until)
-		case x.handedOverBy == box && x.handedOverAt.Add(r.settings.ShareDelay) > p.until:
+		case !r.rank.contains(box):
+			from = max(from, p.replacedAt)
+		case x.handedOverBy == box && x.handedOverAt.Add(r.settings.ShareDelay) > p.replacedAt:
 			from = max(from, x.handedOverAt)
 		default:
-			from = max(from, p.until.Add(r.settings.ShareDelay))
+			from = max(from, p.replacedAt.Add(r.settings.ShareDelay))
 		}
 	}
 	return from
 }
 
-func (b boxRank) lists(id units.BoxID) bool {
+func (b boxRank) contains(id units.BoxID) bool {
 	return slices.ContainsFunc(b.boxes, func(x table.Box) bool { return x.ID == id })
 }
 
-// keepPastBoxes remembers the list of boxes that a new one replaces, for as long as boxes may go
-// on by it.
-func (r *Router) keepPastBoxes() {
-	r.pastBoxes = slices.DeleteFunc(r.pastBoxes, func(p pastBoxes) bool { return r.now.Sub(p.until) > r.settings.ShareDelay })
+// recordReplacedBoxList keeps the list that a new one replaces for as long as other boxes may still
+// act on it.
+func (r *Router) recordReplacedBoxList() {
+	r.replacedBoxLists = slices.DeleteFunc(r.replacedBoxLists, func(p replacedBoxList) bool { return r.now.Sub(p.replacedAt) > r.settings.ShareDelay })
 	if len(r.rank.boxes) > 0 {
-		r.pastBoxes = append(r.pastBoxes, pastBoxes{boxes: r.rank.boxes, until: r.now})
+		r.replacedBoxLists = append(r.replacedBoxLists, replacedBoxList{boxes: r.rank.boxes, replacedAt: r.now})
 	}
 }
 
-// reviewCoordination does what follows for the targets that this box permits calls to from a new list
-// of boxes: those that another box coordinates now are handed over.
-func (r *Router) reviewCoordination(e *Effects) {
+// updateCoordination applies a new list of boxes to the targets that this box issues permits for:
+// those with another coordinator now are handed over.
+func (r *Router) updateCoordination(e *Effects) {
 	if len(r.notices) == 0 {
 		return
 	}
@@ -215,9 +221,9 @@
 	}
 }
 
-// reviewAccount works out anew from when on this box may permit calls to a target.
-func (r *Router) reviewAccount(t *target) {
+// updateAccountStart recomputes when this box may begin to issue permits for a target.
+func (r *Router) updateAccountStart(t *target) {
 	if x := t.account(); x != nil {
-		x.SetNotBefore(r.now, r.coordinatesFrom(t))
+		x.SetNotBefore(r.now, r.coordinationStart(t))
 	}
 }
--- a/pkg/core/routing/crash.go
+++ b/pkg/core/routing/crash.go
@@ -85,9 +85,9 @@
 		r.scheduleCrashProbe(t)
 		return
 	}
-	t.service.probeBudget.owe(1)
+	t.service.probeBudget.overdraw(1)
 	e.add(Effect{
-		Kind: Probe, PermitUntil: r.usePermit(t), Attempt: crashProbeNumber, Endpoint: t.endpoint, NotAfter: r.notAfterOf(t), Connections: t.maxConnections,
+		Kind: Probe, PermitUntil: r.usePermit(t), Attempt: crashProbeNumber, Endpoint: t.endpoint, NotAfter: r.targetSelectionExpiry(t), Connections: t.maxConnections,
 		ProbePath: t.service.row.ProbePath,
 	})
 }
@@ -111,7 +111,7 @@
 func (r *Router) crashProbeEnded(t *target, v *ProbeEnded) {
 	if t != nil && v.Refused {
 		// No process was there, so that the probe didn't cost the target anything.
-		t.service.probeBudget.owe(-1)
+		t.service.probeBudget.overdraw(-1)
 	}
 	switch {
 	case t == nil:
--- a/pkg/core/routing/crowd_test.go
+++ b/pkg/core/routing/crowd_test.go
@@ -243,7 +243,7 @@
 	if t.unreachable {
 		return Reading{}
 	}
-	return Reading{Known: true, InFlight: float64(t.running), Slots: 2, Pace: 1}
+	return Reading{HasLoad: true, InFlight: float64(t.running), Slots: 2, Pace: 1}
 }
 
 // retryCaller schedules a refused caller's only retry: at the time that it was told, but within a
--- a/pkg/core/routing/distance.go
+++ b/pkg/core/routing/distance.go
@@ -47,7 +47,7 @@
 
 // distanceTo returns the estimate for a domain and creates it if necessary.
 func (r *Router) distanceTo(d units.Domain) *domainDistance {
-	x := r.distances[d]
+	x := r.domainDistances[d]
 	if x != nil {
 		return x
 	}
@@ -55,7 +55,7 @@
 	if d != r.settings.Domain {
 		x.ownDomain = r.distanceTo(r.settings.Domain)
 	}
-	r.distances[d] = x
+	r.domainDistances[d] = x
 	r.updateSameRegion(d, x)
 	return x
 }
--- a/pkg/core/routing/domainavailability.go
+++ b/pkg/core/routing/domainavailability.go
@@ -80,7 +80,7 @@
 // availabilityCostFactor returns the factor by which the cost of a target without a recent load
 // report is increased, from the availability of its failure domain.
 func (t *target) availabilityCostFactor(now units.Instant) float64 {
-	if t.availability == nil || t.report.Known && now.Sub(t.report.receivedAt) < loadLifetime {
+	if t.availability == nil || t.report.HasLoad && now.Sub(t.report.receivedAt) < loadLifetime {
 		return 1
 	}
 	return 1 / t.availability.usableFraction(now)
--- a/pkg/core/routing/evidence.go
+++ b/pkg/core/routing/evidence.go
@@ -73,7 +73,7 @@
 	case result == Answered:
 		v.evidence.forRoute(v.runsNewVersion(t), c.route.host, c.route.prefix).addSuccess(took)
 		if v.runsNewVersion(t) {
-			r.noteNewAnswer(v, false, e)
+			r.recordNewVersionAnswer(v, false, e)
 		}
 	case result == Broken && !r.mayResend(c):
 	// A call suspected of crashing targets breaks with any version.
@@ -86,7 +86,7 @@
 func (r *Router) recordVersionFailure(v *rolloutState, c *call, t *target, e *Effects) {
 	v.evidence.forRoute(v.runsNewVersion(t), c.route.host, c.route.prefix).failures++
 	if v.runsNewVersion(t) {
-		r.noteNewAnswer(v, true, e)
+		r.recordNewVersionAnswer(v, true, e)
 	}
 }
 
--- a/pkg/core/routing/expectation.go
+++ b/pkg/core/routing/expectation.go
@@ -36,9 +36,9 @@
 		time *= nearlyFullSlowdown
 	}
 	if t.isCold(now) {
-		time *= t.service.whenCold.value()
+		time *= t.service.coldSlowdown.value()
 	}
-	if !t.service.off[FailingTargets] {
+	if !t.service.disabled[FailingTargets] {
 		time *= 1 + failureCost*t.expectedFailureRate(now)
 	}
 	if load > slots {
@@ -74,7 +74,7 @@
 func (t *target) bestConcurrency() float64 {
 	slots := t.slots()
 	below := math.Ceil(nearlyFullUtilization*slots) - 1
-	if below >= 1 && t.service.whenFull.value()*below > slots {
+	if below >= 1 && t.service.nearFullSlowdown.value()*below > slots {
 		return below
 	}
 	return slots
@@ -108,18 +108,18 @@
 // recordAnswerTime records the time of an answer from a target that had its usual pace when the
 // call was sent. The ratio to the route's typical time is a sample of the target's slowdown.
 func (t *target) recordAnswerTime(now units.Instant, x *route, took time.Duration, a *attempt) {
-	if x.answers < minTimeSamples {
+	if x.latencySamples < minTimeSamples {
 		if !a.nearlyFull && !a.cold {
 			x.updateTypicalTime(float64(took))
 		}
 		return
 	}
-	ratio := min(float64(took)/x.typical, maxSlowdown)
+	ratio := min(float64(took)/x.typicalLatency, maxSlowdown)
 	switch {
 	case a.cold:
-		t.service.whenCold.add(ratio)
+		t.service.coldSlowdown.add(ratio)
 	case a.nearlyFull:
-		t.service.whenFull.add(ratio)
+		t.service.nearFullSlowdown.add(ratio)
 	default:
 		t.slowdown = t.currentSlowdown(now) + slowdownGain*(ratio-t.currentSlowdown(now))
 		t.slowdownAt = now
@@ -130,29 +130,29 @@
 // updateTypicalTime updates the typical time. It starts as the median of the first answers and
 // follows the median of later ones in small steps.
 func (x *route) updateTypicalTime(took float64) {
-	if x.answers < minTimeSamples {
-		x.first[x.answers] = took
-		x.answers++
-		if x.answers == minTimeSamples {
-			slices.Sort(x.first[:])
-			x.typical = x.first[minTimeSamples/2]
+	if x.latencySamples < minTimeSamples {
+		x.firstLatencies[x.latencySamples] = took
+		x.latencySamples++
+		if x.latencySamples == minTimeSamples {
+			slices.Sort(x.firstLatencies[:])
+			x.typicalLatency = x.firstLatencies[minTimeSamples/2]
 		}
 		return
 	}
-	if took > x.typical {
-		x.typical *= 1 + typicalTimeStep
+	if took > x.typicalLatency {
+		x.typicalLatency *= 1 + typicalTimeStep
 	} else {
-		x.typical *= 1 - typicalTimeStep
+		x.typicalLatency *= 1 - typicalTimeStep
 	}
 }
 
 // knownTypicalTime returns the route's typical time in nanoseconds, or zero before there are enough
 // samples.
 func (x *route) knownTypicalTime() float64 {
-	if x.answers < minTimeSamples {
+	if x.latencySamples < minTimeSamples {
 		return 0
 	}
-	return x.typical
+	return x.typicalLatency
 }
 
 // currentSlowdown returns how much longer calls take at the target than elsewhere. It decays, so
@@ -186,7 +186,7 @@
 
 // expectedPace returns the expected duration of work at the target relative to the usual duration.
 func (t *target) expectedPace(now units.Instant) float64 {
-	if !t.report.Known || t.report.Pace == 0 {
+	if !t.report.HasLoad || t.report.Pace == 0 {
 		return defaultPace
 	}
 	weight := linearDecay(now.Sub(t.report.receivedAt), paceLifetime)
--- a/pkg/core/routing/expectation_test.go
+++ b/pkg/core/routing/expectation_test.go
@@ -30,7 +30,7 @@
 func TestAnOddFirstAnswerIsSoonForgotten(t *testing.T) {
 	for _, first := range []time.Duration{time.Millisecond, 10 * time.Millisecond, time.Second, 10 * time.Second} {
 		x := newTrainedRoute(first)
-		if ratio := x.typical / float64(usualTime); ratio < 0.6 || ratio > 1.6 {
+		if ratio := x.typicalLatency / float64(usualTime); ratio < 0.6 || ratio > 1.6 {
 			t.Errorf("after a first answer of %s the typical time is %.2f times the usual time", first, ratio)
 		}
 	}
@@ -66,7 +66,7 @@
 
 func TestReadingsFadeWithAge(t *testing.T) {
 	v := newTarget(newService(table.Service{}), table.Row{Registered: true})
-	v.recordReport(testNow, Reading{Known: true, InFlight: 3, Slots: 3, Pace: 5})
+	v.recordReport(testNow, Reading{HasLoad: true, InFlight: 3, Slots: 3, Pace: 5})
 	if p := v.expectedPace(testNow); p != 5 {
 		t.Errorf("a new report of 5 gives the pace %.2f", p)
 	}
@@ -105,9 +105,9 @@
 			for _, slowdown := range s.slowdowns {
 				x := newTarget(v, table.Row{Registered: true})
 				x.row = table.Row{Registered: true, State: table.Active, Weight: 1, Slots: 3}
-				x.inFlightShare.fix(unlimited)
+				x.inFlightShare.setImmediately(unlimited)
 				x.slowdown, x.slowdownAt = slowdown, testNow
-				x.recordReport(testNow, Reading{Known: true, Slots: 3, Pace: 1})
+				x.recordReport(testNow, Reading{HasLoad: true, Slots: 3, Pace: 1})
 				v.targets = append(v.targets, x)
 			}
 			c := &call{service: v, route: &route{aim: time.Second}, arrived: testNow}
--- a/pkg/core/routing/health.go
+++ b/pkg/core/routing/health.go
@@ -59,7 +59,7 @@
 
 // hasReportedFreeSlot reports whether a recent load report showed a free slot at the target.
 func (t *target) hasReportedFreeSlot(now units.Instant) bool {
-	return t.report.Known && now.Sub(t.report.receivedAt) < loadLifetime && t.load(now) < t.slots()
+	return t.report.HasLoad && now.Sub(t.report.receivedAt) < loadLifetime && t.load(now) < t.slots()
 }
 
 // recordFailure counts a failed call and reports whether it caused an ejection.
--- a/pkg/core/routing/inbound.go
+++ b/pkg/core/routing/inbound.go
@@ -86,11 +86,11 @@
 // updateSize updates the expected size by the bytes of an answer that followed those buffered for a
 // retry.
 func (x *route) updateSize(bytes float64) {
-	if x.sized {
-		x.size += sizeGain * (bytes - x.size)
+	if x.hasAnswerSize {
+		x.meanAnswerBytes += sizeGain * (bytes - x.meanAnswerBytes)
 		return
 	}
-	x.size, x.sized = bytes, true
+	x.meanAnswerBytes, x.hasAnswerSize = bytes, true
 }
 
 // recordAnswerStart records that an answer starts being streamed to the caller; coming is how many
@@ -100,7 +100,7 @@
 	a.answerStarted = true
 	r.clearExpected(a)
 	if coming < 0 {
-		a.linkTime = r.inbound.start(r.now, c.route.size)
+		a.linkTime = r.inbound.start(r.now, c.route.meanAnswerBytes)
 		return
 	}
 	bytes := min(float64(coming), r.inbound.bytesPerSecond*maxOccupancy.Seconds())
@@ -112,8 +112,8 @@
 func (r *Router) expectInbound(x *route, a *attempt) {
 	a.linkBusyAtSend = r.inbound.busyTime(r.now)
 	if x.largeAnswers {
-		a.expectedBytes = x.size
-		r.expected += a.expectedBytes
+		a.expectedBytes = x.meanAnswerBytes
+		r.expectedBytes += a.expectedBytes
 	}
 }
 
@@ -126,7 +126,7 @@
 
 // clearExpected removes the expected size of an attempt's answer, which has started or won't come.
 func (r *Router) clearExpected(a *attempt) {
-	r.expected -= a.expectedBytes
+	r.expectedBytes -= a.expectedBytes
 	a.expectedBytes = 0
 }
 
@@ -158,7 +158,7 @@
 	if hidden <= 0 {
 		return took
 	}
-	return max(min(took, time.Duration(c.route.typical)), took-hidden)
+	return max(min(took, time.Duration(c.route.typicalLatency)), took-hidden)
 }
 
 // isInconclusive reports whether an attempt that wasn't answered in time is no evidence about its
@@ -216,7 +216,7 @@
 	if !c.route.largeAnswers || !r.enabled(SharedLink) || c.route.aim == 0 || !c.service.hasActiveTarget(c) {
 		return false
 	}
-	coming := r.inbound.remaining(r.now) + r.inbound.transferTime(r.expected)
+	coming := r.inbound.remaining(r.now) + r.inbound.transferTime(r.expectedBytes)
 	allowed := time.Duration(inboundAimFraction * float64(c.route.aim))
 	waited := r.now.Sub(c.arrived)
 	maxWait := time.Duration(inboundWaitFraction * float64(min(c.route.aim, c.deadline.Sub(c.arrived))))
--- a/pkg/core/routing/inbound_test.go
+++ b/pkg/core/routing/inbound_test.go
@@ -63,8 +63,8 @@
 			w.sent = append(w.sent, sentAttempt{call: x.Call, number: x.Attempt})
 		}
 	}
-	if w.router.expected < -1 {
-		t.Fatalf("the expected bytes are negative: %f", w.router.expected)
+	if w.router.expectedBytes < -1 {
+		t.Fatalf("the expected bytes are negative: %f", w.router.expectedBytes)
 	}
 	if x := &w.router.inbound; x.pendingTime < 0 || x.remaining(w.now) > x.pendingTime {
 		t.Fatalf("the link remains occupied for %s by answers with a transfer time of %s", x.remaining(w.now), x.pendingTime)
@@ -100,7 +100,7 @@
 				w.advance(t, time.Duration(rapid.IntRange(1, 200).Draw(t, "ms"))*time.Millisecond)
 			case kind == 3:
 				a := w.drawAttempt(t)
-				w.dispatch(t, &AttemptStarted{Call: a.call, Attempt: a.number, Coming: rapid.IntRange(-1, 540_000).Draw(t, "coming")})
+				w.dispatch(t, &AttemptStarted{Call: a.call, Attempt: a.number, Remaining: rapid.IntRange(-1, 540_000).Draw(t, "coming")})
 			case kind == 4:
 				a := w.drawAttempt(t)
 				result := AttemptResult(rapid.IntRange(int(Answered), int(Canceled)).Draw(t, "result"))
@@ -110,8 +110,8 @@
 			}
 		}
 		w.advance(t, 2*time.Second)
-		if math.Abs(w.router.expected) > 1 {
-			t.Fatalf("%f bytes are still expected without any call", w.router.expected)
+		if math.Abs(w.router.expectedBytes) > 1 {
+			t.Fatalf("%f bytes are still expected without any call", w.router.expectedBytes)
 		}
 		if pending, remaining := w.router.inbound.pendingTime, w.router.inbound.remaining(w.now); pending != 0 || remaining != 0 {
 			t.Fatalf("the pending transfer time is %s and the link remains occupied for %s, but no call is in flight", pending, remaining)
--- a/pkg/core/routing/loadreport.go
+++ b/pkg/core/routing/loadreport.go
@@ -24,7 +24,7 @@
 )
 
 func (r *loadReport) update(now units.Instant, x Reading) {
-	if !x.Known {
+	if !x.HasLoad {
 		return
 	}
 	r.Reading = x
@@ -34,7 +34,7 @@
 
 // recordReport stores a load report from the target.
 func (t *target) recordReport(now units.Instant, x Reading) {
-	if x.Known {
+	if x.HasLoad {
 		t.sentSinceReport = 0
 	}
 	t.report.update(now, x)
@@ -45,7 +45,7 @@
 
 // callsOfOtherBoxes estimates how many calls of other boxes the target is running.
 func (r *loadReport) callsOfOtherBoxes(now units.Instant, own int) float64 {
-	if !r.Known {
+	if !r.HasLoad {
 		return 0
 	}
 	return max(0, r.InFlight-float64(own)) * hyperbolicDecay(now.Sub(r.receivedAt), reportHalfLife) * r.trust
--- a/pkg/core/routing/loans.go
+++ b/pkg/core/routing/loans.go
@@ -8,99 +8,99 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Boxes lend each other slots. A limit is divided among the boxes, so that it
-// holds whatever becomes of any of them; a box with calls to hold asks a few
-// others for slots that they don't use. A loan is a lease: the borrower renews
-// it, and the lender counts it as out until it is returned or has run out on
+// Boxes lend each other slots. A limit is divided among the boxes, so that it holds whatever fails;
+// a box that holds calls requests slots that other boxes don't use. A loan is a lease: the borrower
+// renews it, and the lender counts the slot as lent until it is returned or the loan has expired on
 // both sides.
 
-// LoanID names a loan of one lender.
+// LoanID identifies a loan of one lender.
 type LoanID uint64
 
-// LoanKind says what a message between boxes is about.
+// LoanKind is the kind of a LoanMessage.
 type LoanKind uint8
 
-// The kinds of message.
+// The kinds of LoanMessage.
 const (
-	// WantSlots asks for up to Count slots of a service.
-	WantSlots LoanKind = iota + 1
+	// RequestSlots requests up to Count slots of a service.
+	RequestSlots LoanKind = iota + 1
 	// OfferSlot lends one slot of a target.
 	OfferSlot
-	// ReturnSlot gives a slot back.
+	// ReturnSlot returns a slot.
 	ReturnSlot
-	// RenewLoans names the loans that the borrower still holds.
+	// RenewLoans lists the loans that the borrower still holds.
 	RenewLoans
 	// ConfirmLoans answers RenewLoans.
 	ConfirmLoans
-	// RecallSlots asks for the slots of a service back.
+	// RecallSlots asks the borrower to return the slots of a service.
 	RecallSlots
 )
 
-// LoanMessage is a message between two boxes.
+// LoanMessage is a message between two boxes about loans.
 type LoanMessage struct {
 	Kind    LoanKind
 	Service units.ServiceName
 	Target  units.TargetID
 	Loan    LoanID
 	Count   int
-	// Nonce ties an answer to its question.
+	// Nonce matches an answer to its request.
 	Nonce uint64
 	Loans []LoanID
-	// Term is how long what is offered or confirmed may be used, counted from when
-	// it was asked for.
+	// Term is how long an offered or confirmed loan may be used, counted from when the borrower
+	// sent its request.
 	Term time.Duration
-	// Free is how many slots of the service the sender has to spare.
-	Free int
+	// SpareSlots is the number of slots of the service that the sender has to spare.
+	SpareSlots int
 }
 
 const (
-	// loanTerm is how long a borrower may use a loan after it asked for it or
-	// last had it confirmed.
-	loanTerm = 2 * time.Second
-	// loanReclaim is when a lender takes back a loan that it heard nothing of; it
-	// is longer than the term, whatever the clocks' speeds.
-	loanReclaim = loanTerm + 500*time.Millisecond
-	// renewLoansEvery is how often a borrower renews.
-	renewLoansEvery = 500 * time.Millisecond
-	// idleLoan is how long a borrower keeps a slot that it doesn't use.
-	idleLoan = 20 * time.Millisecond
-	// askAgain is how long a box waits before it asks for more.
-	askAgain = time.Millisecond
-	// askedBoxes is how many boxes are asked at a time, out of the best of
-	// sampledBoxes drawn at random.
-	askedBoxes   = 1
-	sampledBoxes = 6
-	// wantAge is how long a lender remembers a request that it couldn't meet.
-	wantAge = 10 * time.Millisecond
+	// maxLoanTerm is the longest time for which a borrower may use a loan after its request or its
+	// last confirmed renewal.
+	maxLoanTerm = 2 * time.Second
+	// loanReclaimTimeout is when a lender reclaims a loan that hasn't been renewed. It exceeds the
+	// loan's term by enough to cover differences in clock speed.
+	loanReclaimTimeout = maxLoanTerm + 500*time.Millisecond
+	// loanRenewInterval is the time between two renewals by a borrower.
+	loanRenewInterval = 500 * time.Millisecond
+	// loanIdleTimeout is how long a borrower keeps a slot that it doesn't use.
+	loanIdleTimeout = 20 * time.Millisecond
+	// loanRequestInterval is the least time between two requests for slots of a service.
+	loanRequestInterval = time.Millisecond
+	// lendersPerRequest is the number of boxes that are sent a request, each the best of
+	// lenderSampleSize boxes drawn at random.
+	lendersPerRequest = 1
+	lenderSampleSize  = 6
+	// loanRequestTTL is how long a lender keeps a request that it couldn't meet.
+	loanRequestTTL = 10 * time.Millisecond
 )
 
-// loanBook holds a box's loans in both directions.
-type loanBook struct {
+// loanState holds a box's loans in both directions.
+type loanState struct {
 	nextID   LoanID
 	nonce    uint64
-	asked    map[uint64]units.Instant
+	requests map[uint64]units.Instant
 	renewals map[uint64]units.Instant
 	borrowed []*loan
 	lent     []*lentSlot
 	renewAt  units.Instant
 
-	// The totals are for the dump.
-	askedTotal, lentTotal, borrowedTotal uint64
+	// The totals are reported in the dump.
+	requestTotal, lentTotal, borrowedTotal uint64
 }
 
-func newLoanBook() loanBook {
-	return loanBook{asked: map[uint64]units.Instant{}, renewals: map[uint64]units.Instant{}}
+func newLoanState() loanState {
+	return loanState{requests: map[uint64]units.Instant{}, renewals: map[uint64]units.Instant{}}
 }
 
-// any tells whether anything is lent or borrowed.
-func (b *loanBook) any() bool { return len(b.borrowed)+len(b.lent) > 0 }
+// active reports whether any slot is lent or borrowed.
+func (b *loanState) active() bool { return len(b.borrowed)+len(b.lent) > 0 }
 
-// remember notes when a question was asked and forgets an old one.
-func (b *loanBook) remember(m map[uint64]units.Instant, now units.Instant) uint64 {
+// recordRequest records when a request is sent, drops requests older than maxLoanTerm, and returns
+// the new request's nonce.
+func (b *loanState) recordRequest(m map[uint64]units.Instant, now units.Instant) uint64 {
 	b.nonce++
 	m[b.nonce] = now
 	for n, at := range m {
-		if now.Sub(at) > loanTerm {
+		if now.Sub(at) > maxLoanTerm {
 			delete(m, n)
 		}
 	}
@@ -108,10 +108,10 @@
 }
 
 const (
-	// unknownSpare is what a box is taken to have that said nothing lately.
-	unknownSpare = 0.5
-	// spareAge is how long what a box said counts.
-	spareAge = 30 * time.Millisecond
+	// defaultSpareSlots is the assumed number of spare slots of a box without a recent report.
+	defaultSpareSlots = 0.5
+	// spareReportMaxAge is how long a report of spare slots is used.
+	spareReportMaxAge = 30 * time.Millisecond
 )
 
 func (s *service) unlimited() bool {
@@ -125,9 +125,9 @@
 
 func (r *Router) sendLoan(to units.BoxID, m LoanMessage, e *Effects) {
 	if s := r.services[m.Service]; s != nil {
-		m.Free = s.spareSlots(r.now)
+		m.SpareSlots = s.spareSlots(r.now)
 	}
-	e.add(Effect{Kind: SendPeer, Peer: to, Loan: m})
+	e.add(Effect{Kind: SendLoan, Peer: to, Loan: m})
 }
 
 func (r *Router) receiveLoan(from units.BoxID, m LoanMessage, e *Effects) {
@@ -135,21 +135,21 @@
 		return
 	}
 	if s := r.services[m.Service]; s != nil {
-		s.wants.peers[from] = spare{slots: float64(m.Free), at: r.now}
+		s.loans.spareByPeer[from] = spareReport{slots: float64(m.SpareSlots), at: r.now}
 	}
 	switch m.Kind {
-	case WantSlots:
-		r.meetWant(from, m, e)
+	case RequestSlots:
+		r.handleLoanRequest(from, m, e)
 	case OfferSlot:
-		r.takeOffer(from, m, e)
+		r.acceptOffer(from, m, e)
 	case ReturnSlot:
-		r.takeBack(from, m.Loan)
+		r.handleReturn(from, m.Loan)
 	case RenewLoans:
-		r.confirmLoans(from, m, e)
+		r.handleRenewal(from, m, e)
 	case ConfirmLoans:
 		r.extendLoans(from, m)
 	case RecallSlots:
-		r.recalled(from, m, e)
+		r.handleRecall(from, m, e)
 	}
 }
 
@@ -165,29 +165,29 @@
 	return nil
 }
 
-// sweepLoans renews what is borrowed, gives back what lies idle, and takes back
-// what nothing was heard of.
+// sweepLoans renews borrowed slots, returns idle ones, and reclaims lent ones that haven't been
+// renewed.
 func (r *Router) sweepLoans(e *Effects) {
 	for _, l := range slices.Clone(r.loans.borrowed) {
-		idle := r.now.Sub(l.usedAt) > idleLoan && r.now >= l.coolUntil
-		if !l.inUse && (idle || l.mustGoBack(r.now)) {
-			r.giveBack(l, e)
+		idle := r.now.Sub(l.lastUsedAt) > loanIdleTimeout && r.now >= l.cooldownUntil
+		if !l.inUse && (idle || l.mustReturn(r.now)) {
+			r.returnLoan(l, e)
 		}
 	}
 	for _, l := range slices.Clone(r.loans.lent) {
-		if r.now.Sub(l.heard) > loanReclaim {
+		if r.now.Sub(l.confirmedAt) > loanReclaimTimeout {
 			r.reclaim(l)
 		}
 	}
 	if r.now >= r.loans.renewAt {
-		r.loans.renewAt = r.now.Add(renewLoansEvery)
+		r.loans.renewAt = r.now.Add(loanRenewInterval)
 		r.renewLoans(e)
 	}
 }
 
-// dropLoans forgets the loans with boxes that are no longer listed: their lease
-// on the table has run out.
-func (r *Router) dropLoans(boxes []table.Box) {
+// dropUnlistedLoans ends the loans with boxes that are no longer listed: their lease on the table
+// has expired.
+func (r *Router) dropUnlistedLoans(boxes []table.Box) {
 	listed := func(id units.BoxID) bool {
 		return slices.ContainsFunc(boxes, func(b table.Box) bool { return b.ID == id })
 	}
--- a/pkg/core/routing/mechanism.go
+++ b/pkg/core/routing/mechanism.go
@@ -78,4 +78,4 @@
 }
 
 // enabled reports whether a mechanism is in use.
-func (r *Router) enabled(m Mechanism) bool { return !r.off[m] }
+func (r *Router) enabled(m Mechanism) bool { return !r.disabled[m] }
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -93,7 +93,7 @@
 // probe. A misdirected answer comes from another target at the address. knownVersion is the version
 // of the target's limit that was known when the call was sent.
 func (r *Router) handleNotice(x *Endpoint, reading Reading, misdirected bool, knownVersion uint64, e *Effects) {
-	if x == nil || reading.Rest <= 0 && !reading.Leaving && !reading.Limit.Named {
+	if x == nil || reading.Rest <= 0 && !reading.Leaving && !reading.Limit.Present {
 		return
 	}
 	o := x.incarnation()
@@ -132,7 +132,7 @@
 // incarnation.
 func (r *Router) updateNotice(o incarnation, x *Endpoint, reading Reading, knownVersion uint64, e *Effects) {
 	n := r.ensureNotice(o)
-	if reading.Limit.Named {
+	if reading.Limit.Present {
 		r.recordLimit(n, x, reading.Limit.Rate, knownVersion, e)
 	}
 	restBegins := reading.Rest > 0 && !n.isResting(r.now)
@@ -150,7 +150,7 @@
 	e.add(Effect{Kind: TargetNotice, Endpoint: x, Notice: change})
 	for _, s := range r.applyToServices(n, x, e) {
 		if restBegins {
-			s.rests++
+			s.restRequests++
 		}
 	}
 }
@@ -211,8 +211,8 @@
 // updateAfterNotice updates a service after one of its targets started a rest, announced that it
 // leaves, or began or ceased to announce a limit.
 func (r *Router) updateAfterNotice(s *service, e *Effects) {
-	s.weigh(r.now)
-	r.sweepBy(s, r.now)
+	s.updateWeights(r.now)
+	r.scheduleSweep(s, r.now)
 	r.refuseUnservable(s, e)
 }
 
@@ -294,7 +294,7 @@
 		return
 	}
 	r.removeNotice(t.notice)
-	t.service.weigh(r.now)
-	r.freed = append(r.freed, t.service)
+	t.service.updateWeights(r.now)
+	r.freedServices = append(r.freedServices, t.service)
 	e.add(Effect{Kind: TargetNotice, Endpoint: t.endpoint, Notice: &Notice{}})
 }
--- a/pkg/core/routing/notice_random_test.go
+++ b/pkg/core/routing/notice_random_test.go
@@ -116,7 +116,7 @@
 
 // drawReading draws the content of an answer and records what the box is told by it.
 func (x *noticeModel) drawReading(e *Endpoint) Reading {
-	r := Reading{Known: true, InFlight: float64(rapid.IntRange(0, 4).Draw(x.T, "load")), Slots: 3, Pace: 1}
+	r := Reading{HasLoad: true, InFlight: float64(rapid.IntRange(0, 4).Draw(x.T, "load")), Slots: 3, Pace: 1}
 	switch rapid.IntRange(0, 5).Draw(x.T, "words") {
 	case 0:
 		r.Rest = time.Duration(rapid.IntRange(1, 3000).Draw(x.T, "rest")) * time.Millisecond
@@ -161,7 +161,7 @@
 
 func (x *noticeModel) startAnswer(t *rapid.T) {
 	s := removeRandom(t, &x.sends)
-	x.dispatch(&AttemptStarted{Call: s.Call, Attempt: s.Attempt, Endpoint: s.Endpoint, Reading: x.drawReading(s.Endpoint), Coming: -1})
+	x.dispatch(&AttemptStarted{Call: s.Call, Attempt: s.Attempt, Endpoint: s.Endpoint, Reading: x.drawReading(s.Endpoint), Remaining: -1})
 	x.sends = append(x.sends, s)
 }
 
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -71,7 +71,7 @@
 		}
 		c.probeRound.active = true
 		r.waitForTarget(id, c)
-		r.seekPermits(c.service, c, 1, e)
+		r.requestPermits(c.service, c, 1, e)
 	}
 	if why == FirstSend {
 		e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.deadline})
@@ -84,17 +84,17 @@
 
 // recordReport records whether an answer carried a load report.
 func (s *service) recordReport(x Reading) {
-	if x.Known {
-		s.unreported = 0
+	if x.HasLoad {
+		s.answersWithoutReport = 0
 		return
 	}
-	s.unreported++
+	s.answersWithoutReport++
 }
 
 // probesTargets reports whether targets are probed before a call is sent. Targets that send no load
 // reports aren't: the latency of their answers decides then, until one sends a report.
 func (s *service) probesTargets() bool {
-	return s.row.ProbeTargets > 0 && s.unreported < maxUnreported
+	return s.row.ProbeTargets > 0 && s.answersWithoutReport < maxUnreported
 }
 
 // sendProbes probes the best targets for a call. It returns false if there is no target to probe or
@@ -124,7 +124,7 @@
 func (r *Router) probe(id CallID, c *call, t *target, number AttemptNumber, e *Effects) {
 	t.recordProbeSent(r.now)
 	e.add(Effect{
-		Kind: Probe, PermitUntil: r.usePermit(t), Call: id, Owner: c.owner, Attempt: number, Endpoint: t.endpoint, NotAfter: r.notAfterOf(t),
+		Kind: Probe, PermitUntil: r.usePermit(t), Call: id, Owner: c.owner, Attempt: number, Endpoint: t.endpoint, NotAfter: r.targetSelectionExpiry(t),
 		Connections: t.maxConnections, ProbePath: c.service.row.ProbePath,
 	})
 }
@@ -134,7 +134,7 @@
 func (r *Router) spendProbeBudget(s *service, n int) bool {
 	rate := r.probeBudgetRate(s)
 	burst := max(minProbeBurst, rate*probeBurstTime.Seconds())
-	return s.probeBudget.takeMany(r.now, float64(n), rate, burst)
+	return s.probeBudget.takeN(r.now, float64(n), rate, burst)
 }
 
 // probeBudgetRate is the rate at which this box may probe a service's targets, in probes per
@@ -142,7 +142,7 @@
 func (r *Router) probeBudgetRate(s *service) float64 {
 	rate := 0.0
 	for _, t := range s.targets {
-		if t.side <= onTrial {
+		if t.side <= trialVersion {
 			rate += r.probeRate(s, t)
 		}
 	}
@@ -153,12 +153,12 @@
 // and no probe in flight, since probe answers are shared by all calls. The slice is reused by the
 // next call.
 func (r *Router) targetsToProbe(c *call, n int) []*target {
-	from := r.callSide(c.service, c)
+	from := r.roleForCall(c.service, c)
 	set := candidates{
-		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c) && from != onTrial, fresh: c.sendsSinceHeld > 0,
-		side: from,
+		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c) && from != trialVersion, excludeTried: c.sendsSinceHeld > 0,
+		role: from,
 	}
-	r.best = r.best[:0]
+	r.probeCandidates = r.probeCandidates[:0]
 	// Targets of the same cost are compared in a random order, so that the boxes don't all probe
 	// the same ones.
 	targets := c.service.targets
@@ -167,16 +167,16 @@
 		i := (start + k) % len(targets)
 		t := targets[i]
 		// At a target with an announced rate limit a probe would cost as much as the call.
-		if t.notice.isLimited() || !set.Available(i) && !set.onlyInDoubt(i) || t.hasFreshReading(r.now) || t.hasProbeInFlight(r.now) {
+		if t.notice.isLimited() || !set.Available(i) && !set.availableIfWarm(i) || t.hasFreshReading(r.now) || t.hasProbeInFlight(r.now) {
 			continue
 		}
 		if t.lastProbedAt != 0 && r.now.Sub(t.lastProbedAt) < t.probeTimeout() {
 			continue
 		}
 		t.rankingCost = t.cost(r.now, c.route)
-		r.best = insertByCost(r.best, t, n)
+		r.probeCandidates = insertByCost(r.probeCandidates, t, n)
 	}
-	return r.best
+	return r.probeCandidates
 }
 
 // insertByCost inserts a target into a list of the n lowest costs, in order.
@@ -240,7 +240,7 @@
 	}
 	if !late || r.isOverdue(c) {
 		r.waitForTarget(id, c)
-		r.seekPermits(c.service, c, 1, e)
+		r.requestPermits(c.service, c, 1, e)
 		return
 	}
 	c.probeRound.active = false
@@ -267,7 +267,7 @@
 // late is sent to a nearly full target with a known load rather than wait for a better one.
 func (r *Router) bestSuitable(c *call) *target {
 	set := candidates{
-		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c), fresh: true, side: r.callSide(c.service, c),
+		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c), excludeTried: true, role: r.roleForCall(c.service, c),
 	}
 	var best *target
 	for i, t := range c.service.targets {
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -30,12 +30,12 @@
 // probeIfDue probes a target that gets no calls. Targets that get calls are measured by these and
 // need no probe.
 func (r *Router) probeIfDue(s *service, t *target, e *Effects) {
-	if !t.needsHealthProbe(r.now) || t.evacuated || t.side > onTrial || t.healthProbeInFlight || r.now.Sub(t.lastObservedAt) < minSilenceBeforeProbe || !r.leased() {
+	if !t.needsHealthProbe(r.now) || t.evacuated || t.side > trialVersion || t.healthProbeInFlight || r.now.Sub(t.lastObservedAt) < minSilenceBeforeProbe || !r.leased() {
 		return
 	}
 	if t.lacksPermit(r.now) {
-		if t.notice.limit.mayAsk(r.now) {
-			r.askPermits(t, 1, e)
+		if t.notice.limit.mayRequest(r.now) {
+			r.requestTargetPermits(t, 1, e)
 		}
 		return
 	}
@@ -44,7 +44,7 @@
 	}
 	t.healthProbeInFlight = true
 	t.probesSent++
-	e.add(Effect{Kind: Probe, PermitUntil: r.usePermit(t), Endpoint: t.endpoint, NotAfter: r.notAfter(), Connections: t.maxConnections})
+	e.add(Effect{Kind: Probe, PermitUntil: r.usePermit(t), Endpoint: t.endpoint, NotAfter: r.selectionExpiry(), Connections: t.maxConnections})
 }
 
 func (r *Router) probeEnded(v *ProbeEnded, e *Effects) {
@@ -78,7 +78,7 @@
 	}
 	if t.health.recordSuccess(r.now) {
 		r.healthChanged(t, e)
-		r.freed = append(r.freed, t.service)
+		r.freedServices = append(r.freedServices, t.service)
 	}
 }
 
@@ -121,7 +121,7 @@
 // longer needs it.
 func (r *Router) shareProbeAnswer(t *target) {
 	if t != nil && len(t.service.waiting) > 0 && t.hasFreshReading(r.now) && r.isSuitableByReading(nil, t) {
-		r.freed = append(r.freed, t.service)
+		r.freedServices = append(r.freedServices, t.service)
 	}
 }
 
--- a/pkg/core/routing/quarantine.go
+++ b/pkg/core/routing/quarantine.go
@@ -270,7 +270,7 @@
 	}
 	for _, v := range b.ledger.Judge(r.now) {
 		b.localVerdicts = append(b.localVerdicts, localVerdict{call: v.Fingerprint, until: r.now.Add(localQuarantineDuration)})
-		e.add(Effect{Kind: CallBlamed, Verdict: &v})
+		e.add(Effect{Kind: CallQuarantined, Verdict: &v})
 	}
 	r.enforceQuarantines(e)
 }
--- a/pkg/core/routing/quotas.go
+++ b/pkg/core/routing/quotas.go
@@ -9,109 +9,113 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A credit lets in one call of a workspace whose rate is limited. A box asks the workspace's holders for
-// as many as its calls need, one holder after the other while they have none left, and refuses at once
-// what nobody has a credit for.
+// A credit admits one call of a workspace whose rate is limited. A box requests as many credits as
+// its calls need from the workspace's holders, one holder after the other while they have none
+// left, and refuses at once the calls for which no holder has a credit.
 
 const (
-	// creditTerm is how long a box may keep a credit that it has no use for: runs come that much later
-	// than the holder counted them.
-	creditTerm = 300 * time.Millisecond
-	// creditWait is how long a call waits for credits at all. A holder answers within a few milliseconds.
-	creditWait = 350 * time.Millisecond
-	// maxCreditWaiting bounds the calls of a workspace that wait for credits at a box.
-	maxCreditWaiting = 1024
-	// quotaRateMemory is over what time a box estimates how many calls a workspace sends it.
-	quotaRateMemory = 2 * time.Second
-	// leastQuotaRetry and mostQuotaRetry bound when a caller without a credit may come back.
-	leastQuotaRetry = 200 * time.Millisecond
-	mostQuotaRetry  = 5 * time.Second
+	// creditLifetime is how long a box may keep an unused credit, and so how much later than the
+	// holder counted it a call may run.
+	creditLifetime = 300 * time.Millisecond
+	// creditWaitTimeout is how long a call waits for a credit at most. A holder answers within a
+	// few milliseconds.
+	creditWaitTimeout = 350 * time.Millisecond
+	// maxCallsAwaitingCredit caps the calls of one workspace that wait for credits at a box.
+	maxCallsAwaitingCredit = 1024
+	// arrivalRateWindow is the time over which a box estimates the rate of a workspace's calls.
+	arrivalRateWindow = 2 * time.Second
+	// minQuotaRetryAfter and maxQuotaRetryAfter are the limits of the retry delay for a call
+	// refused for lack of a credit.
+	minQuotaRetryAfter = 200 * time.Millisecond
+	maxQuotaRetryAfter = 5 * time.Second
 )
 
-// quotaBook is what a box knows of quotas.
-type quotaBook struct {
-	uses map[units.WorkspaceName]*quotaUse
-	// order lists uses by name.
-	order []*quotaUse
-	seats map[quota.Group]*quotaSeats
-	nonce uint64
-	// sweepAt is when time alone may next bring something about.
+// quotaState is a box's state on the quotas of all workspaces.
+type quotaState struct {
+	byWorkspace map[units.WorkspaceName]*workspaceQuota
+	// order lists the quotas sorted by workspace.
+	order   []*workspaceQuota
+	holders map[quota.Group]*quotaHolders
+	nonce   uint64
+	// sweepAt is when the next sweep is due.
 	sweepAt units.Instant
-	// reviewed is set once the holders by a list of boxes were worked out.
-	reviewed bool
-	// tellAt is when the leader is next told of uses.
-	tellAt units.Instant
-	// document and listed are those that the book was last reviewed for.
-	document units.DocumentVersion
-	listed   int
+	// holdersKnown is set once the holders were computed from a list of boxes.
+	holdersKnown bool
+	// reportAt is when the next usage report to the leader is due.
+	reportAt units.Instant
+	// document and boxListVersion are those of the last update.
+	document       units.DocumentVersion
+	boxListVersion int
 }
 
-// quotaUse is what a box knows of the quota of one workspace.
-type quotaUse struct {
+// workspaceQuota is a box's state on the quota of one workspace.
+type workspaceQuota struct {
 	name  units.WorkspaceName
 	rate  units.CallRate
 	burst float64
 	group quota.Group
-	// credits are those on hand.
-	credits allowances
-	waiting []creditCall
-	asks    []creditAsk
-	// closed says until when holders have nothing to give, or don't answer.
-	closed map[units.BoxID]units.Instant
-	// came counts the calls that come here.
-	came eventRate
-	// account is this box's part, where it is a holder; disappointed counts the requests that it didn't
-	// give all to.
-	account      *limit.TokenBucket
-	disappointed eventRate
-	status       QuotaStatus
-	// told is the status that the leader was told of last.
-	told QuotaStatus
+	// credits are the credits that the box holds.
+	credits  allowances
+	waiting  []creditWaiter
+	requests []creditRequest
+	// unavailableUntil is when a holder that has no credits left, or doesn't answer, may be sent
+	// the next request.
+	unavailableUntil map[units.BoxID]units.Instant
+	// arrivals estimates the rate of the workspace's calls at this box.
+	arrivals eventRate
+	// account is this box's part of the rate if it is a holder; shortfalls estimates the rate of
+	// requests that it couldn't meet in full.
+	account    *limit.TokenBucket
+	shortfalls eventRate
+	status     QuotaStatus
+	// reported is the status at the last report to the leader.
+	reported QuotaStatus
 }
 
-// creditCall is a call that waits for a credit.
-type creditCall struct {
+// creditWaiter is a call that waits for a credit.
+type creditWaiter struct {
 	id    CallID
 	since units.Instant
 }
 
-// QuotaStatus is what the dump shows of a workspace's quota at a box.
+// QuotaStatus is the state of a workspace's quota at a box, for the dump.
 type QuotaStatus struct {
 	Workspace units.WorkspaceName `json:"workspace"`
-	// Admitted and Refused count the box's own calls, Granted the credits that it gave as a holder.
+	// Admitted and Refused count the box's own calls, Granted the credits that it granted as a
+	// holder.
 	Admitted uint64 `json:"admitted"`
 	Refused  uint64 `json:"refused"`
 	Granted  uint64 `json:"granted,omitempty"`
 }
 
-func newQuotaBook() quotaBook {
-	return quotaBook{uses: map[units.WorkspaceName]*quotaUse{}, seats: map[quota.Group]*quotaSeats{}}
+func newQuotaState() quotaState {
+	return quotaState{byWorkspace: map[units.WorkspaceName]*workspaceQuota{}, holders: map[quota.Group]*quotaHolders{}}
 }
 
-// any tells whether a workspace's rate is limited.
-func (b *quotaBook) any() bool { return len(b.order) > 0 }
+// active reports whether any workspace's rate is limited.
+func (b *quotaState) active() bool { return len(b.order) > 0 }
 
-// reviewQuotas takes the limits and the list of boxes that are in force.
-func (r *Router) reviewQuotas(e *Effects) {
+// updateQuotas applies the table's limits and its list of boxes, if they have changed.
+func (r *Router) updateQuotas(e *Effects) {
 	b := &r.quotas
-	if b.document == r.table.Document && b.listed == r.boxLists {
+	if b.document == r.table.Document && b.boxListVersion == r.boxListVersion {
 		return
 	}
 	limitsChanged := b.document != r.table.Document
-	b.document, b.listed = r.table.Document, r.boxLists
+	b.document, b.boxListVersion = r.table.Document, r.boxListVersion
 	if limitsChanged {
-		r.takeQuotas(e)
+		r.updateQuotaLimits(e)
 	}
-	if b.any() {
-		r.reviewSeats()
-		r.askAllCredits(e)
+	if b.active() {
+		r.updateHolders()
+		r.requestAllCredits(e)
 	}
 }
 
-// takeQuotas takes the limits of the table's workspaces.
-func (r *Router) takeQuotas(e *Effects) {
+// updateQuotaLimits applies the rate limits of the table's workspaces.
+func (r *Router) updateQuotaLimits(e *Effects) {
 	b := &r.quotas
-	kept := map[units.WorkspaceName]*quotaUse{}
+	kept := map[units.WorkspaceName]*workspaceQuota{}
 	before := b.order
 	b.order = nil
 	for i := range r.table.Workspaces {
@@ -119,10 +123,10 @@
 		if w.Rate <= 0 {
 			continue
 		}
-		u := b.uses[w.Name]
+		u := b.byWorkspace[w.Name]
 		if u == nil {
-			u = &quotaUse{
-				name: w.Name, group: quota.GroupOf(w.Name), closed: map[units.BoxID]units.Instant{}, status: QuotaStatus{Workspace: w.Name},
+			u = &workspaceQuota{
+				name: w.Name, group: quota.GroupOf(w.Name), unavailableUntil: map[units.BoxID]units.Instant{}, status: QuotaStatus{Workspace: w.Name},
 			}
 		}
 		u.rate, u.burst = w.Rate, w.Burst
@@ -131,16 +135,17 @@
 	}
 	for _, u := range before {
 		if kept[u.name] == nil {
-			r.releaseWaiting(u, e)
+			r.admitUnlimited(u, e)
 		}
 	}
-	b.uses = kept
+	b.byWorkspace = kept
 }
 
-// releaseWaiting lets calls go on that wait for credits of a workspace whose rate is no longer limited.
-func (r *Router) releaseWaiting(u *quotaUse, e *Effects) {
+// admitUnlimited admits the calls that wait for credits of a workspace whose rate is no longer
+// limited.
+func (r *Router) admitUnlimited(u *workspaceQuota, e *Effects) {
 	for _, w := range u.waiting {
-		if c := r.creditWaiter(w); c != nil {
+		if c := r.stillAwaitsCredit(w); c != nil {
 			c.awaitsCredit = false
 			r.admitToService(w.id, c, e)
 		}
@@ -148,66 +153,66 @@
 	u.waiting = nil
 }
 
-// creditWaiter returns the call of an entry of the queue, or nil where it has ended.
-func (r *Router) creditWaiter(w creditCall) *call {
+// stillAwaitsCredit returns the call of a queue entry, or nil if the call doesn't wait any more.
+func (r *Router) stillAwaitsCredit(w creditWaiter) *call {
 	if c := r.calls.Get(w.id); c != nil && c.awaitsCredit {
 		return c
 	}
 	return nil
 }
 
-// waitsForCredit takes a credit for a call, or has it wait for one, or refuses it; false means that the call may
-// go on.
-func (r *Router) waitsForCredit(id CallID, c *call, e *Effects) bool {
+// blockedByQuota uses a credit for a call. Without one it lets the call wait or refuses it, and
+// returns true; false means that the call may continue.
+func (r *Router) blockedByQuota(id CallID, c *call, e *Effects) bool {
 	if c.workspace == nil || c.workspace.Rate <= 0 {
 		return false
 	}
-	u := r.quotas.uses[c.workspace.Name]
+	u := r.quotas.byWorkspace[c.workspace.Name]
 	if u == nil {
 		return false
 	}
-	u.came.note(r.now)
-	if r.takeCredit(u, c) {
+	u.arrivals.record(r.now)
+	if r.useCredit(u, c) {
 		return false
 	}
-	if len(u.waiting) >= maxCreditWaiting {
-		r.refuseCredit(u, id, c, e)
+	if len(u.waiting) >= maxCallsAwaitingCredit {
+		r.refuseForQuota(u, id, c, e)
 		return true
 	}
 	c.awaitsCredit = true
-	u.waiting = append(u.waiting, creditCall{id: id, since: r.now})
+	u.waiting = append(u.waiting, creditWaiter{id: id, since: r.now})
 	first := len(e.List)
-	r.askCredits(u, e)
-	if r.creditWaiter(creditCall{id: id}) != nil {
-		// The caller's goroutine needs the call's id before anything else happens to it.
-		e.List = slices.Insert(e.List, first, Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: r.now.Add(creditWait)})
+	r.requestCredits(u, e)
+	if r.stillAwaitsCredit(creditWaiter{id: id}) != nil {
+		// The caller's goroutine needs the call's id before any other effect on the call.
+		e.List = slices.Insert(e.List, first, Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: r.now.Add(creditWaitTimeout)})
 	}
 	return true
 }
 
-// eventRate estimates how many events there are a second, over the last quotaRateMemory.
+// eventRate estimates the rate of events over the last arrivalRateWindow.
 type eventRate struct {
 	value float64
 	at    units.Instant
 }
 
-func (x *eventRate) note(now units.Instant) {
-	x.value = x.perSecond(now) + 1/quotaRateMemory.Seconds()
+func (x *eventRate) record(now units.Instant) {
+	x.value = x.perSecond(now) + 1/arrivalRateWindow.Seconds()
 	x.at = now
 }
 
 func (x *eventRate) perSecond(now units.Instant) float64 {
-	return x.value * max(0, 1-float64(now.Sub(x.at))/float64(quotaRateMemory))
+	return x.value * max(0, 1-float64(now.Sub(x.at))/float64(arrivalRateWindow))
 }
 
-// takeCredit uses a credit on hand for a call, or one of the box's own account.
-func (r *Router) takeCredit(u *quotaUse, c *call) bool {
+// useCredit uses one of the credits held, or one from the box's own account.
+func (r *Router) useCredit(u *workspaceQuota, c *call) bool {
 	until, ok := u.credits.use(r.now)
 	switch {
 	case ok:
 		c.creditValidUntil = until
 	case len(u.waiting) == 0 && u.account != nil && r.mayGrant() && u.account.Permit(r.now, 1) == 1:
-		c.creditValidUntil = r.now.Add(creditTerm)
+		c.creditValidUntil = r.now.Add(creditLifetime)
 	default:
 		return false
 	}
@@ -215,13 +220,13 @@
 	return true
 }
 
-// unuseCredit gives back the credit of a call that ends without having been sent: to the next call while it
-// holds, else to a holder.
-func (r *Router) unuseCredit(c *call, e *Effects) {
+// restoreCredit puts back the credit of a call that ends without having been sent. An expired one
+// is returned to a holder.
+func (r *Router) restoreCredit(c *call, e *Effects) {
 	if c.creditValidUntil == 0 || c.sends > 0 || c.workspace == nil {
 		return
 	}
-	u := r.quotas.uses[c.workspace.Name]
+	u := r.quotas.byWorkspace[c.workspace.Name]
 	if u == nil {
 		return
 	}
@@ -234,9 +239,9 @@
 	c.creditValidUntil = 0
 }
 
-// returnCredit gives a credit back to a holder, this box if it is one.
-func (r *Router) returnCredit(u *quotaUse, e *Effects) {
-	order := r.seatsOf(u.group).order
+// returnCredit returns a credit to a holder, to this box's own account if it is one.
+func (r *Router) returnCredit(u *workspaceQuota, e *Effects) {
+	order := r.holdersOf(u.group).order
 	switch {
 	case u.account != nil:
 		u.account.Return(r.now, 1)
@@ -245,107 +250,107 @@
 	}
 }
 
-// serveCredits lets in the calls that wait, the first first, as far as there are credits.
-func (r *Router) serveCredits(u *quotaUse, e *Effects) {
+// admitWithCredits admits waiting calls, oldest first, while there are credits.
+func (r *Router) admitWithCredits(u *workspaceQuota, e *Effects) {
 	for len(u.waiting) > 0 {
-		c := r.creditWaiter(u.waiting[0])
+		c := r.stillAwaitsCredit(u.waiting[0])
 		if c == nil {
 			u.waiting = u.waiting[1:]
 			continue
 		}
-		if !u.credits.any(r.now) {
+		if !u.credits.available(r.now) {
 			return
 		}
 		id := u.waiting[0].id
 		u.waiting = u.waiting[1:]
-		r.takeCredit(u, c)
+		r.useCredit(u, c)
 		c.awaitsCredit = false
 		r.admitToService(id, c, e)
 	}
 }
 
-// refuseLast refuses the calls that came last, for which no holder is left to ask.
-func (r *Router) refuseLast(u *quotaUse, n int, e *Effects) {
+// refuseNewest refuses the n newest waiting calls, for which no holder is left.
+func (r *Router) refuseNewest(u *workspaceQuota, n int, e *Effects) {
 	first := max(0, len(u.waiting)-n)
 	last := slices.Clone(u.waiting[first:])
 	u.waiting = u.waiting[:first]
 	for _, w := range last {
-		if c := r.creditWaiter(w); c != nil {
-			r.refuseCredit(u, w.id, c, e)
+		if c := r.stillAwaitsCredit(w); c != nil {
+			r.refuseForQuota(u, w.id, c, e)
 		}
 	}
 }
 
-func (r *Router) refuseCredit(u *quotaUse, id CallID, c *call, e *Effects) {
+func (r *Router) refuseForQuota(u *workspaceQuota, id CallID, c *call, e *Effects) {
 	c.awaitsCredit = false
 	u.status.Refused++
-	r.refuse(id, c, Refusal{Reason: QuotaExceeded, Outcome: NotRun, RetryAfter: r.quotaRetry(u)}, e)
+	r.refuse(id, c, Refusal{Reason: QuotaExceeded, Outcome: NotRun, RetryAfter: r.quotaRetryAfter(u)}, e)
 }
 
-// quotaRetry is when a caller without a credit may come back: when the first holder has one again. The
-// more calls are refused of those that come, the more callers wait for it, so that they are spread over
-// longer.
-func (r *Router) quotaRetry(u *quotaUse) time.Duration {
-	after := mostQuotaRetry
-	for _, until := range u.closed {
+// quotaRetryAfter is the retry delay for a call without a credit: the time until the first holder
+// has one again, extended at random. The larger the share of refused calls, the more callers retry,
+// and the longer the time over which they are spread.
+func (r *Router) quotaRetryAfter(u *workspaceQuota) time.Duration {
+	after := maxQuotaRetryAfter
+	for _, until := range u.unavailableUntil {
 		after = min(after, until.Sub(r.now))
 	}
-	after = max(after, leastQuotaRetry)
+	after = max(after, minQuotaRetryAfter)
 	total := u.status.Admitted + u.status.Refused
 	spread := float64(u.status.Refused) / float64(max(1, total))
-	after += time.Duration(spread * r.random.Float64() * float64(mostQuotaRetry))
-	return min(after, mostQuotaRetry).Round(time.Millisecond)
+	after += time.Duration(spread * r.random.Float64() * float64(maxQuotaRetryAfter))
+	return min(after, maxQuotaRetryAfter).Round(time.Millisecond)
 }
 
-// sweepQuotas does what time alone brings about: requests are lost, credits end, calls have waited long
-// enough.
+// sweepQuotas handles timeouts: of requests, of credits and of waiting calls.
 func (r *Router) sweepQuotas(e *Effects) {
 	b := &r.quotas
 	if r.now < b.sweepAt {
 		return
 	}
-	b.sweepAt = r.now.Add(calmSweepPeriod)
-	if r.seatsDue() {
-		r.reviewSeats()
+	b.sweepAt = r.now.Add(idleSweepPeriod)
+	if r.partsReductionDue() {
+		r.updateHolders()
 	}
 	for _, u := range b.order {
-		if len(u.asks)+len(u.waiting)+len(u.credits) == 0 {
+		if len(u.requests)+len(u.waiting)+len(u.credits) == 0 {
 			continue
 		}
-		u.asks = slices.DeleteFunc(u.asks, func(a creditAsk) bool {
-			lost := r.now.Sub(a.at) >= creditAskTerm
+		u.requests = slices.DeleteFunc(u.requests, func(a creditRequest) bool {
+			lost := r.now.Sub(a.at) >= creditRequestTimeout
 			if lost {
-				u.closed[a.holder] = r.now.Add(silentHolder)
+				u.unavailableUntil[a.holder] = r.now.Add(silentHolderBackoff)
 			}
 			return lost
 		})
-		u.credits.dropEnded(r.now)
-		r.refuseWaitedOut(u, e)
-		r.askCredits(u, e)
-		if len(u.asks) > 0 {
-			r.sweepQuotasBy(r.now.Add(sweepPeriod))
+		u.credits.dropExpired(r.now)
+		r.refuseTimedOut(u, e)
+		r.requestCredits(u, e)
+		if len(u.requests) > 0 {
+			r.scheduleQuotaSweep(r.now.Add(sweepPeriod))
 		}
 	}
 }
 
-// refuseWaitedOut refuses the calls that have waited for as long as they may.
-func (r *Router) refuseWaitedOut(u *quotaUse, e *Effects) {
-	for len(u.waiting) > 0 && r.now.Sub(u.waiting[0].since) >= creditWait {
+// refuseTimedOut refuses the calls that have waited for creditWaitTimeout.
+func (r *Router) refuseTimedOut(u *workspaceQuota, e *Effects) {
+	for len(u.waiting) > 0 && r.now.Sub(u.waiting[0].since) >= creditWaitTimeout {
 		w := u.waiting[0]
 		u.waiting = u.waiting[1:]
-		if c := r.creditWaiter(w); c != nil {
-			r.refuseCredit(u, w.id, c, e)
+		if c := r.stillAwaitsCredit(w); c != nil {
+			r.refuseForQuota(u, w.id, c, e)
 		}
 	}
 }
 
-// sweepQuotasBy has quotas looked at by a time at the latest.
-func (r *Router) sweepQuotasBy(at units.Instant) {
+// scheduleQuotaSweep makes the next sweep of the quotas due at a time or earlier.
+func (r *Router) scheduleQuotaSweep(at units.Instant) {
 	r.quotas.sweepAt = min(r.quotas.sweepAt, at)
 	r.sweepAt = min(r.sweepAt, at)
 }
 
-// quotaStatuses are what the dump shows, for the workspaces whose calls came here or that this box holds.
+// quotaStatuses returns the status of each workspace with calls or credits granted at this box, for
+// the dump.
 func (r *Router) quotaStatuses() []QuotaStatus {
 	var list []QuotaStatus
 	for _, u := range r.quotas.order {
--- a/pkg/core/routing/quotatelling_test.go
+++ b/pkg/core/routing/quotatelling_test.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// What all boxes tell the leader comes to what they let in and refused, each call once.
+// The usage reports of all boxes add up to the calls that they admitted and refused, each counted
+// once.
 func TestBoxesTellWhatTheyLetIn(t *testing.T) {
 	f := newQuotaFleet(9, 18, 40)
 	w := f.workspaces[0]
 	f.run(8 * time.Second)
-	f.begin(w, 100)
+	f.setCallRate(w, 100)
 	admitted, refused := 0, 0
 	tell := func() {
 		for _, b := range f.boxes {
-			for _, u := range b.router.TakeQuotaUses(f.now) {
+			for _, u := range b.router.TakeQuotaUsage(f.now) {
 				admitted += u.Admitted
 				refused += u.Refused
 			}
@@ -25,9 +26,9 @@
 		tell()
 	}
 	w.perSecond = 1e-9
-	f.run(quotaTellEvery)
+	f.run(quotaReportInterval)
 	tell()
 	if admitted != len(w.runs) || refused != w.refused {
-		t.Errorf("boxes told of %d calls let in and %d refused; %d ran and %d were refused", admitted, refused, len(w.runs), w.refused)
+		t.Errorf("boxes reported %d calls admitted and %d refused; %d ran and %d were refused", admitted, refused, len(w.runs), w.refused)
 	}
 }
--- a/pkg/core/routing/residency.go
+++ b/pkg/core/routing/residency.go
@@ -47,7 +47,7 @@
 			bound = bound || !c.regions.Equal(x.regions)
 			c.regions = x.regions
 		}
-		r.routes.restricts = r.routes.restricts || c.regions != nil
+		r.routes.restrictsRegions = r.routes.restrictsRegions || c.regions != nil
 	})
 	return bound
 }
@@ -66,10 +66,10 @@
 // logUnknownRegion logs a failure domain whose region isn't known, if any regions are known at all.
 func (r *Router) logUnknownRegion(t *target, e *Effects) {
 	d := t.row.Domain
-	if len(r.settings.Regions) == 0 || r.unknown[d] || len(r.unknown) >= maxUnknownRegions {
+	if len(r.settings.Regions) == 0 || r.unknownRegions[d] || len(r.unknownRegions) >= maxUnknownRegions {
 		return
 	}
-	r.unknown[d] = true
+	r.unknownRegions[d] = true
 	e.add(Effect{Kind: RegionUnknown, Endpoint: &Endpoint{Service: t.row.Service, Target: t.row.Target, Domain: d}})
 }
 
@@ -79,13 +79,13 @@
 		return
 	}
 	r.settings.Regions = regions
-	clear(r.unknown)
-	for d, x := range r.distances {
+	clear(r.unknownRegions)
+	for d, x := range r.domainDistances {
 		r.updateSameRegion(d, x)
 	}
 	for _, s := range r.order {
 		r.assignRegions(s, e)
-		r.settleCalls(s, e)
+		r.recheckWaitingCalls(s, e)
 	}
 }
 
--- a/pkg/core/routing/residency_test.go
+++ b/pkg/core/routing/residency_test.go
@@ -46,7 +46,7 @@
 
 func (w *residencyWorld) start() {
 	r, err := NewRouter(Settings{
-		Box: "me", Domain: "d1", Regions: w.regions, Seed: 1, ServeStale: true, ShareDelay: time.Second, ColdDoubt: DefaultColdDoubt,
+		Box: "me", Domain: "d1", Regions: w.regions, Seed: 1, ServeStale: true, ShareDelay: time.Second, AssumedColdPeriod: DefaultAssumedColdPeriod,
 		ProbeCost: DefaultProbeCost, MaxDeadline: time.Minute,
 	}, w.now)
 	if err != nil {
@@ -206,7 +206,7 @@
 	i := rapid.IntRange(0, len(w.running)-1).Draw(w.T, "which")
 	x := w.running[i]
 	w.running = slices.Delete(w.running, i, i+1)
-	reading := Reading{Known: true, InFlight: float64(rapid.IntRange(0, 2).Draw(w.T, "load")), Slots: 2, Pace: 1}
+	reading := Reading{HasLoad: true, InFlight: float64(rapid.IntRange(0, 2).Draw(w.T, "load")), Slots: 2, Pace: 1}
 	if x.Kind == Probe {
 		w.reduce(&ProbeEnded{Target: x.Endpoint, Healthy: true, Reading: reading, Call: x.Call, Attempt: x.Attempt})
 		return
--- a/pkg/core/routing/script_rollout_test.go
+++ b/pkg/core/routing/script_rollout_test.go
@@ -42,8 +42,8 @@
 	return n
 }
 
-// expose service=S order=N since=N share=P for=D gives the newest grant's exposure, whose
-// request was sent a moment ago; expose alone gives a grant without one.
+// expose service=S order=N since=N share=P for=D applies the newest grant's exposure, requested at
+// the current time; expose alone applies a grant without exposures.
 func (s *script) expose(d *datadriven.TestData) {
 	if len(d.CmdArgs) == 0 {
 		s.reduce(&ExposuresChanged{})
@@ -58,7 +58,7 @@
 	s.reduce(&ExposuresChanged{Exposures: []rollout.Exposure{x}})
 }
 
-// evidence prints what goes to the leader, and whether it is due at once.
+// evidence prints the evidence for the leader, and whether it is due at once.
 func (s *script) evidence(*datadriven.TestData) {}
 
 func (s *script) listEvidence() string {
@@ -76,10 +76,10 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-func describeTurn(x *ExposureTurn) string {
+func describeSwitch(x *ExposureSwitch) string {
 	word := "ended"
 	switch {
-	case x.On:
+	case x.Active:
 		word = "began"
 	case x.Stopped:
 		word = fmt.Sprintf("stopped after %d bad of %d", x.Bad, x.Bad+x.Good)
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -69,7 +69,7 @@
 			probes: map[string]*Endpoint{}, lastProbe: map[string]Effect{}, sent: map[string]map[AttemptNumber]*Endpoint{},
 		}
 		router, err := NewRouter(Settings{
-			Box: "me", Domain: "here", Seed: 1, ShareDelay: time.Second, ColdDoubt: DefaultColdDoubt, ProbeCost: 5 * time.Millisecond,
+			Box: "me", Domain: "here", Seed: 1, ShareDelay: time.Second, AssumedColdPeriod: DefaultAssumedColdPeriod, ProbeCost: 5 * time.Millisecond,
 			Loans: true, MaxDeadline: time.Minute,
 			LinkRate: 875_000,
 		}, s.now)
@@ -147,21 +147,21 @@
 		s.calls[name] = x.Call
 		s.lastProbe[name] = x
 		return fmt.Sprintf("probe %s for %s", x.Endpoint.Target, name)
-	case TargetTurned:
+	case EjectionChanged:
 		return ""
-	case ExposureTurned:
-		return describeTurn(x.Turn)
+	case ExposureSwitched:
+		return describeSwitch(x.ExposureSwitch)
 	case RegionUnknown:
 		return "the region of " + string(x.Endpoint.Domain) + " isn't known"
 	case ServiceHangs:
 		return fmt.Sprintf("%s hangs, by %d unanswered calls", x.Endpoint.Service, x.Failures)
 	case TargetCrashed:
 		return fmt.Sprintf("%s crashed under %s", x.Endpoint.Target, describeSuspects(x.Crash))
-	case CallBlamed:
+	case CallQuarantined:
 		return fmt.Sprintf("%.8s is to blame for %v", x.Verdict.Fingerprint, x.Verdict.Targets)
 	case TargetNotice:
 		return s.describeNotice(x)
-	case SendPeer:
+	case SendLoan:
 		return fmt.Sprintf("tell %s: %s", x.Peer, describeLoan(x.Loan))
 	case SendQuota:
 		return fmt.Sprintf("tell %s: %s", x.Peer, describeQuota(x.Quota))
@@ -174,7 +174,7 @@
 }
 
 var loanKindNames = map[LoanKind]string{
-	WantSlots: "want", OfferSlot: "offer", ReturnSlot: "return", RenewLoans: "renew", ConfirmLoans: "confirm", RecallSlots: "recall",
+	RequestSlots: "want", OfferSlot: "offer", ReturnSlot: "return", RenewLoans: "renew", ConfirmLoans: "confirm", RecallSlots: "recall",
 }
 
 func describeLoan(m LoanMessage) string {
@@ -191,7 +191,7 @@
 	if m.Term > 0 {
 		text += fmt.Sprintf(" for %s", m.Term)
 	}
-	return fmt.Sprintf("%s, %d to spare", text, m.Free)
+	return fmt.Sprintf("%s, %d to spare", text, m.SpareSlots)
 }
 
 // setTable applies a table: lines of "boxes NAME[@DOMAIN[,leaving]]...", "service NAME
@@ -406,7 +406,7 @@
 	if err != nil {
 		d.Fatalf(s.t, "%v", err)
 	}
-	s.endProbeOf(d, ProbeEnded{Healthy: true, Reading: Reading{Known: true, InFlight: float64(load), Slots: 3, Pace: x, Cold: s.duration(d, "cold")}})
+	s.endProbeOf(d, ProbeEnded{Healthy: true, Reading: Reading{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: x, Cold: s.duration(d, "cold")}})
 }
 
 // end-probe CALL TARGET how=unreachable|misdirected|healthy [rest=D] [leaving] ends a call's probe
@@ -443,7 +443,7 @@
 // keyDoubt limit=D sets for how long a box without contact to the control replicas accepts API
 // keys.
 func (s *script) keyDoubt(d *datadriven.TestData) {
-	s.router.settings.KeyDoubt = s.duration(d, "limit")
+	s.router.settings.MaxKeyStaleness = s.duration(d, "limit")
 }
 
 var resultsByName = map[string]AttemptResult{
@@ -460,7 +460,7 @@
 	if d.HasArg("load") {
 		var load int
 		d.ScanArgs(s.t, "load", &load)
-		v.Reading = Reading{Known: true, InFlight: float64(load), Slots: 3, Pace: 1}
+		v.Reading = Reading{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: 1}
 	}
 	v.Refused = d.HasArg("refused")
 	v.Endpoint = s.sent[d.CmdArgs[0].Key][v.Attempt]
@@ -473,7 +473,7 @@
 	var n, coming int
 	d.ScanArgs(s.t, "attempt", &n)
 	d.MaybeScanArgs(s.t, "coming", &coming)
-	v := &AttemptStarted{Call: s.calls[d.CmdArgs[0].Key], Attempt: AttemptNumber(n), Coming: coming}
+	v := &AttemptStarted{Call: s.calls[d.CmdArgs[0].Key], Attempt: AttemptNumber(n), Remaining: coming}
 	v.Endpoint = s.sent[d.CmdArgs[0].Key][v.Attempt]
 	s.setNotice(d, &v.Reading)
 	s.reduce(v)
@@ -512,12 +512,12 @@
 	}
 	d.MaybeScanArgs(s.t, "loan", (*uint64)(&m.Loan))
 	d.MaybeScanArgs(s.t, "nonce", &m.Nonce)
-	d.MaybeScanArgs(s.t, "free", &m.Free)
-	m.Term = loanTerm
+	d.MaybeScanArgs(s.t, "free", &m.SpareSlots)
+	m.Term = maxLoanTerm
 	if d.HasArg("term") {
 		m.Term = s.duration(d, "term")
 	}
-	s.reduce(&PeerMessage{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
+	s.reduce(&PeerLoan{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
 }
 
 // probed TARGET healthy=true|false [answered] [refused] [rest=D] [leaving] ends a probe that no call waits for.
@@ -563,12 +563,12 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-var quotaKindNames = map[QuotaKind]string{AskCredits: "ask", GrantCredits: "grant", ReturnCredits: "return"}
+var quotaKindNames = map[QuotaKind]string{RequestCredits: "ask", GrantCredits: "grant", ReturnCredits: "return"}
 
 func describeQuota(m *QuotaMessage) string {
 	text := fmt.Sprintf("%s %d credits of %s", quotaKindNames[m.Kind], m.Count, m.Workspace)
-	if m.Again > 0 {
-		text += fmt.Sprintf(", again after %s", m.Again)
+	if m.RetryAfter > 0 {
+		text += fmt.Sprintf(", again after %s", m.RetryAfter)
 	}
 	return text
 }
@@ -579,14 +579,14 @@
 	from := units.BoxID(d.CmdArgs[0].Key)
 	var count int
 	d.ScanArgs(s.t, "count", &count)
-	m := QuotaMessage{Workspace: units.WorkspaceName(s.word(d, "workspace")), Count: count, Again: s.duration(d, "again")}
+	m := QuotaMessage{Workspace: units.WorkspaceName(s.word(d, "workspace")), Count: count, RetryAfter: s.duration(d, "again")}
 	for kind, word := range quotaKindNames {
 		if word == s.word(d, "kind") {
 			m.Kind = kind
 		}
 	}
-	if u := s.router.quotas.uses[m.Workspace]; u != nil && m.Kind == GrantCredits {
-		for _, a := range u.asks {
+	if u := s.router.quotas.byWorkspace[m.Workspace]; u != nil && m.Kind == GrantCredits {
+		for _, a := range u.requests {
 			if a.holder == from {
 				m.Nonce = a.nonce
 			}
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -54,5 +54,5 @@
 
 // hasFreshReading reports whether the target's last reading is as good as a new one.
 func (t *target) hasFreshReading(now units.Instant) bool {
-	return t.report.Known && now.Sub(t.report.receivedAt) <= freshReadingAge
+	return t.report.HasLoad && now.Sub(t.report.receivedAt) <= freshReadingAge
 }
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -7,9 +7,9 @@
 	"github.com/madderpond/madderpond/pkg/core/table"
 )
 
-// changeTable puts a table in force. What it doesn't change costs nothing, so
-// that an edit of one service is cheap however many there are.
-func (r *Router) changeTable(t *table.Table, e *Effects) {
+// applyTable replaces the current table. Unchanged services cost nothing, so that an edit of one
+// service is cheap however many there are.
+func (r *Router) applyTable(t *table.Table, e *Effects) {
 	tableRoutesChanged := t.Document != r.table.Document
 	evacuationsChanged := r.updateEvacuations(r.table.Evacuations, t.Evacuations)
 	rolloutsChanged := versionsChanged(r.table, t)
@@ -18,9 +18,9 @@
 	if t.Document != r.keys.document {
 		r.keys = newKeyRing(t)
 	}
-	boxesChanged := r.changeBoxes(t.Boxes)
-	routesChanged := r.dropMissing(t, e) || tableRoutesChanged
-	r.changed = r.changed[:0]
+	boxesChanged := r.applyBoxes(t.Boxes)
+	routesChanged := r.dropMissingServices(t, e) || tableRoutesChanged
+	r.changedServices = r.changedServices[:0]
 	for _, n := range t.ServiceNames() {
 		entry := t.Services[n]
 		s := r.services[n]
@@ -30,65 +30,65 @@
 		if s == nil || !sameRoutes(&s.row, &entry.Service) {
 			routesChanged = true
 		}
-		r.changed = append(r.changed, r.putService(entry, e))
+		r.changedServices = append(r.changedServices, r.applyService(entry, e))
 	}
 	if routesChanged {
 		slices.SortFunc(r.order, compareServices)
 		r.indexRoutes()
 		if r.rebindCalls() {
-			r.changed = append(r.changed[:0], r.order...)
+			r.changedServices = append(r.changedServices[:0], r.order...)
 		}
 	}
 	if quarantinesChanged {
 		r.enforceQuarantines(e)
 	}
 	if boxesChanged {
-		r.reviewCoordination(e)
+		r.updateCoordination(e)
 	}
-	r.reviewQuotas(e)
-	for _, s := range r.changed {
-		r.settleCalls(s, e)
+	r.updateQuotas(e)
+	for _, s := range r.changedServices {
+		r.recheckWaitingCalls(s, e)
 	}
 }
 
-// sameQuarantines tells whether two lists keep the same calls from targets.
+// sameQuarantines reports whether two lists quarantine the same calls.
 func sameQuarantines(a, b []table.Quarantine) bool {
 	return slices.EqualFunc(a, b, func(x, y table.Quarantine) bool { return x.Call == y.Call })
 }
 
-// settleCalls refuses the calls that wait for a service without a target for them, and sends
-// those that a target takes.
-func (r *Router) settleCalls(s *service, e *Effects) {
+// recheckWaitingCalls refuses the waiting calls that no target can serve any more, and sends those
+// that a target can serve now.
+func (r *Router) recheckWaitingCalls(s *service, e *Effects) {
 	r.refuseUnservable(s, e)
 	r.serveHeld(s, e)
 }
 
-// changeBoxes notes a new list of boxes, and tells whether it differs.
-func (r *Router) changeBoxes(boxes []table.Box) bool {
+// applyBoxes applies a new list of boxes and reports whether it differs from the current one.
+func (r *Router) applyBoxes(boxes []table.Box) bool {
 	if slices.Equal(r.rank.boxes, boxes) {
-		r.boxesLost = false
-		r.moves = boxMoves{}
+		r.onlyBoxesLost = false
+		r.boxChanges = boxListChange{}
 		return false
 	}
 	rank := rankOf(r.settings.Box, boxes)
-	r.keepPastBoxes()
-	r.moves = r.rank.movesTo(rank)
-	r.boxesLost = r.moves.onlyLost(r.rank, rank)
+	r.recordReplacedBoxList()
+	r.boxChanges = r.rank.changeTo(rank)
+	r.onlyBoxesLost = r.boxChanges.onlyRemoves(r.rank, rank)
 	if !r.rank.listed && rank.listed {
-		r.servesFrom = r.now.Add(r.settings.ShareDelay)
+		r.servingFrom = r.now.Add(r.settings.ShareDelay)
 	}
 	r.rank = rank
-	r.neverListed = r.neverListed && len(boxes) == 0
-	r.boxLists++
-	clear(r.beside)
-	r.inDomain = nil
-	r.dropLoans(boxes)
+	r.noBoxesSeen = r.noBoxesSeen && len(boxes) == 0
+	r.boxListVersion++
+	clear(r.domainBoxes)
+	r.domainBoxCounts = nil
+	r.dropUnlistedLoans(boxes)
 	return true
 }
 
-// dropMissing drops the services that the table no longer has, and tells whether
+// dropMissingServices removes the services that aren't in the table any more, and reports whether
 // there were any.
-func (r *Router) dropMissing(t *table.Table, e *Effects) bool {
+func (r *Router) dropMissingServices(t *table.Table, e *Effects) bool {
 	kept := r.order[:0]
 	for _, s := range r.order {
 		if t.Services[s.row.Name] != nil {
@@ -106,14 +106,14 @@
 	return a.PathPrefix == b.PathPrefix && slices.Equal(a.Hosts, b.Hosts)
 }
 
-// putService takes a service of a new table. What waits for it is settled once the table's
-// routes hold too.
-func (r *Router) putService(entry *table.Entry, e *Effects) *service {
+// applyService applies a service of a new table. Its waiting calls are rechecked once the table's
+// routes have been applied too.
+func (r *Router) applyService(entry *table.Entry, e *Effects) *service {
 	s := r.services[entry.Service.Name]
 	if s == nil {
 		s = newService(entry.Service)
 		s.domain = r.settings.Domain
-		s.off = r.off
+		s.disabled = r.disabled
 		r.services[entry.Service.Name] = s
 		r.order = append(r.order, s)
 	}
@@ -124,22 +124,21 @@
 	}
 	r.assignRegions(s, e)
 	r.applyEvacuations(s)
-	r.markVersions(s)
-	r.sweepBy(s, r.now)
-	r.shareExtras(s)
+	r.updateVersionRoles(s)
+	r.scheduleSweep(s, r.now)
+	r.divideExtraBurst(s)
 	r.chooseSubset(s)
 	for _, t := range s.targets {
-		r.wantShare(t)
+		r.updateShares(t)
 	}
-	s.weigh(r.now)
+	s.updateWeights(r.now)
 	return s
 }
 
-// dropService refuses what the service still holds; calls that have been sent
-// end as they would have.
+// dropService removes a service and refuses its held calls; calls that have been sent continue.
 func (r *Router) dropService(s *service, e *Effects) {
 	delete(r.services, s.row.Name)
-	r.followRollout(s, nil)
+	r.updateRollout(s, nil)
 	for _, id := range s.held.drain() {
 		if c := r.calls.Get(id); c != nil && c.held {
 			r.refuse(id, c, Refusal{Reason: NoService, Outcome: c.outcome()}, e)
@@ -147,7 +146,7 @@
 	}
 }
 
-func (r *Router) wantShare(t *target) {
+func (r *Router) updateShares(t *target) {
 	if t.isCold(r.now) {
 		r.updateColdShare(t)
 	}
@@ -155,19 +154,19 @@
 		r.shareRegistered(t)
 		return
 	}
-	r.placeTarget(t)
-	limit := r.rank.wholeShare(t.row.MaxInFlight, t.rank)
-	connections := r.rank.wholeShare(t.row.MaxConnections, t.rank)
+	r.updatePlace(t)
+	limit := r.rank.integerShare(t.row.MaxInFlight, t.rank)
+	connections := r.rank.integerShare(t.row.MaxConnections, t.rank)
 	t.maxConnections = connections
-	r.want(&t.inFlightShare, float64(min(limit, connections)))
-	r.want(&t.rateShare, r.rank.rateShare(t.row.MaxRate))
-	r.want(&t.probeShare, r.rank.rateShare(1))
+	r.requestShare(&t.inFlightShare, float64(min(limit, connections)))
+	r.requestShare(&t.rateShare, r.rank.rateShare(t.row.MaxRate))
+	r.requestShare(&t.probeShare, r.rank.rateShare(1))
 }
 
-// shareRegistered gives this box its part of a registered target's connections. It
-// holds at once: the bound is the target's own, which sheds what is too much.
+// shareRegistered computes this box's part of a registered target's connections. It applies without
+// delay: the actual limit is enforced by the target, which sheds excess calls.
 func (r *Router) shareRegistered(t *target) {
-	sharers := r.sharersOf(t)
+	sharers := r.maxSharers(t)
 	t.maxConnections = 0
 	if t.row.MaxConnections > 0 {
 		t.maxConnections = max(1, t.row.MaxConnections/sharers)
@@ -176,13 +175,13 @@
 	if t.row.MaxInFlight > 0 {
 		limit = max(1, float64(t.row.MaxInFlight)/float64(sharers))
 	}
-	t.inFlightShare.fix(limit)
-	t.rateShare.fix(unlimited)
-	t.probeShare.fix(1 / float64(sharers))
+	t.inFlightShare.setImmediately(limit)
+	t.rateShare.setImmediately(unlimited)
+	t.probeShare.setImmediately(1 / float64(sharers))
 }
 
-// sharersOf bounds how many boxes may use a registered target.
-func (r *Router) sharersOf(t *target) int {
+// maxSharers returns an upper bound on the number of boxes that use a registered target.
+func (r *Router) maxSharers(t *target) int {
 	all := max(1, r.rank.count)
 	if len(t.service.entry.Division) == 0 {
 		return all
@@ -191,39 +190,39 @@
 	return r.boxCounts().MaxHolders(all, t.row.Domain, step)
 }
 
-// boxCounts are how many boxes are in each failure domain.
+// boxCounts returns the number of boxes in each failure domain.
 func (r *Router) boxCounts() scope.BoxCounts {
-	if r.inDomain == nil {
-		r.inDomain = table.CountBoxes(r.rank.boxes)
+	if r.domainBoxCounts == nil {
+		r.domainBoxCounts = table.CountBoxes(r.rank.boxes)
 	}
-	return r.inDomain
+	return r.domainBoxCounts
 }
 
-// placeTarget works out how many boxes come before this one for a target, from the
-// boxes that came and went where the others have been counted already.
-func (r *Router) placeTarget(t *target) {
+// updatePlace computes how many boxes rank before this one for a target. After the first time only
+// the boxes that joined and left are counted.
+func (r *Router) updatePlace(t *target) {
 	if !t.ranked {
 		t.ranked = true
 		t.rank = r.rank.countBefore(t.row.Target, r.rank.boxes)
 		return
 	}
-	t.rank += r.rank.countBefore(t.row.Target, r.moves.came) - r.rank.countBefore(t.row.Target, r.moves.went)
+	t.rank += r.rank.countBefore(t.row.Target, r.boxChanges.joined) - r.rank.countBefore(t.row.Target, r.boxChanges.left)
 }
 
-func (r *Router) want(s *settledValue, value float64) {
-	if r.boxesLost {
+func (r *Router) requestShare(s *delayedShare, value float64) {
+	if r.onlyBoxesLost {
 		s.raise(r.now, value, r.settings.ShareDelay)
 		return
 	}
-	s.want(r.now, value, r.settings.ShareDelay)
+	s.request(r.now, value, r.settings.ShareDelay)
 }
 
-// settleShare lets a target's shares rise that have waited long enough, and
-// tells whether any of them has still to wait.
-func (r *Router) settleShare(t *target) bool {
+// advanceShares applies due increases of a target's shares, and reports whether any increase is
+// still pending.
+func (r *Router) advanceShares(t *target) bool {
 	unsettled := false
-	for _, s := range []*settledValue{&t.inFlightShare, &t.rateShare, &t.probeShare} {
-		if s.settle(r.now, r.settings.ShareDelay) != 0 {
+	for _, s := range []*delayedShare{&t.inFlightShare, &t.rateShare, &t.probeShare} {
+		if s.advance(r.now, r.settings.ShareDelay) != 0 {
 			unsettled = true
 		}
 	}
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -44,16 +44,16 @@
 	oldestAttempt *attempt
 	newestAttempt *attempt
 
-	inFlightShare  settledValue
-	rateShare      settledValue
-	probeShare     settledValue
+	inFlightShare  delayedShare
+	rateShare      delayedShare
+	probeShare     delayedShare
 	maxConnections int
 	// rank is the number of boxes that rank before this one for the target in rendezvous hashing;
 	// valid if ranked is set.
 	rank                int
 	ranked              bool
-	callBucket          rateLimit
-	probeBucket         rateLimit
+	callBucket          tokenBucket
+	probeBucket         tokenBucket
 	healthProbeInFlight bool
 	lastObservedAt      units.Instant
 
@@ -75,12 +75,12 @@
 	borrowedSlots []*loan
 	// evacuated is set while the target's failure domain is evacuated.
 	evacuated bool
-	side      side
+	side      versionRole
 	cold      coldState
 	crash     crashEvidence
 	// coordination names the box that grants permits for the target while the target announces a
 	// limit.
-	coordination coordination
+	coordination cachedCoordinator
 	// notice holds the rest, departure or limit that the target's current incarnation announced;
 	// nil if none is in force.
 	notice *notice
@@ -125,17 +125,17 @@
 		t.cold.rowRemaining = row.Cold
 	}
 	t.row = row
-	t.remote = !t.service.off[OwnDomain] && row.Domain != "" && t.service.domain != "" && row.Domain != t.service.domain
+	t.remote = !t.service.disabled[OwnDomain] && row.Domain != "" && t.service.domain != "" && row.Domain != t.service.domain
 	t.removed = false
 }
 
 // effectiveWeight returns the weight used for load balancing now: zero if the target may not take
 // calls, reduced while it ramps up.
 func (t *target) effectiveWeight(now units.Instant) float64 {
-	if t.row.State != table.Active || t.evacuated || t.side != inForce || t.notice.isLeaving() {
+	if t.row.State != table.Active || t.evacuated || t.side != currentVersion || t.notice.isLeaving() {
 		return 0
 	}
-	if t.service.off[Ramping] {
+	if t.service.disabled[Ramping] {
 		return float64(t.row.Weight)
 	}
 	return float64(t.row.Weight) * t.health.rampFactor(now)
@@ -178,7 +178,7 @@
 
 func (t *target) freeLoan(now units.Instant) *loan {
 	for _, l := range t.borrowedSlots {
-		if !l.inUse && !l.recalled && now < l.validUntil && now >= l.coolUntil {
+		if !l.inUse && !l.recalled && now < l.validUntil && now >= l.cooldownUntil {
 			return l
 		}
 	}
@@ -193,7 +193,7 @@
 // isEligible reports whether the target may take the service's calls, regardless of its health, its
 // limits and rests.
 func (t *target) isEligible() bool {
-	return t.isActiveInTable() && !t.evacuated && t.side == inForce && !t.notice.isLeaving()
+	return t.isActiveInTable() && !t.evacuated && t.side == currentVersion && !t.notice.isLeaving()
 }
 
 // isAvailable reports whether a new call may be sent to the target now.
@@ -204,10 +204,10 @@
 // isAvailableWhenWarm reports whether a new call could be sent to the target now if it were warm
 // and needed no permit.
 func (t *target) isAvailableWhenWarm(now units.Instant, anyHealth bool) bool {
-	if !t.isActiveInTable() || t.evacuated || t.side == closed || t.notice.forbidsSending(now) || now < t.backoffUntil || t.mayHang(now) {
+	if !t.isActiveInTable() || t.evacuated || t.side == inactiveVersion || t.notice.forbidsSending(now) || now < t.backoffUntil || t.mayHang(now) {
 		return false
 	}
-	if !anyHealth && !t.service.off[Ejection] && (!t.health.admits(now, t.inFlight) || t.health.ejected && t.row.Silent) {
+	if !anyHealth && !t.service.disabled[Ejection] && (!t.health.admits(now, t.inFlight) || t.health.ejected && t.row.Silent) {
 		return false
 	}
 	if !t.hasFreeSlot(now) {
@@ -228,7 +228,7 @@
 // calls. The excess share keeps to the configured weights among similar targets, the queue term
 // overrides them if a target is slow.
 func (t *target) cost(now units.Instant, x *route) float64 {
-	if t.row.Registered && t.service.unreported < maxUnreported {
+	if t.row.Registered && t.service.answersWithoutReport < maxUnreported {
 		return t.expectedTime(now, x)
 	}
 	queue := float64(t.inFlight) + t.report.callsOfOtherBoxes(now, t.inFlight)
@@ -267,10 +267,10 @@
 // relative to the latter; it is at least -1.
 func (t *target) excessShare() float64 {
 	s := t.service
-	if s.weight <= 0 {
+	if s.totalWeight <= 0 {
 		return 0
 	}
-	want := s.recent * t.weight / s.weight
+	want := s.recentSends * t.weight / s.totalWeight
 	return (t.recentSends - want) / (want + 1)
 }
 
@@ -282,11 +282,11 @@
 func (t *target) countSend() {
 	s := t.service
 	t.recentSends++
-	s.recent++
-	if s.recent < maxRecentSendsPerTarget*float64(len(s.targets)) {
+	s.recentSends++
+	if s.recentSends < maxRecentSendsPerTarget*float64(len(s.targets)) {
 		return
 	}
-	s.recent /= 2
+	s.recentSends /= 2
 	for _, o := range s.targets {
 		o.recentSends /= 2
 	}
--- a/pkg/core/routing/targetlimit.go
+++ b/pkg/core/routing/targetlimit.go
@@ -34,7 +34,7 @@
 	// permits are the unused permits held by this box.
 	permits allowances
 	// ask is the request in flight, nextAskAt the earliest useful time for the next one.
-	ask       permitAsk
+	ask       permitRequest
 	nextAskAt units.Instant
 	// account is the token bucket of the limit, kept by the target's coordinator only; nil before
 	// the first request.
@@ -69,9 +69,9 @@
 // recordNoLimit processes a good answer that announces no limit. It ends the limit only if the call
 // was sent when the current version was known and after this box last received a limit; otherwise
 // the answer may be older than the limit. The coordinator informs the other boxes when they ask.
-func (r *Router) recordNoLimit(a *attempt, announced SaidLimit, e *Effects) {
+func (r *Router) recordNoLimit(a *attempt, announced ReportedLimit, e *Effects) {
 	t := a.target
-	if announced.Named || announced.Unread || !t.notice.isLimited() {
+	if announced.Present || announced.Malformed || !t.notice.isLimited() {
 		return
 	}
 	x := t.notice.limit
@@ -80,13 +80,13 @@
 	}
 	r.setLimit(t.notice, t.endpoint, x.current.Cleared(), e)
 	if to, known := r.coordinatorOf(t); known && to != r.settings.Box {
-		r.sendLimit(to, t, LimitMessage{Kind: TellLimit}, e)
+		r.sendLimit(to, t, LimitMessage{Kind: ReportLimitEnd}, e)
 	}
 }
 
 // updateLimitFromPeer applies the state of a target's limit that another box has sent.
 func (r *Router) updateLimitFromPeer(t *target, w limit.State, e *Effects) {
-	if !w.Supersedes(t.limitWord()) || t.notice == nil && !w.Limited {
+	if !w.Supersedes(t.limitState()) || t.notice == nil && !w.Limited {
 		return
 	}
 	if t.notice == nil {
@@ -104,7 +104,7 @@
 	x.current, x.changedAt = w, r.now
 	switch {
 	case !w.Limited:
-		x.permits, x.ask, x.nextAskAt, x.account = nil, permitAsk{}, 0, nil
+		x.permits, x.ask, x.nextAskAt, x.account = nil, permitRequest{}, 0, nil
 	case x.account != nil:
 		x.account.SetRate(r.now, w.Rate)
 	}
@@ -118,7 +118,7 @@
 	e.add(Effect{Kind: TargetNotice, Endpoint: endpoint, Notice: change})
 	for _, s := range r.applyToServices(n, endpoint, e) {
 		if ends {
-			r.freed = append(r.freed, s)
+			r.freedServices = append(r.freedServices, s)
 		}
 	}
 }
--- a/pkg/core/routing/unanswered.go
+++ b/pkg/core/routing/unanswered.go
@@ -134,7 +134,7 @@
 // markMissing marks the calls that a load report leaves out: when the target was asked, it had
 // fewer calls in all than this box waits for. The oldest ones are assumed to be missing.
 func (t *target) markMissing(now units.Instant, x Reading, asked units.Instant) {
-	if !x.Known || now < t.service.silence.reportsUntrustedUntil {
+	if !x.HasLoad || now < t.service.silence.reportsUntrustedUntil {
 		return
 	}
 	missing := -int(x.InFlight)
@@ -279,7 +279,7 @@
 	if t.service.silence.record(r.now, n) {
 		e.add(Effect{
 			Kind: ServiceHangs, Endpoint: t.endpoint, Failures: int(t.service.silence.total),
-			Evidence: Evidence{
+			Selection: Selection{
 				Load: a.callsAhead, Pace: t.expectedPace(r.now), Slowdown: float64(r.now.Sub(a.sent)) / float64(max(1, a.answerTimeout)),
 				ReadingAge: -1, Revision: r.table.Revision,
 			},
--- a/pkg/core/routing/underway.go
+++ b/pkg/core/routing/underway.go
@@ -11,7 +11,7 @@
 
 // reportedLoad returns the part of the estimate that is based on the target's reports.
 func (t *target) reportedLoad(now units.Instant) float64 {
-	if !t.report.Known {
+	if !t.report.HasLoad {
 		return 0
 	}
 	weight := linearDecay(now.Sub(t.report.receivedAt), loadLifetime)
--- a/pkg/core/routing/waiting.go
+++ b/pkg/core/routing/waiting.go
@@ -88,7 +88,7 @@
 // isBusy reports whether many recent calls found no suitable target. Targets without a recent
 // reading are likely to be full as well then.
 func (s *service) isBusy(now units.Instant) bool {
-	return s.busyPart > busyThreshold && now.Sub(s.busyAt) < busyDuration
+	return s.busyFraction > busyThreshold && now.Sub(s.busyUpdatedAt) < busyDuration
 }
 
 // recordTargetFound updates the fraction of probing calls that find no target at their first
@@ -99,8 +99,8 @@
 		miss = 0
 	}
 	wasBusy := s.isBusy(now)
-	s.busyPart += busyGain * (miss - s.busyPart)
-	s.busyAt = now
+	s.busyFraction += busyGain * (miss - s.busyFraction)
+	s.busyUpdatedAt = now
 	if !wasBusy {
 		s.busySince = now
 	}
@@ -125,7 +125,7 @@
 	if !c.probeRound.queued {
 		c.probeRound.queued = true
 		w := waitingCall{id: id, urgency: c.urgency()}
-		w.urgency.missed = missed
+		w.urgency.overdue = missed
 		if !missed {
 			c.service.recordTargetFound(r.now, false)
 		}
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -104,21 +104,21 @@
 		Start:      rand.Uint64(),
 		Seed:       rand.Uint64(),
 	}, routing.Settings{
-		Box:         id,
-		Domain:      units.Domain(s.Domain),
-		Regions:     s.Regions,
-		Seed:        rand.Uint64(),
-		Policy:      routing.PolicyName(s.Entry.Policy),
-		ServeStale:  s.Entry.ServeStale,
-		ShareDelay:  s.Entry.ShareDelay.Std(),
-		ColdDoubt:   s.Entry.ColdDoubt.Std(),
-		ProbeCost:   s.Entry.ProbeCost.Std(),
-		Loans:       s.Entry.Loans,
-		MaxDeadline: s.Entry.MaxDeadline.Std(),
-		LinkRate:    float64(pacing.FromMegabits(s.Entry.LinkMbps)),
-		KeyDoubt:    s.Entry.KeyDoubt.Std(),
-		QuotaSlack:  s.Entry.QuotaSlack,
-		Disable:     s.Entry.Disable,
+		Box:               id,
+		Domain:            units.Domain(s.Domain),
+		Regions:           s.Regions,
+		Seed:              rand.Uint64(),
+		Policy:            routing.PolicyName(s.Entry.Policy),
+		ServeStale:        s.Entry.ServeStale,
+		ShareDelay:        s.Entry.ShareDelay.Std(),
+		AssumedColdPeriod: s.Entry.ColdDoubt.Std(),
+		ProbeCost:         s.Entry.ProbeCost.Std(),
+		Loans:             s.Entry.Loans,
+		MaxDeadline:       s.Entry.MaxDeadline.Std(),
+		LinkRate:          float64(pacing.FromMegabits(s.Entry.LinkMbps)),
+		MaxKeyStaleness:   s.Entry.KeyDoubt.Std(),
+		QuotaSlack:        s.Entry.QuotaSlack,
+		Disable:           s.Entry.Disable,
 	}, c.Clock.Now())
 }
 
@@ -220,19 +220,19 @@
 		x.Owner.(*call).cancel(x.Attempt)
 	case routing.Probe:
 		e.startProbe(x)
-	case routing.TargetTurned:
+	case routing.EjectionChanged:
 		e.logTurn(&x)
-	case routing.ExposureTurned:
-		e.logExposure(x.Turn)
+	case routing.ExposureSwitched:
+		e.logExposure(x.ExposureSwitch)
 	case routing.ServiceHangs:
 		e.logHangs(&x)
 	case routing.TargetCrashed:
 		e.logCrash(&x)
-	case routing.CallBlamed:
+	case routing.CallQuarantined:
 		e.logBlamed(&x)
 	case routing.TargetNotice:
 		e.takeNotice(&x)
-	case routing.SendPeer:
+	case routing.SendLoan:
 		e.peers.send(x.Peer, &wire.Envelope{Body: &wire.Envelope_Loan{Loan: wire.FromLoan(x.Loan)}})
 	case routing.SendLimit:
 		e.peers.send(x.Peer, &wire.Envelope{Body: &wire.Envelope_Limit{Limit: wire.FromLimit(x.Limit)}})
