--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -15,9 +15,9 @@
 const (
 	// permitLifetime is how long a box may keep an unused permit.
 	permitLifetime = 300 * time.Millisecond
-	// permitRequestTimeout is when an unanswered request is considered lost. Permits granted later
+	// grantTimeout is when an unanswered request is considered lost. Permits granted later
 	// are returned, so that none is used long after the coordinator counted it.
-	permitRequestTimeout = 250 * time.Millisecond
+	grantTimeout = 250 * time.Millisecond
 	// permitRetryInterval is the time until the next request to a coordinator that didn't answer,
 	// or that isn't the coordinator according to its own list of boxes.
 	permitRetryInterval = 100 * time.Millisecond
@@ -66,7 +66,7 @@
 
 // isPending reports whether an answer to the request may still come.
 func (a *permitRequest) isPending(now units.Instant) bool {
-	return a.pending && now.Sub(a.at) < permitRequestTimeout
+	return a.pending && now.Sub(a.at) < grantTimeout
 }
 
 // nextPermitAt is the earliest time at which a permit may arrive, as far as this box knows.
@@ -195,7 +195,7 @@
 	r.permits.nonce++
 	r.permits.Asked++
 	t.notice.limit.ask = permitRequest{nonce: r.permits.nonce, at: r.now, pending: true}
-	r.scheduleSweep(t.service, r.now.Add(permitRequestTimeout))
+	r.scheduleSweep(t.service, r.now.Add(grantTimeout))
 	r.sendLimit(to, t, LimitMessage{Kind: RequestPermits, Nonce: r.permits.nonce, Count: count}, e)
 }
 
@@ -273,7 +273,7 @@
 			r.scheduleSweep(s, x.permits[0])
 		}
 		if x.ask.pending {
-			r.scheduleSweep(s, x.ask.at.Add(permitRequestTimeout))
+			r.scheduleSweep(s, x.ask.at.Add(grantTimeout))
 		}
 	}
 	r.requestPermitsForHeld(s, e)
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -24,9 +24,9 @@
 	disabled mechanismSet
 	// domain is the box's own failure domain.
 	domain units.Domain
-	// cumulativeWeights are the running sums of the targets' effective weights, for weighted
+	// weightSums are the running sums of the targets' effective weights, for weighted
 	// sampling.
-	cumulativeWeights []float64
+	weightSums []float64
 	// totalWeight is the sum of the targets' effective weights.
 	totalWeight float64
 	// mostlyEjected is set while so many targets are ejected that the remaining ones would be
@@ -127,7 +127,7 @@
 // updateWeights recomputes the effective weights; it is called after each change of a target's
 // health, state or weight.
 func (s *service) updateWeights(now units.Instant) {
-	s.cumulativeWeights = s.cumulativeWeights[:0]
+	s.weightSums = s.weightSums[:0]
 	sum := 0.0
 	active, ejected, limited := 0, 0, 0
 	for _, t := range s.targets {
@@ -136,7 +136,7 @@
 			limited++
 		}
 		sum += t.weight
-		s.cumulativeWeights = append(s.cumulativeWeights, sum)
+		s.weightSums = append(s.weightSums, sum)
 		if !t.isActive() {
 			continue
 		}
@@ -198,7 +198,7 @@
 func (c *candidates) Len() int         { return len(c.service.targets) }
 func (c *candidates) At(i int) *target { return c.service.targets[i] }
 func (c *candidates) Sample(random *rand.Rand) int {
-	return sampleByWeight(c.service.cumulativeWeights, random)
+	return sampleByWeight(c.service.weightSums, random)
 }
 func (c *candidates) InFlight(i int) int     { return c.service.targets[i].inFlight }
 func (c *candidates) Reported(i int) float64 { return c.service.targets[i].reading.InFlight }
