--- a/pkg/core/routing/borrowing.go
+++ b/pkg/core/routing/borrowing.go
@@ -86,16 +86,18 @@
 	return r.table.Boxes[i].ID
 }
 
+// acceptOffer adds an offered slot to the borrowed ones. It returns the slot if the request is unknown
+// or the offer arrives too late.
 func (r *Router) acceptOffer(from units.BoxID, m LoanMessage, e *Effects) {
-	asked, known := r.loans.requests[m.Nonce]
+	sentAt, known := r.loans.requests[m.Nonce]
 	s := r.services[m.Service]
 	t := s.target(m.Target)
-	late := known && r.now >= asked.Add(min(m.Term, loanReclaimTimeout-maxLoanTerm))
+	late := known && r.now >= sentAt.Add(min(m.Term, loanReclaimTimeout-maxLoanTerm))
 	if !known || t == nil || late {
 		r.sendLoan(from, LoanMessage{Kind: ReturnSlot, Loan: m.Loan}, e)
 		return
 	}
-	l := &loan{id: m.Loan, lender: from, target: t, validUntil: asked.Add(m.Term), lastUsedAt: r.now}
+	l := &loan{id: m.Loan, lender: from, target: t, validUntil: sentAt.Add(m.Term), lastUsedAt: r.now}
 	r.loans.borrowedTotal++
 	r.scheduleSweep(s, r.now.Add(sweepPeriod))
 	r.loans.borrowed = append(r.loans.borrowed, l)
@@ -127,14 +129,15 @@
 	l.target.borrowed = slices.DeleteFunc(l.target.borrowed, func(o *loan) bool { return o == l })
 }
 
+// extendLoans extends the loans that a lender has confirmed, counted from when the renewal was sent.
 func (r *Router) extendLoans(from units.BoxID, m LoanMessage) {
-	asked, known := r.loans.renewals[m.Nonce]
+	sentAt, known := r.loans.renewals[m.Nonce]
 	if !known {
 		return
 	}
 	for _, l := range r.loans.borrowed {
 		if l.lender == from && slices.Contains(m.Loans, l.id) {
-			l.validUntil = max(l.validUntil, asked.Add(m.Term))
+			l.validUntil = max(l.validUntil, sentAt.Add(m.Term))
 		}
 	}
 }
--- a/pkg/core/routing/coordinator.go
+++ b/pkg/core/routing/coordinator.go
@@ -33,18 +33,19 @@
 	HandOver
 )
 
-// LimitMessage is a message between two boxes about the limit of one instance of a target. Each
-// message carries the newest limit state that its sender knows.
+// LimitMessage is a message between two boxes about the limit of one instance of a target.
 type LimitMessage struct {
 	Kind    LimitKind
 	Service units.ServiceName
 	Target  units.TargetID
-	Born    units.WallTime
+	// Born is when the target's instance started.
+	Born units.WallTime
 	// Nonce matches a grant to its request.
 	Nonce uint64
 	Count int
 	// RetryAfter is the time from a grant until the next permit is available.
 	RetryAfter time.Duration
+	// LimitState is the newest state of the limit that the sender knows.
 	LimitState limit.Word
 }
 
--- a/pkg/core/routing/quotaasking.go
+++ b/pkg/core/routing/creditrequests.go
@@ -115,10 +115,10 @@
 
 // grantOwnCredits takes credits from this box's own account.
 func (r *Router) grantOwnCredits(u *workspaceQuota, count int) {
-	n, again := r.grantCredits(u, count)
+	n, retryAfter := r.grantCredits(u, count)
 	u.credits.add(n, r.now.Add(creditLifetime))
 	if n < count {
-		u.unavailableUntil[r.settings.Box] = r.now.Add(again)
+		u.unavailableUntil[r.settings.Box] = r.now.Add(retryAfter)
 	}
 }
 
--- a/pkg/core/routing/exposure.go
+++ b/pkg/core/routing/exposure.go
@@ -66,8 +66,8 @@
 
 // exposed reports whether this box may send calls to the new version now. During a trial the
 // exposure must be for the stage in the table. After the shift one for an earlier stage is enough:
-// the table shows that the version passed its trial, and the exposure shows that it hadn't been
-// rolled back when the exposure was granted.
+// the table shows that the version passed its trial, and the exposure shows that any rollback is no
+// longer ago than an exposure lasts.
 func (v *rolloutState) exposed(now units.Instant) bool {
 	x := &v.exposure
 	if x.Order != v.record.Order || now >= x.Until {
--- a/pkg/core/routing/limit_fleet_test.go
+++ b/pkg/core/routing/limit_fleet_test.go
@@ -395,7 +395,7 @@
 			from[a.box.id]++
 		}
 	}
-	kept := (permitLifetime + grantTimeout).Seconds() * t.highest(begin, f.now)
+	kept := (permitLifetime + permitRequestTimeout).Seconds() * t.highest(begin, f.now)
 	saved := 1 + 0.5*t.highest(begin, f.now)
 	if allowed := t.allowed(begin, f.now) + kept + saved + limitSlack; float64(n) > allowed {
 		f.t.Fatalf("at %s %s advertised a limit of %.2f and received %d calls in %s, allowed %.1f: %v, after the faults %v", time.Duration(f.now), t.id, t.rate, n, limitWindow, allowed, from, f.faults)
--- a/pkg/core/routing/loans.go
+++ b/pkg/core/routing/loans.go
@@ -114,6 +114,7 @@
 	spareReportMaxAge = 30 * time.Millisecond
 )
 
+// unlimited reports whether no target limits the calls in flight.
 func (s *service) unlimited() bool {
 	for _, t := range s.targets {
 		if t.row.MaxInFlight > 0 {
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -15,9 +15,9 @@
 const (
 	// permitLifetime is how long a box may keep an unused permit.
 	permitLifetime = 300 * time.Millisecond
-	// grantTimeout is when an unanswered request is considered lost. Permits granted later
+	// permitRequestTimeout is when an unanswered request is considered lost. Permits granted later
 	// are returned, so that none is used long after the coordinator counted it.
-	grantTimeout = 250 * time.Millisecond
+	permitRequestTimeout = 250 * time.Millisecond
 	// permitRetryInterval is the time until the next request to a coordinator that didn't answer,
 	// or that isn't the coordinator according to its own list of boxes.
 	permitRetryInterval = 100 * time.Millisecond
@@ -66,7 +66,7 @@
 
 // isPending reports whether an answer to the request may still come.
 func (a *permitRequest) isPending(now units.Instant) bool {
-	return a.pending && now.Sub(a.at) < grantTimeout
+	return a.pending && now.Sub(a.at) < permitRequestTimeout
 }
 
 // nextPermitAt is the earliest time at which a permit may arrive, as far as this box knows.
@@ -123,14 +123,14 @@
 
 // requestPermits requests permits of limited targets for a call that has no other target. It
 // requests none for a call that has an attempt in flight.
-func (r *Router) requestPermits(s *service, c *call, most int, e *Effects) {
+func (r *Router) requestPermits(s *service, c *call, maxRequests int, e *Effects) {
 	if c.underWay() > 0 {
 		return
 	}
 	if c.route.work != table.Patient {
-		most = min(most, maxPermitRequestsPerCall-c.asks)
+		maxRequests = min(maxRequests, maxPermitRequestsPerCall-c.asks)
 	}
-	c.asks += r.requestPermitsFromSome(s, c, most, func(*target) bool { return true }, e)
+	c.asks += r.requestPermitsFromSome(s, c, maxRequests, func(*target) bool { return true }, e)
 }
 
 // requestCheckPermit requests a permit of one limited target for a call that also has other
@@ -143,9 +143,9 @@
 	r.requestPermitsFromSome(s, c, 1, func(t *target) bool { return t.near }, e)
 }
 
-// requestPermitsFromSome requests permits of at most most limited targets that suit a call and
+// requestPermitsFromSome requests permits of at most maxRequests limited targets that suit a call and
 // satisfy fits, and returns the number of requests.
-func (r *Router) requestPermitsFromSome(s *service, c *call, most int, fits func(*target) bool, e *Effects) (asked int) {
+func (r *Router) requestPermitsFromSome(s *service, c *call, maxRequests int, fits func(*target) bool, e *Effects) (requested int) {
 	if s.limitedTargets == 0 || !r.leased() {
 		return 0
 	}
@@ -153,15 +153,15 @@
 	start := r.random.IntN(len(s.targets))
 	for k := range s.targets {
 		t := s.targets[(start+k)%len(s.targets)]
-		if asked >= most {
+		if requested >= maxRequests {
 			break
 		}
 		if t.notice.limited() && t.notice.limit.mayRequest(r.now) && fits(t) && c.mayUse(t) && t.takesIfPermitted(r.now, anyHealth) {
 			r.requestTargetPermits(t, min(maxPermitsHeld, 1+s.held.length+len(s.waiting)), e)
-			asked++
+			requested++
 		}
 	}
-	return asked
+	return requested
 }
 
 // requestPermitsForHeld requests permits for the first held call that needs one. A call for which
@@ -195,7 +195,7 @@
 	r.permits.nonce++
 	r.permits.Asked++
 	t.notice.limit.ask = permitRequest{nonce: r.permits.nonce, at: r.now, pending: true}
-	r.scheduleSweep(t.service, r.now.Add(grantTimeout))
+	r.scheduleSweep(t.service, r.now.Add(permitRequestTimeout))
 	r.sendLimit(to, t, LimitMessage{Kind: RequestPermits, Nonce: r.permits.nonce, Count: count}, e)
 }
 
@@ -273,7 +273,7 @@
 			r.scheduleSweep(s, x.permits[0])
 		}
 		if x.ask.pending {
-			r.scheduleSweep(s, x.ask.at.Add(grantTimeout))
+			r.scheduleSweep(s, x.ask.at.Add(permitRequestTimeout))
 		}
 	}
 	r.requestPermitsForHeld(s, e)
--- a/pkg/core/routing/quotaholder.go
+++ b/pkg/core/routing/quotaholder.go
@@ -82,7 +82,7 @@
 
 // grantStart is when a box that has become a holder begins to grant credits. A box that has just
 // started and is in the first list that it gets never left the list: no other box has taken over
-// its parts, and the credits that it granted before its restart are no longer available.
+// its parts, and its new account lacks the credits that it granted before.
 func (r *Router) grantStart() units.Instant {
 	if r.noBoxesSeen || !r.quotas.holdersKnown && r.rank.listed {
 		return r.now
@@ -174,18 +174,18 @@
 
 // grantCredits takes up to count credits from this box's account, and returns their number and the
 // time until the next one.
-func (r *Router) grantCredits(u *workspaceQuota, count int) (n int, again time.Duration) {
+func (r *Router) grantCredits(u *workspaceQuota, count int) (n int, retryAfter time.Duration) {
 	if u.account == nil || !r.mayGrant() {
 		return 0, nonHolderRetryAfter
 	}
 	n = u.account.Permit(r.now, min(count, maxCreditsPerRequest))
 	u.status.Granted += uint64(n)
-	again = u.account.Wait(r.now)
+	retryAfter = u.account.Wait(r.now)
 	if n < count {
 		u.shortfalls.record(r.now)
-		again = max(again, min(maxCongestionDelay, u.congestionDelay(r.now)))
+		retryAfter = max(retryAfter, min(maxCongestionDelay, u.congestionDelay(r.now)))
 	}
-	return n, again
+	return n, retryAfter
 }
 
 // congestionDelay is how long boxes wait before their next requests if many request few credits, so
--- a/pkg/core/routing/routes.go
+++ b/pkg/core/routing/routes.go
@@ -141,12 +141,12 @@
 
 // callDeadline returns how long a call of the route may take, given the deadline that its caller
 // asked for and the cap in the settings.
-func (x *route) callDeadline(asked, most time.Duration) time.Duration {
+func (x *route) callDeadline(asked, maxDeadline time.Duration) time.Duration {
 	if asked <= 0 {
 		return x.defaultDeadline
 	}
 	if x.maxDeadline > 0 {
-		most = x.maxDeadline
+		maxDeadline = x.maxDeadline
 	}
-	return min(asked, most)
+	return min(asked, maxDeadline)
 }
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -24,8 +24,7 @@
 	disabled mechanismSet
 	// domain is the box's own failure domain.
 	domain units.Domain
-	// weightSums are the running sums of the targets' effective weights, for weighted
-	// sampling.
+	// weightSums are the running sums of the targets' effective weights, for weighted sampling.
 	weightSums []float64
 	// totalWeight is the sum of the targets' effective weights.
 	totalWeight float64
