--- a/pkg/core/routing/limit_fleet_test.go
+++ b/pkg/core/routing/limit_fleet_test.go
@@ -58,10 +58,10 @@
 // limitBox is one box and its shell, which withholds sends without a permit from targets that
 // advertise limits.
 type limitBox struct {
-	id     units.BoxID
-	domain units.Domain
-	router *Router
-	start  int
+	id          units.BoxID
+	domain      units.Domain
+	router      *Router
+	incarnation int
 	// limited are the endpoints that advertise limits according to the router's notices.
 	limited map[*Endpoint]bool
 	// isolated is set while only targets and callers can reach the box, frozenUntil is when it
@@ -133,7 +133,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	b.start++
+	b.incarnation++
 	b.router = router
 	b.limited = map[*Endpoint]bool{}
 	b.wakeAt = 0
@@ -147,9 +147,9 @@
 		return
 	}
 	b.wakeAt = at
-	start := b.start
+	incarnation := b.incarnation
 	f.after(at.Sub(f.now), func() {
-		if b.start == start && b.wakeAt == at {
+		if b.incarnation == incarnation && b.wakeAt == at {
 			b.wakeAt = 0
 			f.deliver(b, &Tick{})
 		}
@@ -179,14 +179,14 @@
 func (f *limitFleet) publishTable() {
 	t := f.table()
 	for _, b := range f.boxes {
-		start := b.start
+		incarnation := b.incarnation
 		delay := 300 * time.Millisecond
 		if f.random.IntN(5) == 0 {
 			// Until the last box has received the table, the boxes disagree.
 			delay = 2500 * time.Millisecond
 		}
 		f.after(time.Duration(f.random.Int64N(int64(delay))), func() {
-			if !b.isolated && b.start == start {
+			if !b.isolated && b.incarnation == incarnation {
 				f.deliver(b, &TableChanged{Table: t})
 			}
 		})
@@ -196,9 +196,9 @@
 // deliver passes an event to a box, after its freeze if it is frozen.
 func (f *limitFleet) deliver(b *limitBox, event Event) {
 	if f.now < b.frozenUntil {
-		start := b.start
+		incarnation := b.incarnation
 		f.after(b.frozenUntil.Sub(f.now), func() {
-			if b.start == start {
+			if b.incarnation == incarnation {
 				f.deliver(b, event)
 			}
 		})
@@ -217,10 +217,10 @@
 }
 
 func (f *limitFleet) carryOut(b *limitBox, x Effect) {
-	start := b.start
+	incarnation := b.incarnation
 	later := func(d time.Duration, do func()) {
 		f.after(d, func() {
-			if b.start == start {
+			if b.incarnation == incarnation {
 				do()
 			}
 		})
@@ -264,9 +264,9 @@
 		delay = time.Duration(f.random.Int64N(int64(2 * time.Second)))
 	}
 	m := *x.Limit
-	start := to.start
+	incarnation := to.incarnation
 	f.after(delay, func() {
-		if !to.isolated && !from.isolated && to.start == start {
+		if !to.isolated && !from.isolated && to.incarnation == incarnation {
 			f.deliver(to, &PeerLimit{From: from.id, Message: m})
 		}
 	})
@@ -311,14 +311,14 @@
 	t := f.targetOf(x.Endpoint)
 	t.calls++
 	t.arrive(f, b)
-	start := b.start
+	incarnation := b.incarnation
 	f.after(time.Duration(20+f.random.IntN(40))*time.Millisecond, func() {
 		ended.Result = Answered
 		if f.random.IntN(50) == 0 {
 			ended.Result = Failed
 		}
 		ended.Reading = t.answer(f, b)
-		if b.start == start {
+		if b.incarnation == incarnation {
 			f.deliver(b, ended)
 		}
 	})
@@ -331,9 +331,9 @@
 	}
 	t := f.targetOf(x.Endpoint)
 	t.arrive(f, b)
-	start := b.start
+	incarnation := b.incarnation
 	f.after(2*time.Millisecond, func() {
-		if b.start == start {
+		if b.incarnation == incarnation {
 			f.deliver(b, &ProbeEnded{Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Healthy: true, Answered: true, Reading: t.answer(f, b)})
 		}
 	})
--- a/pkg/core/routing/quota_fleet_test.go
+++ b/pkg/core/routing/quota_fleet_test.go
@@ -114,16 +114,16 @@
 	}
 	b.router, b.revision, b.wakeAt = router, 0, 0
 	b.incarnation++
-	life := b.incarnation
-	f.after(f.upTo(quotaRenew), func() { f.renew(b, life) })
+	incarnation := b.incarnation
+	f.after(f.upTo(quotaRenew), func() { f.renew(b, incarnation) })
 }
 
 // renew requests a lease for a box, which comes with the newest table.
-func (f *quotaFleet) renew(b *quotaBox, life int) {
-	if b.incarnation != life {
+func (f *quotaFleet) renew(b *quotaBox, incarnation int) {
+	if b.incarnation != incarnation {
 		return
 	}
-	f.after(quotaRenew, func() { f.renew(b, life) })
+	f.after(quotaRenew, func() { f.renew(b, incarnation) })
 	if f.now < b.frozenUntil || f.leaderless || b.partition != 0 {
 		return
 	}
@@ -140,7 +140,7 @@
 			f.revision++
 		}
 		f.after(f.upTo(20*time.Millisecond), func() {
-			if b.incarnation == life && b.partition == 0 {
+			if b.incarnation == incarnation && b.partition == 0 {
 				f.sendBoxList(b, revision, list)
 				f.deliver(b, &LeaseChanged{Until: sent.Add(quotaLease), At: sent})
 			}
@@ -169,9 +169,9 @@
 	}
 	for _, b := range f.boxes {
 		if b.partition == 0 && b.revision != f.revision {
-			life := b.incarnation
+			incarnation := b.incarnation
 			f.after(f.upTo(100*time.Millisecond), func() {
-				if b.incarnation == life && b.partition == 0 && !f.leaderless {
+				if b.incarnation == incarnation && b.partition == 0 && !f.leaderless {
 					f.sendTable(b)
 				}
 			})
@@ -225,9 +225,9 @@
 // deliver passes an event to a box, after its freeze if it is frozen.
 func (f *quotaFleet) deliver(b *quotaBox, event Event) {
 	if f.now < b.frozenUntil {
-		life := b.incarnation
+		incarnation := b.incarnation
 		f.after(b.frozenUntil.Sub(f.now), func() {
-			if b.incarnation == life {
+			if b.incarnation == incarnation {
 				f.deliver(b, event)
 			}
 		})
@@ -247,9 +247,9 @@
 		return
 	}
 	b.wakeAt = next
-	life := b.incarnation
+	incarnation := b.incarnation
 	f.after(next.Sub(f.now), func() {
-		if b.incarnation == life && b.wakeAt == next {
+		if b.incarnation == incarnation && b.wakeAt == next {
 			f.deliver(b, &Tick{})
 		}
 	})
@@ -284,9 +284,9 @@
 		if to == nil || to.partition != b.partition || f.random.Float64() < f.loss {
 			return
 		}
-		m, toLife := *x.Quota, to.incarnation
+		m, toIncarnation := *x.Quota, to.incarnation
 		f.after(time.Millisecond+f.upTo(4*time.Millisecond), func() {
-			if to.incarnation == toLife && to.partition == b.partition {
+			if to.incarnation == toIncarnation && to.partition == b.partition {
 				f.deliver(to, &PeerQuota{From: b.id, Message: m})
 			}
 		})
@@ -295,9 +295,9 @@
 
 // send delivers a call to its target, which answers.
 func (f *quotaFleet) send(b *quotaBox, x Effect) {
-	life, id, attempt, endpoint := b.incarnation, x.Call, x.Attempt, x.Endpoint
+	incarnation, id, attempt, endpoint := b.incarnation, x.Call, x.Attempt, x.Endpoint
 	done := func(result AttemptResult, said Reading) {
-		if b.incarnation == life {
+		if b.incarnation == incarnation {
 			f.deliver(b, &AttemptEnded{Call: id, Attempt: attempt, Endpoint: endpoint, Result: result, Reading: said})
 		}
 	}
@@ -373,10 +373,10 @@
 		f.after(f.upTo(15*time.Second), func() { b.partition = 0 })
 	case 3:
 		note("cut a third of the boxes; drawn:")
-		side := 1 + f.random.IntN(1000)
+		partition := 1 + f.random.IntN(1000)
 		for i, o := range f.boxes {
 			if i%3 == 0 {
-				o.partition = side
+				o.partition = partition
 				f.after(f.upTo(15*time.Second), func() { o.partition = 0 })
 			}
 		}
--- a/pkg/core/routing/rollout.go
+++ b/pkg/core/routing/rollout.go
@@ -17,7 +17,8 @@
 type versionRole uint8
 
 const (
-	// currentVersion is for the current version, which receives the service's calls.
+	// currentVersion is for the version that receives the service's calls: the current one, or the
+	// new one after the shift.
 	currentVersion versionRole = iota
 	// trialVersion is for the new version during a trial, which receives a share of the calls.
 	trialVersion
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -136,8 +136,8 @@
 	declinedServices []*service
 }
 
-// sweepPeriod is the time between two sweeps of a service whose shares, ejections or held calls
-// change over time.
+// sweepPeriod is the time between two sweeps of a service whose shares, ejections, probes or
+// held calls change over time.
 const sweepPeriod = 10 * time.Millisecond
 
 // idleSweepPeriod is the time between two sweeps otherwise.
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -146,6 +146,7 @@
 	}
 }
 
+// updateShares computes this box's shares of a target's limits.
 func (r *Router) updateShares(t *target) {
 	if t.isCold(r.now) {
 		r.shareCold(t)
@@ -209,6 +210,7 @@
 	t.place += r.rank.countBefore(t.row.Target, r.boxChanges.joined) - r.rank.countBefore(t.row.Target, r.boxChanges.left)
 }
 
+// requestShare requests a new value of a share. An increase is immediate if boxes were only lost.
 func (r *Router) requestShare(s *delayedShare, value float64) {
 	if r.onlyBoxesLost {
 		s.raise(r.now, value, r.settings.ShareDelay)
