--- a/pkg/core/routing/evidence_test.go
+++ b/pkg/core/routing/evidence_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// The lot never strays by more than a call from its share, however the share changes.
+// The sampler never strays by more than a call from its share, however the share changes.
 func TestLotKeepsToItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -65,10 +65,11 @@
 	probeCandidates []*target
 	table           *table.Table
 	services        map[units.ServiceName]*service
-	order           []*service
-	routes          routeIndex
-	keys            keyRing
-	rank            boxRank
+	// order lists the services sorted by name.
+	order  []*service
+	routes routeIndex
+	keys   keyRing
+	rank   boxRank
 	// boxListVersion numbers the lists of boxes applied; domainBoxes caches, for the current list,
 	// the boxes near each failure domain's targets that aren't leaving.
 	boxListVersion int
