--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -123,14 +123,14 @@
 
 // requestPermits requests permits of limited targets for a call that has no other target. It
 // requests none for a call that has an attempt in flight.
-func (r *Router) requestPermits(s *service, c *call, most int, e *Effects) {
+func (r *Router) requestPermits(s *service, c *call, maxRequests int, e *Effects) {
 	if c.inFlight() > 0 {
 		return
 	}
 	if c.route.work != table.Patient {
-		most = min(most, maxPermitRequestsPerCall-c.permitRequests)
+		maxRequests = min(maxRequests, maxPermitRequestsPerCall-c.permitRequests)
 	}
-	c.permitRequests += r.requestPermitsFromSome(s, c, most, func(*target) bool { return true }, e)
+	c.permitRequests += r.requestPermitsFromSome(s, c, maxRequests, func(*target) bool { return true }, e)
 }
 
 // requestCheckPermit requests a permit of one limited target for a call that also has other
@@ -143,9 +143,9 @@
 	r.requestPermitsFromSome(s, c, 1, func(t *target) bool { return t.inSubset }, e)
 }
 
-// requestPermitsFromSome requests permits of at most most limited targets that suit a call and
+// requestPermitsFromSome requests permits of at most maxRequests limited targets that suit a call and
 // satisfy fits, and returns the number of requests.
-func (r *Router) requestPermitsFromSome(s *service, c *call, most int, fits func(*target) bool, e *Effects) (asked int) {
+func (r *Router) requestPermitsFromSome(s *service, c *call, maxRequests int, fits func(*target) bool, e *Effects) (requested int) {
 	if s.limitedTargets == 0 || !r.leased() {
 		return 0
 	}
@@ -153,15 +153,15 @@
 	start := r.random.IntN(len(s.targets))
 	for k := range s.targets {
 		t := s.targets[(start+k)%len(s.targets)]
-		if asked >= most {
+		if requested >= maxRequests {
 			break
 		}
 		if t.notice.isLimited() && t.notice.limit.mayRequest(r.now) && fits(t) && c.mayUse(t) && t.takesIfPermitted(r.now, anyHealth) {
 			r.requestTargetPermits(t, min(maxPermitsHeld, 1+s.held.length+len(s.waiting)), e)
-			asked++
+			requested++
 		}
 	}
-	return asked
+	return requested
 }
 
 // requestPermitsForHeld requests permits for the first held call that needs one. A call for which
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -65,10 +65,11 @@
 	probeCandidates []*target
 	table           *table.Table
 	services        map[units.ServiceName]*service
-	order           []*service
-	routes          routeIndex
-	keys            keyRing
-	rank            boxRank
+	// order lists the services sorted by name.
+	order  []*service
+	routes routeIndex
+	keys   keyRing
+	rank   boxRank
 	// boxListVersion numbers the lists of boxes applied; domainBoxes caches, for the current list,
 	// the boxes near each failure domain's targets that aren't leaving.
 	boxListVersion int
@@ -136,8 +137,8 @@
 	declinedServices []*service
 }
 
-// sweepPeriod is the time between two sweeps of a service whose shares, ejections or held calls
-// change over time.
+// sweepPeriod is the time between two sweeps of a service whose shares, ejections, probes or
+// held calls change over time.
 const sweepPeriod = 10 * time.Millisecond
 
 // idleSweepPeriod is the time between two sweeps otherwise.
