--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -81,7 +81,7 @@
 
 // start sends a call that was admitted, or holds it.
 func (r *Router) start(id CallID, c *call, e *Effects) {
-	if r.waitsForLink(id, c, e) {
+	if r.waitForLink(id, c, e) {
 		return
 	}
 	if !r.standsBehind(c.service, c) {
@@ -171,8 +171,8 @@
 	c.onTrial = false
 	r.seekPermits(s, c, neededAsks, e)
 	until := min(c.deadline, r.now.Add(s.row.HoldLimit))
-	if s.isLimited(c) {
-		until = min(until, c.waitEnd(s))
+	if s.allLimited(c) {
+		until = min(until, c.waitDeadline(s))
 	}
 	if reason := r.refusesToHold(s, c, until); reason != 0 {
 		r.refuse(id, c, Refusal{Reason: reason, Outcome: c.outcome(), RetryAfter: s.retryAfterOf(reason, r.now)}, e)
@@ -200,15 +200,15 @@
 	if r.openSide(s) == noSide && c.route.work != table.Patient {
 		return RolloutUnsure
 	}
-	if s.opensTooLate(c, r.now) {
-		return s.closedReason(c, r.now)
+	if s.isBlockedTooLong(c, r.now) {
+		return s.blockedReason(c, r.now)
 	}
 	wait := s.expectedWait(c, r.now)
 	if r.standsBehind(s, c) {
 		wait = max(wait, r.frontAge(s))
 	}
 	room := time.Duration(holdMargin * float64(until.Sub(r.now)))
-	if wait > room || r.now.Add(wait+s.latency.steadyMean()) > c.deadline {
+	if wait > room || r.now.Add(wait+s.latency.longTermMean()) > c.deadline {
 		return WaitTooLong
 	}
 	return 0
@@ -232,7 +232,7 @@
 // health and limits.
 func (s *service) hasActiveTarget(c *call) bool {
 	for _, t := range s.targets {
-		if t.isActive() && c.mayUse(t) {
+		if t.isEligible() && c.mayUse(t) {
 			return true
 		}
 	}
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -18,32 +18,32 @@
 	// What the new version fails goes to the old one.
 	c.onTrial = false
 	*a = attempt{
-		number: c.sends, target: t, sent: r.now, hedge: hedge, typical: c.route.sureTime(),
-		atPace: t.reading.Pace > 0 && t.expectedPace(r.now) < goodPace,
-		full:   t.load(r.now)+1 >= nearlyFull*t.slots(),
+		number: c.sends, target: t, sent: r.now, hedge: hedge, typical: c.route.knownTypicalTime(),
+		atPace: t.report.Pace > 0 && t.expectedPace(r.now) < goodPace,
+		full:   t.load(r.now)+1 >= nearlyFullUtilization*t.slots(),
 		cold:   t.isCold(r.now),
-		ahead:  t.load(r.now), patience: c.patience(t, r.now), longPatience: c.longPatience(t, r.now),
+		ahead:  t.load(r.now), patience: c.answerTimeout(t, r.now), longPatience: c.overtakenTimeout(t, r.now),
 	}
 	a.permit = r.usePermit(t)
 	a.limitVersion = t.limitWord().Version
-	if !t.ownRoom() {
+	if !t.hasOwnFreeSlot() {
 		a.loan = t.freeLoan(r.now)
 		if a.loan != nil {
 			a.loan.inUse = true
 		}
 	}
-	r.expect(c.route, a)
-	t.link(a)
-	t.noteSend()
+	r.expectInbound(c.route, a)
+	t.addAttempt(a)
+	t.countSend()
 	t.sends++
-	t.sentSince++
+	t.sentSinceReport++
 	if t.row.MaxRate > 0 {
-		t.rate.take(r.now, t.rateShare.value, rateBurst)
+		t.callBucket.take(r.now, t.rateShare.value, rateBurst)
 	}
-	t.noteColdSend(r.now)
+	t.countColdSend(r.now)
 	e.add(Effect{
 		Kind: Send, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint,
-		Deadline: c.deadline, NotAfter: r.notAfterOf(t), Connections: t.connections, Once: c.route.work == table.Once,
+		Deadline: c.deadline, NotAfter: r.notAfterOf(t), Connections: t.maxConnections, Once: c.route.work == table.Once,
 		PermitUntil: a.permit, Purpose: why, Evidence: evidence, Aim: c.route.aim, LargeAnswer: c.route.largeAnswers,
 		Workspace: c.workspaceName(),
 	})
@@ -52,7 +52,7 @@
 		r.timers.Push(timer{at: r.now.Add(c.hedgeDelay()), call: id, kind: hedgeTimer})
 	}
 	if !hedged || a.patience < c.hedgeDelay() {
-		r.watch(id, c, a)
+		r.scheduleOverdueCheck(id, c, a)
 	}
 }
 
@@ -62,8 +62,8 @@
 		Load: t.load(r.now), Pace: t.expectedPace(r.now), Slowdown: t.currentSlowdown(r.now), ReadingAge: -1,
 		Revision: r.table.Revision,
 	}
-	if t.reading.Known {
-		x.ReadingAge = r.now.Sub(t.reading.at)
+	if t.report.Known {
+		x.ReadingAge = r.now.Sub(t.report.receivedAt)
 	}
 	return x
 }
@@ -71,8 +71,8 @@
 // release ends an attempt's claim on its target.
 func (r *Router) release(c *call, a *attempt, e *Effects) {
 	t := a.target
-	t.unlink(a)
-	r.attemptOver(a)
+	t.removeAttempt(a)
+	r.releaseInbound(a)
 	if a.loan != nil {
 		r.endLoanUse(a.loan, e)
 	}
@@ -89,8 +89,8 @@
 func (r *Router) cancel(id CallID, c *call, a *attempt, e *Effects) {
 	t := a.target
 	e.add(Effect{Kind: Cancel, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint})
-	if t.share.value < unlimited && a.loan == nil {
-		t.cooling++
+	if t.inFlightShare.value < unlimited && a.loan == nil {
+		t.cancelingSlots++
 		r.timers.Push(timer{at: r.now.Add(cancelTime), kind: coolTimer, target: t})
 	}
 	if a.loan != nil {
@@ -111,16 +111,16 @@
 // attemptStarted passes on an answer whose first bytes have come, and ends the call's other attempts.
 func (r *Router) attemptStarted(v *AttemptStarted, e *Effects) {
 	c, a := r.attemptOf(v.Call, v.Attempt)
-	r.hear(v.Endpoint, v.Reading, false, a.limitBase(), e)
+	r.handleNotice(v.Endpoint, v.Reading, false, a.limitBase(), e)
 	if a == nil || c.streaming {
 		return
 	}
 	c.streaming = true
 	// The shell may no longer hold the request once its answer is passed on.
 	c.identity = nil
-	r.endLimit(a, v.Reading.Limit, e)
-	r.answerBegins(c, a, v.Coming)
-	a.target.takeReading(r.now, v.Reading)
+	r.recordNoLimit(a, v.Reading.Limit, e)
+	r.recordAnswerStart(c, a, v.Coming)
+	a.target.recordReport(r.now, v.Reading)
 	e.add(Effect{Kind: Deliver, Call: v.Call, Owner: c.owner, Attempt: v.Attempt, Endpoint: a.target.endpoint})
 	r.cancelOthers(v.Call, c, a, e)
 	c.endProbing()
@@ -140,7 +140,7 @@
 
 // cancelOthers cancels the attempts of a call that another one has won, and learns from them.
 func (r *Router) cancelOthers(id CallID, c *call, winner *attempt, e *Effects) {
-	r.noteVersionOvertaken(c, winner)
+	r.recordVersionOvertaken(c, winner)
 	for i := range c.attempts {
 		a := &c.attempts[i]
 		if a == winner || a.target == nil {
@@ -148,7 +148,7 @@
 		}
 		// A loser that is overdue says something about its target.
 		a.target.latency.add(r.timeAtTarget(c, a))
-		r.wentUnanswered(c, a, e)
+		r.recordIfUnanswered(c, a, e)
 		r.cancel(id, c, a, e)
 	}
 }
@@ -156,31 +156,31 @@
 // attemptEnded learns from how an attempt ended, then delivers its answer or goes on with the call.
 func (r *Router) attemptEnded(v *AttemptEnded, e *Effects) {
 	c, a := r.attemptOf(v.Call, v.Attempt)
-	r.hear(v.Endpoint, v.Reading, v.Result == Misdirected, a.limitBase(), e)
+	r.handleNotice(v.Endpoint, v.Reading, v.Result == Misdirected, a.limitBase(), e)
 	if a == nil {
 		return
 	}
 	took := r.timeAtTarget(c, a)
 	t := a.target
 	if v.Result == Answered {
-		c.route.noteShort(a)
+		c.route.recordShortAnswer(a)
 	}
 	if a.atPace && v.Result == Answered {
-		t.noteTime(r.now, c.route, took, a)
+		t.recordAnswerTime(r.now, c.route, took, a)
 	}
 	if v.Result == Answered {
-		r.endLimit(a, v.Reading.Limit, e)
+		r.recordNoLimit(a, v.Reading.Limit, e)
 	}
 	if v.Result == NotSent || v.Result == Withheld {
 		r.unusePermit(t, a.permit, e)
 	}
 	wasEjected := t.health.ejected
-	if v.Result == Broken && r.wentUnanswered(c, a, e) {
-		t.lastHeard = r.now
+	if v.Result == Broken && r.recordIfUnanswered(c, a, e) {
+		t.lastObservedAt = r.now
 	} else {
 		r.learn(t, v, took, e)
 	}
-	r.noteResult(c, t, v.Result, took, t.health.ejected && !wasEjected, e)
+	r.recordResult(c, t, v.Result, took, t.health.ejected && !wasEjected, e)
 	switch {
 	case v.Result == Broken:
 		r.noteBroken(c, a, e)
@@ -191,7 +191,7 @@
 		r.clearAnswered(c, e)
 	}
 	if v.Result == Answered || v.Result == Failed || v.Result == Shed {
-		t.noteAnswer(r.now, a)
+		t.recordAnswer(r.now, a)
 		t.noteAlive(r.now)
 	}
 	r.release(c, a, e)
@@ -221,43 +221,43 @@
 	if v.Result == Withheld {
 		return
 	}
-	t.takeReading(r.now, v.Reading)
+	t.recordReport(r.now, v.Reading)
 	if v.Reading.Cold > 0 {
-		r.turnCold(t, v.Reading.Cold)
+		r.markCold(t, v.Reading.Cold)
 	}
-	t.lastHeard = r.now
+	t.lastObservedAt = r.now
 	turned := false
 	switch v.Result {
 	case Answered:
-		t.noteTrial(r.now, true)
+		t.recordReachability(r.now, true)
 		t.answers++
-		t.noteFailure(r.now, 0)
+		t.updateFailureRate(r.now, 0)
 		t.service.noteReport(v.Reading)
 		t.latency.add(took)
 		t.service.latency.add(took)
-		t.grow()
-		turned = t.health.succeeded(r.now)
+		t.growWindow()
+		turned = t.health.recordSuccess(r.now)
 	case Failed, Broken:
 		t.failures++
-		t.noteFailure(r.now, 1)
-		turned = t.health.failed(r.now)
+		t.updateFailureRate(r.now, 1)
+		turned = t.health.recordFailure(r.now)
 	case NotSent:
-		t.noteTrial(r.now, false)
+		t.recordReachability(r.now, false)
 		t.failures++
-		turned = t.health.unreachable(r.now)
+		turned = t.health.recordUnreachable(r.now)
 	case Misdirected:
 		t.sheds++
-		turned = t.health.misdirected(r.now)
+		turned = t.health.recordMisdirected(r.now)
 	case Shed:
 		t.sheds++
-		if t.row.Registered && r.on(FailingTargets) && t.knownRoom(r.now) {
+		if t.row.Registered && r.on(FailingTargets) && t.hasReportedFreeSlot(r.now) {
 			// It isn't full, so that leaving it alone for longer than it asks for would help nobody.
-			t.noteFailure(r.now, 1)
+			t.updateFailureRate(r.now, 1)
 			break
 		}
-		t.reading.contradicted()
-		t.shrink()
-		t.notBefore = max(t.notBefore, r.now.Add(t.latency.mean()/2))
+		t.report.reduceTrust()
+		t.shrinkWindow()
+		t.backoffUntil = max(t.backoffUntil, r.now.Add(t.latency.mean()/2))
 	}
 	if turned {
 		r.healthTurned(t, e)
@@ -268,7 +268,7 @@
 func (r *Router) healthTurned(t *target, e *Effects) {
 	t.service.weigh(r.now)
 	r.sweepBy(t.service, r.now)
-	e.add(Effect{Kind: TargetTurned, Endpoint: t.endpoint, Ejected: t.health.ejected, Failures: t.health.failures})
+	e.add(Effect{Kind: TargetTurned, Endpoint: t.endpoint, Ejected: t.health.ejected, Failures: t.health.consecutiveFailures})
 }
 
 func (r *Router) streamEnded(v *AttemptEnded, c *call) {
@@ -277,7 +277,7 @@
 }
 
 func (r *Router) deliver(v *AttemptEnded, c *call, t *target, e *Effects) {
-	r.noteVersionOvertaken(c, nil)
+	r.recordVersionOvertaken(c, nil)
 	e.add(Effect{Kind: Deliver, Call: v.Call, Owner: c.owner, Attempt: v.Attempt, Endpoint: t.endpoint})
 	r.finish(v.Call, c, e)
 }
--- a/pkg/core/routing/distance.go
+++ b/pkg/core/routing/distance.go
@@ -6,45 +6,46 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Calls to a target in another failure domain take longer by a round trip. What the round trip
-// takes beyond that to the box's own domain is measured for each domain and counts as time
-// beside the work. So a call goes to a target of the box's own domain before others of its
-// region, to these before other regions, and far away only where it is still answered sooner.
+// A call to a target in another failure domain takes longer by the network round trip. The round
+// trip in excess of that within the box's own domain is measured for each domain and added to the
+// cost. So a call prefers targets in the box's own domain, then those in the same region, and goes
+// to other regions only if it is still answered sooner there.
 
 const (
-	// leastWindow is for how long the least time of a probe counts, at the least: network paths
-	// change seldom, and within some seconds a probe meets no queue and shows the round trip
-	// alone.
-	leastWindow = 10 * time.Second
-	// assumedNear and assumedFar stand in for the extra round trip to a domain of the same region,
-	// and to one of another or an unknown region, until it has been measured: nearer ones are tried
-	// first, and a far one still is when the near ones are full.
-	assumedNear = 2 * time.Millisecond
-	assumedFar  = 15 * time.Millisecond
-	// awayPart is what leaving the box's domain costs besides the round trip, as a part of the
-	// work: a box has connections to the targets of its domain and knows more of them, so that
-	// calls which leave meet full targets more often. It grows with the work, since a full target
-	// delays long calls by more. With a fixed 30 ms the two worst windows of a day with more
-	// calls than targets could serve kept 0.47 in place of 0.64 of the calls' value, and 2.5 times
-	// the bytes went between domains.
-	awayPart = 0.6
-	// assumedWork stands in for a route's typical time until that is known.
-	assumedWork = 50 * time.Millisecond
+	// minTimeWindow is how long a minimum probe time is used at least, and twice that at most: network
+	// paths rarely change, and within some seconds at least one probe meets no queue and measures the
+	// round trip alone.
+	minTimeWindow = 10 * time.Second
+	// defaultSameRegionRoundTrip and defaultOtherRegionRoundTrip are assumed as the extra round
+	// trip to a domain of the same region, and of another or an unknown region, until it has been
+	// measured. Nearer domains are tried first, and distant ones still are if the near ones are
+	// full.
+	defaultSameRegionRoundTrip  = 2 * time.Millisecond
+	defaultOtherRegionRoundTrip = 15 * time.Millisecond
+	// crossDomainPenalty is the extra cost of leaving the box's domain besides the round trip, as a
+	// fraction of the work. A box has connections to the targets of its own domain and more data
+	// about them, so calls to other domains meet full targets more often. The cost is proportional
+	// to the work, since a full target delays long calls by more. With a fixed 30 ms the two worst
+	// windows of an overloaded day kept 0.47 instead of 0.64 of the calls' value, and 2.5 times as
+	// many bytes were sent between domains.
+	crossDomainPenalty = 0.6
+	// defaultWorkTime is used before a route's typical time is known.
+	defaultWorkTime = 50 * time.Millisecond
 )
 
-// domainDistance is what a box knows of the round trip to a failure domain's targets.
+// domainDistance estimates the round trip to the targets of a failure domain.
 type domainDistance struct {
-	// own is the box's own domain; nil for itself.
-	own *domainDistance
-	// sameRegion is set where the domain is in the box's own region, or no regions are known.
+	// ownDomain is the estimate for the box's own domain; nil if this is that domain.
+	ownDomain *domainDistance
+	// sameRegion is set if the domain is in the box's own region, or no regions are known.
 	sameRegion bool
-	// least is the least time that a probe took in the present window, which began at since,
-	// before that of the window before; zero for none.
-	least, before time.Duration
-	since         units.Instant
+	// currentMin is the minimum probe time in the current window, which began at windowStart, and
+	// previousMin that of the previous window; zero if there was no probe.
+	currentMin, previousMin time.Duration
+	windowStart             units.Instant
 }
 
-// distanceTo returns what is known of the round trip to a domain.
+// distanceTo returns the estimate for a domain and creates it if necessary.
 func (r *Router) distanceTo(d units.Domain) *domainDistance {
 	x := r.distances[d]
 	if x != nil {
@@ -52,86 +53,88 @@
 	}
 	x = &domainDistance{}
 	if d != r.settings.Domain {
-		x.own = r.distanceTo(r.settings.Domain)
+		x.ownDomain = r.distanceTo(r.settings.Domain)
 	}
 	r.distances[d] = x
-	r.placeDistance(d, x)
+	r.updateSameRegion(d, x)
 	return x
 }
 
-// placeDistance notes whether a domain is in the box's own region.
-func (r *Router) placeDistance(d units.Domain, x *domainDistance) {
+// updateSameRegion sets whether a domain is in the box's own region.
+func (r *Router) updateSameRegion(d units.Domain, x *domainDistance) {
 	region := r.settings.Regions[d]
 	x.sameRegion = region == r.settings.Regions[r.settings.Domain]
 }
 
-// note takes how long a probe took.
-func (x *domainDistance) note(now units.Instant, took time.Duration) {
-	if now.Sub(x.since) > leastWindow {
-		x.before, x.least, x.since = x.least, 0, now
+// recordProbe updates the minimum with the time of a probe.
+func (x *domainDistance) recordProbe(now units.Instant, took time.Duration) {
+	if now.Sub(x.windowStart) > minTimeWindow {
+		x.previousMin, x.currentMin, x.windowStart = x.currentMin, 0, now
 	}
-	if x.least == 0 || took < x.least {
-		x.least = took
+	if x.currentMin == 0 || took < x.currentMin {
+		x.currentMin = took
 	}
 }
 
-// leastTime is the least time that a probe took lately; zero for none.
-func (x *domainDistance) leastTime() time.Duration {
-	if x.least == 0 || x.before != 0 && x.before < x.least {
-		return x.before
+// minProbeTime returns the minimum probe time of the last two windows; zero if there was no probe.
+func (x *domainDistance) minProbeTime() time.Duration {
+	if x.currentMin == 0 || x.previousMin != 0 && x.previousMin < x.currentMin {
+		return x.previousMin
 	}
-	return x.least
+	return x.currentMin
 }
 
-// extraRoundTrip is how much longer the round trip is than to the box's own domain. Probes take
-// the same work everywhere, so their least times differ by it.
+// extraRoundTrip returns how much longer the round trip is than within the box's own domain.
+// Answering a probe takes the same time everywhere, so the minimum probe times differ by the round
+// trip only.
 func (x *domainDistance) extraRoundTrip() time.Duration {
-	if x.own == nil {
+	if x.ownDomain == nil {
 		return 0
 	}
-	there, here := x.leastTime(), x.own.leastTime()
+	there, here := x.minProbeTime(), x.ownDomain.minProbeTime()
 	switch {
 	case there > 0 && here > 0:
 		return max(0, there-here)
 	case x.sameRegion:
-		return assumedNear
+		return defaultSameRegionRoundTrip
 	}
-	return assumedFar
+	return defaultOtherRegionRoundTrip
 }
 
-// noteProbeSent notes that a probe is on its way to the target.
-func (t *target) noteProbeSent(now units.Instant) {
+// recordProbeSent records that a probe for a call was sent to the target.
+func (t *target) recordProbeSent(now units.Instant) {
 	t.probesSent++
-	t.probedAt = now
-	if t.probesOut == 0 {
-		t.probeOutSince = now
+	t.lastProbedAt = now
+	if t.probesInFlight == 0 {
+		t.probesInFlightSince = now
 	}
-	t.probesOut++
+	t.probesInFlight++
 }
 
-// noteProbeTime takes the time that a probe for a call took. Where several were out, the time
-// since the first is no less than what the one that was answered took.
-func (t *target) noteProbeTime(now units.Instant, healthy bool) {
-	t.probesOut = max(0, t.probesOut-1)
+// recordProbeEnd records the end of a probe for a call. With several probes in flight it uses the
+// time since the first was sent, which is an upper bound.
+func (t *target) recordProbeEnd(now units.Instant, healthy bool) {
+	t.probesInFlight = max(0, t.probesInFlight-1)
 	if healthy && t.distance != nil {
-		t.distance.note(now, now.Sub(t.probeOutSince))
+		t.distance.recordProbe(now, now.Sub(t.probesInFlightSince))
 	}
 }
 
-// awayCost is what the target's distance costs a call of the route, in units of its work.
-func (t *target) awayCost(x *route) float64 {
+// distanceCost returns the extra cost of the target's distance for a call of the route, in units of
+// its work.
+func (t *target) distanceCost(x *route) float64 {
 	if !t.remote || t.distance == nil {
 		return 0
 	}
-	work := float64(assumedWork)
-	if x != nil && x.sureTime() > 0 {
-		work = x.sureTime()
+	work := float64(defaultWorkTime)
+	if x != nil && x.knownTypicalTime() > 0 {
+		work = x.knownTypicalTime()
 	}
-	return float64(t.distance.extraRoundTrip())/work + awayPart
+	return float64(t.distance.extraRoundTrip())/work + crossDomainPenalty
 }
 
-// probeLimit is how long a call waits for the answer to a probe of the target.
-func (t *target) probeLimit() time.Duration {
+// probeTimeout returns how long a call waits for the answer to a probe of the target.
+func (t *target) probeTimeout() time.Duration {
 	if !t.remote || t.distance == nil {
 		return probeLimit
 	}
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -57,7 +57,7 @@
 
 // place sends a call to the target that seems best, or probes a few first.
 func (r *Router) place(id CallID, c *call, best *target, why Purpose, e *Effects) {
-	if !r.on(Probing) || !c.service.probesTargets() || best.notice.limited() || best.isFresh(r.now) && r.isSuitable(c, best) || r.goesUnprobed(c, best) {
+	if !r.on(Probing) || !c.service.probesTargets() || best.notice.isLimited() || best.isFresh(r.now) && r.isSuitable(c, best) || r.mayGoUnprobed(c, best) {
 		r.send(id, c, best, why, e)
 		return
 	}
@@ -65,7 +65,7 @@
 	c.probeRound.waiting = false
 	r.dropServed(c.service)
 	if len(c.service.waiting) >= maxProbing || !r.sendProbes(id, c, e) {
-		if !c.service.isBusy(r.now) && !best.isFresh(r.now) && !r.mustBeSure(c) {
+		if !c.service.isBusy(r.now) && !best.isFresh(r.now) && !r.requiresKnownFreeSlot(c) {
 			r.send(id, c, best, why, e)
 			return
 		}
@@ -110,7 +110,7 @@
 	c.probeRound.rounds++
 	limit := probeLimit
 	for _, t := range probed {
-		limit = max(limit, t.probeLimit())
+		limit = max(limit, t.probeTimeout())
 		r.probe(id, c, t, c.probeRound.number, e)
 	}
 	if c.probeRound.purpose == HedgeSend {
@@ -122,10 +122,10 @@
 
 // probe probes a target for a call.
 func (r *Router) probe(id CallID, c *call, t *target, number AttemptNumber, e *Effects) {
-	t.noteProbeSent(r.now)
+	t.recordProbeSent(r.now)
 	e.add(Effect{
 		Kind: Probe, PermitUntil: r.usePermit(t), Call: id, Owner: c.owner, Attempt: number, Endpoint: t.endpoint, NotAfter: r.notAfterOf(t),
-		Connections: t.connections, ProbePath: c.service.row.ProbePath,
+		Connections: t.maxConnections, ProbePath: c.service.row.ProbePath,
 	})
 }
 
@@ -165,13 +165,13 @@
 		i := (start + k) % len(targets)
 		t := targets[i]
 		// At a target that names a limit a probe would cost as much as the call.
-		if t.notice.limited() || !set.Available(i) && !set.onlyInDoubt(i) || t.isFresh(r.now) || t.awaitsProbe(r.now) {
+		if t.notice.isLimited() || !set.Available(i) && !set.onlyInDoubt(i) || t.isFresh(r.now) || t.awaitsProbe(r.now) {
 			continue
 		}
-		if t.probedAt != 0 && r.now.Sub(t.probedAt) < t.probeLimit() {
+		if t.lastProbedAt != 0 && r.now.Sub(t.lastProbedAt) < t.probeTimeout() {
 			continue
 		}
-		t.probeOrder = t.cost(r.now, c.route)
+		t.rankingCost = t.cost(r.now, c.route)
 		r.best = insertByCost(r.best, t, n)
 	}
 	return r.best
@@ -180,7 +180,7 @@
 // insertByCost keeps the n targets of the least cost, in order.
 func insertByCost(best []*target, t *target, n int) []*target {
 	i := len(best)
-	for i > 0 && t.probeOrder < best[i-1].probeOrder {
+	for i > 0 && t.rankingCost < best[i-1].rankingCost {
 		i--
 	}
 	if i >= n {
@@ -200,8 +200,8 @@
 	c := r.calls.Get(v.Call)
 	if c == nil || !c.probeRound.open || c.probeRound.number != v.Attempt {
 		r.shareAnswer(t)
-		if c != nil && v.Attempt == silenceProbe {
-			r.judgeSilence(v.Call, c, e)
+		if c != nil && v.Attempt == overdueProbe {
+			r.abandonUnanswered(v.Call, c, e)
 		}
 		return
 	}
@@ -236,7 +236,7 @@
 		r.send(id, c, t, c.probeRound.purpose, e)
 		return
 	}
-	if !late || r.missesAnswer(c) {
+	if !late || r.isOverdue(c) {
 		r.waitForTarget(id, c)
 		r.seekPermits(c.service, c, 1, e)
 		return
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -30,7 +30,7 @@
 // probeIfDue probes a target that is out of the common path. Calls are the
 // first measurement; a target that has them needs no probe.
 func (r *Router) probeIfDue(s *service, t *target, e *Effects) {
-	if !t.wantsProbe(r.now) || t.evacuated || t.side > onTrial || t.probing || r.now.Sub(t.lastHeard) < probeAfter || !r.leased() {
+	if !t.needsHealthProbe(r.now) || t.evacuated || t.side > onTrial || t.healthProbeInFlight || r.now.Sub(t.lastObservedAt) < probeAfter || !r.leased() {
 		return
 	}
 	if t.lacksPermit(r.now) {
@@ -39,16 +39,16 @@
 		}
 		return
 	}
-	if !t.probes.take(r.now, r.probeRate(s, t), probeBurst) {
+	if !t.probeBucket.take(r.now, r.probeRate(s, t), probeBurst) {
 		return
 	}
-	t.probing = true
+	t.healthProbeInFlight = true
 	t.probesSent++
-	e.add(Effect{Kind: Probe, PermitUntil: r.usePermit(t), Endpoint: t.endpoint, NotAfter: r.notAfter(), Connections: t.connections})
+	e.add(Effect{Kind: Probe, PermitUntil: r.usePermit(t), Endpoint: t.endpoint, NotAfter: r.notAfter(), Connections: t.maxConnections})
 }
 
 func (r *Router) probeEnded(v *ProbeEnded, e *Effects) {
-	r.hear(v.Target, v.Reading, v.Misdirected, noBase, e)
+	r.handleNotice(v.Target, v.Reading, v.Misdirected, noBase, e)
 	t := r.findTarget(v.Target)
 	if t != nil && v.Refused {
 		r.noteConnectionRefused(t, e)
@@ -65,18 +65,18 @@
 	if t == nil {
 		return
 	}
-	t.probing = false
-	t.lastHeard = r.now
-	r.noteSuccessor(t, v, e)
-	t.takeReading(r.now, v.Reading)
+	t.healthProbeInFlight = false
+	t.lastObservedAt = r.now
+	r.detectSuccessor(t, v, e)
+	t.recordReport(r.now, v.Reading)
 	if v.Healthy {
-		r.noteWarmth(t, v.Reading.Cold)
+		r.updateColdState(t, v.Reading.Cold)
 	}
 	if !v.Healthy {
-		t.health.failed(r.now)
+		t.health.recordFailure(r.now)
 		return
 	}
-	if t.health.succeeded(r.now) {
+	if t.health.recordSuccess(r.now) {
 		r.healthTurned(t, e)
 		r.freed = append(r.freed, t.service)
 	}
@@ -88,20 +88,20 @@
 	if t == nil {
 		return
 	}
-	t.noteProbeTime(r.now, v.Healthy)
-	t.takeReading(r.now, v.Reading)
-	t.noteMissing(r.now, v.Reading, t.probedAt)
+	t.recordProbeEnd(r.now, v.Healthy)
+	t.recordReport(r.now, v.Reading)
+	t.markMissing(r.now, v.Reading, t.lastProbedAt)
 	if v.Healthy {
 		t.service.noteReport(v.Reading)
-		r.noteWarmth(t, v.Reading.Cold)
+		r.updateColdState(t, v.Reading.Cold)
 	}
 	if v.Healthy || v.Unreachable {
-		t.noteTrial(r.now, v.Healthy)
+		t.recordReachability(r.now, v.Healthy)
 	}
-	if v.Unreachable && t.health.unreachable(r.now) {
+	if v.Unreachable && t.health.recordUnreachable(r.now) {
 		r.healthTurned(t, e)
 	}
-	if v.Misdirected && t.health.misdirected(r.now) {
+	if v.Misdirected && t.health.recordMisdirected(r.now) {
 		r.healthTurned(t, e)
 	}
 }
@@ -114,7 +114,7 @@
 // awaitsProbe tells whether a probe of this box is on its way to the target. Another one
 // would wait behind it, and cost the target as much as the first.
 func (t *target) awaitsProbe(now units.Instant) bool {
-	return t.probesOut > 0 && now.Sub(t.probedAt) < probeBound
+	return t.probesInFlight > 0 && now.Sub(t.lastProbedAt) < probeBound
 }
 
 // shareAnswer lets the calls that wait use an answer that the call which asked no longer
--- a/pkg/core/routing/script_notice_test.go
+++ b/pkg/core/routing/script_notice_test.go
@@ -11,18 +11,18 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// setNotice sets what an answer says of its target by "rest=D", "leaving", "limit=R" and "unread-limit".
+// setNotice sets the notice in an answer from "rest=D", "leaving", "limit=R" and "unread-limit".
 func (s *script) setNotice(d *datadriven.TestData, x *Reading) {
 	x.Rest = s.duration(d, "rest")
 	x.Leaving = d.HasArg("leaving")
 	x.Limit.Unread = d.HasArg("unread-limit")
 	if d.HasArg("limit") {
-		x.Limit.Named, x.Limit.Rate = true, s.rate(d, "limit")
+		x.Limit.Named, x.Limit.Rate = true, s.callRate(d, "limit")
 	}
 }
 
-// rate reads a number of calls a second.
-func (s *script) rate(d *datadriven.TestData, key string) units.CallRate {
+// callRate parses a number of calls a second.
+func (s *script) callRate(d *datadriven.TestData, key string) units.CallRate {
 	x, err := strconv.ParseFloat(s.word(d, key), 64)
 	if err != nil {
 		d.Fatalf(s.t, "%v", err)
@@ -30,16 +30,16 @@
 	return units.CallRate(x)
 }
 
-var limitWords = map[LimitKind]string{
+var limitKindNames = map[LimitKind]string{
 	AskPermits: "ask", GrantPermits: "grant", ReturnPermits: "return", TellLimit: "tell", HandOver: "hand-over",
 }
 
-// limit BOX kind=K service=S target=T [born=N] [nonce=N] [count=N] [again=D] [version=N] [limit=R] gives a message of
-// another box on a target's limit. Without a limit it says that there is none, without a version that nothing was
-// heard of one.
+// limit BOX kind=K service=S target=T [born=N] [nonce=N] [count=N] [again=D] [version=N] [limit=R]
+// delivers a message of another box about a target's limit. Without a limit the message states that
+// there is none, without a version that the box has no information about one.
 func (s *script) peerLimit(d *datadriven.TestData) {
 	m := LimitMessage{Service: units.ServiceName(s.word(d, "service")), Target: units.TargetID(s.word(d, "target")), Born: 1}
-	for k, w := range limitWords {
+	for k, w := range limitKindNames {
 		if w == s.word(d, "kind") {
 			m.Kind = k
 		}
@@ -49,15 +49,15 @@
 	d.MaybeScanArgs(s.t, "count", &m.Count)
 	m.Again = s.duration(d, "again")
 	if d.HasArg("limit") {
-		m.Word.Limited, m.Word.Rate = true, s.rate(d, "limit")
+		m.Word.Limited, m.Word.Rate = true, s.callRate(d, "limit")
 	}
 	d.MaybeScanArgs(s.t, "version", &m.Word.Version)
 	s.give(&PeerLimit{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
 }
 
-// describeLimit tells of a message on a target's limit.
+// describeLimit describes a message about a target's limit.
 func describeLimit(m *LimitMessage) string {
-	words := []string{limitWords[m.Kind], string(m.Target)}
+	words := []string{limitKindNames[m.Kind], string(m.Target)}
 	if m.Nonce != 0 {
 		words = append(words, fmt.Sprintf("nonce %d", m.Nonce))
 	}
@@ -75,7 +75,7 @@
 	return strings.Join(append(words, fmt.Sprintf("version %d", m.Word.Version)), ", ")
 }
 
-// describeNotice tells of what a target wants as the shell is told.
+// describeNotice describes the notice of a target that the shell receives.
 func (s *script) describeNotice(x Effect) string {
 	words := []string{"keep calls from", string(x.Endpoint.Target)}
 	if left := x.Notice.RestUntil.Sub(s.now); x.Notice.RestUntil > 0 && left > 0 {
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -16,10 +16,10 @@
 	targets []*target
 	// whenFull and whenCold are how much longer calls took at targets that were nearly full,
 	// or cold.
-	whenFull learntSlowdown
-	whenCold learntSlowdown
+	whenFull slowdownEstimate
+	whenCold slowdownEstimate
 	// silence is what is known of calls that were never answered.
-	silence silence
+	silence unansweredStats
 	// off are the mechanisms that aren't used.
 	off mechanismSet
 	// domain is the box's own failure domain.
@@ -101,21 +101,21 @@
 	targets := make([]*target, 0, entry.Rows.Len())
 	for row := range entry.Rows.All() {
 		t := known[row.Target]
-		if t == nil || t.row.Address != row.Address || t.startedAgain(*row) {
+		if t == nil || t.row.Address != row.Address || t.isRestartedIn(*row) {
 			t = newTarget(s, *row)
 			if !isNew {
 				// A target that joins a running service may be cold.
-				t.health.rampFrom = now
+				t.health.rampStart = now
 			}
 		}
 		t.update(*row)
 		targets = append(targets, t)
 	}
 	for _, t := range s.targets {
-		t.gone = true
+		t.removed = true
 	}
 	for _, t := range targets {
-		t.gone = false
+		t.removed = false
 	}
 	s.targets = targets
 }
@@ -128,12 +128,12 @@
 	active, ejected, limited := 0, 0, 0
 	for _, t := range s.targets {
 		t.weight = t.effectiveWeight(now)
-		if t.notice.limited() {
+		if t.notice.isLimited() {
 			limited++
 		}
 		sum += t.weight
 		s.sums = append(s.sums, sum)
-		if !t.isActive() {
+		if !t.isEligible() {
 			continue
 		}
 		active++
@@ -174,7 +174,7 @@
 		return 0
 	}
 	waves := float64(s.held.length+1) / float64(capacity)
-	return time.Duration(waves * float64(s.latency.steadyMean()))
+	return time.Duration(waves * float64(s.latency.longTermMean()))
 }
 
 // candidates is a service's targets as a policy sees them.
@@ -195,7 +195,7 @@
 func (c *candidates) At(i int) *target             { return c.service.targets[i] }
 func (c *candidates) Sample(random *rand.Rand) int { return sampleByWeight(c.service.sums, random) }
 func (c *candidates) InFlight(i int) int           { return c.service.targets[i].inFlight }
-func (c *candidates) Reported(i int) float64       { return c.service.targets[i].reading.InFlight }
+func (c *candidates) Reported(i int) float64       { return c.service.targets[i].report.InFlight }
 
 func (c *candidates) Cost(i int) float64 {
 	return c.service.targets[i].cost(c.now, c.call.route)
@@ -203,17 +203,17 @@
 
 func (c *candidates) Available(i int) bool {
 	t := c.service.targets[i]
-	return t.side == c.side && t.takesWork(c.now, c.anyHealth) && !c.excluded(t)
+	return t.side == c.side && t.isAvailable(c.now, c.anyHealth) && !c.excluded(t)
 }
 
 // onlyInDoubt tells whether a target would be available if a probe showed it warm.
 func (c *candidates) onlyInDoubt(i int) bool {
 	t := c.service.targets[i]
-	return t.side == c.side && t.inDoubt(c.now) && !t.lacksPermit(c.now) && t.takesWhenWarm(c.now, c.anyHealth) && !c.excluded(t)
+	return t.side == c.side && t.isPossiblyCold(c.now) && !t.lacksPermit(c.now) && t.isAvailableWhenWarm(c.now, c.anyHealth) && !c.excluded(t)
 }
 
 // excluded tells whether the call itself rules a target out. A call that is under way isn't sent to a
 // target that names a limit as well: the permit serves another call better.
 func (c *candidates) excluded(t *target) bool {
-	return !c.call.mayUse(t) || c.fresh && c.call.tried(t) || c.call.uses(t) || t.notice.limited() && c.call.underWay() > 0
+	return !c.call.mayUse(t) || c.fresh && c.call.tried(t) || c.call.uses(t) || t.notice.isLimited() && c.call.underWay() > 0
 }
