--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -9,22 +9,22 @@
 // send starts an attempt of a call at a target.
 func (r *Router) send(id CallID, c *call, t *target, why Purpose, e *Effects) {
 	hedge := why == HedgeSend
-	evidence := r.evidenceOf(t)
-	a := c.freePlace()
+	evidence := r.evidenceFor(t)
+	a := c.freeAttempt()
 	c.sends++
-	c.arrivals++
-	c.past[c.tries%maxAttempts] = t
-	c.tries++
+	c.possibleArrivals++
+	c.triedTargets[c.sendsSinceHeld%maxSendsSinceHeld] = t
+	c.sendsSinceHeld++
 	// What the new version fails goes to the old one.
-	c.onTrial = false
+	c.onNewVersion = false
 	*a = attempt{
-		number: c.sends, target: t, sent: r.now, hedge: hedge, typical: c.route.knownTypicalTime(),
-		atPace: t.report.Pace > 0 && t.expectedPace(r.now) < goodPace,
-		full:   t.load(r.now)+1 >= nearlyFullUtilization*t.slots(),
-		cold:   t.isCold(r.now),
-		ahead:  t.load(r.now), patience: c.answerTimeout(t, r.now), longPatience: c.overtakenTimeout(t, r.now),
+		number: c.sends, target: t, sent: r.now, hedge: hedge, typicalTime: c.route.knownTypicalTime(),
+		atUsualPace: t.report.Pace > 0 && t.expectedPace(r.now) < maxGoodPace,
+		nearlyFull:  t.load(r.now)+1 >= nearlyFullUtilization*t.slots(),
+		cold:        t.isCold(r.now),
+		callsAhead:  t.load(r.now), answerTimeout: c.answerTimeout(t, r.now), overtakenTimeout: c.overtakenTimeout(t, r.now),
 	}
-	a.permit = r.usePermit(t)
+	a.permitUntil = r.usePermit(t)
 	a.limitVersion = t.limitWord().Version
 	if !t.hasOwnFreeSlot() {
 		a.loan = t.freeLoan(r.now)
@@ -44,20 +44,20 @@
 	e.add(Effect{
 		Kind: Send, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint,
 		Deadline: c.deadline, NotAfter: r.notAfterOf(t), Connections: t.maxConnections, Once: c.route.work == table.Once,
-		PermitUntil: a.permit, Purpose: why, Evidence: evidence, Aim: c.route.aim, LargeAnswer: c.route.largeAnswers,
+		PermitUntil: a.permitUntil, Purpose: why, Evidence: evidence, Aim: c.route.aim, LargeAnswer: c.route.largeAnswers,
 		Workspace: c.workspaceName(),
 	})
-	hedged := !hedge && r.hedges(c)
+	hedged := !hedge && r.isHedged(c)
 	if hedged {
 		r.timers.Push(timer{at: r.now.Add(c.hedgeDelay()), call: id, kind: hedgeTimer})
 	}
-	if !hedged || a.patience < c.hedgeDelay() {
+	if !hedged || a.answerTimeout < c.hedgeDelay() {
 		r.scheduleOverdueCheck(id, c, a)
 	}
 }
 
-// evidenceOf is what is known of a target now.
-func (r *Router) evidenceOf(t *target) Evidence {
+// evidenceFor is what is known of a target now.
+func (r *Router) evidenceFor(t *target) Evidence {
 	x := Evidence{
 		Load: t.load(r.now), Pace: t.expectedPace(r.now), Slowdown: t.currentSlowdown(r.now), ReadingAge: -1,
 		Revision: r.table.Revision,
@@ -81,9 +81,9 @@
 	r.freed = append(r.freed, t.service)
 }
 
-// cancelTime is how long a target may take to learn that a call was canceled;
+// cancelDelay is how long a target may take to learn that a call was canceled;
 // until then the call still counts against the target's limit.
-const cancelTime = 10 * time.Millisecond
+const cancelDelay = 10 * time.Millisecond
 
 // cancel ends an attempt whose answer nobody wants any more.
 func (r *Router) cancel(id CallID, c *call, a *attempt, e *Effects) {
@@ -91,27 +91,27 @@
 	e.add(Effect{Kind: Cancel, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint})
 	if t.inFlightShare.value < unlimited && a.loan == nil {
 		t.cancelingSlots++
-		r.timers.Push(timer{at: r.now.Add(cancelTime), kind: coolTimer, target: t})
+		r.timers.Push(timer{at: r.now.Add(cancelDelay), kind: canceledSlotTimer, target: t})
 	}
 	if a.loan != nil {
-		a.loan.coolUntil = r.now.Add(cancelTime)
+		a.loan.coolUntil = r.now.Add(cancelDelay)
 	}
 	r.release(c, a, e)
 }
 
-// attemptOf returns a call and its attempt, nil where it is over.
-func (r *Router) attemptOf(id CallID, n AttemptNumber) (*call, *attempt) {
+// findAttempt returns a call and its attempt, nil where it is over.
+func (r *Router) findAttempt(id CallID, n AttemptNumber) (*call, *attempt) {
 	c := r.calls.Get(id)
 	if c == nil {
 		return nil, nil
 	}
-	return c, c.find(n)
+	return c, c.findAttempt(n)
 }
 
 // attemptStarted passes on an answer whose first bytes have come, and ends the call's other attempts.
 func (r *Router) attemptStarted(v *AttemptStarted, e *Effects) {
-	c, a := r.attemptOf(v.Call, v.Attempt)
-	r.handleNotice(v.Endpoint, v.Reading, false, a.limitBase(), e)
+	c, a := r.findAttempt(v.Call, v.Attempt)
+	r.handleNotice(v.Endpoint, v.Reading, false, a.limitVersionAtSend(), e)
 	if a == nil || c.streaming {
 		return
 	}
@@ -129,10 +129,10 @@
 // endProbing ends a call's probing for a second send, which an answer that passes through
 // makes needless. Sent all the same, it would count at its target for ever.
 func (c *call) endProbing() {
-	if !c.probeRound.open {
+	if !c.probeRound.active {
 		return
 	}
-	c.probeRound.open = false
+	c.probeRound.active = false
 	if c.probeRound.purpose == HedgeSend {
 		c.service.hedges.refund()
 	}
@@ -155,8 +155,8 @@
 
 // attemptEnded learns from how an attempt ended, then delivers its answer or goes on with the call.
 func (r *Router) attemptEnded(v *AttemptEnded, e *Effects) {
-	c, a := r.attemptOf(v.Call, v.Attempt)
-	r.handleNotice(v.Endpoint, v.Reading, v.Result == Misdirected, a.limitBase(), e)
+	c, a := r.findAttempt(v.Call, v.Attempt)
+	r.handleNotice(v.Endpoint, v.Reading, v.Result == Misdirected, a.limitVersionAtSend(), e)
 	if a == nil {
 		return
 	}
@@ -165,20 +165,20 @@
 	if v.Result == Answered {
 		c.route.recordShortAnswer(a)
 	}
-	if a.atPace && v.Result == Answered {
+	if a.atUsualPace && v.Result == Answered {
 		t.recordAnswerTime(r.now, c.route, took, a)
 	}
 	if v.Result == Answered {
 		r.recordNoLimit(a, v.Reading.Limit, e)
 	}
 	if v.Result == NotSent || v.Result == Withheld {
-		r.unusePermit(t, a.permit, e)
+		r.unusePermit(t, a.permitUntil, e)
 	}
 	wasEjected := t.health.ejected
 	if v.Result == Broken && r.recordIfUnanswered(c, a, e) {
 		t.lastObservedAt = r.now
 	} else {
-		r.learn(t, v, took, e)
+		r.updateTarget(t, v, took, e)
 	}
 	r.recordResult(c, t, v.Result, took, t.health.ejected && !wasEjected, e)
 	switch {
@@ -204,20 +204,20 @@
 		r.deliver(v, c, t, e)
 	case Failed:
 		c.mayHaveRun = true
-		r.failedAnswer(v, c, t, e)
+		r.handleFailedAnswer(v, c, t, e)
 	case Shed, Misdirected:
 		r.resend(v.Call, c, TargetShed, e)
 	case NotSent, Withheld:
-		c.arrivals--
-		r.resend(v.Call, c, RetriesSpent, e)
+		c.possibleArrivals--
+		r.resend(v.Call, c, NoTargetReached, e)
 	case Broken, Canceled:
 		c.mayHaveRun = true
-		r.brokenAnswer(v.Call, c, e)
+		r.handleBrokenAttempt(v.Call, c, e)
 	}
 }
 
-// learn takes what an attempt's end says about its target.
-func (r *Router) learn(t *target, v *AttemptEnded, took time.Duration, e *Effects) {
+// updateTarget takes what an attempt's end says about its target.
+func (r *Router) updateTarget(t *target, v *AttemptEnded, took time.Duration, e *Effects) {
 	if v.Result == Withheld {
 		return
 	}
@@ -232,7 +232,7 @@
 		t.recordReachability(r.now, true)
 		t.answers++
 		t.updateFailureRate(r.now, 0)
-		t.service.noteReport(v.Reading)
+		t.service.recordReport(v.Reading)
 		t.latency.add(took)
 		t.service.latency.add(took)
 		t.growWindow()
@@ -250,7 +250,7 @@
 		turned = t.health.recordMisdirected(r.now)
 	case Shed:
 		t.sheds++
-		if t.row.Registered && r.on(FailingTargets) && t.hasReportedFreeSlot(r.now) {
+		if t.row.Registered && r.enabled(FailingTargets) && t.hasReportedFreeSlot(r.now) {
 			// It isn't full, so that leaving it alone for longer than it asks for would help nobody.
 			t.updateFailureRate(r.now, 1)
 			break
@@ -260,12 +260,12 @@
 		t.backoffUntil = max(t.backoffUntil, r.now.Add(t.latency.mean()/2))
 	}
 	if turned {
-		r.healthTurned(t, e)
+		r.healthChanged(t, e)
 	}
 }
 
-// healthTurned does what follows when a target was ejected or has come back.
-func (r *Router) healthTurned(t *target, e *Effects) {
+// healthChanged does what follows when a target was ejected or has come back.
+func (r *Router) healthChanged(t *target, e *Effects) {
 	t.service.weigh(r.now)
 	r.sweepBy(t.service, r.now)
 	e.add(Effect{Kind: TargetTurned, Endpoint: t.endpoint, Ejected: t.health.ejected, Failures: t.health.consecutiveFailures})
@@ -282,18 +282,18 @@
 	r.finish(v.Call, c, e)
 }
 
-// failedAnswer deals with a whole answer that reports a server error: a
+// handleFailedAnswer deals with a whole answer that reports a server error: a
 // repeatable call may be tried elsewhere, any other gets the answer as it is.
-func (r *Router) failedAnswer(v *AttemptEnded, c *call, t *target, e *Effects) {
-	if c.stillTrying() || c.route.work == table.Repeatable && r.retry(v.Call, c, false, e) {
-		r.keep(v, c, t, e)
+func (r *Router) handleFailedAnswer(v *AttemptEnded, c *call, t *target, e *Effects) {
+	if c.hasPendingSend() || c.route.work == table.Repeatable && r.retry(v.Call, c, false, e) {
+		r.keepAnswer(v, c, t, e)
 		return
 	}
 	r.deliver(v, c, t, e)
 }
 
-// keep has a failed answer kept while the call is tried elsewhere; the first one is enough.
-func (r *Router) keep(v *AttemptEnded, c *call, t *target, e *Effects) {
+// keepAnswer has a failed answer kept while the call is tried elsewhere; the first one is enough.
+func (r *Router) keepAnswer(v *AttemptEnded, c *call, t *target, e *Effects) {
 	if c.kept.endpoint != nil {
 		return
 	}
@@ -308,9 +308,9 @@
 	r.finish(id, c, e)
 }
 
-// brokenAnswer deals with a call whose fate at the target isn't known.
-func (r *Router) brokenAnswer(id CallID, c *call, e *Effects) {
-	if c.stillTrying() {
+// handleBrokenAttempt deals with a call whose fate at the target isn't known.
+func (r *Router) handleBrokenAttempt(id CallID, c *call, e *Effects) {
+	if c.hasPendingSend() {
 		return
 	}
 	if c.route.work == table.Repeatable && r.retry(id, c, false, e) {
--- a/pkg/core/routing/early.go
+++ b/pkg/core/routing/early.go
@@ -11,13 +11,13 @@
 // them at the same time.
 
 const (
-	// earlyHold is for how long after its start a box holds calls for its first table; after a loss
+	// firstTableTimeout is for how long after its start a box holds calls for its first table; after a loss
 	// of power of all boxes a leader stands and tables come well within it.
-	earlyHold = 500 * time.Millisecond
-	// maxEarly bounds the calls that are held so.
-	maxEarly = 512
-	// noTableRetry is when the caller of a box without a table may come back.
-	noTableRetry = 250 * time.Millisecond
+	firstTableTimeout = 500 * time.Millisecond
+	// maxEarlyCalls bounds the calls that are held so.
+	maxEarlyCalls = 512
+	// noTableRetryAfter is when the caller of a box without a table may come back.
+	noTableRetryAfter = 250 * time.Millisecond
 )
 
 // earlyCall is a call that came before the first table.
@@ -31,16 +31,16 @@
 
 // holdEarly holds a call for the first table, and tells whether it does.
 func (r *Router) holdEarly(id CallID, c *call, v *CallArrived, e *Effects) bool {
-	until := r.startedAt.Add(earlyHold)
-	if !r.on(EarlyCalls) || r.now >= until || len(r.early) >= maxEarly {
+	until := r.startedAt.Add(firstTableTimeout)
+	if !r.enabled(EarlyCalls) || r.now >= until || len(r.early) >= maxEarlyCalls {
 		return false
 	}
 	if v.Deadline > 0 {
 		until = min(until, r.now.Add(v.Deadline))
 	}
-	c.early = true
+	c.awaitsTable = true
 	r.early = append(r.early, earlyCall{id: id, host: string(v.Host), path: string(v.Path), key: v.Credential.Detached(), deadline: v.Deadline})
-	r.timers.Push(timer{at: until, call: id, kind: earlyTimer})
+	r.timers.Push(timer{at: until, call: id, kind: firstTableTimer})
 	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: until})
 	return true
 }
@@ -55,17 +55,17 @@
 	r.early = nil
 	for _, x := range list {
 		c := r.calls.Get(x.id)
-		if c == nil || !c.early {
+		if c == nil || !c.awaitsTable {
 			continue
 		}
-		c.early = false
+		c.awaitsTable = false
 		r.admit(x.id, c, &CallArrived{Host: []byte(x.host), Path: []byte(x.path), Credential: x.key, Deadline: x.deadline}, e)
 	}
 }
 
 // refuseEarly refuses a call whose table hasn't come in time.
 func (r *Router) refuseEarly(id CallID, c *call, e *Effects) {
-	if c.early {
-		r.refuse(id, c, Refusal{Reason: NoTable, Outcome: NotRun, RetryAfter: noTableRetry}, e)
+	if c.awaitsTable {
+		r.refuse(id, c, Refusal{Reason: NoTable, Outcome: NotRun, RetryAfter: noTableRetryAfter}, e)
 	}
 }
--- a/pkg/core/routing/hedging.go
+++ b/pkg/core/routing/hedging.go
@@ -10,9 +10,9 @@
 // caller less than a hedge costs the targets.
 const minHedgeDelay = 2 * time.Millisecond
 
-// hedges tells whether calls like this one are sent a second time when they are late.
-func (r *Router) hedges(c *call) bool {
-	return c.route.work == table.Repeatable && r.on(Hedging) && c.service.row.HedgeBudget > 0 && c.route.maxAttempts > 1
+// isHedged tells whether calls like this one are sent a second time when they are late.
+func (r *Router) isHedged(c *call) bool {
+	return c.route.work == table.Repeatable && r.enabled(Hedging) && c.service.row.HedgeBudget > 0 && c.route.maxAttempts > 1
 }
 
 // hedgeDelay is how long a call may go unanswered before it is worth a second send:
@@ -38,30 +38,30 @@
 		r.scheduleOverdueCheck(id, c, &c.attempts[i])
 	}
 	if c.mayHedge() && !r.tryHedge(id, c, e) {
-		r.hedgeLater(id, c)
+		r.scheduleHedge(id, c)
 	}
 }
 
 // mayHedge tells whether the call waits for one answer and may be sent once more.
 func (c *call) mayHedge() bool {
-	return !c.held && !c.streaming && !c.probeRound.open && c.underWay() == 1 && !c.spentAttempts()
+	return !c.held && !c.streaming && !c.probeRound.active && c.inFlight() == 1 && !c.attemptsExhausted()
 }
 
 // tryHedge hedges a call now if it can be.
 func (r *Router) tryHedge(id CallID, c *call, e *Effects) bool {
 	s := c.service
-	if r.standsBehind(s, c) || !r.leased() || !r.mayRepeat(c) {
+	if r.isBehindHeld(s, c) || !r.leased() || !r.mayRepeat(c) {
 		return false
 	}
 	t := r.choose(s, c)
 	if t == nil || !s.hedges.spend() {
 		return false
 	}
-	r.place(id, c, t, HedgeSend, e)
+	r.sendOrProbe(id, c, t, HedgeSend, e)
 	return true
 }
 
-// hedgeLater has a call that couldn't be hedged now looked at again.
-func (r *Router) hedgeLater(id CallID, c *call) {
+// scheduleHedge has a call that couldn't be hedged now looked at again.
+func (r *Router) scheduleHedge(id CallID, c *call) {
 	r.timers.Push(timer{at: r.now.Add(c.hedgeDelay()), call: id, kind: hedgeTimer})
 }
--- a/pkg/core/routing/inbound.go
+++ b/pkg/core/routing/inbound.go
@@ -96,43 +96,43 @@
 // recordAnswerStart records that an answer starts being streamed to the caller; coming is how many
 // bytes follow. If that is negative, thus unknown, the route's expected size is used.
 func (r *Router) recordAnswerStart(c *call, a *attempt, coming int) {
-	a.answered = r.timeAtTarget(c, a)
-	a.begun = true
+	a.timeToAnswer = r.timeAtTarget(c, a)
+	a.answerStarted = true
 	r.clearExpected(a)
 	if coming < 0 {
-		a.takes = r.inbound.start(r.now, c.route.size)
+		a.linkTime = r.inbound.start(r.now, c.route.size)
 		return
 	}
 	bytes := min(float64(coming), r.inbound.bytesPerSecond*maxOccupancy.Seconds())
 	c.route.updateSize(bytes)
-	a.takes = r.inbound.start(r.now, bytes)
+	a.linkTime = r.inbound.start(r.now, bytes)
 }
 
 // expectInbound adds the expected size of the answer to an attempt that is being sent.
 func (r *Router) expectInbound(x *route, a *attempt) {
-	a.busyAt = r.inbound.busyTime(r.now)
+	a.linkBusyAtSend = r.inbound.busyTime(r.now)
 	if x.largeAnswers {
-		a.expected = x.size
-		r.expected += a.expected
+		a.expectedBytes = x.size
+		r.expected += a.expectedBytes
 	}
 }
 
 // releaseInbound removes an attempt's expected and pending transfers.
 func (r *Router) releaseInbound(a *attempt) {
 	r.clearExpected(a)
-	r.inbound.finish(r.now, a.takes)
-	a.takes = 0
+	r.inbound.finish(r.now, a.linkTime)
+	a.linkTime = 0
 }
 
 // clearExpected removes the expected size of an attempt's answer, which has started or won't come.
 func (r *Router) clearExpected(a *attempt) {
-	r.expected -= a.expected
-	a.expected = 0
+	r.expected -= a.expectedBytes
+	a.expectedBytes = 0
 }
 
 // recordShortAnswer records that a route with large answers returned one that was complete at once.
 func (x *route) recordShortAnswer(a *attempt) {
-	if x.largeAnswers && !a.begun {
+	if x.largeAnswers && !a.answerStarted {
 		x.updateSize(0)
 	}
 }
@@ -140,18 +140,18 @@
 // linkBusySince returns for how long large answers have occupied the link since the attempt was
 // sent, so that its own answer may have been delayed. It is zero if the mechanism is off.
 func (r *Router) linkBusySince(a *attempt) time.Duration {
-	if !r.on(SharedLink) {
+	if !r.enabled(SharedLink) {
 		return 0
 	}
-	return r.inbound.busyTime(r.now) - a.busyAt
+	return r.inbound.busyTime(r.now) - a.linkBusyAtSend
 }
 
 // timeAtTarget returns the part of an attempt's time that is attributed to its target. Time beyond
 // the route's typical time is left out as far as other answers occupied the link, and so is the
 // time for streaming the answer.
 func (r *Router) timeAtTarget(c *call, a *attempt) time.Duration {
-	if a.begun {
-		return a.answered
+	if a.answerStarted {
+		return a.timeToAnswer
 	}
 	took := r.now.Sub(a.sent)
 	hidden := r.linkBusySince(a)
@@ -164,7 +164,7 @@
 // isInconclusive reports whether an attempt that wasn't answered in time is no evidence about its
 // target: its answer is being streamed or may be waiting behind other answers.
 func (r *Router) isInconclusive(a *attempt) bool {
-	return a.begun || float64(r.linkBusySince(a)) > inconclusiveFraction*float64(r.now.Sub(a.sent))
+	return a.answerStarted || float64(r.linkBusySince(a)) > inconclusiveFraction*float64(r.now.Sub(a.sent))
 }
 
 // mayGoUnprobed reports whether a call should be sent to a target based on existing data, since the
@@ -177,7 +177,7 @@
 // linkDelaysProbes reports whether large answers delay the answers to probes for too long, at a
 // service that isn't busy.
 func (r *Router) linkDelaysProbes(c *call) bool {
-	return r.on(SharedLink) && r.inbound.remaining(r.now) > probeLimit && !c.service.isBusy(r.now)
+	return r.enabled(SharedLink) && r.inbound.remaining(r.now) > probeTimeout && !c.service.isBusy(r.now)
 }
 
 // sendUnprobed sends a call whose probes are delayed by large answers to the best target according
@@ -190,7 +190,7 @@
 	if t == nil || !r.mayGoUnprobed(c, t) {
 		return false
 	}
-	c.probeRound.open = false
+	c.probeRound.active = false
 	r.send(id, c, t, c.probeRound.purpose, e)
 	return true
 }
@@ -199,21 +199,21 @@
 // that it was admitted under is gone.
 func (r *Router) resumeAfterLinkWait(id CallID, c *call, e *Effects) {
 	if !r.leased() {
-		r.refuse(id, c, Refusal{Reason: NoLease, Outcome: NotRun, RetryAfter: noLeaseRetry}, e)
+		r.refuse(id, c, Refusal{Reason: NoLease, Outcome: NotRun, RetryAfter: noLeaseRetryAfter}, e)
 		return
 	}
 	if r.services[c.service.row.Name] != c.service {
 		r.refuse(id, c, Refusal{Reason: NoService, Outcome: NotRun}, e)
 		return
 	}
-	r.start(id, c, e)
+	r.dispatch(id, c, e)
 }
 
 // waitForLink delays a call with a large answer while too many of them are being received, and
 // reports whether it does. A call without an eligible target isn't delayed, so that it is refused
 // at once.
 func (r *Router) waitForLink(id CallID, c *call, e *Effects) bool {
-	if !c.route.largeAnswers || !r.on(SharedLink) || c.route.aim == 0 || !c.service.hasActiveTarget(c) {
+	if !c.route.largeAnswers || !r.enabled(SharedLink) || c.route.aim == 0 || !c.service.hasActiveTarget(c) {
 		return false
 	}
 	coming := r.inbound.remaining(r.now) + r.inbound.transferTime(r.expected)
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// probeAfter is how long an ejected target must have been silent to be worth
+	// minSilenceBeforeProbe is how long an ejected target must have been silent to be worth
 	// a probe.
-	probeAfter = 200 * time.Millisecond
+	minSilenceBeforeProbe = 200 * time.Millisecond
 	// defaultSlots stands in for the capacity of a target without a limit.
 	defaultSlots = 3
 	// probeBurst is how many probes a box may save up.
@@ -30,7 +30,7 @@
 // probeIfDue probes a target that is out of the common path. Calls are the
 // first measurement; a target that has them needs no probe.
 func (r *Router) probeIfDue(s *service, t *target, e *Effects) {
-	if !t.needsHealthProbe(r.now) || t.evacuated || t.side > onTrial || t.healthProbeInFlight || r.now.Sub(t.lastObservedAt) < probeAfter || !r.leased() {
+	if !t.needsHealthProbe(r.now) || t.evacuated || t.side > onTrial || t.healthProbeInFlight || r.now.Sub(t.lastObservedAt) < minSilenceBeforeProbe || !r.leased() {
 		return
 	}
 	if t.lacksPermit(r.now) {
@@ -48,7 +48,7 @@
 }
 
 func (r *Router) probeEnded(v *ProbeEnded, e *Effects) {
-	r.handleNotice(v.Target, v.Reading, v.Misdirected, noBase, e)
+	r.handleNotice(v.Target, v.Reading, v.Misdirected, unknownLimitVersion, e)
 	t := r.findTarget(v.Target)
 	if t != nil && v.Refused {
 		r.noteConnectionRefused(t, e)
@@ -58,7 +58,7 @@
 		return
 	}
 	if v.Call != 0 {
-		r.learnFromProbe(t, v, e)
+		r.updateFromProbe(t, v, e)
 		r.probeAnswered(v, t, e)
 		return
 	}
@@ -77,14 +77,14 @@
 		return
 	}
 	if t.health.recordSuccess(r.now) {
-		r.healthTurned(t, e)
+		r.healthChanged(t, e)
 		r.freed = append(r.freed, t.service)
 	}
 }
 
-// learnFromProbe takes the answer to a call's probe. What a target reports of its health
+// updateFromProbe takes the answer to a call's probe. What a target reports of its health
 // counts for no more than a reading: the results of calls are better evidence.
-func (r *Router) learnFromProbe(t *target, v *ProbeEnded, e *Effects) {
+func (r *Router) updateFromProbe(t *target, v *ProbeEnded, e *Effects) {
 	if t == nil {
 		return
 	}
@@ -92,35 +92,35 @@
 	t.recordReport(r.now, v.Reading)
 	t.markMissing(r.now, v.Reading, t.lastProbedAt)
 	if v.Healthy {
-		t.service.noteReport(v.Reading)
+		t.service.recordReport(v.Reading)
 		r.updateColdState(t, v.Reading.Cold)
 	}
 	if v.Healthy || v.Unreachable {
 		t.recordReachability(r.now, v.Healthy)
 	}
 	if v.Unreachable && t.health.recordUnreachable(r.now) {
-		r.healthTurned(t, e)
+		r.healthChanged(t, e)
 	}
 	if v.Misdirected && t.health.recordMisdirected(r.now) {
-		r.healthTurned(t, e)
+		r.healthChanged(t, e)
 	}
 }
 
-// probeBound is after what time an unanswered probe counts as lost, so that the target may
+// probeLostAfter is after what time an unanswered probe counts as lost, so that the target may
 // be probed again: a probe behind a large answer, or one whose packet was lost and sent
 // again, is answered within some 0.3 s.
-const probeBound = 500 * time.Millisecond
+const probeLostAfter = 500 * time.Millisecond
 
-// awaitsProbe tells whether a probe of this box is on its way to the target. Another one
+// hasProbeInFlight tells whether a probe of this box is on its way to the target. Another one
 // would wait behind it, and cost the target as much as the first.
-func (t *target) awaitsProbe(now units.Instant) bool {
-	return t.probesInFlight > 0 && now.Sub(t.lastProbedAt) < probeBound
+func (t *target) hasProbeInFlight(now units.Instant) bool {
+	return t.probesInFlight > 0 && now.Sub(t.lastProbedAt) < probeLostAfter
 }
 
-// shareAnswer lets the calls that wait use an answer that the call which asked no longer
+// shareProbeAnswer lets the calls that wait use an answer that the call which asked no longer
 // waits for.
-func (r *Router) shareAnswer(t *target) {
-	if t != nil && len(t.service.waiting) > 0 && t.isFresh(r.now) && r.suits(nil, t) {
+func (r *Router) shareProbeAnswer(t *target) {
+	if t != nil && len(t.service.waiting) > 0 && t.hasFreshReading(r.now) && r.isSuitableByReading(nil, t) {
 		r.freed = append(r.freed, t.service)
 	}
 }
--- a/pkg/core/routing/retrying.go
+++ b/pkg/core/routing/retrying.go
@@ -9,24 +9,24 @@
 // retry sends a call again to another target, if the budget allows it. A retry is free
 // when nothing of the call can have arrived anywhere.
 func (r *Router) retry(id CallID, c *call, free bool, e *Effects) bool {
-	if !r.on(Retrying) || c.spentAttempts() || !r.leased() || r.standsBehind(c.service, c) || !r.mayRepeat(c) {
+	if !r.enabled(Retrying) || c.attemptsExhausted() || !r.leased() || r.isBehindHeld(c.service, c) || !r.mayRepeat(c) {
 		return false
 	}
 	t := r.choose(c.service, c)
 	if t == nil || !free && !c.service.spendRetry() {
 		return false
 	}
-	r.place(id, c, t, RetrySend, e)
+	r.sendOrProbe(id, c, t, RetrySend, e)
 	return true
 }
 
 // resend deals with an attempt that the target certainly didn't run. Any kind
 // of work may be sent again then.
 func (r *Router) resend(id CallID, c *call, reason Reason, e *Effects) {
-	if c.stillTrying() {
+	if c.hasPendingSend() {
 		return
 	}
-	if r.retry(id, c, reason == RetriesSpent, e) {
+	if r.retry(id, c, reason == NoTargetReached, e) {
 		return
 	}
 	if c.route.work == table.Patient && r.holdAgain(id, c, e) {
@@ -35,14 +35,14 @@
 	r.refuse(id, c, Refusal{Reason: reason, Outcome: c.outcome(), RetryAfter: r.resendRetryAfter(c.service, reason)}, e)
 }
 
-// shedRetry is when the caller of a call that targets with room shed may come back: the next
+// shedRetryAfter is when the caller of a call that targets with room shed may come back: the next
 // target may take it, and waiting would only make the answer late.
-const shedRetry = 5 * time.Millisecond
+const shedRetryAfter = 5 * time.Millisecond
 
 // resendRetryAfter is when the caller of a call that no target took may come back.
 func (r *Router) resendRetryAfter(s *service, reason Reason) time.Duration {
 	if reason == TargetShed && !s.isCrowded(r.now) && s.held.length == 0 {
-		return shedRetry
+		return shedRetryAfter
 	}
 	return s.retryAfter(r.now)
 }
@@ -56,7 +56,7 @@
 		return false
 	}
 	c.held = true
-	c.tries = 0
+	c.sendsSinceHeld = 0
 	s.held.pushFront(id)
 	r.sweepBy(s, r.now.Add(sweepPeriod))
 	r.timers.Push(timer{at: until, call: id, kind: holdTimer})
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -9,16 +9,16 @@
 		// A target that names a limit has room for what it permits.
 		return true
 	}
-	return r.suits(c, t) && (t.isFresh(r.now) || !r.requiresKnownFreeSlot(c))
+	return r.isSuitableByReading(c, t) && (t.hasFreshReading(r.now) || !r.requiresKnownFreeSlot(c))
 }
 
-// suits tells whether a target that has just been probed suits a call; nil stands for a call that
+// isSuitableByReading tells whether a target that has just been probed isSuitableByReading a call; nil stands for a call that
 // any target may take.
-func (r *Router) suits(c *call, t *target) bool {
-	if t.expectedPace(r.now) >= goodPace || r.isTooSlow(c, t) {
+func (r *Router) isSuitableByReading(c *call, t *target) bool {
+	if t.expectedPace(r.now) >= maxGoodPace || r.isTooSlow(c, t) {
 		return false
 	}
-	if !r.on(Concurrency) {
+	if !r.enabled(Concurrency) {
 		return t.load(r.now)+1 <= t.slots()
 	}
 	return t.load(r.now)+1 <= t.bestConcurrency()
@@ -29,7 +29,7 @@
 // help nobody.
 func (r *Router) isTooSlow(c *call, t *target) bool {
 	slowdown := t.currentSlowdown(r.now)
-	if !r.on(SlowTargets) || slowdown < slowTargetThreshold {
+	if !r.enabled(SlowTargets) || slowdown < slowTargetThreshold {
 		return false
 	}
 	least := slowdown
@@ -52,7 +52,7 @@
 	return c.mayHaveRun || c.probeRound.rounds == 0 && !c.service.isBusy(r.now)
 }
 
-// isFresh tells whether the target's last reading is as good as a new one.
-func (t *target) isFresh(now units.Instant) bool {
-	return t.report.Known && now.Sub(t.report.receivedAt) <= freshReading
+// hasFreshReading tells whether the target's last reading is as good as a new one.
+func (t *target) hasFreshReading(now units.Instant) bool {
+	return t.report.Known && now.Sub(t.report.receivedAt) <= freshReadingAge
 }
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -228,7 +228,7 @@
 // calls. The excess share keeps to the configured weights among similar targets, the queue term
 // overrides them if a target is slow.
 func (t *target) cost(now units.Instant, x *route) float64 {
-	if t.row.Registered && t.service.unreported < unreportedLimit {
+	if t.row.Registered && t.service.unreported < maxUnreported {
 		return t.expectedTime(now, x)
 	}
 	queue := float64(t.inFlight) + t.report.callsOfOtherBoxes(now, t.inFlight)
--- a/pkg/core/routing/unanswered.go
+++ b/pkg/core/routing/unanswered.go
@@ -121,13 +121,13 @@
 // isUnanswered reports whether the attempt's target serves other calls and won't answer this one.
 func (a *attempt) isUnanswered(now units.Instant) bool {
 	elapsed := now.Sub(a.sent)
-	return a.missing && elapsed >= a.patience || a.overtaken >= minOvertakes && elapsed >= a.longPatience
+	return a.missingFromReport && elapsed >= a.answerTimeout || a.overtakenBy >= minOvertakes && elapsed >= a.overtakenTimeout
 }
 
 // countOvertaken increments the overtaken count of all attempts older than the answered one.
 func (t *target) countOvertaken(answered *attempt) {
 	for a := t.oldestAttempt; a != nil && a != answered; a = a.next {
-		a.overtaken++
+		a.overtakenBy++
 	}
 }
 
@@ -142,7 +142,7 @@
 		missing++
 	}
 	for a := t.oldestAttempt; a != nil && missing > 0; a = a.next {
-		a.missing = a.missing || now.Sub(a.sent) >= a.patience
+		a.missingFromReport = a.missingFromReport || now.Sub(a.sent) >= a.answerTimeout
 		missing--
 	}
 }
@@ -151,7 +151,7 @@
 // target's reports aren't trusted for a while.
 func (t *target) recordAnswer(now units.Instant, a *attempt) {
 	t.countOvertaken(a)
-	if a.missing {
+	if a.missingFromReport {
 		t.service.silence.reportsUntrustedUntil = now.Add(unansweredHalfLife)
 	}
 }
@@ -160,36 +160,36 @@
 // before that is checked only from its hedge on: few calls take that long, and each timer has a
 // cost.
 func (r *Router) scheduleOverdueCheck(id CallID, c *call, a *attempt) {
-	if c.watched || a.target == nil || !r.on(UnansweredCalls) {
+	if c.silenceTimerSet || a.target == nil || !r.enabled(UnansweredCalls) {
 		return
 	}
-	at := max(r.now, a.sent.Add(a.patience))
+	at := max(r.now, a.sent.Add(a.answerTimeout))
 	if at >= c.deadline {
 		return
 	}
-	c.watched = true
+	c.silenceTimerSet = true
 	r.timers.Push(timer{at: at, call: id, kind: silenceTimer})
 }
 
 // checkOverdue checks an overdue call and schedules the next check. If it can't decide whether the
 // target will answer, it sends the target a probe.
 func (r *Router) checkOverdue(id CallID, c *call, e *Effects) {
-	c.watched = false
-	if c.held || c.streaming || c.underWay() == 0 {
+	c.silenceTimerSet = false
+	if c.held || c.streaming || c.inFlight() == 0 {
 		return
 	}
-	c.watched = true
+	c.silenceTimerSet = true
 	r.timers.Push(timer{at: r.now.Add(overdueCheckInterval), call: id, kind: silenceTimer})
 	if r.abandonUnanswered(id, c, e) {
 		return
 	}
 	for i := range c.attempts {
-		if a := &c.attempts[i]; a.target != nil && r.now.Sub(a.sent) >= a.patience {
+		if a := &c.attempts[i]; a.target != nil && r.now.Sub(a.sent) >= a.answerTimeout {
 			r.probeOverdue(id, c, a, e)
 		}
 	}
 	// The hedge may have gone unanswered too.
-	if r.hedges(c) && c.mayHedge() && r.isOverdue(c) {
+	if r.isHedged(c) && c.mayHedge() && r.isOverdue(c) {
 		r.tryHedge(id, c, e)
 	}
 }
@@ -210,11 +210,11 @@
 
 // isOverdue reports whether an attempt of the call is overdue.
 func (r *Router) isOverdue(c *call) bool {
-	if !r.on(UnansweredCalls) {
+	if !r.enabled(UnansweredCalls) {
 		return false
 	}
 	for i := range c.attempts {
-		if a := &c.attempts[i]; a.target != nil && r.now.Sub(a.sent) >= a.patience {
+		if a := &c.attempts[i]; a.target != nil && r.now.Sub(a.sent) >= a.answerTimeout {
 			return true
 		}
 	}
@@ -224,7 +224,7 @@
 // probeOverdue probes the target of an overdue call to find out whether it still serves others.
 func (r *Router) probeOverdue(id CallID, c *call, a *attempt, e *Effects) {
 	t := a.target
-	if t.removed || !c.mayUse(t) || t.notice.forbidsSending(r.now) || !c.service.probesTargets() || t.awaitsProbe(r.now) || t.lacksPermit(r.now) || !r.spendProbes(c.service, 1) {
+	if t.removed || !c.mayUse(t) || t.notice.forbidsSending(r.now) || !c.service.probesTargets() || t.hasProbeInFlight(r.now) || t.lacksPermit(r.now) || !r.spendProbeBudget(c.service, 1) {
 		return
 	}
 	r.probe(id, c, t, overdueProbe, e)
@@ -238,10 +238,10 @@
 // it is and is checked again later, since the retry budget grows with each call.
 func (r *Router) abandon(id CallID, c *call, a *attempt, e *Effects) {
 	r.recordUnanswered(c, a, e)
-	if c.route.work != table.Repeatable || c.probeRound.open {
+	if c.route.work != table.Repeatable || c.probeRound.active {
 		return
 	}
-	if c.underWay() > 1 {
+	if c.inFlight() > 1 {
 		r.cancel(id, c, a, e)
 		return
 	}
@@ -251,7 +251,7 @@
 // recordIfUnanswered reports whether an attempt that ended without an answer is classified as
 // unanswered, and counts it if so.
 func (r *Router) recordIfUnanswered(c *call, a *attempt, e *Effects) bool {
-	if !r.on(UnansweredCalls) || r.isInconclusive(a) || !a.isUnanswered(r.now) {
+	if !r.enabled(UnansweredCalls) || r.isInconclusive(a) || !a.isUnanswered(r.now) {
 		return false
 	}
 	r.recordUnanswered(c, a, e)
@@ -260,10 +260,10 @@
 
 // recordUnanswered counts an unanswered attempt once and treats its target as full.
 func (r *Router) recordUnanswered(c *call, a *attempt, e *Effects) {
-	if a.counted {
+	if a.countedUnanswered {
 		return
 	}
-	a.counted = true
+	a.countedUnanswered = true
 	c.mayHaveRun = true
 	t := a.target
 	t.unansweredCalls++
@@ -273,14 +273,14 @@
 	t.window = min(t.window, max(minWindow, float64(t.inFlight))+1)
 	t.backoffUntil = max(t.backoffUntil, r.now.Add(t.latency.mean()/2))
 	n := 0.0
-	if a.ahead+1 > t.knownSlots() {
-		n = max(minHangLoad, a.ahead+1)
+	if a.callsAhead+1 > t.knownSlots() {
+		n = max(minHangLoad, a.callsAhead+1)
 	}
 	if t.service.silence.record(r.now, n) {
 		e.add(Effect{
 			Kind: ServiceHangs, Endpoint: t.endpoint, Failures: int(t.service.silence.total),
 			Evidence: Evidence{
-				Load: a.ahead, Pace: t.expectedPace(r.now), Slowdown: float64(r.now.Sub(a.sent)) / float64(max(1, a.patience)),
+				Load: a.callsAhead, Pace: t.expectedPace(r.now), Slowdown: float64(r.now.Sub(a.sent)) / float64(max(1, a.answerTimeout)),
 				ReadingAge: -1, Revision: r.table.Revision,
 			},
 		})
@@ -299,5 +299,5 @@
 // requiresKnownFreeSlot reports whether a call may go only to a target that is known to have a free
 // slot: the call can't be sent twice, so it would be lost if it were never answered.
 func (r *Router) requiresKnownFreeSlot(c *call) bool {
-	return r.on(UnansweredCalls) && c.route.work != table.Repeatable && c.service.silence.hangs(r.now)
+	return r.enabled(UnansweredCalls) && c.route.work != table.Repeatable && c.service.silence.hangs(r.now)
 }
