--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -66,7 +66,7 @@
 	}
 	c.service = s
 	s.calls++
-	s.earnExtras()
+	s.earnExtraTokens()
 	c.deadline = c.arrived.Add(c.route.deadlineOf(c.requestedDeadline, r.settings.MaxDeadline))
 	if !s.isBusy(r.now) {
 		c.route.asked.observe(c.requestedDeadline)
@@ -88,7 +88,7 @@
 		if t := r.choose(c.service, c); t != nil {
 			r.sendOrProbe(id, c, t, FirstSend, e)
 			r.timers.Push(timer{at: c.deadline, call: id, kind: deadlineTimer})
-			r.scout(c.service, c, e)
+			r.requestCheckPermit(c.service, c, e)
 			return
 		}
 	}
@@ -141,7 +141,7 @@
 	// The set is kept in the router, since a policy's argument would be garbage.
 	set := &r.candidates
 	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != onTrial, fresh: c.sendsSinceHeld > 0, side: from}
-	if t := set.dueScout(); t != nil {
+	if t := set.limitCheckTarget(); t != nil {
 		return t
 	}
 	i := r.chooseIndex(set)
@@ -169,7 +169,7 @@
 func (r *Router) holdOrRefuse(id CallID, c *call, e *Effects) {
 	s := c.service
 	c.onNewVersion = false
-	r.seekPermits(s, c, neededAsks, e)
+	r.requestPermits(s, c, parallelPermitRequests, e)
 	until := min(c.deadline, r.now.Add(s.row.HoldLimit))
 	if s.allLimited(c) {
 		until = min(until, c.waitDeadline(s))
@@ -184,7 +184,7 @@
 	r.timers.Push(timer{at: until, call: id, kind: holdTimer})
 	r.timers.Push(timer{at: c.deadline, call: id, kind: deadlineTimer})
 	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.deadline})
-	r.askForLoans(s, e)
+	r.requestLoans(s, e)
 }
 
 func (r *Router) reasonNotToHold(s *service, c *call, until units.Instant) Reason {
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -25,7 +25,7 @@
 		callsAhead:  t.load(r.now), answerTimeout: c.answerTimeout(t, r.now), overtakenTimeout: c.overtakenTimeout(t, r.now),
 	}
 	a.permitUntil = r.usePermit(t)
-	a.limitVersion = t.limitWord().Version
+	a.limitVersion = t.limitState().Version
 	if !t.hasOwnFreeSlot() {
 		a.loan = t.freeLoan(r.now)
 		if a.loan != nil {
@@ -74,7 +74,7 @@
 	t.removeAttempt(a)
 	r.releaseInbound(a)
 	if a.loan != nil {
-		r.endLoanUse(a.loan, e)
+		r.releaseLoan(a.loan, e)
 	}
 	a.target = nil
 	a.loan = nil
@@ -94,7 +94,7 @@
 		r.timers.Push(timer{at: r.now.Add(cancelDelay), kind: canceledSlotTimer, target: t})
 	}
 	if a.loan != nil {
-		a.loan.coolUntil = r.now.Add(cancelDelay)
+		a.loan.cooldownUntil = r.now.Add(cancelDelay)
 	}
 	r.release(c, a, e)
 }
@@ -172,7 +172,7 @@
 		r.recordNoLimit(a, v.Reading.Limit, e)
 	}
 	if v.Result == NotSent || v.Result == Withheld {
-		r.unusePermit(t, a.permitUntil, e)
+		r.restorePermit(t, a.permitUntil, e)
 	}
 	wasEjected := t.health.ejected
 	if v.Result == Broken && r.recordIfUnanswered(c, a, e) {
--- a/pkg/core/routing/canary.go
+++ b/pkg/core/routing/canary.go
@@ -93,7 +93,7 @@
 	list []suspicion
 	// set has the calls of list.
 	set    fingerprintSet
-	told   rateLimit
+	told   tokenBucket
 	status CanaryStatus
 }
 
@@ -186,7 +186,7 @@
 	}
 	first := (own-root+n)%n*tellOn + 1
 	last := min(first+tellOn, n)
-	if first >= last || !r.crashes.canaries.told.takeMany(r.now, float64(last-first), tellRate, tellBurst) {
+	if first >= last || !r.crashes.canaries.told.takeN(r.now, float64(last-first), tellRate, tellBurst) {
 		return
 	}
 	for k := first; k < last; k++ {
@@ -287,7 +287,7 @@
 // canaryCoordinator is the box that says whose turn it is: the first by hash of those that stay, so that all ask
 // the same one; this box where there is none.
 func (r *Router) canaryCoordinator(f crash.Fingerprint) units.BoxID {
-	return cmp.Or(firstFor(f.String(), withoutLeaving(r.rank.boxes)), r.settings.Box)
+	return cmp.Or(rendezvousOwner(f.String(), withoutLeaving(r.rank.boxes)), r.settings.Box)
 }
 
 // giveTurn gives the turn away, unless a canary is out.
--- a/pkg/core/routing/closed.go
+++ b/pkg/core/routing/closed.go
@@ -37,7 +37,7 @@
 func (t *target) blockedUntil(now units.Instant) units.Instant {
 	at := max(now, t.notice.restUntil)
 	if t.lacksPermit(now) {
-		at = max(at, t.notice.limit.opensAt(now))
+		at = max(at, t.notice.limit.nextPermitAt(now))
 	}
 	return at
 }
@@ -62,7 +62,7 @@
 
 // allLimited reports whether all targets that a call may use announce limits.
 func (s *service) allLimited(c *call) bool {
-	if s.limited == 0 {
+	if s.limitedTargets == 0 {
 		return false
 	}
 	for _, t := range s.targets {
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -71,7 +71,7 @@
 		}
 		c.probeRound.active = true
 		r.waitForTarget(id, c)
-		r.seekPermits(c.service, c, 1, e)
+		r.requestPermits(c.service, c, 1, e)
 	}
 	if why == FirstSend {
 		e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.deadline})
@@ -133,7 +133,7 @@
 func (r *Router) spendProbeBudget(s *service, n int) bool {
 	rate := r.probeBudgetRate(s)
 	burst := max(minProbeBurst, rate*probeBurstTime.Seconds())
-	return s.probeBudget.takeMany(r.now, float64(n), rate, burst)
+	return s.probeBudget.takeN(r.now, float64(n), rate, burst)
 }
 
 // probeBudgetRate is how many probes a second this box may send to a service's targets.
@@ -238,7 +238,7 @@
 	}
 	if !late || r.isOverdue(c) {
 		r.waitForTarget(id, c)
-		r.seekPermits(c.service, c, 1, e)
+		r.requestPermits(c.service, c, 1, e)
 		return
 	}
 	c.probeRound.active = false
--- a/pkg/core/routing/quotas.go
+++ b/pkg/core/routing/quotas.go
@@ -94,11 +94,11 @@
 // reviewQuotas takes the limits and the list of boxes that are in force.
 func (r *Router) reviewQuotas(e *Effects) {
 	b := &r.quotas
-	if b.document == r.table.Document && b.listed == r.boxLists {
+	if b.document == r.table.Document && b.listed == r.boxListVersion {
 		return
 	}
 	limitsChanged := b.document != r.table.Document
-	b.document, b.listed = r.table.Document, r.boxLists
+	b.document, b.listed = r.table.Document, r.boxListVersion
 	if limitsChanged {
 		r.takeQuotas(e)
 	}
@@ -253,7 +253,7 @@
 			u.waiting = u.waiting[1:]
 			continue
 		}
-		if !u.credits.any(r.now) {
+		if !u.credits.available(r.now) {
 			return
 		}
 		id := u.waiting[0].id
@@ -319,7 +319,7 @@
 			}
 			return lost
 		})
-		u.credits.dropEnded(r.now)
+		u.credits.dropExpired(r.now)
 		r.refuseWaitedOut(u, e)
 		r.askCredits(u, e)
 		if len(u.asks) > 0 {
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -70,16 +70,16 @@
 	routes   routeIndex
 	keys     keyRing
 	rank     boxRank
-	// boxLists numbers the lists of boxes that were put in force; beside are the boxes of the
+	// boxListVersion numbers the lists of boxes that were put in force; beside are the boxes of the
 	// present one that stay, by the failure domain of the targets they are beside.
-	boxLists int
-	beside   map[units.Domain][]table.Box
-	// inDomain counts the boxes of the present list; nil until that is asked for.
-	inDomain scope.Boxes
-	// neverListed is set until a list of boxes names any.
-	neverListed bool
-	// pastBoxes are the lists of boxes before the present one that other boxes may still go by.
-	pastBoxes []pastBoxes
+	boxListVersion int
+	domainBoxes    map[units.Domain][]table.Box
+	// domainBoxCounts counts the boxes of the present list; nil until that is asked for.
+	domainBoxCounts scope.Boxes
+	// noBoxesSeen is set until a list of boxes names any.
+	noBoxesSeen bool
+	// replacedBoxLists are the lists of boxes before the present one that other boxes may still go by.
+	replacedBoxLists []replacedBoxList
 	// moves are the boxes that came and went with the table that is put in force.
 	moves boxMoves
 	// boxesLost is set while a table is put in force that only lacks boxes.
@@ -97,7 +97,7 @@
 	stopsTaking units.Instant
 	calls       *container.Slab[call]
 	timers      *container.Heap[timer]
-	loans       loanBook
+	loans       loanState
 	// outlooks tell how many of each failure domain's targets could be used lately.
 	outlooks map[units.Domain]*domainAvailability
 	// startedAt is when the router began; early are the calls that came before its first
@@ -154,28 +154,28 @@
 		return nil, err
 	}
 	return &Router{
-		settings:    s,
-		random:      rand.New(rand.NewPCG(s.Seed, 1)),
-		policy:      policy,
-		table:       table.NewTable(),
-		services:    map[units.ServiceName]*service{},
-		calls:       container.NewSlab[call](),
-		timers:      container.NewHeap(timerBefore),
-		loans:       newLoanBook(),
-		outlooks:    map[units.Domain]*domainAvailability{},
-		boxLists:    1,
-		neverListed: true,
-		beside:      map[units.Domain][]table.Box{},
-		inbound:     inboundLink{bytesPerSecond: s.LinkRate},
-		distances:   map[units.Domain]*domainDistance{},
-		unknown:     map[units.Domain]bool{},
-		now:         now,
-		startedAt:   now,
-		off:         off,
-		sweepAt:     now,
-		crashes:     newCrashBook(),
-		notices:     noticeMap{},
-		quotas:      newQuotaBook(),
+		settings:       s,
+		random:         rand.New(rand.NewPCG(s.Seed, 1)),
+		policy:         policy,
+		table:          table.NewTable(),
+		services:       map[units.ServiceName]*service{},
+		calls:          container.NewSlab[call](),
+		timers:         container.NewHeap(timerBefore),
+		loans:          newLoanState(),
+		outlooks:       map[units.Domain]*domainAvailability{},
+		boxListVersion: 1,
+		noBoxesSeen:    true,
+		domainBoxes:    map[units.Domain][]table.Box{},
+		inbound:        inboundLink{bytesPerSecond: s.LinkRate},
+		distances:      map[units.Domain]*domainDistance{},
+		unknown:        map[units.Domain]bool{},
+		now:            now,
+		startedAt:      now,
+		off:            off,
+		sweepAt:        now,
+		crashes:        newCrashBook(),
+		notices:        noticeMap{},
+		quotas:         newQuotaBook(),
 	}, nil
 }
 
@@ -221,7 +221,7 @@
 		r.receiveCanary(v.From, &v.Message, e)
 	}
 	r.admitEarly(e)
-	r.settleDeclined(e)
+	r.retryDeclined(e)
 	r.useFreed(e)
 }
 
@@ -236,8 +236,8 @@
 		if s.held.length > 0 {
 			r.serveHeld(s, e)
 		}
-		if len(s.wants.waiting) > 0 {
-			r.lendFreed(s, e)
+		if len(s.loans.pending) > 0 {
+			r.lendFreedSlots(s, e)
 		}
 	}
 }
@@ -259,7 +259,7 @@
 		r.sweepQuotas(e)
 		r.sweepAt = min(r.sweepAt, r.quotas.sweepAt)
 	}
-	if r.loans.any() {
+	if r.loans.active() {
 		r.sweepAt = min(r.sweepAt, r.now.Add(sweepPeriod))
 	}
 }
@@ -290,7 +290,7 @@
 	s.sweepAt = r.now.Add(sweepPeriod)
 	r.serveHeld(s, e)
 	if s.held.length > 0 {
-		r.askForLoans(s, e)
+		r.requestLoans(s, e)
 	}
 }
 
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -34,16 +34,16 @@
 	// recent counts the last sends.
 	recent float64
 	held   heldQueue
-	// burst bounds what each of the budgets saves up, or the one for both where pooled is
+	// extraBurst bounds what each of the budgets saves up, or the one for both where pooled is
 	// set.
-	burst   float64
-	pooled  bool
-	retries budget
-	hedges  budget
-	latency latencyEstimate
-	wants   wantState
+	extraBurst   float64
+	pooledBudget bool
+	retries      budget
+	hedges       budget
+	latency      latencyEstimate
+	loans        serviceLoans
 	// probeBudget is what is left of the budget for probes before sends.
-	probeBudget rateLimit
+	probeBudget tokenBucket
 	// waiting are the calls that wait for a target that suits, the most urgent first and
 	// the oldest of those; calls that have found one stay until they are passed over.
 	waiting []waitingCall
@@ -63,26 +63,26 @@
 	crashes uint64
 	// rests counts the rests that targets asked this box for.
 	rests uint64
-	// limited counts the targets that name limits, since limitedSince.
-	limited      int
-	limitedSince units.Instant
-	// scoutAt is when a call that has other targets may next ask for a permit of a limited one.
-	scoutAt units.Instant
+	// limitedTargets counts the targets that name limits, since limitedSince.
+	limitedTargets int
+	limitedSince   units.Instant
+	// nextLimitCheckAt is when a call that has other targets may next ask for a permit of a limited one.
+	nextLimitCheckAt units.Instant
 	// rollout is the one that is under way, or nil.
 	rollout *rolloutState
 }
 
 func newService(row table.Service) *service {
-	tokens := float64(initialTokens)
+	tokens := float64(initialRetryTokens)
 	if row.ExtraBurst > 0 {
 		// The total over all boxes holds from the start.
 		tokens = 0
 	}
-	return &service{row: row, retries: budget{tokens: tokens}, hedges: budget{tokens: tokens}, wants: wantState{peers: map[units.BoxID]spare{}}}
+	return &service{row: row, retries: budget{tokens: tokens}, hedges: budget{tokens: tokens}, loans: serviceLoans{spareByPeer: map[units.BoxID]spareReport{}}}
 }
 
-// initialTokens let a service retry a few of its first calls.
-const initialTokens = 3
+// initialRetryTokens let a service retry a few of its first calls.
+const initialRetryTokens = 3
 
 func compareServices(a, b *service) int {
 	return strings.Compare(string(a.row.Name), string(b.row.Name))
@@ -143,10 +143,10 @@
 	}
 	s.weight = sum
 	s.mostlyEjected = 2*ejected > active
-	if s.limited == 0 {
+	if s.limitedTargets == 0 {
 		s.limitedSince = now
 	}
-	s.limited = limited
+	s.limitedTargets = limited
 }
 
 // retryAfter is when a refused caller may come back: the time in which the
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -52,8 +52,8 @@
 	// valid if ranked is set.
 	rank                int
 	ranked              bool
-	callBucket          rateLimit
-	probeBucket         rateLimit
+	callBucket          tokenBucket
+	probeBucket         tokenBucket
 	healthProbeInFlight bool
 	lastObservedAt      units.Instant
 
@@ -80,7 +80,7 @@
 	crash     crashWatch
 	// coordination names the box that grants permits for the target while the target announces a
 	// limit.
-	coordination coordination
+	coordination cachedCoordinator
 	// notice holds the rest, departure or limit that the target's current incarnation announced;
 	// nil if none is in force.
 	notice *notice
@@ -178,7 +178,7 @@
 
 func (t *target) freeLoan(now units.Instant) *loan {
 	for _, l := range t.borrowedSlots {
-		if !l.inUse && !l.recalled && now < l.validUntil && now >= l.coolUntil {
+		if !l.inUse && !l.recalled && now < l.validUntil && now >= l.cooldownUntil {
 			return l
 		}
 	}
--- a/pkg/core/routing/targetlimit.go
+++ b/pkg/core/routing/targetlimit.go
@@ -34,7 +34,7 @@
 	// permits are the unused permits held by this box.
 	permits allowances
 	// ask is the request in flight, nextAskAt the earliest useful time for the next one.
-	ask       permitAsk
+	ask       permitRequest
 	nextAskAt units.Instant
 	// account is the token bucket of the limit, kept by the target's coordinator only; nil before
 	// the first request.
@@ -80,13 +80,13 @@
 	}
 	r.setLimit(t.notice, t.endpoint, x.current.Ending(), e)
 	if to, known := r.coordinatorOf(t); known && to != r.settings.Box {
-		r.sendLimit(to, t, LimitMessage{Kind: TellLimit}, e)
+		r.sendLimit(to, t, LimitMessage{Kind: ReportLimitEnd}, e)
 	}
 }
 
 // updateLimitFromPeer applies the state of a target's limit that another box has sent.
 func (r *Router) updateLimitFromPeer(t *target, w limit.Word, e *Effects) {
-	if !w.Replaces(t.limitWord()) || t.notice == nil && !w.Limited {
+	if !w.Replaces(t.limitState()) || t.notice == nil && !w.Limited {
 		return
 	}
 	if t.notice == nil {
@@ -104,7 +104,7 @@
 	x.current, x.changedAt = w, r.now
 	switch {
 	case !w.Limited:
-		x.permits, x.ask, x.nextAskAt, x.account = nil, permitAsk{}, 0, nil
+		x.permits, x.ask, x.nextAskAt, x.account = nil, permitRequest{}, 0, nil
 	case x.account != nil:
 		x.account.SetRate(r.now, w.Rate)
 	}
