--- a/pkg/core/control/apply.go
+++ b/pkg/core/control/apply.go
@@ -9,8 +9,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// absorb carries the log's effects over and applies what was committed.
-func (r *Replica) absorb(log *replication.Effects, e *Effects) {
+// applyLogEffects copies the log's effects to e and applies the entries that it committed.
+func (r *Replica) applyLogEffects(log *replication.Effects, e *Effects) {
 	if log.Restored != nil {
 		r.restore(log.Restored, e)
 	}
@@ -31,13 +31,14 @@
 		return
 	}
 	r.state = state
-	r.past = container.NewRing[*table.Table](maxPast)
+	r.previousTables = container.NewRing[*table.Table](maxPreviousTables)
 	e.TableChanged = true
-	r.answerKnown(e)
+	r.answerRestoredEdits(e)
 }
 
-// applyCommitted applies an entry. What a replica reads again after its start has been
-// logged in an earlier life; hundreds of lines at once would hold up its boxes.
+// applyCommitted applies a committed entry. Entries that are replayed after a start were already
+// logged by an earlier run of this replica, so their changes are not logged again: hundreds of
+// lines at once would delay its boxes.
 func (r *Replica) applyCommitted(entry *wire.Entry, e *Effects) {
 	changes := len(e.Changes)
 	r.apply(entry, e)
@@ -47,8 +48,8 @@
 	}
 }
 
-// noteReplayed ends the time in which the log is read again.
-func (r *Replica) noteReplayed(e *Effects) {
+// finishReplay ends the replay of the log after a start and reports how many entries it read.
+func (r *Replica) finishReplay(e *Effects) {
 	if !r.replaying {
 		return
 	}
@@ -83,19 +84,20 @@
 	case *wire.Command_Quarantine:
 		delta, refused = r.applyQuarantine(wire.ToQuarantineStep(k.Quarantine), units.WallTime(c.At), e)
 	default:
-		delta = r.applyRequest(c, e)
+		delta = r.applyDocumentOrTarget(c, e)
 	}
 	r.answerCommand(c, refused, e)
 	if delta == nil {
 		return
 	}
-	r.noteRollouts(delta, before, e)
-	r.past.Push(before)
+	r.recordRolloutChanges(delta, before, e)
+	r.previousTables.Push(before)
 	e.TableChanged = true
 }
 
-// applyRequest applies a whole table, or what registered targets have said.
-func (r *Replica) applyRequest(c *wire.Command, e *Effects) *table.Delta {
+// applyDocumentOrTarget applies a document, or a change of registered targets: a registration, a
+// departure or silence.
+func (r *Replica) applyDocumentOrTarget(c *wire.Command, e *Effects) *table.Delta {
 	var delta *table.Delta
 	change := Change{}
 	switch k := c.Kind.(type) {
@@ -112,12 +114,12 @@
 	case *wire.Command_Departure:
 		id := units.TargetID(k.Departure.Target)
 		delta = r.state.ApplyDeparture(id, units.WallTime(k.Departure.Born))
-		delete(r.hearing.last, id)
+		delete(r.liveness.lastReport, id)
 		change = Change{Kind: TargetGone, Target: id}
 	case *wire.Command_Silence:
-		r.hearing.proposing = false
+		r.liveness.proposing = false
 		delta = r.state.ApplySilence(targetIDs(k.Silence.Silent), targetIDs(k.Silence.Heard))
-		r.noteSilenceChanges(k.Silence, e)
+		r.recordSilenceChanges(k.Silence, e)
 		return delta
 	}
 	if delta != nil {
@@ -127,8 +129,8 @@
 	return delta
 }
 
-// applyEvacuation carries out an order for a failure domain; the error is the answer to
-// one that changes nothing although something else holds.
+// applyEvacuation applies an order for a failure domain. The error is the answer to an order that
+// changed nothing although the requested state isn't in force.
 func (r *Replica) applyEvacuation(o *table.EvacuationOrder, at units.WallTime, e *Effects) (*table.Delta, error) {
 	outcome, delta := r.state.ApplyEvacuation(o, at)
 	if delta != nil {
@@ -141,7 +143,7 @@
 	return delta, evacuationError(o, outcome)
 }
 
-func (r *Replica) noteSilenceChanges(s *wire.Silence, e *Effects) {
+func (r *Replica) recordSilenceChanges(s *wire.Silence, e *Effects) {
 	revision := r.state.Table().Revision
 	for _, id := range s.Silent {
 		e.Changes = append(e.Changes, Change{Kind: TargetSilent, Target: units.TargetID(id), Revision: revision})
