--- a/pkg/core/control/pushing.go
+++ b/pkg/core/control/pushing.go
@@ -163,7 +163,7 @@
 type boxUpdate struct {
 	from, to *table.Table
 	delta    *table.Delta
-	parts    *table.DeltaParts
+	parts    *table.DeltaDivider
 	messages []*wire.Envelope
 }
 
@@ -182,7 +182,7 @@
 // else its parts.
 type wholeTable struct {
 	table    *table.Table
-	parts    *table.TableParts
+	parts    *table.TableDivider
 	messages []*wire.Envelope
 }
 
@@ -193,7 +193,7 @@
 	}
 	*u = wholeTable{table: to}
 	if to.Divided() {
-		u.parts = to.Parts()
+		u.parts = to.Divider()
 	} else {
 		u.messages = fragments(wire.TableEnvelope(to), e)
 	}
@@ -207,7 +207,7 @@
 		delta := table.Difference(from, to)
 		*u = boxUpdate{from: from, to: to, delta: delta}
 		if delta.Divided(to) {
-			u.parts = delta.Parts(from, to)
+			u.parts = delta.Divider(from, to)
 		}
 	}
 	return u
--- a/pkg/core/control/requests.go
+++ b/pkg/core/control/requests.go
@@ -102,11 +102,11 @@
 	if !r.state.Outdated(v.Registration) {
 		r.recordReport(v.Registration.Target)
 	}
-	if !r.state.Fresh(v.Registration) {
+	if !r.state.IsUpdate(v.Registration) {
 		e.Answers = append(e.Answers, Answer{Request: v.Request})
 		return
 	}
-	if w := r.requests.reports[v.Registration.Target]; w != nil && w.report.SameFacts(v.Registration) {
+	if w := r.requests.reports[v.Registration.Target]; w != nil && w.report.SameContent(v.Registration) {
 		// The answer to the waiting report is valid for this one too.
 		w.requests = append(w.requests, v.Request)
 		return
@@ -127,7 +127,7 @@
 	departure := &wire.Departure{Target: string(v.Target)}
 	if held := r.state.Registration(v.Target); held != nil {
 		// A later start of the target that registers while the command is in flight stays.
-		departure.Born = int64(held.Born)
+		departure.Born = int64(held.StartedAt)
 	}
 	c := &wire.Command{Kind: &wire.Command_Departure{Departure: departure}}
 	r.submitCommand(v.Request, c, fmt.Sprintf("departure of target %s", v.Target), log, e)
@@ -150,7 +150,7 @@
 // evacuationError returns the answer to an order that wasn't carried out, or nil.
 func evacuationError(o *table.EvacuationOrder, outcome table.EvacuationOutcome) error {
 	switch outcome {
-	case table.EvacuationOvertaken:
+	case table.EvacuationSuperseded:
 		return fault.New(fault.Unavailable, "check its current state and send the order again if it is still wanted",
 			"another order changed the failure domain %s first", o.Domain)
 	case table.EvacuationUnknown:
--- a/pkg/core/routing/coordinator.go
+++ b/pkg/core/routing/coordinator.go
@@ -44,7 +44,7 @@
 	Count int
 	// RetryAfter is how long after a grant the next permit is there.
 	RetryAfter time.Duration
-	LimitState limit.Word
+	LimitState limit.State
 }
 
 // PeerLimit is a LimitMessage of another box.
@@ -96,7 +96,7 @@
 
 // sendLimit sends a message on a target's limit, or takes it at once if it is for this box.
 func (r *Router) sendLimit(to units.BoxID, t *target, m LimitMessage, e *Effects) {
-	m.Service, m.Target, m.Born = t.row.Service, t.row.Target, t.row.Born
+	m.Service, m.Target, m.Born = t.row.Service, t.row.Target, t.row.StartedAt
 	m.LimitState = t.limitState()
 	if to == r.settings.Box {
 		r.receiveLimit(to, m, e)
@@ -106,9 +106,9 @@
 }
 
 // limitState is what is known of a target's limit.
-func (t *target) limitState() limit.Word {
+func (t *target) limitState() limit.State {
 	if t.notice == nil || t.notice.limit == nil {
-		return limit.Word{}
+		return limit.State{}
 	}
 	return t.notice.limit.current
 }
@@ -117,7 +117,7 @@
 // nothing here: the table will tell one of the two boxes about it.
 func (r *Router) receiveLimit(from units.BoxID, m LimitMessage, e *Effects) {
 	t := r.services[m.Service].target(m.Target)
-	if t == nil || t.row.Born != m.Born {
+	if t == nil || t.row.StartedAt != m.Born {
 		return
 	}
 	r.updateLimitFromPeer(t, m.LimitState, e)
@@ -139,7 +139,7 @@
 }
 
 // account is what this box may permit of the target; nil where it was never asked.
-func (t *target) account() *limit.Account {
+func (t *target) account() *limit.TokenBucket {
 	if !t.notice.isLimited() {
 		return nil
 	}
@@ -152,10 +152,10 @@
 	if box, _ := r.coordinatorOf(t); box == r.settings.Box && t.notice.isLimited() && r.leased() {
 		x := t.notice.limit
 		if x.account == nil {
-			x.account = limit.NewAccount(x.current.Rate, x.changedAt, r.coordinationStart(t))
+			x.account = limit.NewTokenBucket(x.current.Rate, x.changedAt, r.coordinationStart(t))
 		}
 		answer.Count = x.account.Permit(r.now, min(m.Count, maxPermitsHeld))
-		answer.RetryAfter = x.account.Wait(r.now)
+		answer.RetryAfter = x.account.WaitTime(r.now)
 		r.permits.Permitted += uint64(answer.Count)
 	}
 	r.sendLimit(from, t, answer, e)
@@ -218,6 +218,6 @@
 // updateAccountStart works out anew from when on this box may permit calls to a target.
 func (r *Router) updateAccountStart(t *target) {
 	if x := t.account(); x != nil {
-		x.SetFrom(r.now, r.coordinationStart(t))
+		x.SetNotBefore(r.now, r.coordinationStart(t))
 	}
 }
--- a/pkg/core/routing/evidence.go
+++ b/pkg/core/routing/evidence.go
@@ -76,7 +76,7 @@
 			r.noteNewAnswer(v, false, e)
 		}
 	case result == Broken && !r.mayRepeat(c):
-		// A call suspected of crashing targets breaks with any version.
+	// A call suspected of crashing targets breaks with any version.
 	case result == Failed || result == Broken || ejected && result == NotSent:
 		r.recordVersionFailure(v, c, t, e)
 	}
@@ -146,7 +146,7 @@
 }
 
 // appendEvidence appends the evidence about one version, with one entry for each route.
-func (v *rolloutState) appendEvidence(all []rollout.Evidence, list []routeEvidence, software units.Software) []rollout.Evidence {
+func (v *rolloutState) appendEvidence(all []rollout.Evidence, list []routeEvidence, software units.SoftwareVersion) []rollout.Evidence {
 	for i := range list {
 		x := &list[i]
 		all = append(all, rollout.Evidence{
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -46,7 +46,7 @@
 }
 
 func incarnationOfRow(row *table.Row) incarnation {
-	return newIncarnation(row.Registered, row.Target, row.Address, row.Born)
+	return newIncarnation(row.Registered, row.Target, row.Address, row.StartedAt)
 }
 
 func (x *Endpoint) incarnation() incarnation {
@@ -272,7 +272,7 @@
 
 // lacksStartTime reports whether a restart of the target can be seen from its own answers only,
 // since its rows contain no start time.
-func (t *target) lacksStartTime() bool { return t.row.Born == 0 }
+func (t *target) lacksStartTime() bool { return t.row.StartedAt == 0 }
 
 // needsHealthProbe reports whether a target without calls should be probed: if it is ejected, or if
 // it announced that it leaves and only a probe can show that a new process has replaced it.
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -52,7 +52,7 @@
 	DefaultProbeCost   = 5 * time.Millisecond
 	DefaultColdDoubt   = 2 * time.Second
 	DefaultMaxDeadline = 5 * time.Minute
-	DefaultQuotaSlack  = 2 * quota.Seats
+	DefaultQuotaSlack  = 2 * quota.HoldersPerGroup
 )
 
 // Router is the state of a box's routing.
@@ -75,7 +75,7 @@
 	boxListVersion int
 	domainBoxes    map[units.Domain][]table.Box
 	// domainBoxCounts counts the boxes of the present list; nil until that is asked for.
-	domainBoxCounts scope.Boxes
+	domainBoxCounts scope.BoxCounts
 	// noBoxesSeen is set until a list of boxes names any.
 	noBoxesSeen bool
 	// replacedBoxLists are the lists of boxes before the present one that other boxes may still go by.
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -326,7 +326,7 @@
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		r.Cold = cold
+		r.ColdRemaining = cold
 		return
 	}
 	if v, told := strings.CutPrefix(word, "born="); told {
@@ -334,11 +334,11 @@
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		r.Born = units.WallTime(born)
+		r.StartedAt = units.WallTime(born)
 		return
 	}
 	if v, named := strings.CutPrefix(word, "software="); named {
-		r.Software = units.Software(v)
+		r.Software = units.SoftwareVersion(v)
 		return
 	}
 	switch word {
@@ -391,7 +391,7 @@
 		v.Identity = likeness(s.word(d, "like"))
 	}
 	if d.HasArg("key") {
-		v.Credential = apikey.Presented([][]byte{[]byte(s.word(d, "key"))})
+		v.Credential = apikey.CredentialFromHeader([][]byte{[]byte(s.word(d, "key"))})
 	}
 	s.give(v)
 }
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -105,7 +105,7 @@
 		window:   maxWindow,
 		endpoint: &Endpoint{
 			Service: row.Service, Target: row.Target, Address: row.Address, Domain: row.Domain,
-			Registered: row.Registered, Born: row.Born,
+			Registered: row.Registered, Born: row.StartedAt,
 		},
 	}
 }
@@ -113,7 +113,7 @@
 // isRestartedIn reports whether a row belongs to a later start of the target. The new process has
 // none of the calls, connections and faults of the previous one.
 func (t *target) isRestartedIn(row table.Row) bool {
-	return t.row.Born != 0 && row.Born != 0 && t.row.Born != row.Born
+	return t.row.StartedAt != 0 && row.StartedAt != 0 && t.row.StartedAt != row.StartedAt
 }
 
 func (t *target) update(row table.Row) {
@@ -121,8 +121,8 @@
 		// A target that reports again may be sent a call immediately.
 		t.health.retryAt = 0
 	}
-	if row.Cold != t.row.Cold {
-		t.cold.rowRemaining = row.Cold
+	if row.ColdRemaining != t.row.ColdRemaining {
+		t.cold.rowRemaining = row.ColdRemaining
 	}
 	t.row = row
 	t.remote = !t.service.off[OwnDomain] && row.Domain != "" && t.service.domain != "" && row.Domain != t.service.domain
--- a/pkg/core/table/rollout_test.go
+++ b/pkg/core/table/rollout_test.go
@@ -10,16 +10,16 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-var rolloutOutcomes = map[RolloutOutcome]string{
-	RolloutTaken: "taken", RolloutConflicts: "conflicts", RolloutUnknownService: "unknown service", RolloutNoVersion: "no version in force",
-	RolloutInForce: "in force already", RolloutOver: "over",
-	RolloutOvertaken: "overtaken",
+var rolloutOutcomeNames = map[RolloutOutcome]string{
+	RolloutAccepted: "taken", RolloutConflict: "conflicts", RolloutUnknownService: "unknown service", RolloutNoVersion: "no version in force",
+	RolloutAlreadyInForce: "in force already", RolloutEnded: "over",
+	RolloutSuperseded: "overtaken",
 }
 
 func orderRollout(t *testing.T, state *State, d *datadriven.TestData) string {
 	o := &RolloutOrder{Service: units.ServiceName(d.CmdArgs[0].Key), Abort: d.Cmd == "abort", Operator: "test"}
 	if !o.Abort {
-		o.To = units.Software(d.CmdArgs[1].Key)
+		o.To = units.SoftwareVersion(d.CmdArgs[1].Key)
 	}
 	var duration, at int
 	base := int(state.Table().Revision)
@@ -32,15 +32,15 @@
 		return problems[0].String() + "\n"
 	}
 	outcome, _ := state.ApplyRolloutOrder(o, units.WallTime(at))
-	return fmt.Sprintf("%s, revision %d\n", rolloutOutcomes[outcome], state.Table().Revision)
+	return fmt.Sprintf("%s, revision %d\n", rolloutOutcomeNames[outcome], state.Table().Revision)
 }
 
-func takeRolloutStep(t *testing.T, state *State, d *datadriven.TestData) string {
+func applyRolloutStep(t *testing.T, state *State, d *datadriven.TestData) string {
 	x := &RolloutStep{Service: units.ServiceName(d.CmdArgs[0].Key), Share: 5, Reason: "step"}
 	if _, err := fmt.Sscan(d.CmdArgs[1].Key, &x.Order); err != nil {
 		d.Fatalf(t, "%v", err)
 	}
-	for stage, word := range stageWords {
+	for stage, word := range stageNames {
 		if word == d.CmdArgs[2].Key {
 			x.Stage = stage
 		}
@@ -59,7 +59,7 @@
 	return fmt.Sprintf("revision %d\n", state.Table().Revision)
 }
 
-func moveTarget(t *testing.T, state *State, d *datadriven.TestData) string {
+func applyTargetCommand(t *testing.T, state *State, d *datadriven.TestData) string {
 	id := units.TargetID(d.CmdArgs[0].Key)
 	if d.Cmd == "depart" {
 		state.ApplyDeparture(id, 0)
@@ -68,8 +68,8 @@
 	var version string
 	d.MaybeScanArgs(t, "version", &version)
 	state.ApplyRegistration(&Registration{
-		Target: id, Service: units.ServiceName(d.CmdArgs[1].Key), Software: units.Software(version),
-		Address: fmt.Sprintf("10.0.0.%d:80", 1+state.Registrations()), State: Active, Sequence: 1,
+		Target: id, Service: units.ServiceName(d.CmdArgs[1].Key), Software: units.SoftwareVersion(version),
+		Address: fmt.Sprintf("10.0.0.%d:80", 1+state.RegistrationCount()), State: Active, Sequence: 1,
 	})
 	return fmt.Sprintf("revision %d\n", state.Table().Revision)
 }
--- a/pkg/core/table/rolloutorder.go
+++ b/pkg/core/table/rolloutorder.go
@@ -10,8 +10,8 @@
 // RolloutOrder is an operator's order to move a service to another version of its software,
 // or to end the move under way.
 type RolloutOrder struct {
-	Service units.ServiceName `json:"service"`
-	To      units.Software    `json:"to"`
+	Service units.ServiceName     `json:"service"`
+	To      units.SoftwareVersion `json:"to"`
 	// Duration is the time in which the rollout is to end. Without one the version is put
 	// in force at once, which is done only where no other one takes calls.
 	Duration time.Duration `json:"duration"`
@@ -40,87 +40,87 @@
 
 // The outcomes.
 const (
-	// RolloutTaken: the rollout is under way or has ended, by this order or the same one
+	// RolloutAccepted: the rollout is under way or has ended, by this order or the same one
 	// that was sent before.
-	RolloutTaken RolloutOutcome = iota + 1
-	// RolloutConflicts: a rollout to another version is under way.
-	RolloutConflicts
+	RolloutAccepted RolloutOutcome = iota + 1
+	// RolloutConflict: a rollout to another version is under way.
+	RolloutConflict
 	// RolloutUnknownService: there is no such service.
 	RolloutUnknownService
 	// RolloutNoVersion: no version of the service is in force yet.
 	RolloutNoVersion
-	// RolloutInForce: the version is in force already.
-	RolloutInForce
-	// RolloutOver: the rollout to be ended isn't under way any more.
-	RolloutOver
-	// RolloutOvertaken: a rollout of the service has begun or ended since the order was taken.
-	RolloutOvertaken
+	// RolloutAlreadyInForce: the version is in force already.
+	RolloutAlreadyInForce
+	// RolloutEnded: the rollout to be ended isn't under way any more.
+	RolloutEnded
+	// RolloutSuperseded: a rollout of the service has begun or ended since the order was taken.
+	RolloutSuperseded
 )
 
-// rolloutRepeat is how long after a rollout was ordered an order of the same version counts
+// rolloutRetryWindow is how long after a rollout was ordered an order of the same version counts
 // as the same order, sent again. Without that, an order whose acknowledgement was lost would
 // start a version again that was rolled back meanwhile.
-const rolloutRepeat = 30 * time.Second
+const rolloutRetryWindow = 30 * time.Second
 
 // ApplyRolloutOrder carries out an order at a time that the whole cluster agrees on. The
 // delta is nil when the table isn't changed. A version that no target has yet is tried once
 // its first target has registered.
 func (s *State) ApplyRolloutOrder(o *RolloutOrder, at units.WallTime) (RolloutOutcome, *Delta) {
-	held, inForce := s.table.Rollout(o.Service), s.table.SoftwareInForce(o.Service)
+	current, inForce := s.table.Rollout(o.Service), s.table.SoftwareInForce(o.Service)
 	switch {
 	case o.Abort:
-		return s.abortRollout(held, o)
+		return s.abortRollout(current, o)
 	case o.Duration == 0:
-		return RolloutTaken, s.adoptSoftware(o)
-	case held.Active() && held.To == o.To:
-		return RolloutTaken, nil
-	case held.Active():
-		return RolloutConflicts, nil
-	case held != nil && held.To == o.To && (held.Stage == RolloutCompleted && inForce == o.To || held.orderedJustBefore(at)):
-		return RolloutTaken, nil
-	case held != nil && held.Since > o.Base:
-		return RolloutOvertaken, nil
+		return RolloutAccepted, s.setInitialSoftware(o)
+	case current.Active() && current.To == o.To:
+		return RolloutAccepted, nil
+	case current.Active():
+		return RolloutConflict, nil
+	case current != nil && current.To == o.To && (current.Stage == RolloutCompleted && inForce == o.To || current.orderedRecently(at)):
+		return RolloutAccepted, nil
+	case current != nil && current.Since > o.Base:
+		return RolloutSuperseded, nil
 	case s.table.Services[o.Service] == nil:
 		return RolloutUnknownService, nil
 	case inForce == "":
 		return RolloutNoVersion, nil
 	case inForce == o.To:
-		return RolloutInForce, nil
+		return RolloutAlreadyInForce, nil
 	}
 	delta := s.newDelta()
 	delta.Rollouts = []Rollout{{
 		Service: o.Service, From: inForce, To: o.To, Stage: RolloutTrial, Order: delta.Revision, Since: delta.Revision,
 		Duration: o.Duration, Operator: o.Operator, At: at, Reason: "ordered; no target is tried yet",
 	}}
-	return RolloutTaken, s.commit(delta)
+	return RolloutAccepted, s.commit(delta)
 }
 
-// orderedJustBefore tells whether the rollout was ordered within rolloutRepeat of a time, whichever
+// orderedRecently tells whether the rollout was ordered within rolloutRepeat of a time, whichever
 // replica's wall clock is ahead.
-func (r *Rollout) orderedJustBefore(at units.WallTime) bool {
+func (r *Rollout) orderedRecently(at units.WallTime) bool {
 	since := at - r.At
-	return max(since, -since) < units.WallTime(rolloutRepeat.Milliseconds())
+	return max(since, -since) < units.WallTime(rolloutRetryWindow.Milliseconds())
 }
 
 // abortRollout rolls back the rollout under way, unless it began after the order was taken.
-func (s *State) abortRollout(held *Rollout, o *RolloutOrder) (RolloutOutcome, *Delta) {
+func (s *State) abortRollout(current *Rollout, o *RolloutOrder) (RolloutOutcome, *Delta) {
 	switch {
-	case held == nil:
+	case current == nil:
 		return RolloutUnknownService, nil
-	case held.Order > o.Base:
-		return RolloutOvertaken, nil
-	case held.Stage == RolloutRolledBack:
-		return RolloutTaken, nil
-	case held.Stage == RolloutCompleted:
-		return RolloutOver, nil
+	case current.Order > o.Base:
+		return RolloutSuperseded, nil
+	case current.Stage == RolloutRolledBack:
+		return RolloutAccepted, nil
+	case current.Stage == RolloutCompleted:
+		return RolloutEnded, nil
 	}
 	reason := "ended by an operator"
 	if o.Operator != "" {
 		reason = "ended by " + o.Operator
 	}
 	delta := s.newDelta()
-	delta.Rollouts = []Rollout{held.rolledBack(delta.Revision, reason)}
-	return RolloutTaken, s.commit(delta)
+	delta.Rollouts = []Rollout{current.rolledBack(delta.Revision, reason)}
+	return RolloutAccepted, s.commit(delta)
 }
 
 // rolledBack returns the record as of a roll back at a revision.
@@ -130,11 +130,11 @@
 	return next
 }
 
-// adoptSoftware puts a version in force where none is, or where no target of the one in
+// setInitialSoftware puts a version in force where none is, or where no target of the one in
 // force is left.
-func (s *State) adoptSoftware(o *RolloutOrder) *Delta {
-	present := s.table.SoftwareInForce(o.Service)
-	if s.table.Rollout(o.Service).Active() || o.To == present || s.hasSoftware(o.Service, present) {
+func (s *State) setInitialSoftware(o *RolloutOrder) *Delta {
+	current := s.table.SoftwareInForce(o.Service)
+	if s.table.Rollout(o.Service).Active() || o.To == current || s.hasSoftware(o.Service, current) {
 		return nil
 	}
 	delta := s.newDelta()
@@ -143,7 +143,7 @@
 }
 
 // hasSoftware tells whether a target of a version is registered; none is of no version.
-func (s *State) hasSoftware(service units.ServiceName, software units.Software) bool {
+func (s *State) hasSoftware(service units.ServiceName, software units.SoftwareVersion) bool {
 	if software == "" {
 		return false
 	}
@@ -157,26 +157,26 @@
 
 // ApplyRolloutStep takes a leader's decision. One that names another rollout, or one that
 // has ended, or that leads back, changes nothing and gives no delta.
-func (s *State) ApplyRolloutStep(x *RolloutStep) *Delta {
-	held := s.table.Rollout(x.Service)
-	if !held.Active() || held.Order != x.Order || x.Stage < held.Stage {
+func (s *State) ApplyRolloutStep(step *RolloutStep) *Delta {
+	current := s.table.Rollout(step.Service)
+	if !current.Active() || current.Order != step.Order || step.Stage < current.Stage {
 		return nil
 	}
-	if x.Stage == RolloutCompleted && held.Stage != RolloutShifted {
+	if step.Stage == RolloutCompleted && current.Stage != RolloutShifted {
 		return nil
 	}
 	delta := s.newDelta()
-	next := *held
-	next.Elapsed = max(held.Elapsed, x.Elapsed)
-	if !held.sameStep(x) {
-		next.Stage, next.Since, next.Reason = x.Stage, delta.Revision, x.Reason
-		next.Share, next.Targets = x.Share, x.Targets
+	next := *current
+	next.Elapsed = max(current.Elapsed, step.Elapsed)
+	if !current.sameStep(step) {
+		next.Stage, next.Since, next.Reason = step.Stage, delta.Revision, step.Reason
+		next.Share, next.Targets = step.Share, step.Targets
 	}
 	switch next.Stage {
 	case RolloutCompleted:
-		delta.InForce = []SoftwareInForce{{Service: held.Service, Software: held.To}}
+		delta.InForce = []SoftwareInForce{{Service: current.Service, Software: current.To}}
 	case RolloutRolledBack:
-		next = next.rolledBack(delta.Revision, x.Reason)
+		next = next.rolledBack(delta.Revision, step.Reason)
 	}
 	delta.Rollouts = []Rollout{next}
 	return s.commit(delta)
@@ -184,16 +184,16 @@
 
 // sameStep tells whether a step says nothing new but the time: its stage, and the targets of
 // a trial, hold already.
-func (r *Rollout) sameStep(x *RolloutStep) bool {
-	return r.Stage == x.Stage && r.Share == x.Share && slices.Equal(r.Targets, x.Targets)
+func (r *Rollout) sameStep(step *RolloutStep) bool {
+	return r.Stage == step.Stage && r.Share == step.Share && slices.Equal(r.Targets, step.Targets)
 }
 
-// endRollouts rolls back the rollouts of services that a delta removes: nothing can be said
+// rollBackRemovedServices rolls back the rollouts of services that a delta removes: nothing can be said
 // any more about their versions.
-func (s *State) endRollouts(d *Delta) {
+func (s *State) rollBackRemovedServices(d *Delta) {
 	for _, name := range d.Removed {
-		if held := s.table.Rollout(name); held.Active() {
-			d.Rollouts = append(d.Rollouts, held.rolledBack(d.Revision, "the service was removed"))
+		if current := s.table.Rollout(name); current.Active() {
+			d.Rollouts = append(d.Rollouts, current.rolledBack(d.Revision, "the service was removed"))
 		}
 	}
 }
@@ -205,4 +205,4 @@
 }
 
 // CheckRolloutOrder returns what is wrong with an order, or nothing.
-func CheckRolloutOrder(o *RolloutOrder) []Problem { return check(rolloutRules, o) }
+func CheckRolloutOrder(o *RolloutOrder) []Problem { return findProblems(rolloutRules, o) }
--- a/pkg/core/table/rows.go
+++ b/pkg/core/table/rows.go
@@ -17,7 +17,7 @@
 type Rows struct {
 	byTarget container.SortedMap[units.TargetID, *Row]
 	// registered counts the registered rows of each failure domain, in order.
-	registered []scope.Count
+	registered []scope.DomainCount
 }
 
 // RowsOf returns the given rows; of two rows of a target the later one counts.
@@ -48,16 +48,16 @@
 }
 
 // countRegistered counts the registered rows of each failure domain.
-func countRegistered(list []*Row) []scope.Count {
+func countRegistered(list []*Row) []scope.DomainCount {
 	counts := map[units.Domain]int{}
 	for _, r := range list {
 		if r.Registered {
 			counts[r.Domain]++
 		}
 	}
-	var registered []scope.Count
+	var registered []scope.DomainCount
 	for _, d := range slices.Sorted(maps.Keys(counts)) {
-		registered = append(registered, scope.Count{Domain: d, N: counts[d]})
+		registered = append(registered, scope.DomainCount{Domain: d, N: counts[d]})
 	}
 	return registered
 }
@@ -90,27 +90,27 @@
 	if old != nil && old.Registered == row.Registered && old.Domain == row.Domain {
 		return next
 	}
-	next.count(old, -1)
-	next.count(&row, 1)
+	next.adjustRegistered(old, -1)
+	next.adjustRegistered(&row, 1)
 	return next
 }
 
 // Without returns the rows without a target's.
 func (r Rows) Without(target units.TargetID) Rows {
 	next := Rows{byTarget: r.byTarget.Delete(target), registered: r.registered}
-	next.count(r.Get(target), -1)
+	next.adjustRegistered(r.Get(target), -1)
 	return next
 }
 
-// count counts a row in or out, in a list of its own.
-func (r *Rows) count(row *Row, n int) {
+// adjustRegistered counts a row in or out, in a list of its own.
+func (r *Rows) adjustRegistered(row *Row, n int) {
 	if row == nil || !row.Registered {
 		return
 	}
-	i, found := slices.BinarySearchFunc(r.registered, row.Domain, func(c scope.Count, d units.Domain) int { return cmp.Compare(c.Domain, d) })
+	i, found := slices.BinarySearchFunc(r.registered, row.Domain, func(c scope.DomainCount, d units.Domain) int { return cmp.Compare(c.Domain, d) })
 	r.registered = slices.Clone(r.registered)
 	if !found {
-		r.registered = slices.Insert(r.registered, i, scope.Count{Domain: row.Domain})
+		r.registered = slices.Insert(r.registered, i, scope.DomainCount{Domain: row.Domain})
 	}
 	r.registered[i].N += n
 	if r.registered[i].N == 0 {
@@ -118,8 +118,8 @@
 	}
 }
 
-// entered returns a copy of the rows that operators entered, in order.
-func (r Rows) entered() []Row {
+// operatorRows returns a copy of the rows that operators operatorRows, in order.
+func (r Rows) operatorRows() []Row {
 	return slices.DeleteFunc(r.List(), func(row Row) bool { return row.Registered })
 }
 
--- a/pkg/core/table/scope_test.go
+++ b/pkg/core/table/scope_test.go
@@ -50,29 +50,29 @@
 		s.RestoreDocument(base.Document(), all, nil)
 		box := &numberedBoxes(0, 200, domains)[rapid.IntRange(0, 199).Draw(t, "box")]
 		from := s.Table()
-		held := from.Parts().For(box)
+		held := from.Divider().For(box)
 		sequence := uint64(2)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			sequence++
 			changeLargeService(t, s, sequence, domains, targets)
 			if rapid.Bool().Draw(t, "pushed") {
-				held = pushPart(t, held, box, from, s.Table())
+				held = applyPart(t, held, box, from, s.Table())
 				from = s.Table()
 			}
 		}
-		held = pushPart(t, held, box, from, s.Table())
+		held = applyPart(t, held, box, from, s.Table())
 		// A service's version comes with the next change of the box's part.
-		if d := cmp.Diff(s.Table().Parts().For(box), held, cmpopts.EquateEmpty(), cmpopts.IgnoreFields(Entry{}, "Version")); d != "" {
+		if d := cmp.Diff(s.Table().Divider().For(box), held, cmpopts.EquateEmpty(), cmpopts.IgnoreFields(Entry{}, "Version")); d != "" {
 			t.Fatal(d)
 		}
 	})
 }
 
-func pushPart(t *rapid.T, held *Table, box *Box, from, to *Table) *Table {
+func applyPart(t *rapid.T, held *Table, box *Box, from, to *Table) *Table {
 	if from == to {
 		return held
 	}
-	next, ok := held.Patch(Difference(from, to).Parts(from, to).For(box))
+	next, ok := held.Patch(Difference(from, to).Divider(from, to).For(box))
 	if !ok {
 		t.Fatal("the part of a change doesn't follow")
 	}
@@ -116,19 +116,19 @@
 	}
 }
 
-// partSizes returns how many rows a box of a fleet is told of in whole tables, and how many rows it is
+// countRowsForBox returns how many rows a box of a fleet is told of in whole tables, and how many rows it is
 // sent while the fleet's targets change their state one after the other.
-func partSizes(boxes, targets int) (held, sent int) {
+func countRowsForBox(boxes, targets int) (held, sent int) {
 	const domains = 6
 	s := largeService(boxes, targets, domains)
 	box := &numberedBoxes(0, 1, domains)[0]
-	held = s.Table().Parts().For(box).Services["s"].Rows.Len()
+	held = s.Table().Divider().For(box).Services["s"].Rows.Len()
 	for i := range targets {
 		from := s.Table()
 		r := numberedTarget(i, domains, 2)
 		r.State = Leaving
 		s.ApplyRegistration(r)
-		part := Difference(from, s.Table()).Parts(from, s.Table()).For(box)
+		part := Difference(from, s.Table()).Divider(from, s.Table()).For(box)
 		for _, p := range part.Patched {
 			sent += len(p.Put) + len(p.Removed)
 		}
@@ -138,8 +138,8 @@
 
 // What a box holds and is sent of a fleet mustn't grow with the fleet.
 func TestABoxIsToldAsMuchOfAFleetOfTwiceTheSize(t *testing.T) {
-	held, sent := partSizes(500, 3_000)
-	heldOfTwice, sentOfTwice := partSizes(1_000, 6_000)
+	held, sent := countRowsForBox(500, 3_000)
+	heldOfTwice, sentOfTwice := countRowsForBox(1_000, 6_000)
 	t.Logf("rows held %d and %d, sent %d and %d", held, heldOfTwice, sent, sentOfTwice)
 	if heldOfTwice > held*3/2 || sentOfTwice > sent*3/2 {
 		t.Errorf("a box holds %d and %d rows and is sent %d and %d", held, heldOfTwice, sent, sentOfTwice)
