--- a/pkg/core/control/parts_test.go
+++ b/pkg/core/control/parts_test.go
@@ -17,7 +17,7 @@
 // replicaWithBoxes is a replica with boxes attached and targets of one service, whose table the boxes have.
 func replicaWithBoxes(t *testing.T, boxes, targets int) (*Replica, []*session) {
 	t.Helper()
-	r, err := NewReplica(Settings{Replication: replication.Settings{ID: "r", ElectionTimeout: time.Second, Heartbeat: time.Second}}, &replication.Durable{}, 0)
+	r, err := NewReplica(Settings{Replication: replication.Settings{ID: "r", ElectionTimeout: time.Second, Heartbeat: time.Second}}, &replication.DurableState{}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/core/control/recovery_test.go
+++ b/pkg/core/control/recovery_test.go
@@ -174,7 +174,7 @@
 	}
 	follower, candidate := w.replicas[1], w.replicas[2]
 	w.deliver(follower, PeerMessage{Envelope: w.copyMessage(late)})
-	if !follower.core.node.LeaderIsFresh(w.now) {
+	if !follower.core.node.HasRecentLeader(w.now) {
 		t.Fatalf("%s would vote for %s while %s holds the lease", follower.id, candidate.id, w.replicas[0].id)
 	}
 }
--- a/pkg/core/control/replica.go
+++ b/pkg/core/control/replica.go
@@ -116,7 +116,7 @@
 
 // NewReplica returns a replica that continues from its durable state. The error is a Damaged fault
 // if the snapshot can't be decoded.
-func NewReplica(s Settings, d *replication.Durable, now units.Instant) (*Replica, error) {
+func NewReplica(s Settings, d *replication.DurableState, now units.Instant) (*Replica, error) {
 	r := &Replica{
 		settings:       s,
 		state:          table.NewState(),
@@ -161,7 +161,7 @@
 		r.domains[units.ReplicaID(v.Envelope.From)] = v.Domain
 		r.receivePeer(v.Envelope, &log, e)
 	case DiskSynced:
-		r.node.Written(r.now, v.Sequence, &log)
+		r.node.WritesSynced(r.now, v.Sequence, &log)
 	case DiskFailed:
 		e.Halt = fault.Wrap(v.Cause, fault.Damaged, "make room or replace the disk, then start the replica again", "the data folder can't be written")
 	case EditSubmitted:
@@ -189,7 +189,7 @@
 	case SeedsChanged:
 		r.node.AddPeers(v.Seeds)
 	case StopRequested:
-		r.node.HandOver(r.now, &log)
+		r.node.TransferLeadership(r.now, &log)
 	}
 	r.applyLogEffects(&log, e)
 	r.housekeep(e)
@@ -228,7 +228,7 @@
 
 // bootstrap forms the cluster without an operator if this replica is the seed that may do so.
 func (r *Replica) bootstrap(log *replication.Effects) {
-	if !r.node.MayForm(r.now) {
+	if !r.node.CanBootstrap(r.now) {
 		return
 	}
 	empty, err := wire.EncodeState(table.NewState())
@@ -272,7 +272,7 @@
 }
 
 func (r *Replica) compact(log *replication.Effects, e *Effects) {
-	if !r.node.Formed() || r.node.SinceSnapshot() < r.snapshotEvery() {
+	if !r.node.Formed() || r.node.EntriesSinceSnapshot() < r.snapshotEvery() {
 		return
 	}
 	state, err := wire.EncodeState(r.state)
--- a/pkg/core/control/storm_bench_test.go
+++ b/pkg/core/control/storm_bench_test.go
@@ -31,7 +31,7 @@
 		Lease:       DefaultLease, LeaseMargin: DefaultLeaseMargin, EditTimeout: DefaultEditTimeout, SnapshotEvery: DefaultSnapshotEvery,
 		KeepEntries: DefaultKeepEntries, SilentAfter: time.Minute,
 	}
-	core, err := NewReplica(s, &replication.Durable{}, 0)
+	core, err := NewReplica(s, &replication.DurableState{}, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/pkg/core/control/world_test.go
+++ b/pkg/core/control/world_test.go
@@ -77,7 +77,7 @@
 type fakeReplica struct {
 	id          units.ReplicaID
 	core        *Replica
-	disk        replication.Durable
+	disk        replication.DurableState
 	pending     []*replication.Write
 	incarnation int
 	boot        uint64
@@ -206,8 +206,8 @@
 	w.tickReplica(r, r.generation)
 }
 
-func copyDurable(d *replication.Durable) *replication.Durable {
-	c := &replication.Durable{Entries: append([]*wire.Entry(nil), d.Entries...), Snapshot: d.Snapshot}
+func copyDurable(d *replication.DurableState) *replication.DurableState {
+	c := &replication.DurableState{Entries: append([]*wire.Entry(nil), d.Entries...), Snapshot: d.Snapshot}
 	c.HardState.Term, c.HardState.Vote = d.HardState.Term, d.HardState.Vote
 	return c
 }
@@ -282,7 +282,7 @@
 }
 
 // applyWrite is what a store does with a write.
-func applyWrite(d *replication.Durable, x *replication.Write) {
+func applyWrite(d *replication.DurableState, x *replication.Write) {
 	if x.HardState != nil {
 		d.HardState.Term, d.HardState.Vote = x.HardState.Term, x.HardState.Vote
 	}
@@ -499,7 +499,7 @@
 // loseDisk ends a replica for good with all it had; it comes back empty.
 func (w *world) loseDisk(r *fakeReplica) {
 	w.crash(r)
-	r.disk = replication.Durable{}
+	r.disk = replication.DurableState{}
 	r.incarnation++
 	r.boot = 0
 }
--- a/pkg/core/replication/acknowledged.go
+++ b/pkg/core/replication/acknowledged.go
@@ -17,32 +17,32 @@
 
 // merge takes over what another replica knows. It returns false when that was no news.
 func (a *acknowledgement) merge(b acknowledgement) bool {
-	before := *a
+	previous := *a
 	if a.incarnation != b.incarnation {
 		*a = b
 		return true
 	}
 	a.boot = max(a.boot, b.boot)
 	a.index = max(a.index, b.index)
-	return *a != before
+	return *a != previous
 }
 
-// noteAcknowledged takes note of what a follower has just acknowledged to this leader.
+// recordAcknowledged takes note of what a follower has just acknowledged to this leader.
 // Only what is committed counts: the rest may yet be replaced by another leader's log.
-func (n *Node) noteAcknowledged(p *progress) {
+func (n *Node) recordAcknowledged(p *progress) {
 	if p.match == 0 {
 		return
 	}
 	a := acknowledgement{incarnation: p.incarnation, boot: p.boot, index: min(p.match, n.log.commit)}
 	if p.acknowledged.merge(a) {
-		n.acknowledgedVersion++
+		n.acksVersion++
 	}
 }
 
-// wentBack tells whether a replica that has started again lacks entries that it
+// lostAcknowledgedEntries tells whether a replica that has started again lacks entries that it
 // acknowledged before, to whichever leader. It is in question until the first append
 // that the replica takes; whatever else it may say before that proves nothing.
-func (n *Node) wentBack(p *progress, m *wire.Envelope) bool {
+func (n *Node) lostAcknowledgedEntries(p *progress, m *wire.Envelope) bool {
 	r := m.GetAppendResponse()
 	a := &p.acknowledged
 	if n.role != leader || r == nil || !r.Rejected || units.Term(r.Term) != n.term {
@@ -54,40 +54,40 @@
 	return units.Index(r.Match) < max(p.match, a.index)
 }
 
-// acknowledgedFor returns what a follower should know of the voters' acknowledgements,
+// acknowledgementsFor returns what a follower should know of the voters' acknowledgements,
 // or nothing when it has the newest.
-func (n *Node) acknowledgedFor(p *progress, round units.Instant) []*wire.Acknowledged {
-	if p.told == n.acknowledgedVersion {
+func (n *Node) acknowledgementsFor(p *progress, round units.Instant) []*wire.Acknowledged {
+	if p.acksDelivered == n.acksVersion {
 		return nil
 	}
-	p.telling.version, p.telling.round = n.acknowledgedVersion, round
+	p.acksSent.version, p.acksSent.round = n.acksVersion, round
 	own := acknowledgement{incarnation: n.settings.Incarnation, boot: n.settings.Boot, index: min(n.log.synced, n.log.commit)}
-	list := []*wire.Acknowledged{toWire(n.settings.ID, own)}
-	for _, id := range n.order {
+	list := []*wire.Acknowledged{acknowledgedToWire(n.settings.ID, own)}
+	for _, id := range n.peerIDs {
 		if a := n.peers[id].acknowledged; id != p.id && a.index > 0 {
-			list = append(list, toWire(id, a))
+			list = append(list, acknowledgedToWire(id, a))
 		}
 	}
 	return list
 }
 
-func toWire(id units.ReplicaID, a acknowledgement) *wire.Acknowledged {
+func acknowledgedToWire(id units.ReplicaID, a acknowledgement) *wire.Acknowledged {
 	return &wire.Acknowledged{Id: string(id), Incarnation: string(a.incarnation), Boot: a.boot, Index: uint64(a.index)}
 }
 
-// noteTold takes note of an answer to the heartbeat that carried the acknowledgements.
-func (p *progress) noteTold(round units.Instant) {
-	if p.telling.version != 0 && round >= p.telling.round {
-		p.told = p.telling.version
+// recordAcksDelivered takes note of an answer to the heartbeat that carried the acknowledgements.
+func (p *progress) recordAcksDelivered(round units.Instant) {
+	if p.acksSent.version != 0 && round >= p.acksSent.round {
+		p.acksDelivered = p.acksSent.version
 	}
 }
 
-// takeAcknowledged takes over what the leader knows of the voters' acknowledgements.
-func (n *Node) takeAcknowledged(list []*wire.Acknowledged) {
+// mergeAcknowledged takes over what the leader knows of the voters' acknowledgements.
+func (n *Node) mergeAcknowledged(list []*wire.Acknowledged) {
 	for _, x := range list {
 		p := n.peers[units.ReplicaID(x.Id)]
 		incarnation := units.Incarnation(x.Incarnation)
-		if p == nil || p.earlier[incarnation] && p.incarnation != incarnation {
+		if p == nil || p.previousIncarnations[incarnation] && p.incarnation != incarnation {
 			continue
 		}
 		p.acknowledged.merge(acknowledgement{incarnation: incarnation, boot: x.Boot, index: units.Index(x.Index)})
--- a/pkg/core/replication/effects.go
+++ b/pkg/core/replication/effects.go
@@ -47,8 +47,8 @@
 	Halt error
 }
 
-// Durable is what a store hands over at start.
-type Durable struct {
+// DurableState is what a store hands over at start.
+type DurableState struct {
 	HardState wire.HardState
 	Snapshot  *wire.Snapshot
 	Entries   []*wire.Entry
--- a/pkg/core/replication/election.go
+++ b/pkg/core/replication/election.go
@@ -10,68 +10,68 @@
 // startPreVote asks whether an election could be won before the term is
 // raised, so that a replica which was cut off disturbs nobody on its return.
 func (n *Node) startPreVote(now units.Instant, e *Effects) {
-	n.electionAt = now.Add(n.settings.ElectionTimeout/preVoteParts + n.drawSpread())
+	n.electionAt = now.Add(n.settings.ElectionTimeout/preVoteDivisor + n.electionJitter())
 	n.leaderID = ""
 	if !n.isVoter(n.self()) {
-		n.report(e)
+		n.announcePresence(e)
 		return
 	}
 	n.role = preCandidate
-	n.askVotes(now, true, false, e)
+	n.requestVotes(now, true, false, e)
 }
 
 const (
-	// preVoteParts divides the election timeout into the least time between two questions
+	// preVoteDivisor divides the election timeout into the least time between two questions
 	// whether an election could be won: they change nothing, so they may come often.
-	preVoteParts = 8
-	// spreadParts divides the election timeout into the time over which replicas spread
+	preVoteDivisor = 8
+	// jitterDivisor divides the election timeout into the time over which replicas spread
 	// that could all stand at once; it is several times what an election takes.
-	spreadParts = 2
+	jitterDivisor = 2
 )
 
-// drawSpread is a pause that keeps two replicas from standing at the same time.
-func (n *Node) drawSpread() time.Duration {
-	return n.drawBelow(n.settings.ElectionTimeout / spreadParts)
+// electionJitter is a pause that keeps two replicas from standing at the same time.
+func (n *Node) electionJitter() time.Duration {
+	return n.randomBelow(n.settings.ElectionTimeout / jitterDivisor)
 }
 
-// noteStart takes note of a start of a replica. One that led loses its lease when it
+// recordStart takes note of a start of a replica. One that led loses its lease when it
 // starts again, since a lease lives in memory alone; then there is nothing left to wait
 // for before another is elected.
-func (n *Node) noteStart(now units.Instant, id units.ReplicaID, incarnation units.Incarnation, boot uint64) {
+func (n *Node) recordStart(now units.Instant, id units.ReplicaID, incarnation units.Incarnation, boot uint64) {
 	l := n.leaseHolder
 	if l == nil || l.Id != string(id) || l.Incarnation == string(incarnation) && l.Boot >= boot {
 		return
 	}
 	n.leaseHolder = nil
-	n.leaderHeard = now.Add(-n.settings.ElectionTimeout)
-	n.electionAt = min(n.electionAt, now.Add(n.drawSpread()))
+	n.lastLeaderContact = now.Add(-n.settings.ElectionTimeout)
+	n.electionAt = min(n.electionAt, now.Add(n.electionJitter()))
 }
 
-// report lets the others know of a replica that doesn't vote and hears no leader: it
+// announcePresence lets the others know of a replica that doesn't vote and hears no leader: it
 // may have come back under a new incarnation, or at an address that none of them
 // knows.
-func (n *Node) report(e *Effects) {
+func (n *Node) announcePresence(e *Effects) {
 	if n.settings.Growth == nil {
 		return
 	}
-	for _, id := range n.order {
+	for _, id := range n.peerIDs {
 		n.sendPresence(id, true, e)
 	}
 }
 
 func (n *Node) startElection(now units.Instant, transfer bool, e *Effects) {
-	n.electionAt = now.Add(n.settings.ElectionTimeout/2 + n.drawBelow(n.settings.ElectionTimeout))
+	n.electionAt = now.Add(n.settings.ElectionTimeout/2 + n.randomBelow(n.settings.ElectionTimeout))
 	n.role = candidate
 	n.term++
 	n.vote = n.settings.ID
 	n.leaderID = ""
 	n.writeHardState(e)
-	n.askVotes(now, false, transfer, e)
+	n.requestVotes(now, false, transfer, e)
 }
 
-func (n *Node) askVotes(now units.Instant, pre, transfer bool, e *Effects) {
+func (n *Node) requestVotes(now units.Instant, pre, transfer bool, e *Effects) {
 	n.votes = map[units.ReplicaID]bool{n.settings.ID: true}
-	n.refusals = map[units.ReplicaID]bool{}
+	n.rejections = map[units.ReplicaID]bool{}
 	r := &wire.VoteRequest{
 		Term:      uint64(n.term),
 		LastIndex: uint64(n.log.last()),
@@ -89,7 +89,7 @@
 		out := n.envelope(units.ReplicaID(m.Id))
 		out.Body = &wire.Envelope_VoteRequest{VoteRequest: r}
 		// The candidate's own vote counts, so it must be on the disk as well.
-		n.sendSynced(out, e)
+		n.sendAfterSync(out, e)
 	}
 	n.countVotes(now, e)
 }
@@ -99,33 +99,33 @@
 		return
 	}
 	term := units.Term(r.Term)
-	if !r.Transfer && n.LeaderIsFresh(now) {
+	if !r.Transfer && n.HasRecentLeader(now) {
 		// Answering with the present term lets a candidate that is behind see it.
-		n.answerVote(p.id, r, false, e)
+		n.sendVoteResponse(p.id, r, false, e)
 		return
 	}
 	if !r.Pre && term > n.term {
 		n.becomeFollower(now, term, "", e)
 	}
-	granted := n.mayVote(p.id, r)
+	granted := n.canGrantVote(p.id, r)
 	if granted && !r.Pre {
 		n.vote = p.id
 		n.writeHardState(e)
 		n.resetElection(now)
 	}
-	n.answerVote(p.id, r, granted, e)
+	n.sendVoteResponse(p.id, r, granted, e)
 }
 
-// LeaderIsFresh tells whether a leader was heard within the time in which its
+// HasRecentLeader tells whether a leader was heard within the time in which its
 // lease may still hold.
-func (n *Node) LeaderIsFresh(now units.Instant) bool {
+func (n *Node) HasRecentLeader(now units.Instant) bool {
 	if n.role == leader {
 		return n.quorumContact(now).Add(n.settings.ElectionTimeout) > now
 	}
-	return now.Sub(n.leaderHeard) < n.settings.ElectionTimeout
+	return now.Sub(n.lastLeaderContact) < n.settings.ElectionTimeout
 }
 
-func (n *Node) mayVote(from units.ReplicaID, r *wire.VoteRequest) bool {
+func (n *Node) canGrantVote(from units.ReplicaID, r *wire.VoteRequest) bool {
 	if !n.log.upToDate(units.Index(r.LastIndex), units.Term(r.LastTerm)) {
 		return false
 	}
@@ -138,14 +138,14 @@
 	return n.vote == "" || n.vote == from
 }
 
-func (n *Node) answerVote(to units.ReplicaID, r *wire.VoteRequest, granted bool, e *Effects) {
+func (n *Node) sendVoteResponse(to units.ReplicaID, r *wire.VoteRequest, granted bool, e *Effects) {
 	m := n.envelope(to)
 	answer := &wire.VoteResponse{Term: uint64(n.term), Pre: r.Pre, Granted: granted}
 	if r.Pre && granted {
 		answer.Term = r.Term
 	}
 	m.Body = &wire.Envelope_VoteResponse{VoteResponse: answer}
-	n.sendSynced(m, e)
+	n.sendAfterSync(m, e)
 }
 
 func (n *Node) receiveVoteResponse(now units.Instant, p *progress, r *wire.VoteResponse, e *Effects) {
@@ -154,31 +154,31 @@
 			n.becomeFollower(now, units.Term(r.Term), "", e)
 			return
 		}
-		n.noteRefusal(now, p, r)
+		n.recordVoteRejection(now, p, r)
 		return
 	}
-	if !n.awaits(r) || !n.isVoter(voter{id: p.id, incarnation: p.incarnation}) {
+	if !n.isCurrentElection(r) || !n.isVoter(voter{id: p.id, incarnation: p.incarnation}) {
 		return
 	}
 	n.votes[p.id] = true
 	n.countVotes(now, e)
 }
 
-// noteRefusal gives up an election that can't be won any more, as when several replicas
+// recordVoteRejection gives up an election that can't be won any more, as when several replicas
 // stood at once; the next one needn't wait until it would have timed out.
-func (n *Node) noteRefusal(now units.Instant, p *progress, r *wire.VoteResponse) {
-	if r.Pre || !n.awaits(r) || !n.isVoter(voter{id: p.id, incarnation: p.incarnation}) {
+func (n *Node) recordVoteRejection(now units.Instant, p *progress, r *wire.VoteResponse) {
+	if r.Pre || !n.isCurrentElection(r) || !n.isVoter(voter{id: p.id, incarnation: p.incarnation}) {
 		return
 	}
-	n.refusals[p.id] = true
-	if len(n.refusals) > len(n.voters())-n.quorum() {
+	n.rejections[p.id] = true
+	if len(n.rejections) > len(n.voters())-n.quorum() {
 		n.role = follower
-		n.electionAt = now.Add(n.drawSpread())
+		n.electionAt = now.Add(n.electionJitter())
 	}
 }
 
-// awaits tells whether an answer belongs to the vote that this replica asks for now.
-func (n *Node) awaits(r *wire.VoteResponse) bool {
+// isCurrentElection tells whether an answer belongs to the vote that this replica asks for now.
+func (n *Node) isCurrentElection(r *wire.VoteResponse) bool {
 	if r.Pre {
 		return n.role == preCandidate && units.Term(r.Term) == n.term+1
 	}
@@ -209,13 +209,13 @@
 
 func (n *Node) becomeLeader(now units.Instant, e *Effects) {
 	n.role = leader
-	n.ledSince = now
+	n.leaderSince = now
 	n.leaderID = n.settings.ID
 	for _, p := range n.peers {
-		p.restart(n.log.last() + 1)
+		p.reset(n.log.last() + 1)
 		// The votes just counted show that a quorum was there a moment ago; the
 		// time allowed for the first answers is one election timeout.
-		p.contact = 0
+		p.lastContact = 0
 	}
 	n.termStart = n.log.last() + 1
 	n.electionAt = now.Add(n.settings.ElectionTimeout)
--- a/pkg/core/replication/following.go
+++ b/pkg/core/replication/following.go
@@ -6,16 +6,16 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// follow takes note of a leader's message; false means that its term is over.
-func (n *Node) follow(now units.Instant, p *progress, term units.Term, e *Effects) bool {
+// acceptLeader takes note of a leader's message; false means that its term is over.
+func (n *Node) acceptLeader(now units.Instant, p *progress, term units.Term, e *Effects) bool {
 	if term < n.term {
-		n.answerAppend(p.id, &wire.AppendResponse{Rejected: true}, e)
+		n.sendAppendResponse(p.id, &wire.AppendResponse{Rejected: true}, e)
 		return false
 	}
 	if term > n.term || n.role != follower || n.leaderID != p.id {
 		n.becomeFollower(now, term, p.id, e)
 	}
-	n.leaderHeard = now
+	n.lastLeaderContact = now
 	if n.leaseHolder == nil || n.leaseHolder.Id != string(p.id) || n.leaseHolder.Boot != p.boot {
 		n.leaseHolder = &wire.LeaderStart{Id: string(p.id), Incarnation: string(p.incarnation), Boot: p.boot}
 	}
@@ -23,79 +23,79 @@
 	return true
 }
 
-func (n *Node) answerAppend(to units.ReplicaID, r *wire.AppendResponse, e *Effects) {
+func (n *Node) sendAppendResponse(to units.ReplicaID, r *wire.AppendResponse, e *Effects) {
 	r.Term = uint64(n.term)
 	m := n.envelope(to)
 	m.Body = &wire.Envelope_AppendResponse{AppendResponse: r}
-	n.sendSynced(m, e)
+	n.sendAfterSync(m, e)
 }
 
 func (n *Node) receiveAppend(now units.Instant, p *progress, r *wire.AppendRequest, e *Effects) {
-	if !n.follow(now, p, units.Term(r.Term), e) {
+	if !n.acceptLeader(now, p, units.Term(r.Term), e) {
 		return
 	}
-	n.takeAcknowledged(r.Acknowledged)
+	n.mergeAcknowledged(r.Acknowledged)
 	previous := units.Index(r.PrevIndex)
 	if !n.formed() {
 		// Without a snapshot there is nothing to append to.
-		n.answerAppend(p.id, &wire.AppendResponse{Rejected: true, Round: r.Round}, e)
+		n.sendAppendResponse(p.id, &wire.AppendResponse{Rejected: true, Round: r.Round}, e)
 		return
 	}
 	term, kept := n.log.term(previous)
 	if previous >= n.log.base && (!kept || term != units.Term(r.PrevTerm)) {
 		hint := min(previous-1, n.log.last())
-		n.answerAppend(p.id, &wire.AppendResponse{Rejected: true, Match: uint64(hint), Round: r.Round}, e)
+		n.sendAppendResponse(p.id, &wire.AppendResponse{Rejected: true, Match: uint64(hint), Round: r.Round}, e)
 		return
 	}
 	n.mergeEntries(r.Entries, e)
 	match := previous + units.Index(len(r.Entries))
 	n.commitTo(min(units.Index(r.Commit), match, n.log.last()), e)
-	n.answerAppend(p.id, &wire.AppendResponse{Match: uint64(max(match, n.log.base)), Round: r.Round}, e)
+	n.sendAppendResponse(p.id, &wire.AppendResponse{Match: uint64(max(match, n.log.base)), Round: r.Round}, e)
 }
 
 func (n *Node) mergeEntries(entries []*wire.Entry, e *Effects) {
 	before := n.log.last()
-	fresh := n.log.merge(entries)
-	if len(fresh) == 0 {
+	added := n.log.merge(entries)
+	if len(added) == 0 {
 		return
 	}
-	if first := units.Index(fresh[0].Index); first <= n.log.commit {
+	if first := units.Index(added[0].Index); first <= n.log.commit {
 		e.Halt = fault.New(fault.Damaged, "keep the data folder for analysis and start with an empty one",
 			"a leader's entry %d contradicts a committed one", first)
 		return
 	}
-	n.writeEntries(fresh, e)
-	if units.Index(fresh[0].Index) <= before {
+	n.writeEntries(added, e)
+	if units.Index(added[0].Index) <= before {
 		n.recomputeMembership()
 		return
 	}
-	for _, entry := range fresh {
+	for _, entry := range added {
 		n.adoptMembership(entry)
 	}
 }
 
 func (n *Node) receiveSnapshot(now units.Instant, p *progress, r *wire.SnapshotRequest, e *Effects) {
-	if !n.follow(now, p, units.Term(r.Term), e) {
+	if !n.acceptLeader(now, p, units.Term(r.Term), e) {
 		return
 	}
 	index := units.Index(r.Snapshot.Index)
 	term, kept := n.log.term(index)
 	switch {
 	case !n.formed():
-		n.install(r.Snapshot, e)
+		n.installSnapshot(r.Snapshot, e)
 	case index <= n.log.commit:
 	case kept && term == units.Term(r.Snapshot.Term):
 		// The log holds all that the snapshot covers. Entries that follow may have been
 		// acknowledged: put in place of the log, a late snapshot would lose them.
 		n.commitTo(index, e)
 	default:
-		n.install(r.Snapshot, e)
+		n.installSnapshot(r.Snapshot, e)
 	}
-	n.answerAppend(p.id, &wire.AppendResponse{Match: uint64(max(index, n.log.commit)), Round: r.Round}, e)
+	n.sendAppendResponse(p.id, &wire.AppendResponse{Match: uint64(max(index, n.log.commit)), Round: r.Round}, e)
 }
 
-// install puts a snapshot in place of log and state.
-func (n *Node) install(s *wire.Snapshot, e *Effects) {
+// installSnapshot puts a snapshot in place of log and state.
+func (n *Node) installSnapshot(s *wire.Snapshot, e *Effects) {
 	n.log.reset(s)
 	n.logWrites = nil
 	n.recomputeMembership()
@@ -145,8 +145,8 @@
 	return m
 }
 
-// SinceSnapshot returns how many committed entries the snapshot lacks.
-func (n *Node) SinceSnapshot() int {
+// EntriesSinceSnapshot returns how many committed entries the snapshot lacks.
+func (n *Node) EntriesSinceSnapshot() int {
 	if n.log.snapshot == nil {
 		return int(n.log.commit)
 	}
--- a/pkg/core/replication/formation.go
+++ b/pkg/core/replication/formation.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// presencePeriod is how often an empty replica asks the others. It begins with
+	// maxPresenceInterval is how often an empty replica asks the others. It begins with
 	// firstPresence and doubles: after a loss of power the others wait for the lease of
 	// whoever led before, until they hear that it has started again without its disk.
-	presencePeriod = 200 * time.Millisecond
-	firstPresence  = 10 * time.Millisecond
-	// presenceAge is how old an answer may be to count when a cluster forms.
-	presenceAge = 2 * time.Second
+	maxPresenceInterval = 200 * time.Millisecond
+	minPresenceInterval = 10 * time.Millisecond
+	// maxPresenceAge is how old an answer may be to count when a cluster forms.
+	maxPresenceAge = 2 * time.Second
 	// firstIndex is where a new cluster's log begins.
 	firstIndex = 1
 )
 
-// askPresence asks the other replicas whether a cluster exists, and forms one where
+// requestPresence asks the other replicas whether a cluster exists, and forms one where
 // that is this replica's part.
-func (n *Node) askPresence(now units.Instant, e *Effects) {
+func (n *Node) requestPresence(now units.Instant, e *Effects) {
 	if now < n.heartbeatAt {
 		return
 	}
-	n.presenceWait = min(presencePeriod, max(firstPresence, 2*n.presenceWait))
-	n.heartbeatAt = now.Add(n.presenceWait)
-	for _, id := range n.order {
+	n.presenceInterval = min(maxPresenceInterval, max(minPresenceInterval, 2*n.presenceInterval))
+	n.heartbeatAt = now.Add(n.presenceInterval)
+	for _, id := range n.peerIDs {
 		n.sendPresence(id, true, e)
 	}
 }
 
-func (n *Node) sendPresence(to units.ReplicaID, asks bool, e *Effects) {
+func (n *Node) sendPresence(to units.ReplicaID, isRequest bool, e *Effects) {
 	m := n.envelope(to)
-	presence := &wire.Presence{Asks: asks, Formed: n.formed()}
+	presence := &wire.Presence{Asks: isRequest, Formed: n.formed()}
 	if g := n.settings.Growth; g != nil {
 		presence.Bootstrap = g.Bootstrap
 		for _, id := range n.Members() {
@@ -51,21 +51,21 @@
 func (n *Node) receivePresence(now units.Instant, p *progress, r *wire.Presence, e *Effects) {
 	p.formed = r.Formed
 	p.bootstrap = r.Bootstrap
-	p.asked = now
-	n.meetMembers(r)
+	p.presenceAt = now
+	n.addReportedMembers(r)
 	if !r.Asks {
 		return
 	}
 	n.sendPresence(p.id, false, e)
-	if n.formed() && !r.Formed && n.stillFirst() && n.isVoter(voter{id: p.id, incarnation: p.incarnation}) {
+	if n.formed() && !r.Formed && n.isNewlyFormed() && n.isVoter(voter{id: p.id, incarnation: p.incarnation}) {
 		// The formation message to this voter was lost.
 		n.sendFormation(p.id, e)
 	}
 }
 
-// meetMembers lets a replica that belongs to no cluster ask those that a formed one
+// addReportedMembers lets a replica that belongs to no cluster ask those that a formed one
 // names; a seed may know the leader's address where this one doesn't.
-func (n *Node) meetMembers(r *wire.Presence) {
+func (n *Node) addReportedMembers(r *wire.Presence) {
 	if n.settings.Growth == nil || n.formed() || !r.Formed {
 		return
 	}
@@ -74,25 +74,25 @@
 	}
 }
 
-// MayForm tells whether this replica is the one that forms the cluster by itself:
+// CanBootstrap tells whether this replica is the one that forms the cluster by itself:
 // the first of the seeds, once all of them have answered that they are empty and
 // may form one as well. Only one replica can be that, so no two clusters form.
-func (n *Node) MayForm(now units.Instant) bool {
+func (n *Node) CanBootstrap(now units.Instant) bool {
 	g := n.settings.Growth
 	if g == nil || !g.Bootstrap || !g.Seed || n.formed() {
 		return false
 	}
 	for _, id := range n.settings.Peers {
 		p := n.peers[id]
-		if id < n.settings.ID || p.asked == 0 || now.Sub(p.asked) > presenceAge || p.formed || !p.bootstrap {
+		if id < n.settings.ID || p.presenceAt == 0 || now.Sub(p.presenceAt) > maxPresenceAge || p.formed || !p.bootstrap {
 			return false
 		}
 	}
 	return true
 }
 
-// stillFirst tells whether the log holds nothing but the cluster's formation.
-func (n *Node) stillFirst() bool {
+// isNewlyFormed tells whether the log holds nothing but the cluster's formation.
+func (n *Node) isNewlyFormed() bool {
 	return n.log.snapshot != nil && n.log.snapshot.Index == firstIndex && n.log.commit == firstIndex
 }
 
@@ -105,35 +105,35 @@
 	}
 	m := &wire.Membership{Cluster: cluster}
 	m.Voters = append(m.Voters, &wire.Member{Id: string(n.settings.ID), Incarnation: string(n.settings.Incarnation)})
-	var missing []string
+	var problems []string
 	for _, id := range n.settings.Peers {
 		p := n.peers[id]
-		if p.asked == 0 || now.Sub(p.asked) > presenceAge {
-			missing = append(missing, fmt.Sprintf("%s can't be reached", id))
+		if p.presenceAt == 0 || now.Sub(p.presenceAt) > maxPresenceAge {
+			problems = append(problems, fmt.Sprintf("%s can't be reached", id))
 			continue
 		}
 		if p.formed {
-			missing = append(missing, fmt.Sprintf("%s belongs to a cluster already", id))
+			problems = append(problems, fmt.Sprintf("%s belongs to a cluster already", id))
 			continue
 		}
 		m.Voters = append(m.Voters, &wire.Member{Id: string(id), Incarnation: string(p.incarnation)})
 	}
-	if len(missing) > 0 {
+	if len(problems) > 0 {
 		return fault.New(fault.Unavailable,
 			"start all replicas with empty data folders and ask again; a replica that lost its disk needs no forming, it joins by itself",
-			"the cluster can't form: %s", strings.Join(missing, ", "))
+			"the cluster can't form: %s", strings.Join(problems, ", "))
 	}
-	n.startFormed(now, &wire.Snapshot{Index: firstIndex, Term: firstIndex, Membership: m, State: state}, e)
+	n.installFormation(now, &wire.Snapshot{Index: firstIndex, Term: firstIndex, Membership: m, State: state}, e)
 	for _, id := range n.settings.Peers {
 		n.sendFormation(id, e)
 	}
 	return nil
 }
 
-func (n *Node) startFormed(now units.Instant, s *wire.Snapshot, e *Effects) {
+func (n *Node) installFormation(now units.Instant, s *wire.Snapshot, e *Effects) {
 	n.term = max(n.term, firstIndex)
 	n.writeHardState(e)
-	n.install(s, e)
+	n.installSnapshot(s, e)
 	n.role = follower
 	n.resetElection(now)
 }
@@ -141,7 +141,7 @@
 func (n *Node) sendFormation(to units.ReplicaID, e *Effects) {
 	m := n.envelope(to)
 	m.Body = &wire.Envelope_FormCluster{FormCluster: &wire.FormCluster{Snapshot: n.log.snapshot}}
-	n.sendSynced(m, e)
+	n.sendAfterSync(m, e)
 }
 
 func (n *Node) receiveFormCluster(now units.Instant, r *wire.FormCluster, e *Effects) {
@@ -150,7 +150,7 @@
 	}
 	for _, m := range r.Snapshot.Membership.GetVoters() {
 		if voterOf(m) == n.self() {
-			n.startFormed(now, r.Snapshot, e)
+			n.installFormation(now, r.Snapshot, e)
 			return
 		}
 	}
--- a/pkg/core/replication/formation_test.go
+++ b/pkg/core/replication/formation_test.go
@@ -12,7 +12,7 @@
 func TestAnEmptyReplicaAsksOftenAtFirst(t *testing.T) {
 	n := NewNode(Settings{
 		ID: "a", Incarnation: "a.1", Boot: 1, Peers: []units.ReplicaID{"b", "c"}, ElectionTimeout: time.Second, Heartbeat: 100 * time.Millisecond,
-	}, &Durable{}, units.Instant(time.Second))
+	}, &DurableState{}, units.Instant(time.Second))
 	asked := func(from, to time.Duration) int {
 		rounds := 0
 		for at := from; at < to; at += time.Millisecond {
--- a/pkg/core/replication/flight_test.go
+++ b/pkg/core/replication/in_flight_test.go
@@ -15,7 +15,7 @@
 	membership := &wire.Membership{Cluster: "c", Voters: []*wire.Member{
 		{Id: "a", Incarnation: "a.1"}, {Id: "b", Incarnation: "b.1"}, {Id: "c", Incarnation: "c.1"},
 	}}
-	durable := &Durable{Snapshot: &wire.Snapshot{Index: 1, Term: 1, Membership: membership}}
+	durable := &DurableState{Snapshot: &wire.Snapshot{Index: 1, Term: 1, Membership: membership}}
 	durable.HardState.Term = 1
 	n = NewNode(Settings{
 		ID: "a", Incarnation: "a.1", Boot: 1, Peers: []units.ReplicaID{"b", "c"},
@@ -25,7 +25,7 @@
 		n.Receive(now, &wire.Envelope{From: from, To: "a", Incarnation: from + ".1", Boot: 1, Cluster: "c", Body: body}, e)
 	}
 	n.startElection(now, true, &Effects{})
-	n.Written(now, n.written, &Effects{})
+	n.WritesSynced(now, n.lastWrite, &Effects{})
 	receive("b", &wire.Envelope_VoteResponse{VoteResponse: &wire.VoteResponse{Term: uint64(n.Term()), Granted: true}}, &Effects{})
 	if !n.IsLeader() {
 		t.Fatal("the node doesn't lead")
@@ -59,7 +59,7 @@
 	for range commands {
 		n.Propose(now, [][]byte{{1}}, e)
 	}
-	n.Written(now, n.written, e)
+	n.WritesSynced(now, n.lastWrite, e)
 	sent := 0
 	for i := 0; i < len(e.Sends); i++ {
 		m := e.Sends[i]
@@ -86,7 +86,7 @@
 func TestLostAnswersHoldUpNothingForLong(t *testing.T) {
 	now := units.Instant(time.Second)
 	n, _ := newLeader(t, now)
-	for range maxUnanswered {
+	for range maxInFlightAppends {
 		n.Propose(now, [][]byte{{1}}, &Effects{})
 	}
 	e := &Effects{}
--- a/pkg/core/replication/leadership.go
+++ b/pkg/core/replication/leadership.go
@@ -8,9 +8,9 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// snapshotPatience is how many heartbeats a snapshot may take before it is sent
+// snapshotRetryHeartbeats is how many heartbeats a snapshot may take before it is sent
 // again.
-const snapshotPatience = 20
+const snapshotRetryHeartbeats = 20
 
 func (n *Node) leaderTick(now units.Instant, e *Effects) {
 	if n.lostQuorum(now) {
@@ -36,13 +36,13 @@
 func (n *Node) quorumContact(now units.Instant) units.Instant {
 	times := make([]units.Instant, 0, len(n.voters()))
 	for _, m := range n.voters() {
-		times = append(times, n.contactOf(voterOf(m), now))
+		times = append(times, n.lastContactWith(voterOf(m), now))
 	}
 	slices.Sort(times)
 	return times[len(times)-n.quorum()]
 }
 
-func (n *Node) contactOf(v voter, now units.Instant) units.Instant {
+func (n *Node) lastContactWith(v voter, now units.Instant) units.Instant {
 	if v == n.self() {
 		return now
 	}
@@ -50,7 +50,7 @@
 	if p == nil || p.incarnation != v.incarnation {
 		return 0
 	}
-	return p.contact
+	return p.lastContact
 }
 
 // HasLease tells whether this node can be sure that no other leader exists and
@@ -60,8 +60,8 @@
 		return false
 	}
 	// A tenth is kept back for clocks that run at different speeds.
-	sure := n.settings.ElectionTimeout * 9 / 10
-	return now.Sub(n.quorumContact(now)) < sure
+	leaseDuration := n.settings.ElectionTimeout * 9 / 10
+	return now.Sub(n.quorumContact(now)) < leaseDuration
 }
 
 // CaughtUp tells whether this node has committed an entry of the present leader's term,
@@ -73,78 +73,78 @@
 
 // broadcast sends every other replica an append request, empty or not.
 func (n *Node) broadcast(now units.Instant, e *Effects) {
-	for _, id := range n.order {
-		if p := n.peers[id]; n.wantsAppends(now, p) {
+	for _, id := range n.peerIDs {
+		if p := n.peers[id]; n.shouldSendTo(now, p) {
 			n.sendAppend(now, p, e)
 		}
 	}
 }
 
-// wantsAppends tells whether a replica is worth sending to: every one that the
+// shouldSendTo tells whether a replica is worth sending to: every one that the
 // settings or the membership name, and others as long as they are heard.
-func (n *Node) wantsAppends(now units.Instant, p *progress) bool {
+func (n *Node) shouldSendTo(now units.Instant, p *progress) bool {
 	if n.settings.Growth == nil || n.hasMember(p.id) {
 		return true
 	}
-	return p.incarnation != "" && now.Sub(p.heard) < forgetAfter
+	return p.incarnation != "" && now.Sub(p.lastReceived) < nonVoterTimeout
 }
 
-// forgetAfter is how long a replica that doesn't vote may be silent before a leader
+// nonVoterTimeout is how long a replica that doesn't vote may be silent before a leader
 // stops sending to it.
-const forgetAfter = 5 * time.Second
+const nonVoterTimeout = 5 * time.Second
 
 // sendPending sends the entries and the commit that followers haven't been sent yet, unless they
 // have still to answer what they were sent.
 func (n *Node) sendPending(now units.Instant, e *Effects) {
-	for _, id := range n.order {
+	for _, id := range n.peerIDs {
 		p := n.peers[id]
-		lacks := p.next <= n.log.last() || p.toldCommit < n.log.commit
-		if p.incarnation != "" && lacks && !p.flight.full(now, n.settings.Heartbeat) && n.wantsAppends(now, p) {
+		lacks := p.next <= n.log.last() || p.sentCommit < n.log.commit
+		if p.incarnation != "" && lacks && !p.inFlight.full(now, n.settings.Heartbeat) && n.shouldSendTo(now, p) {
 			n.sendAppend(now, p, e)
 		}
 	}
 }
 
 func (n *Node) sendAppend(now units.Instant, p *progress, e *Effects) {
-	p.flight.add(now)
-	p.toldCommit = n.log.commit
+	p.inFlight.add(now)
+	p.sentCommit = n.log.commit
 	previous := p.next - 1
 	term, kept := n.log.term(previous)
 	if !kept {
 		n.sendSnapshot(now, p, e)
 		return
 	}
-	entries := n.log.from(p.next)
+	entries := n.log.entriesFrom(p.next)
 	m := n.envelope(p.id)
 	m.Body = &wire.Envelope_AppendRequest{AppendRequest: &wire.AppendRequest{
 		Term: uint64(n.term), PrevIndex: uint64(previous), PrevTerm: uint64(term),
 		Commit: uint64(n.log.commit), Entries: entries, Round: uint64(now),
 		// Whoever learns of a commit knows on whose word it rests.
-		Acknowledged: n.acknowledgedFor(p, now),
+		Acknowledged: n.acknowledgementsFor(p, now),
 	}}
 	e.Sends = append(e.Sends, m)
 	// What was sent is taken as received; a rejection puts next back.
 	p.next += units.Index(len(entries))
 }
 
-// resend answers a rejection. A follower that waits for a snapshot rejects
+// resendAfterRejection answers a rejection. A follower that waits for a snapshot rejects
 // everything until it has come; answering each of those would only feed it more.
-func (n *Node) resend(now units.Instant, p *progress, e *Effects) {
-	if _, kept := n.log.term(p.next - 1); !kept && n.snapshotUnderWay(now, p) {
+func (n *Node) resendAfterRejection(now units.Instant, p *progress, e *Effects) {
+	if _, kept := n.log.term(p.next - 1); !kept && n.snapshotInFlight(now, p) {
 		return
 	}
 	n.sendAppend(now, p, e)
 }
 
-func (n *Node) snapshotUnderWay(now units.Instant, p *progress) bool {
-	return p.snapshotAt != 0 && now.Sub(p.snapshotAt) < snapshotPatience*n.settings.Heartbeat
+func (n *Node) snapshotInFlight(now units.Instant, p *progress) bool {
+	return p.snapshotSentAt != 0 && now.Sub(p.snapshotSentAt) < snapshotRetryHeartbeats*n.settings.Heartbeat
 }
 
 // sendSnapshot sends the snapshot, and between two of them an empty append that
 // keeps the follower from starting an election.
 func (n *Node) sendSnapshot(now units.Instant, p *progress, e *Effects) {
 	m := n.envelope(p.id)
-	if n.snapshotUnderWay(now, p) {
+	if n.snapshotInFlight(now, p) {
 		s := n.log.snapshot
 		m.Body = &wire.Envelope_AppendRequest{AppendRequest: &wire.AppendRequest{
 			Term: uint64(n.term), PrevIndex: s.Index, PrevTerm: s.Term,
@@ -153,7 +153,7 @@
 		e.Sends = append(e.Sends, m)
 		return
 	}
-	p.snapshotAt = now
+	p.snapshotSentAt = now
 	m.Body = &wire.Envelope_SnapshotRequest{SnapshotRequest: &wire.SnapshotRequest{
 		Term: uint64(n.term), Snapshot: n.log.snapshot, Round: uint64(now),
 	}}
@@ -168,13 +168,13 @@
 	if n.role != leader || units.Term(r.Term) < n.term {
 		return
 	}
-	p.contact = max(p.contact, units.Instant(r.Round))
-	p.flight.answered(units.Instant(r.Round))
-	p.noteTold(units.Instant(r.Round))
+	p.lastContact = max(p.lastContact, units.Instant(r.Round))
+	p.inFlight.complete(units.Instant(r.Round))
+	p.recordAcksDelivered(units.Instant(r.Round))
 	match := units.Index(r.Match)
 	if r.Rejected {
 		p.next = max(p.match+1, min(match+1, n.log.last()+1))
-		n.resend(now, p, e)
+		n.resendAfterRejection(now, p, e)
 		return
 	}
 	if match > p.match {
@@ -183,14 +183,14 @@
 		n.advanceCommit(now, e)
 		n.changeMembership(now, e)
 	}
-	n.noteAcknowledged(p)
+	n.recordAcknowledged(p)
 	n.sendPending(now, e)
 }
 
-// copies is how many voters must have synced an entry before it is committed. A
-// young cluster may have fewer voters than copies are asked for; then all of them
+// requiredCopies is how many voters must have synced an entry before it is committed. A
+// young cluster may have fewer voters than requiredCopies are asked for; then all of them
 // must, and nothing is committed before the cluster has grown.
-func (n *Node) copies() int {
+func (n *Node) requiredCopies() int {
 	return max(n.quorum(), n.settings.MinCopies)
 }
 
@@ -200,18 +200,18 @@
 	for _, m := range n.voters() {
 		matches = append(matches, n.matchOf(voterOf(m)))
 	}
-	if len(matches) < n.copies() {
+	if len(matches) < n.requiredCopies() {
 		return
 	}
 	slices.Sort(matches)
-	index := matches[len(matches)-n.copies()]
+	index := matches[len(matches)-n.requiredCopies()]
 	term, kept := n.log.term(index)
 	if index <= n.log.commit || !kept || term != n.term {
 		return
 	}
 	n.commitTo(index, e)
 	for _, p := range n.peers {
-		n.noteAcknowledged(p)
+		n.recordAcknowledged(p)
 	}
 	n.changeMembership(now, e)
 	// Followers learn of the commit at once, not with the next heartbeat.
@@ -231,7 +231,7 @@
 
 func (n *Node) commitTo(index units.Index, e *Effects) {
 	for i := n.log.commit + 1; i <= index; i++ {
-		e.Committed = append(e.Committed, n.log.at(i))
+		e.Committed = append(e.Committed, n.log.entryAt(i))
 	}
 	n.log.commit = max(n.log.commit, index)
 }
@@ -257,19 +257,19 @@
 	n.writeEntries([]*wire.Entry{entry}, e)
 }
 
-// HandOver asks the follower that has most of the log to take over. From then
+// TransferLeadership asks the follower that has most of the log to take over. From then
 // on this node leads no more in its term. It returns false when it doesn't lead
 // or nobody else can.
-func (n *Node) HandOver(now units.Instant, e *Effects) bool {
+func (n *Node) TransferLeadership(now units.Instant, e *Effects) bool {
 	if !n.IsLeader() {
 		return false
 	}
-	heir := n.pickHeir(now)
-	if heir == nil {
+	successor := n.pickSuccessor(now)
+	if successor == nil {
 		return false
 	}
-	n.sendAppend(now, heir, e)
-	m := n.envelope(heir.id)
+	n.sendAppend(now, successor, e)
+	m := n.envelope(successor.id)
 	m.Body = &wire.Envelope_TimeoutNow{TimeoutNow: &wire.TimeoutNow{Term: uint64(n.term)}}
 	e.Sends = append(e.Sends, m)
 	// Without heartbeats from here the others elect somebody even if the heir
@@ -278,19 +278,19 @@
 	return true
 }
 
-func (n *Node) pickHeir(now units.Instant) *progress {
-	var heir *progress
-	for _, id := range n.order {
+func (n *Node) pickSuccessor(now units.Instant) *progress {
+	var successor *progress
+	for _, id := range n.peerIDs {
 		p := n.peers[id]
-		fresh := now.Sub(p.contact) < n.settings.ElectionTimeout
-		if !fresh || !n.isVoter(voter{id: id, incarnation: p.incarnation}) {
+		recent := now.Sub(p.lastContact) < n.settings.ElectionTimeout
+		if !recent || !n.isVoter(voter{id: id, incarnation: p.incarnation}) {
 			continue
 		}
-		if heir == nil || p.match > heir.match {
-			heir = p
+		if successor == nil || p.match > successor.match {
+			successor = p
 		}
 	}
-	return heir
+	return successor
 }
 
 func (n *Node) receiveTimeoutNow(now units.Instant, r *wire.TimeoutNow, e *Effects) {
--- a/pkg/core/replication/log.go
+++ b/pkg/core/replication/log.go
@@ -23,7 +23,7 @@
 	synced units.Index
 }
 
-func newEntryLog(d *Durable) *entryLog {
+func newEntryLog(d *DurableState) *entryLog {
 	l := &entryLog{snapshot: d.Snapshot, entries: d.Entries}
 	if l.snapshot != nil {
 		l.base = units.Index(l.snapshot.Index)
@@ -69,15 +69,15 @@
 	if i < l.base || i > l.last() {
 		return 0, false
 	}
-	return units.Term(l.at(i).Term), true
+	return units.Term(l.entryAt(i).Term), true
 }
 
-func (l *entryLog) at(i units.Index) *wire.Entry {
+func (l *entryLog) entryAt(i units.Index) *wire.Entry {
 	return l.entries[i-l.base-1]
 }
 
-// from returns the entries from an index on, up to maxAppendBytes of commands.
-func (l *entryLog) from(i units.Index) []*wire.Entry {
+// entriesFrom returns the entries entriesFrom an index on, up to maxAppendBytes of commands.
+func (l *entryLog) entriesFrom(i units.Index) []*wire.Entry {
 	if i > l.last() {
 		return nil
 	}
@@ -105,9 +105,9 @@
 			continue
 		}
 		l.truncate(i)
-		fresh := entries[n:]
-		l.entries = append(l.entries, fresh...)
-		return fresh
+		added := entries[n:]
+		l.entries = append(l.entries, added...)
+		return added
 	}
 	return nil
 }
--- a/pkg/core/replication/membership.go
+++ b/pkg/core/replication/membership.go
@@ -30,7 +30,7 @@
 	if s := n.log.snapshot; s != nil {
 		n.membership = membershipState{current: s.Membership, index: units.Index(s.Index)}
 	}
-	n.addMembers()
+	n.addVotersAsPeers()
 	for _, e := range n.log.entries {
 		n.adoptMembership(e)
 	}
@@ -41,7 +41,7 @@
 		return
 	}
 	n.membership = membershipState{current: e.Membership, index: units.Index(e.Index)}
-	n.addMembers()
+	n.addVotersAsPeers()
 }
 
 // formed tells whether this replica belongs to a cluster at all.
@@ -77,46 +77,46 @@
 	if n.role != leader || !n.termCommitted() || n.membership.index > n.log.commit {
 		return
 	}
-	for _, id := range n.order {
+	for _, id := range n.peerIDs {
 		p := n.peers[id]
 		if p.incarnation == "" || n.isVoter(voter{id: id, incarnation: p.incarnation}) || !n.caughtUp(p) {
 			continue
 		}
-		if next := n.stepTowards(now, p); next != nil {
+		if next := n.nextMembershipFor(now, p); next != nil {
 			n.appendEntry(&wire.Entry{Membership: next}, e)
 			return
 		}
 	}
 }
 
-// stepTowards returns the membership that comes next on the way to having a
+// nextMembershipFor returns the membership that comes next on the way to having a
 // replica as a voter, or nil when it has to wait.
-func (n *Node) stepTowards(now units.Instant, p *progress) *wire.Membership {
+func (n *Node) nextMembershipFor(now units.Instant, p *progress) *wire.Membership {
 	without := n.membershipWithout(p.id)
 	if len(without.Voters) < len(n.voters()) {
 		return without
 	}
-	if n.isFull() {
-		return n.withoutSilent(now)
+	if n.hasAllVoters() {
+		return n.withoutUnresponsive(now)
 	}
 	without.Voters = append(without.Voters, &wire.Member{Id: string(p.id), Incarnation: string(p.incarnation)})
 	return without
 }
 
-// isFull tells whether the cluster has as many voters as it may grow to.
-func (n *Node) isFull() bool {
+// hasAllVoters tells whether the cluster has as many voters as it may grow to.
+func (n *Node) hasAllVoters() bool {
 	return n.settings.Growth != nil && len(n.voters()) >= n.settings.Growth.Voters
 }
 
-// withoutSilent returns the membership without a voter that has been silent for so
+// withoutUnresponsive returns the membership without a voter that has been silent for so
 // long that another replica may take its place, or nil when there is none.
-func (n *Node) withoutSilent(now units.Instant) *wire.Membership {
+func (n *Node) withoutUnresponsive(now units.Instant) *wire.Membership {
 	for _, m := range n.voters() {
 		v := voterOf(m)
 		if v == n.self() {
 			continue
 		}
-		last := max(n.ledSince, n.contactOf(v, now))
+		last := max(n.leaderSince, n.lastContactWith(v, now))
 		if now.Sub(last) >= n.settings.Growth.ReplaceAfter {
 			return n.membershipWithout(v.id)
 		}
--- a/pkg/core/replication/node.go
+++ b/pkg/core/replication/node.go
@@ -26,8 +26,8 @@
 	leader:       "leader",
 }
 
-// gated is a message that must not leave before a write is synced.
-type gated struct {
+// deferredSend is a message that must not leave before a write is synced.
+type deferredSend struct {
 	after    WriteSequence
 	envelope *wire.Envelope
 }
@@ -45,32 +45,32 @@
 	role     role
 	leaderID units.ReplicaID
 	peers    map[units.ReplicaID]*progress
-	// order holds the peers' ids, in the order in which they became known.
-	order []units.ReplicaID
+	// peerIDs holds the peers' ids, in the peerIDs in which they became known.
+	peerIDs []units.ReplicaID
 	// votes and refusals are the answers to the vote that is under way.
-	votes    map[units.ReplicaID]bool
-	refusals map[units.ReplicaID]bool
-	// ledSince is when this node last became the leader.
-	ledSince units.Instant
+	votes      map[units.ReplicaID]bool
+	rejections map[units.ReplicaID]bool
+	// leaderSince is when this node last became the leader.
+	leaderSince units.Instant
 	// termStart is the index of the leader's first entry in its term.
 	termStart units.Index
 
 	electionAt  units.Instant
 	heartbeatAt units.Instant
-	// presenceWait is the pause before an empty replica asks the others again.
-	presenceWait time.Duration
-	// leaderHeard is when a leader was last heard; for a while after it no vote
+	// presenceInterval is the pause before an empty replica asks the others again.
+	presenceInterval time.Duration
+	// lastLeaderContact is when a leader was last heard; for a while after it no vote
 	// is given, which is what makes a leader's lease hold.
-	leaderHeard units.Instant
-	// acknowledgedVersion counts the changes of what voters are known to have acknowledged.
-	acknowledgedVersion uint64
+	lastLeaderContact units.Instant
+	// acksVersion counts the changes of what voters are known to have acknowledged.
+	acksVersion uint64
 	// leaseHolder is the start of the leader whose lease this replica may last have answered
 	// to; nil when that isn't known.
 	leaseHolder *wire.LeaderStart
 
-	written  WriteSequence
-	syncedTo WriteSequence
-	gates    []gated
+	lastWrite  WriteSequence
+	lastSynced WriteSequence
+	deferred   []deferredSend
 	// logWrites remembers which index each outstanding write ends with.
 	logWrites []logWrite
 }
@@ -83,7 +83,7 @@
 
 // NewNode returns a node that goes on from what its disk holds. An empty
 // Durable makes a replica that belongs to no cluster yet.
-func NewNode(s Settings, d *Durable, now units.Instant) *Node {
+func NewNode(s Settings, d *DurableState, now units.Instant) *Node {
 	n := &Node{
 		settings: s,
 		random:   rand.New(rand.NewPCG(s.Seed, s.Boot)),
@@ -92,27 +92,27 @@
 		log:      newEntryLog(d),
 		peers:    map[units.ReplicaID]*progress{},
 		// A restart forgets when the leader was last heard, so it counts as now.
-		leaderHeard: now,
+		lastLeaderContact: now,
 	}
 	for _, id := range s.Peers {
 		n.addPeer(id)
 	}
 	n.recomputeMembership()
-	n.addMembers()
+	n.addVotersAsPeers()
 	if n.log.lastTerm() == n.term {
 		// Whoever answers a leader of a later term has written that term down.
 		n.leaseHolder = n.log.leaderOf(n.term)
 	}
-	n.noteStart(now, s.ID, s.Incarnation, s.Boot)
+	n.recordStart(now, s.ID, s.Incarnation, s.Boot)
 	// The others hear at once of this start: it may have ended a lease.
-	n.electionAt = now.Add(n.drawBelow(s.ElectionTimeout / preVoteParts))
+	n.electionAt = now.Add(n.randomBelow(s.ElectionTimeout / preVoteDivisor))
 	return n
 }
 
 // Tick lets the time pass; call it at NextWake or later.
 func (n *Node) Tick(now units.Instant, e *Effects) {
 	if !n.formed() {
-		n.askPresence(now, e)
+		n.requestPresence(now, e)
 		return
 	}
 	if n.role == leader {
@@ -132,10 +132,10 @@
 	return n.electionAt
 }
 
-// Written reports that all writes up to a sequence are synced.
-func (n *Node) Written(now units.Instant, s WriteSequence, e *Effects) {
-	n.syncedTo = max(n.syncedTo, s)
-	for len(n.logWrites) > 0 && n.logWrites[0].sequence <= n.syncedTo {
+// WritesSynced reports that all writes up to a sequence are synced.
+func (n *Node) WritesSynced(now units.Instant, s WriteSequence, e *Effects) {
+	n.lastSynced = max(n.lastSynced, s)
+	for len(n.logWrites) > 0 && n.logWrites[0].sequence <= n.lastSynced {
 		w := n.logWrites[0]
 		n.logWrites = n.logWrites[1:]
 		// An entry that was replaced meanwhile isn't the one that was synced.
@@ -143,27 +143,27 @@
 			n.log.synced = max(n.log.synced, w.last)
 		}
 	}
-	n.openGates(e)
+	n.releaseDeferred(e)
 	if n.role == leader {
 		n.advanceCommit(now, e)
 	}
 }
 
-func (n *Node) openGates(e *Effects) {
-	kept := n.gates[:0]
-	for _, g := range n.gates {
-		if g.after <= n.syncedTo {
+func (n *Node) releaseDeferred(e *Effects) {
+	kept := n.deferred[:0]
+	for _, g := range n.deferred {
+		if g.after <= n.lastSynced {
 			e.Sends = append(e.Sends, g.envelope)
 			continue
 		}
 		kept = append(kept, g)
 	}
-	n.gates = kept
+	n.deferred = kept
 }
 
 // Receive takes a message from another replica.
 func (n *Node) Receive(now units.Instant, m *wire.Envelope, e *Effects) {
-	p := n.peerOf(m)
+	p := n.senderOf(m)
 	if p == nil || !n.admit(now, p, m, e) {
 		return
 	}
@@ -173,7 +173,7 @@
 // admit decides whether a sender may be listened to at all.
 func (n *Node) admit(now units.Instant, p *progress, m *wire.Envelope, e *Effects) bool {
 	if n.formed() && m.Cluster != "" && m.Cluster != n.membership.current.Cluster {
-		n.refuseForeigner(p.id, m, e)
+		n.refuseForeignCluster(p.id, m, e)
 		return false
 	}
 	incarnation := units.Incarnation(m.Incarnation)
@@ -183,24 +183,24 @@
 	}
 	isNew := true
 	if p.incarnation != incarnation {
-		p.restart(n.log.last() + 1)
+		p.reset(n.log.last() + 1)
 		isNew = p.replaceIncarnation(incarnation)
 	}
 	p.boot = m.Boot
 	if isNew {
-		n.noteStart(now, p.id, p.incarnation, p.boot)
+		n.recordStart(now, p.id, p.incarnation, p.boot)
 	}
-	if n.wentBack(p, m) {
+	if n.lostAcknowledgedEntries(p, m) {
 		n.refuse(p.id, m, "its disk holds an older copy: it acknowledged more than it holds now", e)
 		return false
 	}
-	p.heard = now
+	p.lastReceived = now
 	return true
 }
 
-// refuseForeigner answers a member of another cluster. Only a cluster that has
+// refuseForeignCluster answers a member of another cluster. Only a cluster that has
 // worked may refuse; of two that formed at once, the one without a quorum goes.
-func (n *Node) refuseForeigner(to units.ReplicaID, m *wire.Envelope, e *Effects) {
+func (n *Node) refuseForeignCluster(to units.ReplicaID, m *wire.Envelope, e *Effects) {
 	if n.log.commit > firstIndex {
 		n.refuse(to, m, "they belong to cluster "+n.membership.current.Cluster+", this one to "+m.Cluster, e)
 	}
@@ -259,18 +259,18 @@
 	return m
 }
 
-// sendSynced sends a message once every write made so far is on the disk.
-func (n *Node) sendSynced(m *wire.Envelope, e *Effects) {
-	if n.written <= n.syncedTo {
+// sendAfterSync sends a message once every write made so far is on the disk.
+func (n *Node) sendAfterSync(m *wire.Envelope, e *Effects) {
+	if n.lastWrite <= n.lastSynced {
 		e.Sends = append(e.Sends, m)
 		return
 	}
-	n.gates = append(n.gates, gated{after: n.written, envelope: m})
+	n.deferred = append(n.deferred, deferredSend{after: n.lastWrite, envelope: m})
 }
 
 func (n *Node) newWrite(e *Effects) *Write {
-	n.written++
-	w := &Write{Sequence: n.written}
+	n.lastWrite++
+	w := &Write{Sequence: n.lastWrite}
 	e.Writes = append(e.Writes, w)
 	return w
 }
@@ -292,10 +292,10 @@
 }
 
 func (n *Node) resetElection(now units.Instant) {
-	n.electionAt = now.Add(n.settings.ElectionTimeout + n.drawBelow(n.settings.ElectionTimeout))
+	n.electionAt = now.Add(n.settings.ElectionTimeout + n.randomBelow(n.settings.ElectionTimeout))
 }
 
-func (n *Node) drawBelow(limit time.Duration) time.Duration {
+func (n *Node) randomBelow(limit time.Duration) time.Duration {
 	return time.Duration(n.random.Int64N(int64(limit)))
 }
 
@@ -340,9 +340,9 @@
 	// Acknowledged is up to where it is known to have acknowledged the committed log, to
 	// this leader or an earlier one.
 	Acknowledged units.Index `json:"acknowledged"`
-	// Silence is how long nothing has come from it.
-	Silence time.Duration `json:"silence"`
-	Heard   bool          `json:"heard"`
+	// SinceReceived is how long nothing has come from it.
+	SinceReceived time.Duration `json:"silence"`
+	Contacted     bool          `json:"heard"`
 }
 
 // Status returns the node's state at a time.
@@ -359,12 +359,12 @@
 	if n.log.snapshot != nil {
 		s.Snapshot = units.Index(n.log.snapshot.Index)
 	}
-	for _, id := range n.order {
+	for _, id := range n.peerIDs {
 		p := n.peers[id]
 		s.Peers = append(s.Peers, PeerStatus{
 			ID: id, Incarnation: p.incarnation, Match: p.match, Acknowledged: p.acknowledged.index,
-			Voter:   n.isVoter(voter{id: id, incarnation: p.incarnation}),
-			Silence: now.Sub(p.heard), Heard: p.incarnation != "",
+			Voter:         n.isVoter(voter{id: id, incarnation: p.incarnation}),
+			SinceReceived: now.Sub(p.lastReceived), Contacted: p.incarnation != "",
 		})
 	}
 	return s
--- a/pkg/core/replication/peers.go
+++ b/pkg/core/replication/peers.go
@@ -13,17 +13,17 @@
 
 // addPeer begins to keep account of another replica.
 func (n *Node) addPeer(id units.ReplicaID) *progress {
-	if p := n.peers[id]; p != nil || id == n.settings.ID || id == "" || len(n.order) >= maxPeers {
+	if p := n.peers[id]; p != nil || id == n.settings.ID || id == "" || len(n.peerIDs) >= maxPeers {
 		return p
 	}
 	p := &progress{id: id, next: n.log.last() + 1}
 	n.peers[id] = p
-	n.order = append(n.order, id)
+	n.peerIDs = append(n.peerIDs, id)
 	return p
 }
 
 // Peers are the other replicas that this node keeps account of.
-func (n *Node) Peers() []units.ReplicaID { return slices.Clone(n.order) }
+func (n *Node) Peers() []units.ReplicaID { return slices.Clone(n.peerIDs) }
 
 // AddPeers begins to keep account of replicas that the settings name now.
 func (n *Node) AddPeers(list []units.ReplicaID) {
@@ -32,8 +32,8 @@
 	}
 }
 
-// addMembers makes sure that all voters are kept account of.
-func (n *Node) addMembers() {
+// addVotersAsPeers makes sure that all voters are kept account of.
+func (n *Node) addVotersAsPeers() {
 	if n.settings.Growth == nil {
 		return
 	}
@@ -42,9 +42,9 @@
 	}
 }
 
-// peerOf returns a message's sender, or nil when it is none of the cluster's. A
+// senderOf returns a message's sender, or nil when it is none of the cluster's. A
 // cluster that grows takes in whoever reports; others keep to their settings.
-func (n *Node) peerOf(m *wire.Envelope) *progress {
+func (n *Node) senderOf(m *wire.Envelope) *progress {
 	id := units.ReplicaID(m.From)
 	if p := n.peers[id]; p != nil || n.settings.Growth == nil {
 		return p
@@ -69,7 +69,7 @@
 // voters first, then those that follow.
 func (n *Node) Members() []units.ReplicaID {
 	members := n.Voters()
-	for _, id := range append([]units.ReplicaID{n.settings.ID}, n.order...) {
+	for _, id := range append([]units.ReplicaID{n.settings.ID}, n.peerIDs...) {
 		if !slices.Contains(members, id) {
 			members = append(members, id)
 		}
@@ -81,8 +81,8 @@
 // within two election timeouts, itself among them.
 func (n *Node) LiveMembers(now units.Instant) []units.ReplicaID {
 	live := []units.ReplicaID{n.settings.ID}
-	for _, id := range n.order {
-		if p := n.peers[id]; p.contact != 0 && now.Sub(p.contact) < 2*n.settings.ElectionTimeout {
+	for _, id := range n.peerIDs {
+		if p := n.peers[id]; p.lastContact != 0 && now.Sub(p.lastContact) < 2*n.settings.ElectionTimeout {
 			live = append(live, id)
 		}
 	}
--- a/pkg/core/replication/snapshot_test.go
+++ b/pkg/core/replication/snapshot_test.go
@@ -19,7 +19,7 @@
 		ID: "b", Incarnation: "b.1", Boot: 1, Peers: []units.ReplicaID{"a", "c"},
 		ElectionTimeout: time.Second, Heartbeat: 100 * time.Millisecond,
 	}
-	durable := &Durable{Snapshot: start}
+	durable := &DurableState{Snapshot: start}
 	durable.HardState.Term = 1
 	now := units.Instant(time.Second)
 	n := NewNode(s, durable, now)
--- a/pkg/replica/gate_test.go
+++ b/pkg/replica/gate_test.go
@@ -23,7 +23,7 @@
 	s.Replicas = []config.Replica{{Box: "control-2", Address: "127.0.0.2:7000"}}
 	core, err := control.NewReplica(control.Settings{
 		Replication: replication.Settings{ID: "control-1", ElectionTimeout: time.Second, Peers: []units.ReplicaID{"control-2", "127.0.0.3:7000"}},
-	}, &replication.Durable{}, 1)
+	}, &replication.DurableState{}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -62,7 +62,7 @@
 type Store struct {
 	db       *bbolt.DB
 	identity Identity
-	durable  replication.Durable
+	durable  replication.DurableState
 }
 
 // Open opens the data folder of a replica, making it when there is none. Errors
@@ -225,7 +225,7 @@
 func (s *Store) Identity() Identity { return s.identity }
 
 // Durable returns what was on the disk when the folder was opened.
-func (s *Store) Durable() *replication.Durable { return &s.durable }
+func (s *Store) Durable() *replication.DurableState { return &s.durable }
 
 // Write carries out writes in order, all in one synced transaction. When it
 // fails nothing of them counts, and the replica must stop.
--- a/pkg/store/store_test.go
+++ b/pkg/store/store_test.go
@@ -64,7 +64,7 @@
 	s.Close()
 	s = mustOpen(t, folder, 5)
 	defer s.Close()
-	want := &replication.Durable{
+	want := &replication.DurableState{
 		Snapshot: &wire.Snapshot{Index: 2, Term: 2, State: []byte("state")},
 		Entries:  []*wire.Entry{entry(2, 2), entry(3, 2), entry(4, 3)},
 	}
--- a/test/soak_faults_test.go
+++ b/test/soak_faults_test.go
@@ -289,7 +289,7 @@
 	}
 	n := 1
 	for _, p := range d.Control.Log.Peers {
-		if p.Voter && p.Heard && p.Silence < time.Second && p.Match >= d.Control.Log.Commit {
+		if p.Voter && p.Contacted && p.SinceReceived < time.Second && p.Match >= d.Control.Log.Commit {
 			n++
 		}
 	}
