--- a/pkg/core/box/box.go
+++ b/pkg/core/box/box.go
@@ -56,7 +56,7 @@
 		b.router.Reduce(now, &routing.Tick{}, &e.Routing)
 	}
 	if b.router.EvidenceDue() {
-		b.reduceSubscription(now, subscription.Urgent{}, e)
+		b.reduceSubscription(now, subscription.RenewNow{}, e)
 	}
 }
 
@@ -79,7 +79,7 @@
 		e.Subscription.Watched = nil
 	}
 	if e.Subscription.LeaseChanged {
-		b.router.Reduce(now, &routing.LeaseChanged{Until: b.subscription.LeaseUntil(), At: b.subscription.LeasedAt()}, &e.Routing)
+		b.router.Reduce(now, &routing.LeaseChanged{Until: b.subscription.LeaseUntil(), At: b.subscription.LeaseRequestedAt()}, &e.Routing)
 		e.Subscription.LeaseChanged = false
 	}
 	b.addEvidence(now, e.Subscription.Sends[before:])
@@ -105,7 +105,7 @@
 
 // Ready tells whether callers should be sent to this box.
 func (b *Box) Ready(now units.Instant) bool {
-	return b.router.Serving(now) && (b.router.ServesStale() || b.subscription.Fresh(now))
+	return b.router.Serving(now) && (b.router.ServesStale() || b.subscription.HasFreshLease(now))
 }
 
 // Subscription returns the box's subscription, for reading.
--- a/pkg/core/box/exposure_test.go
+++ b/pkg/core/box/exposure_test.go
@@ -149,7 +149,7 @@
 		f.run(500 * time.Millisecond)
 		f.bad = 1
 		m := f.boxes[0]
-		m.core.Reduce(f.now, subscription.Urgent{}, &m.effects)
+		m.core.Reduce(f.now, subscription.RenewNow{}, &m.effects)
 		m.effects.Reset()
 		var sends []routing.Effect
 		for range 3 {
--- a/pkg/core/box/fleet_test.go
+++ b/pkg/core/box/fleet_test.go
@@ -99,7 +99,7 @@
 	m.drainedAt = 0
 	m.open = map[attemptKey]bool{}
 	core, err := NewBox(subscription.Settings{
-		Box: table.Box{ID: boxName(m.index)}, Replicas: []units.ReplicaID{"r1", "r2"}, RenewEvery: renewEvery, Silence: silence,
+		Box: table.Box{ID: boxName(m.index)}, Replicas: []units.ReplicaID{"r1", "r2"}, RenewInterval: renewEvery, ReplicaTimeout: silence,
 		Start: m.start, Seed: f.random.Uint64(),
 	}, routing.Settings{
 		Box: boxName(m.index), Seed: f.random.Uint64(), ServeStale: m.index%2 == 0, ShareDelay: time.Second,
--- a/pkg/core/control/world_test.go
+++ b/pkg/core/control/world_test.go
@@ -405,8 +405,8 @@
 		}
 	}
 	b.core = subscription.NewSubscription(subscription.Settings{
-		Box: table.Box{ID: b.id, Address: "127.0.0.1:1"}, Replicas: ids, RenewEvery: w.renewEvery,
-		Silence: w.silence, Start: uint64(b.generation), Seed: w.random.Uint64(),
+		Box: table.Box{ID: b.id, Address: "127.0.0.1:1"}, Replicas: ids, RenewInterval: w.renewEvery,
+		ReplicaTimeout: w.silence, Start: uint64(b.generation), Seed: w.random.Uint64(),
 	}, w.now)
 	w.tickBox(b, b.generation)
 }
--- a/pkg/core/subscription/exposures.go
+++ b/pkg/core/subscription/exposures.go
@@ -5,30 +5,30 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Urgent asks for a request for a lease at once: it carries news that the leader had better
+// RenewNow asks for a request for a lease at once: it carries news that the leader had better
 // have before the next one is due.
-type Urgent struct{}
+type RenewNow struct{}
 
-func (Urgent) subscriptionEvent() {}
+func (RenewNow) subscriptionEvent() {}
 
-// sendUrgently sends a request at once where there is a replica to send it to.
-func (s *Subscription) sendUrgently(now units.Instant, e *Effects) {
+// renewNow sends a request at once where there is a replica to send it to.
+func (s *Subscription) renewNow(now units.Instant, e *Effects) {
 	if s.link.state == linkUp {
 		s.renew(now, e)
 	}
 }
 
-// takeExposures passes on what a grant says of rollouts, unless a later request was answered
+// applyExposures passes on what a grant says of rollouts, unless a later request was answered
 // before: a late answer must not bring back what the leader has withdrawn.
-func (s *Subscription) takeExposures(asked units.Instant, r *wire.RenewResponse, e *Effects) {
-	if r.Nonce < s.exposedBy {
+func (s *Subscription) applyExposures(asked units.Instant, r *wire.RenewResponse, e *Effects) {
+	if r.Nonce < s.exposuresNonce {
 		return
 	}
-	s.exposedBy = r.Nonce
-	if len(r.Exposures) == 0 && !s.exposed {
+	s.exposuresNonce = r.Nonce
+	if len(r.Exposures) == 0 && !s.hasExposures {
 		return
 	}
-	s.exposed = len(r.Exposures) > 0
+	s.hasExposures = len(r.Exposures) > 0
 	e.ExposuresChanged = true
 	e.Exposures = wire.ToExposures(r.Exposures, asked)
 }
--- a/pkg/core/subscription/exposures_test.go
+++ b/pkg/core/subscription/exposures_test.go
@@ -12,8 +12,8 @@
 
 const testExposure = 900 * time.Millisecond
 
-// exposing returns a grant that names an exposure for a stage.
-func exposing(nonce, since uint64) *wire.Envelope {
+// grantWithExposure returns a grant that names an exposure for a stage.
+func grantWithExposure(nonce, since uint64) *wire.Envelope {
 	m := grantOf(nonce, 0, start)
 	m.GetRenewResponse().Exposures = []*wire.Exposure{{Service: "s", Order: 3, Since: since, Share: 10, Duration: int64(testExposure)}}
 	return m
@@ -23,7 +23,7 @@
 	b := newBox()
 	asked, nonce := b.now, b.nonce()
 	b.now = b.now.Add(200 * time.Millisecond)
-	b.receive(exposing(nonce, 5))
+	b.receive(grantWithExposure(nonce, 5))
 	want := []rollout.Exposure{{Service: "s", Order: 3, Since: 5, Share: 10, Asked: asked, Until: asked.Add(testExposure)}}
 	if difference := cmp.Diff(want, b.effects.Exposures); difference != "" || !b.effects.ExposuresChanged {
 		t.Fatal(difference)
@@ -33,12 +33,12 @@
 func TestOnlyTheNewestGrantSaysWhatIsExposed(t *testing.T) {
 	b := newBox()
 	first := b.nonce()
-	b.pass(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	second := b.nonce()
-	b.pass(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	third := b.nonce()
-	b.receive(exposing(second, 5))
-	b.receive(exposing(first, 4))
+	b.receive(grantWithExposure(second, 5))
+	b.receive(grantWithExposure(first, 4))
 	if b.effects.ExposuresChanged {
 		t.Fatal("a grant for an earlier request was taken")
 	}
@@ -46,7 +46,7 @@
 	if !b.effects.ExposuresChanged || len(b.effects.Exposures) > 0 {
 		t.Fatal("a newer grant without exposures doesn't end them")
 	}
-	b.receive(exposing(second, 5))
+	b.receive(grantWithExposure(second, 5))
 	if b.effects.ExposuresChanged {
 		t.Fatal("a grant that came twice was taken again")
 	}
@@ -64,7 +64,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			b := newBox()
-			m := exposing(b.nonce(), 5)
+			m := grantWithExposure(b.nonce(), 5)
 			s.change(m.GetRenewResponse())
 			b.receive(m)
 			if b.effects.ExposuresChanged {
@@ -86,7 +86,7 @@
 	b := newBox()
 	b.receive(grantOf(b.nonce(), 0, start))
 	b.now = b.now.Add(time.Millisecond)
-	b.give(Urgent{})
+	b.deliver(RenewNow{})
 	if len(b.effects.Sends) != 1 {
 		t.Fatalf("%d requests were sent", len(b.effects.Sends))
 	}
@@ -97,9 +97,9 @@
 
 func TestUrgentNewsWaitForAReplica(t *testing.T) {
 	b := newBox()
-	b.dark = true
-	b.give(Detached{Attachment: b.attachment})
-	b.give(Urgent{})
+	b.unreachable = true
+	b.deliver(Detached{Attachment: b.attachment})
+	b.deliver(RenewNow{})
 	if len(b.effects.Sends) > 0 {
 		t.Fatal("a request was sent without a replica")
 	}
--- a/pkg/core/subscription/home_test.go
+++ b/pkg/core/subscription/home_test.go
@@ -11,14 +11,14 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// domainBox is a box of a failure domain that is attached to a seed elsewhere and has learnt of the others.
-func domainBox(id units.BoxID, domain units.Domain, names, domains []string) *box {
+// newBoxInDomain is a box of a failure domain that is attached to a seed elsewhere and has learnt of the others.
+func newBoxInDomain(id units.BoxID, domain units.Domain, names, domains []string) *box {
 	b := &box{now: units.Instant(time.Second)}
 	b.Subscription = NewSubscription(Settings{
-		Box: table.Box{ID: id, Domain: domain}, Replicas: []units.ReplicaID{"seed"}, RenewEvery: 100 * time.Millisecond,
-		Silence: 300 * time.Millisecond, Start: start,
+		Box: table.Box{ID: id, Domain: domain}, Replicas: []units.ReplicaID{"seed"}, RenewInterval: 100 * time.Millisecond,
+		ReplicaTimeout: 300 * time.Millisecond, Start: start,
 	}, b.now)
-	b.give(Tick{})
+	b.deliver(Tick{})
 	m := grantOf(b.nonce(), 0, start)
 	m.GetRenewResponse().Replicas, m.GetRenewResponse().ReplicaDomains = names, domains
 	b.receive(m)
@@ -29,7 +29,7 @@
 func (b *box) renewFor(d time.Duration) [][]units.ReplicaID {
 	var dialled [][]units.ReplicaID
 	for end := b.now.Add(d); b.now < end; {
-		b.pass(50 * time.Millisecond)
+		b.advance(50 * time.Millisecond)
 		if b.effects.Attach {
 			dialled = append(dialled, b.effects.Replicas)
 		}
@@ -41,12 +41,12 @@
 }
 
 var (
-	homeNames   = []string{"seed", "a1", "a2", "b1"}
-	homeDomains = []string{"c", "a", "a", "b"}
+	replicaNames   = []string{"seed", "a1", "a2", "b1"}
+	replicaDomains = []string{"c", "a", "a", "b"}
 )
 
 func TestABoxMovesToAReplicaOfItsDomain(t *testing.T) {
-	b := domainBox("box", "a", homeNames, homeDomains)
+	b := newBoxInDomain("box", "a", replicaNames, replicaDomains)
 	dialled := b.renewFor(3 * time.Second)
 	if len(dialled) != 1 || len(dialled[0]) != 1 || b.replicas.domains[dialled[0][0]] != "a" {
 		t.Fatalf("the box dials %v", dialled)
@@ -61,22 +61,22 @@
 
 // A home that can't be reached costs a box a dial now and then, and never its lease.
 func TestABoxWhoseHomeIsOutOfReachStays(t *testing.T) {
-	b := domainBox("box", "b", homeNames, homeDomains)
+	b := newBoxInDomain("box", "b", replicaNames, replicaDomains)
 	b.renewFor(400 * time.Millisecond)
-	b.dark = true
-	tries := 0
+	b.unreachable = true
+	dials := 0
 	for range 20 * 60 {
-		b.pass(50 * time.Millisecond)
+		b.advance(50 * time.Millisecond)
 		if b.effects.Attach {
-			home := slices.Equal(b.effects.Replicas, []units.ReplicaID{"b1"})
-			if home {
-				tries++
+			preferred := slices.Equal(b.effects.Replicas, []units.ReplicaID{"b1"})
+			if preferred {
+				dials++
 			}
-			b.dark = home
-			if !home {
-				b.give(Attached{Attachment: b.attachment, Replica: b.effects.Replicas[0]})
+			b.unreachable = preferred
+			if !preferred {
+				b.deliver(Attached{Attachment: b.attachment, Replica: b.effects.Replicas[0]})
 			} else {
-				b.give(Detached{Attachment: b.attachment})
+				b.deliver(Detached{Attachment: b.attachment})
 			}
 		}
 		if b.link.state == linkUp && len(b.effects.Sends) > 0 {
@@ -86,8 +86,8 @@
 			t.Fatal("the box has lost its lease")
 		}
 	}
-	if tries == 0 || tries > 8 {
-		t.Errorf("the home was dialled %d times in a minute", tries)
+	if dials == 0 || dials > 8 {
+		t.Errorf("the home was dialled %d times in a minute", dials)
 	}
 }
 
@@ -97,12 +97,12 @@
 	for i := range 600 {
 		domain := []units.Domain{"a", "b", "none"}[i%3]
 		l := newReplicaList(nil, nil)
-		l.learn(homeNames, homeDomains)
-		home := l.home(units.BoxID(fmt.Sprint("box", i)), domain, 0)
-		if domain != "none" && l.domains[home] != domain {
-			t.Fatalf("a box of %s is at home at %s", domain, home)
+		l.updateListed(replicaNames, replicaDomains)
+		preferred := l.preferred(units.BoxID(fmt.Sprint("box", i)), domain, 0)
+		if domain != "none" && l.domains[preferred] != domain {
+			t.Fatalf("a box of %s is at home at %s", domain, preferred)
 		}
-		count[home]++
+		count[preferred]++
 	}
 	if count["a1"] < 100 || count["a2"] < 100 || count["b1"] < 200 || count["seed"] < 25 {
 		t.Errorf("boxes are spread as %v", count)
@@ -111,7 +111,7 @@
 
 // A leader that learns more of the replicas' domains names them again.
 func TestTheChecksumKnowsDomains(t *testing.T) {
-	if wire.ChecksumReplicas(homeNames, homeDomains) == wire.ChecksumReplicas(homeNames, []string{"c", "a", "a", ""}) {
+	if wire.ChecksumReplicas(replicaNames, replicaDomains) == wire.ChecksumReplicas(replicaNames, []string{"c", "a", "a", ""}) {
 		t.Error("the checksum leaves out domains")
 	}
 }
--- a/pkg/core/subscription/replicas.go
+++ b/pkg/core/subscription/replicas.go
@@ -10,8 +10,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// failedFor is how long a replica that had to be left comes after all others.
-const failedFor = 3 * time.Second
+// avoidTime is how long a replica that had to be left comes after all others.
+const avoidTime = 3 * time.Second
 
 // replicaList is the choice of the replicas to attach to. The settings name some
 // replicas, the leader names those that it knows to be at work.
@@ -19,8 +19,8 @@
 	random *rand.Rand
 	// known are all replicas: those of the settings first, then those learned.
 	known []units.ReplicaID
-	// named are those that the leader named last.
-	named []units.ReplicaID
+	// listed are those that the leader listed last.
+	listed []units.ReplicaID
 	// domains are the failure domains of those, as far as they are known.
 	domains map[units.ReplicaID]units.Domain
 	// checksum sums up both, as they came.
@@ -40,7 +40,7 @@
 // last stay known as well.
 func (l *replicaList) configure(settings []units.ReplicaID) {
 	l.known = slices.Clone(settings)
-	l.addKnown(l.named)
+	l.addKnown(l.listed)
 }
 
 func (l *replicaList) addKnown(list []units.ReplicaID) {
@@ -51,25 +51,25 @@
 	}
 }
 
-// learn takes the leader's list of replicas at work; an empty one says nothing.
-func (l *replicaList) learn(names, domains []string) {
+// updateListed takes the leader's list of replicas at work; an empty one says nothing.
+func (l *replicaList) updateListed(names, domains []string) {
 	if len(names) == 0 {
 		return
 	}
 	l.checksum = wire.ChecksumReplicas(names, domains)
-	l.named = l.named[:0]
+	l.listed = l.listed[:0]
 	l.domains = map[units.ReplicaID]units.Domain{}
 	for i, n := range names {
-		l.named = append(l.named, units.ReplicaID(n))
+		l.listed = append(l.listed, units.ReplicaID(n))
 		if i < len(domains) {
 			l.domains[units.ReplicaID(n)] = units.Domain(domains[i])
 		}
 	}
-	l.addKnown(l.named)
+	l.addKnown(l.listed)
 }
 
-// leave says that the present replica had to be left.
-func (l *replicaList) leave(now units.Instant) {
+// avoidCurrent says that the present replica had to be left.
+func (l *replicaList) avoidCurrent(now units.Instant) {
 	if l.current != "" {
 		l.leftAt[l.current] = now
 		l.current = ""
@@ -80,11 +80,11 @@
 // order: those that the leader named, then the other known ones. Those that were left
 // lately come last, and only when desperate is set or no other is known: a process that
 // stands still is connected to as fast as one that works.
-func (l *replicaList) candidates(now units.Instant, n int, desperate bool) []units.ReplicaID {
+func (l *replicaList) candidates(now units.Instant, n int, includeAvoided bool) []units.ReplicaID {
 	list := slices.Clone(l.known)
 	l.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	slices.SortStableFunc(list, func(a, b units.ReplicaID) int { return l.rank(a, now) - l.rank(b, now) })
-	if i := slices.IndexFunc(list, func(id units.ReplicaID) bool { return l.rank(id, now) == rankLeft }); i > 0 && !desperate {
+	if i := slices.IndexFunc(list, func(id units.ReplicaID) bool { return l.rank(id, now) == rankAvoided }); i > 0 && !includeAvoided {
 		list = list[:i]
 	}
 	return list[:min(n, len(list))]
@@ -92,37 +92,37 @@
 
 // The ranks of a replica as a candidate.
 const (
-	rankNamed = iota
+	rankListed = iota
 	rankKnown
-	rankLeft
+	rankAvoided
 )
 
 func (l *replicaList) rank(id units.ReplicaID, now units.Instant) int {
-	if left := l.leftAt[id]; left != 0 && now.Sub(left) <= failedFor {
-		return rankLeft
+	if left := l.leftAt[id]; left != 0 && now.Sub(left) <= avoidTime {
+		return rankAvoided
 	}
-	if slices.Contains(l.named, id) {
-		return rankNamed
+	if slices.Contains(l.listed, id) {
+		return rankListed
 	}
 	return rankKnown
 }
 
-// home returns the replica that a box of a domain is to be attached to: one of its own domain where there are
+// preferred returns the replica that a box of a domain is to be attached to: one of its own domain where there are
 // any, so that what each box gets crosses no border, and of those the one that comes first for the box, so
-// that boxes are spread over them. It is empty where none is known, or the home was left lately.
-func (l *replicaList) home(box units.BoxID, domain units.Domain, now units.Instant) units.ReplicaID {
-	own := slices.DeleteFunc(slices.Clone(l.named), func(id units.ReplicaID) bool { return domain == "" || l.domains[id] != domain })
-	if len(own) == 0 {
-		own = l.named
+// that boxes are spread over them. It is empty where none is known, or the preferred was left lately.
+func (l *replicaList) preferred(box units.BoxID, domain units.Domain, now units.Instant) units.ReplicaID {
+	preferable := slices.DeleteFunc(slices.Clone(l.listed), func(id units.ReplicaID) bool { return domain == "" || l.domains[id] != domain })
+	if len(preferable) == 0 {
+		preferable = l.listed
 	}
-	var first units.ReplicaID
-	for _, id := range own {
-		if first == "" || rendezvous.Hash(box, id) > rendezvous.Hash(box, first) {
-			first = id
+	var best units.ReplicaID
+	for _, id := range preferable {
+		if best == "" || rendezvous.Hash(box, id) > rendezvous.Hash(box, best) {
+			best = id
 		}
 	}
-	if first != "" && l.rank(first, now) == rankLeft {
+	if best != "" && l.rank(best, now) == rankAvoided {
 		return ""
 	}
-	return first
+	return best
 }
--- a/pkg/core/subscription/subscription.go
+++ b/pkg/core/subscription/subscription.go
@@ -16,8 +16,8 @@
 
 // Defaults of the timings.
 const (
-	DefaultRenewEvery = 400 * time.Millisecond
-	DefaultSilence    = 850 * time.Millisecond
+	DefaultRenewInterval  = 400 * time.Millisecond
+	DefaultReplicaTimeout = 850 * time.Millisecond
 )
 
 // Settings are what a box needs to know to subscribe.
@@ -26,10 +26,10 @@
 	// Replicas are the control replicas, in the settings' order, or those of them
 	// that the settings know; the leader names the others.
 	Replicas []units.ReplicaID
-	// RenewEvery is the time between two requests for a lease.
-	RenewEvery time.Duration
-	// Silence is how long a replica may go without granting a lease.
-	Silence time.Duration
+	// RenewInterval is the time between two requests for a lease.
+	RenewInterval time.Duration
+	// ReplicaTimeout is how long a replica may go without granting a lease.
+	ReplicaTimeout time.Duration
 	// Start names this run of the box, so that grants for an earlier one don't
 	// count.
 	Start uint64
@@ -63,7 +63,7 @@
 type ReplicasChanged struct{ Replicas []units.ReplicaID }
 
 // Leaving says whether the box is about to go.
-type Leaving struct{ On bool }
+type Leaving struct{ IsLeaving bool }
 
 func (Tick) subscriptionEvent()            {}
 func (Received) subscriptionEvent()        {}
@@ -80,11 +80,11 @@
 // is, connect to the Replicas at the same time and keep the connection that is
 // made first, within DialLimit.
 type Effects struct {
-	Attach     bool
-	Replicas   []units.ReplicaID
-	Attachment Attachment
-	DialLimit  time.Duration
-	Sends      []*wire.Envelope
+	Attach      bool
+	Replicas    []units.ReplicaID
+	Attachment  Attachment
+	DialTimeout time.Duration
+	Sends       []*wire.Envelope
 	// Table is set when a new table is in force.
 	Table *table.Table
 	// LeaseChanged is set when LeaseUntil returns something new.
@@ -99,13 +99,13 @@
 // grant is a lease that waits for the revision it was given for.
 type grant struct {
 	revision units.Revision
-	// sent is when the request for it was sent.
-	sent  units.Instant
-	until units.Instant
+	// requestedAt is when the request for it was requestedAt.
+	requestedAt units.Instant
+	expiresAt   units.Instant
 }
 
-// maxGrants bounds the leases that wait for their revision.
-const maxGrants = 16
+// maxPendingGrants bounds the leases that wait for their revision.
+const maxPendingGrants = 16
 
 // Subscription is the state of a box's subscription.
 type Subscription struct {
@@ -121,23 +121,23 @@
 	renewAt   units.Instant
 	nonce     uint64
 	// sentAt remembers when the requests that are under way were sent.
-	sentAt     map[uint64]units.Instant
-	grants     []grant
-	leaseUntil units.Instant
-	// leasedAt is when the request for the present lease was sent.
-	leasedAt units.Instant
-	// leaseTime is how long the last grant was for.
-	leaseTime time.Duration
-	leaving   bool
-	// exposedBy names the request whose answer the present exposures came with; exposed is set
+	sentAt        map[uint64]units.Instant
+	pendingGrants []grant
+	leaseUntil    units.Instant
+	// leaseRequestedAt is when the request for the present lease was sent.
+	leaseRequestedAt units.Instant
+	// leaseDuration is how long the last grant was for.
+	leaseDuration time.Duration
+	leaving       bool
+	// exposuresNonce names the request whose answer the present exposures came with; exposed is set
 	// while there are some.
-	exposedBy uint64
-	exposed   bool
-	// watchedBy names the request whose answer last said which calls are watched, watchedTerm the
+	exposuresNonce uint64
+	hasExposures   bool
+	// watchedNonce names the request whose answer last said which calls are watched, watchedTerm the
 	// leader that said so; watching is set while there are some.
-	watchedBy   uint64
-	watchedTerm units.Term
-	watching    bool
+	watchedNonce uint64
+	watchedTerm  units.Term
+	hasWatched   bool
 }
 
 // NewSubscription returns a subscription that has no table yet.
@@ -148,7 +148,7 @@
 		random:   random,
 		table:    table.NewTable(),
 		replicas: newReplicaList(s.Replicas, random),
-		link:     link{nextAt: now},
+		link:     link{nextDialAt: now},
 		sentAt:   map[uint64]units.Instant{},
 		renewAt:  now,
 	}
@@ -175,36 +175,36 @@
 	case ReplicasChanged:
 		s.replicas.configure(v.Replicas)
 	case Leaving:
-		s.leaving = v.On
+		s.leaving = v.IsLeaving
 		s.renewAt = now
 		s.tick(now, e)
-	case Urgent:
-		s.sendUrgently(now, e)
+	case RenewNow:
+		s.renewNow(now, e)
 	}
 }
 
 func (s *Subscription) tick(now units.Instant, e *Effects) {
-	if s.link.state == linkUp && now.Sub(max(s.link.since, s.grantedAt)) >= s.patience() {
+	if s.link.state == linkUp && now.Sub(max(s.link.lastActivity, s.grantedAt)) >= s.replicaTimeout() {
 		s.disconnected(now)
 	}
-	if s.link.state != linkUp && now >= s.link.nextAt {
+	if s.link.state != linkUp && now >= s.link.nextDialAt {
 		s.attach(now, e)
 	}
 	if s.link.state == linkUp && now >= s.renewAt {
 		s.renew(now, e)
-		s.moveHome(now, e)
+		s.moveToPreferred(now, e)
 	}
 }
 
 func (s *Subscription) renew(now units.Instant, e *Effects) {
-	s.renewAt = now.Add(s.renewPeriod())
+	s.renewAt = now.Add(s.renewInterval())
 	s.sendRenewal(now, e)
 }
 
 func (s *Subscription) sendRenewal(now units.Instant, e *Effects) {
 	s.nonce++
 	s.sentAt[s.nonce] = now
-	delete(s.sentAt, s.nonce-maxGrants)
+	delete(s.sentAt, s.nonce-maxPendingGrants)
 	box := s.settings.Box
 	box.Leaving = s.leaving
 	m := &wire.Envelope{From: string(box.ID), Body: &wire.Envelope_RenewRequest{RenewRequest: &wire.RenewRequest{
@@ -226,17 +226,17 @@
 			s.patchTable(now, wire.ToDelta(d), e)
 		}
 	case *wire.Envelope_RenewResponse:
-		s.takeGrant(now, b.RenewResponse, e)
+		s.receiveGrant(now, b.RenewResponse, e)
 	case *wire.Envelope_Fragment:
-		s.takeFragment(now, b.Fragment, e)
+		s.receiveFragment(now, b.Fragment, e)
 	}
-	s.useGrants(e)
+	s.activateGrants(e)
 }
 
-// takeFragment takes a part of a large message. Each one shows that the replica is at
+// receiveFragment takes a part of a large message. Each one shows that the replica is at
 // work, however long the link takes for all of them.
-func (s *Subscription) takeFragment(now units.Instant, f *wire.Fragment, e *Effects) {
-	s.noteNews(now)
+func (s *Subscription) receiveFragment(now units.Instant, f *wire.Fragment, e *Effects) {
+	s.recordActivity(now)
 	whole, err := s.assembly.Add(f)
 	if err != nil {
 		// Attaching anew brings the whole table.
@@ -254,7 +254,7 @@
 	if t.Revision <= s.table.Revision {
 		return
 	}
-	s.noteNews(now)
+	s.recordActivity(now)
 	s.table = t
 	e.Table = t
 }
@@ -273,40 +273,40 @@
 	e.Table = next
 }
 
-func (s *Subscription) takeGrant(now units.Instant, r *wire.RenewResponse, e *Effects) {
+func (s *Subscription) receiveGrant(now units.Instant, r *wire.RenewResponse, e *Effects) {
 	sent, known := s.sentAt[r.Nonce]
 	if !known || r.Start != s.settings.Start {
 		return
 	}
 	if r.Duration == 0 {
-		s.link.waits = true
+		s.link.awaitsLeader = true
 		return
 	}
 	delete(s.sentAt, r.Nonce)
-	s.replicas.learn(r.Replicas, r.ReplicaDomains)
-	s.noteNews(now)
+	s.replicas.updateListed(r.Replicas, r.ReplicaDomains)
+	s.recordActivity(now)
 	s.grantedAt = now
-	s.leaseTime = time.Duration(r.Duration)
-	s.takeExposures(sent, r, e)
-	s.takeWatched(r, e)
-	s.grants = append(s.grants, grant{
-		revision: units.Revision(r.Revision),
-		sent:     sent,
-		until:    sent.Add(time.Duration(r.Duration)),
+	s.leaseDuration = time.Duration(r.Duration)
+	s.applyExposures(sent, r, e)
+	s.applyWatched(r, e)
+	s.pendingGrants = append(s.pendingGrants, grant{
+		revision:    units.Revision(r.Revision),
+		requestedAt: sent,
+		expiresAt:   sent.Add(time.Duration(r.Duration)),
 	})
-	if len(s.grants) > maxGrants {
-		s.grants = s.grants[1:]
+	if len(s.pendingGrants) > maxPendingGrants {
+		s.pendingGrants = s.pendingGrants[1:]
 	}
 }
 
-// useGrants puts those leases in force whose revision has been reached.
-func (s *Subscription) useGrants(e *Effects) {
-	s.grants = slices.DeleteFunc(s.grants, func(g grant) bool {
+// activateGrants puts those leases in force whose revision has been reached.
+func (s *Subscription) activateGrants(e *Effects) {
+	s.pendingGrants = slices.DeleteFunc(s.pendingGrants, func(g grant) bool {
 		if g.revision > s.table.Revision {
 			return false
 		}
-		if g.until > s.leaseUntil {
-			s.leaseUntil, s.leasedAt = g.until, g.sent
+		if g.expiresAt > s.leaseUntil {
+			s.leaseUntil, s.leaseRequestedAt = g.expiresAt, g.requestedAt
 			e.LeaseChanged = true
 		}
 		return true
@@ -318,22 +318,22 @@
 	if s.link.state == linkUp {
 		return s.renewAt
 	}
-	return s.link.nextAt
+	return s.link.nextDialAt
 }
 
 // LeaseUntil returns when the lease on the table runs out; from then on the box
 // can't know whether the table is still in force.
 func (s *Subscription) LeaseUntil() units.Instant { return s.leaseUntil }
 
-// LeasedAt returns when the table was last known to be in force: when the request for the
+// LeaseRequestedAt returns when the table was last known to be in force: when the request for the
 // present lease was sent.
-func (s *Subscription) LeasedAt() units.Instant { return s.leasedAt }
+func (s *Subscription) LeaseRequestedAt() units.Instant { return s.leaseRequestedAt }
 
-// Fresh tells whether at least half of the lease is left. A box that isn't fresh
+// HasFreshLease tells whether at least half of the lease is left. A box that isn't fresh
 // has missed several renewals; callers had better be sent elsewhere while it can
 // still answer those that come.
-func (s *Subscription) Fresh(now units.Instant) bool {
-	return s.leaseUntil.Sub(now) > s.leaseTime/2
+func (s *Subscription) HasFreshLease(now units.Instant) bool {
+	return s.leaseUntil.Sub(now) > s.leaseDuration/2
 }
 
 // Table returns the table in force, which is never changed in place.
--- a/pkg/core/subscription/subscription_test.go
+++ b/pkg/core/subscription/subscription_test.go
@@ -22,37 +22,37 @@
 	*Subscription
 	now     units.Instant
 	effects Effects
-	// dark is set while no replica can be reached.
-	dark bool
-	// attaches counts how often replicas were dialled.
-	attaches int
+	// unreachable is set while no replica can be reached.
+	unreachable bool
+	// dialCount counts how often replicas were dialled.
+	dialCount int
 }
 
 func newBox() *box {
 	b := &box{now: units.Instant(time.Second)}
 	b.Subscription = NewSubscription(Settings{
-		Box: table.Box{ID: "b"}, Replicas: []units.ReplicaID{"r1", "r2", "r3"}, RenewEvery: 100 * time.Millisecond,
-		Silence: 300 * time.Millisecond, Start: start,
+		Box: table.Box{ID: "b"}, Replicas: []units.ReplicaID{"r1", "r2", "r3"}, RenewInterval: 100 * time.Millisecond,
+		ReplicaTimeout: 300 * time.Millisecond, Start: start,
 	}, b.now)
-	b.give(Tick{})
+	b.deliver(Tick{})
 	return b
 }
 
-func (b *box) give(e Event) {
+func (b *box) deliver(e Event) {
 	b.effects = Effects{}
 	b.Reduce(b.now, e, &b.effects)
 	if !b.effects.Attach {
 		return
 	}
-	b.attaches++
-	if !b.dark {
+	b.dialCount++
+	if !b.unreachable {
 		b.Reduce(b.now, Attached{Attachment: b.effects.Attachment, Replica: b.effects.Replicas[0]}, &b.effects)
 	}
 }
 
-func (b *box) pass(d time.Duration) {
+func (b *box) advance(d time.Duration) {
 	b.now = b.now.Add(d)
-	b.give(Tick{})
+	b.deliver(Tick{})
 }
 
 // nonce is that of the request just sent.
@@ -60,7 +60,7 @@
 	return b.effects.Sends[len(b.effects.Sends)-1].GetRenewRequest().Nonce
 }
 
-func (b *box) receive(m *wire.Envelope) { b.give(Received{Attachment: b.attachment, Envelope: m}) }
+func (b *box) receive(m *wire.Envelope) { b.deliver(Received{Attachment: b.attachment, Envelope: m}) }
 
 func grantOf(nonce, revision, start uint64) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_RenewResponse{RenewResponse: &wire.RenewResponse{
@@ -126,12 +126,12 @@
 	}
 	first := b.attachment
 	for range 4 {
-		b.pass(100 * time.Millisecond)
+		b.advance(100 * time.Millisecond)
 	}
 	if b.attachment == first {
 		t.Fatal("the box stayed with a replica that has gone silent")
 	}
-	b.give(Received{Attachment: first, Envelope: tableAt(10)})
+	b.deliver(Received{Attachment: first, Envelope: tableAt(10)})
 	if b.Table().Revision != 9 {
 		t.Fatal("news of an earlier attachment was taken")
 	}
@@ -145,7 +145,7 @@
 		t.Fatal("a change that doesn't follow was taken")
 	}
 	before := b.attachment
-	b.pass(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	if b.attachment == before {
 		t.Fatal("the box didn't attach anew for the whole table")
 	}
@@ -156,13 +156,13 @@
 func TestABoxWithoutAnyGrantMovesOnSooner(t *testing.T) {
 	b := newBox()
 	first := b.attachment
-	b.pass(80 * time.Millisecond)
+	b.advance(80 * time.Millisecond)
 	if b.attachment == first {
 		t.Fatal("it still waits for a replica that is silent from the start")
 	}
 	b.receive(grantOf(b.nonce(), 0, start))
 	second := b.attachment
-	b.pass(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	if b.attachment != second {
 		t.Fatal("it has left a replica that granted a lease a moment ago")
 	}
@@ -172,13 +172,13 @@
 func TestABoxStaysWhereItGotItsFirstTable(t *testing.T) {
 	b := newBox()
 	first := b.attachment
-	b.pass(50 * time.Millisecond)
+	b.advance(50 * time.Millisecond)
 	b.receive(tableAt(3))
-	b.pass(40 * time.Millisecond)
+	b.advance(40 * time.Millisecond)
 	if b.attachment != first {
 		t.Fatal("it has left a replica that sent the table a moment ago")
 	}
-	b.pass(80 * time.Millisecond)
+	b.advance(80 * time.Millisecond)
 	if b.attachment == first {
 		t.Fatal("it still waits for a grant")
 	}
@@ -198,14 +198,14 @@
 func TestAReplicaThatWasLeftIsNotDialledAtOnce(t *testing.T) {
 	b := newBox()
 	left := b.replicas.current
-	b.pass(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	if slices.Contains(b.effects.Replicas, left) {
 		t.Fatalf("%s was silent and is dialled again beside %v", left, b.effects.Replicas)
 	}
-	b.dark = true
-	b.give(Detached{Attachment: b.attachment})
+	b.unreachable = true
+	b.deliver(Detached{Attachment: b.attachment})
 	for range 100 {
-		b.pass(10 * time.Millisecond)
+		b.advance(10 * time.Millisecond)
 		if slices.Contains(b.effects.Replicas, left) {
 			return
 		}
@@ -219,7 +219,7 @@
 		testName string
 		// from and to bound the seconds without a replica that are looked at.
 		from, to int
-		most     int
+		maxDials int
 	}{
 		{"the first second", 0, 1, 18},
 		{"later", 6, 12, 6},
@@ -228,22 +228,22 @@
 		t.Run(s.testName, func(t *testing.T) {
 			b := newBox()
 			b.receive(grantOf(b.nonce(), 0, start))
-			b.dark = true
-			b.give(Detached{Attachment: b.attachment})
+			b.unreachable = true
+			b.deliver(Detached{Attachment: b.attachment})
 			for i := range s.to * 100 {
 				if i == s.from*100 {
-					b.attaches = 0
+					b.dialCount = 0
 				}
-				b.pass(10 * time.Millisecond)
+				b.advance(10 * time.Millisecond)
 				if b.effects.Attach {
-					b.give(Detached{Attachment: b.attachment})
+					b.deliver(Detached{Attachment: b.attachment})
 				}
 			}
-			if b.attaches > s.most {
-				t.Errorf("replicas were dialled %d times", b.attaches)
+			if b.dialCount > s.maxDials {
+				t.Errorf("replicas were dialled %d times", b.dialCount)
 			}
-			b.dark = false
-			b.pass(maxDialLimit * 2)
+			b.unreachable = false
+			b.advance(maxDialTimeout * 2)
 			if b.link.state != linkUp {
 				t.Error("the box isn't attached though replicas are back")
 			}
@@ -256,7 +256,7 @@
 	limits := map[time.Duration]bool{}
 	for seed := range uint64(20) {
 		s := NewSubscription(Settings{Replicas: []units.ReplicaID{"r1"}, Seed: seed}, 1)
-		limits[s.nextDialLimit()] = true
+		limits[s.nextDialTimeout()] = true
 	}
 	if len(limits) < 15 {
 		t.Errorf("20 boxes have %d different limits", len(limits))
@@ -266,13 +266,13 @@
 func TestALostConnectionIsMadeAnewWithoutDelay(t *testing.T) {
 	b := newBox()
 	b.receive(grantOf(b.nonce(), 0, start))
-	b.pass(90 * time.Millisecond)
+	b.advance(90 * time.Millisecond)
 	before := b.attachment
-	b.give(Detached{Attachment: before})
+	b.deliver(Detached{Attachment: before})
 	if wake := b.NextWake(); wake > b.now {
 		t.Fatalf("the box waits %v before it attaches anew", wake.Sub(b.now))
 	}
-	b.pass(0)
+	b.advance(0)
 	if b.attachment == before {
 		t.Fatal("the box isn't attached anew")
 	}
--- a/pkg/core/subscription/watched.go
+++ b/pkg/core/subscription/watched.go
@@ -14,18 +14,18 @@
 	Calls []crash.Watched
 }
 
-// takeWatched passes on what a grant says of calls, unless a later request was answered before.
+// applyWatched passes on what a grant says of calls, unless a later request was answered before.
 // Most grants say nothing.
-func (s *Subscription) takeWatched(r *wire.RenewResponse, e *Effects) {
-	if r.Nonce < s.watchedBy {
+func (s *Subscription) applyWatched(r *wire.RenewResponse, e *Effects) {
+	if r.Nonce < s.watchedNonce {
 		return
 	}
-	s.watchedBy = r.Nonce
+	s.watchedNonce = r.Nonce
 	term := units.Term(r.Term)
-	if len(r.Watched) == 0 && !s.watching && r.Noted == 0 && term == s.watchedTerm {
+	if len(r.Watched) == 0 && !s.hasWatched && r.Noted == 0 && term == s.watchedTerm {
 		return
 	}
-	s.watching = len(r.Watched) > 0
+	s.hasWatched = len(r.Watched) > 0
 	s.watchedTerm = term
 	e.Watched = &Watched{Term: term, Noted: r.Noted, Calls: wire.ToWatched(r.Watched)}
 }
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -97,12 +97,12 @@
 	s := c.Settings
 	id := units.BoxID(s.Box)
 	return box.NewBox(subscription.Settings{
-		Box:        table.Box{ID: id, Domain: units.Domain(s.Domain), Address: peerAddress},
-		Replicas:   s.ReplicaIDs(),
-		RenewEvery: subscription.DefaultRenewEvery,
-		Silence:    subscription.DefaultSilence,
-		Start:      rand.Uint64(),
-		Seed:       rand.Uint64(),
+		Box:            table.Box{ID: id, Domain: units.Domain(s.Domain), Address: peerAddress},
+		Replicas:       s.ReplicaIDs(),
+		RenewInterval:  subscription.DefaultRenewInterval,
+		ReplicaTimeout: subscription.DefaultReplicaTimeout,
+		Start:          rand.Uint64(),
+		Seed:           rand.Uint64(),
 	}, routing.Settings{
 		Box:         id,
 		Domain:      units.Domain(s.Domain),
@@ -193,7 +193,7 @@
 	}
 	s := &e.effects.Subscription
 	if s.Attach {
-		e.control.attach(s.Replicas, s.Attachment, s.DialLimit)
+		e.control.attach(s.Replicas, s.Attachment, s.DialTimeout)
 	}
 	for _, m := range s.Sends {
 		e.control.send(m)
@@ -278,7 +278,7 @@
 // callers to go elsewhere, but serves whatever still comes and can end in time.
 func (e *Entry) Leave(stop time.Duration) {
 	e.leaving.Store(true)
-	e.reduce(subscription.Leaving{On: true})
+	e.reduce(subscription.Leaving{IsLeaving: true})
 	e.reduce(&routing.StopPlanned{Until: e.Clock.Now().Add(stop)})
 }
 
@@ -299,7 +299,7 @@
 // a box isn't ready, but it doesn't turn its callers away: the list may be wrong.
 func (e *Entry) SetListedLeaving(on bool) {
 	e.listedLeaving.Store(on)
-	e.reduce(subscription.Leaving{On: on || e.leaving.Load()})
+	e.reduce(subscription.Leaving{IsLeaving: on || e.leaving.Load()})
 }
 
 // Stop ends the entry once every call has its answer, or the context ends.
--- a/pkg/lab/subscriber.go
+++ b/pkg/lab/subscriber.go
@@ -42,8 +42,8 @@
 	s := &Subscriber{
 		clock: c, addresses: addresses, shown: shown, done: make(chan struct{}),
 		core: subscription.NewSubscription(subscription.Settings{
-			Box: table.Box{ID: id, Address: "127.0.0.1:1"}, Replicas: order, RenewEvery: subscription.DefaultRenewEvery,
-			Silence: subscription.DefaultSilence, Start: seed, Seed: seed,
+			Box: table.Box{ID: id, Address: "127.0.0.1:1"}, Replicas: order, RenewInterval: subscription.DefaultRenewInterval,
+			ReplicaTimeout: subscription.DefaultReplicaTimeout, Start: seed, Seed: seed,
 		}, c.Now()),
 	}
 	go s.run()
@@ -98,7 +98,7 @@
 		s.conn = nil
 	}
 	s.number = e.Attachment
-	go s.dial(e.Replicas, e.Attachment, e.DialLimit)
+	go s.dial(e.Replicas, e.Attachment, e.DialTimeout)
 }
 
 func (s *Subscriber) dial(replicas []units.ReplicaID, n subscription.Attachment, limit time.Duration) {
--- a/pkg/replica/gate.go
+++ b/pkg/replica/gate.go
@@ -11,7 +11,7 @@
 
 // gateLimit is the longest that boxes' connections are held up. It is below the time after
 // which a box without a table leaves a silent replica, a quarter of
-// subscription.DefaultSilence.
+// subscription.DefaultReplicaTimeout.
 const gateLimit = 150 * time.Millisecond
 
 // startGate holds up boxes' connections while a replica starts. After a loss of power
