--- a/pkg/core/box/exposure_test.go
+++ b/pkg/core/box/exposure_test.go
@@ -17,19 +17,19 @@
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 const (
-	// mostOfCalls and slack bound what a bad version may get of its service's calls.
-	mostOfCalls = 0.1
-	slack       = 50
-	// leaderPause is how often the leader looks at the evidence.
-	leaderPause = 100 * time.Millisecond
+	// maxNewShare and slack bound what a bad version may get of its service's calls.
+	maxNewShare = 0.1
+	maxNewSlack = 50
+	// leaderCheckInterval is how often the leader looks at the evidence.
+	leaderCheckInterval = 100 * time.Millisecond
 )
 
-// trouble is what goes wrong in a fleet, and how long the stages of its trial last.
-type trouble struct {
-	boxes           int
-	seed            uint64
-	loss, late, bad float64
-	stages          []time.Duration
+// faultScenario is what goes wrong in a fleet, and how long the stages of its trial last.
+type faultScenario struct {
+	boxes                            int
+	seed                             uint64
+	lossRate, delayRate, failureRate float64
+	stages                           []time.Duration
 }
 
 // However messages are lost, late and reordered, whichever boxes stand still, start anew or
@@ -37,46 +37,46 @@
 // a tenth of the calls and 50, and none once the last grant has run out.
 func TestExposureIsBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		x := trouble{
-			boxes: rapid.SampledFrom([]int{1, 4, 12}).Draw(rt, "boxes"),
-			seed:  rapid.Uint64().Draw(rt, "seed"),
-			loss:  rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "loss"),
-			late:  rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "late"),
-			bad:   rapid.SampledFrom([]float64{0, 0.02, 0.2, 1}).Draw(rt, "bad"),
+		x := faultScenario{
+			boxes:       rapid.SampledFrom([]int{1, 4, 12}).Draw(rt, "boxes"),
+			seed:        rapid.Uint64().Draw(rt, "seed"),
+			lossRate:    rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "loss"),
+			delayRate:   rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "late"),
+			failureRate: rapid.SampledFrom([]float64{0, 0.02, 0.2, 1}).Draw(rt, "bad"),
 		}
 		for range rapid.IntRange(1, 4).Draw(rt, "stages") {
 			x.stages = append(x.stages, time.Duration(rapid.IntRange(200, 2500).Draw(rt, "ms"))*time.Millisecond)
 		}
-		x.play(rt)
+		x.run(rt)
 	})
 }
 
 // The same with as many boxes as a large deployment has, each of which gets few calls.
 func TestExposureOfManyBoxesIsBounded(t *testing.T) {
 	for _, bad := range []float64{0, 0.1, 1} {
-		x := trouble{boxes: 122, seed: 7, loss: 0.05, late: 0.05, bad: bad, stages: []time.Duration{2 * time.Second, time.Second, 3 * time.Second}}
-		f := x.play(t)
+		x := faultScenario{boxes: 122, seed: 7, lossRate: 0.05, delayRate: 0.05, failureRate: bad, stages: []time.Duration{2 * time.Second, time.Second, 3 * time.Second}}
+		f := x.run(t)
 		t.Logf("with a part of %.1f bad the new version got %d of %d calls", bad, f.newSends, f.calls)
 	}
 }
 
-// play has a trial's stages pass, which the leader rolls back at the end at the latest.
-func (x *trouble) play(t failer) *fleet {
+// run has a trial's stages pass, which the leader rolls back at the end at the latest.
+func (x *faultScenario) run(t testFailer) *fleet {
 	f := newFleet(t, x.boxes, x.seed)
-	f.loss, f.late, f.bad = x.loss, x.late, x.bad
+	f.lossRate, f.delayRate, f.failureRate = x.lossRate, x.delayRate, x.failureRate
 	f.run(1500 * time.Millisecond)
 	f.calls = 0
-	f.leader.step(table.RolloutTrial, 10, 2)
+	f.leader.startStage(table.RolloutTrial, 10, 2)
 	for i, d := range x.stages {
-		f.disturb()
+		f.injectFaults()
 		f.runStage(d)
 		f.checkShare()
-		if f.leader.record().Active() && i+1 < len(x.stages) {
-			f.leader.step(table.RolloutTrial, 10, 4*(i+1))
+		if f.leader.rollout().Active() && i+1 < len(x.stages) {
+			f.leader.startStage(table.RolloutTrial, 10, 4*(i+1))
 		}
 	}
-	if f.leader.record().Active() {
-		f.leader.step(table.RolloutRolledBack, 0, 0)
+	if f.leader.rollout().Active() {
+		f.leader.startStage(table.RolloutRolledBack, 0, 0)
 	}
 	f.run(4 * time.Second)
 	f.checkShare()
@@ -86,41 +86,41 @@
 // runStage lets a stage pass, during which the leader rolls back when it knows of 50 bad
 // answers.
 func (f *fleet) runStage(d time.Duration) {
-	for ; d > 0; d -= leaderPause {
-		f.run(min(d, leaderPause))
-		if !f.leader.down && f.leader.knownBad() >= 50 && f.leader.record().Active() {
-			f.leader.step(table.RolloutRolledBack, 0, 0)
+	for ; d > 0; d -= leaderCheckInterval {
+		f.run(min(d, leaderCheckInterval))
+		if !f.leader.down && f.leader.knownFailures() >= 50 && f.leader.rollout().Active() {
+			f.leader.startStage(table.RolloutRolledBack, 0, 0)
 		}
 	}
 }
 
-// disturb has something go wrong during the next stage.
-func (f *fleet) disturb() {
+// injectFaults has something go wrong during the next stage.
+func (f *fleet) injectFaults() {
 	for _, m := range f.boxes {
 		switch f.random.IntN(12) {
 		case 0:
-			f.after(f.upTo(2*time.Second), func() { m.frozenUntil = f.now.Add(f.upTo(3 * time.Second)) })
+			f.schedule(f.randomBelow(2*time.Second), func() { m.frozenUntil = f.now.Add(f.randomBelow(3 * time.Second)) })
 		case 1:
-			f.after(f.upTo(2*time.Second), func() { f.start(m) })
+			f.schedule(f.randomBelow(2*time.Second), func() { f.start(m) })
 		case 2:
-			f.after(f.upTo(4*time.Second), func() { m.cutFrom = f.now })
+			f.schedule(f.randomBelow(4*time.Second), func() { m.disconnectedAt = f.now })
 		}
 	}
 	if f.random.IntN(3) > 0 {
 		return
 	}
-	f.after(f.upTo(2*time.Second), func() {
+	f.schedule(f.randomBelow(2*time.Second), func() {
 		f.leader.down = true
-		f.after(f.upTo(2*time.Second), func() { f.leader.down = false })
+		f.schedule(f.randomBelow(2*time.Second), func() { f.leader.down = false })
 	})
 }
 
-func (f *fleet) upTo(most time.Duration) time.Duration {
-	return time.Duration(f.random.Int64N(int64(most)))
+func (f *fleet) randomBelow(limit time.Duration) time.Duration {
+	return time.Duration(f.random.Int64N(int64(limit)))
 }
 
 func (f *fleet) checkShare() {
-	if most := mostOfCalls*float64(f.calls) + slack; float64(f.newSends) > most {
+	if most := maxNewShare*float64(f.calls) + maxNewSlack; float64(f.newSends) > most {
 		f.t.Fatalf("the new version got %d of %d calls", f.newSends, f.calls)
 	}
 }
@@ -130,11 +130,11 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(rt, 12, rapid.Uint64().Draw(rt, "seed"))
 		f.run(1500 * time.Millisecond)
-		f.leader.step(table.RolloutTrial, 10, 4)
+		f.leader.startStage(table.RolloutTrial, 10, 4)
 		f.run(500 * time.Millisecond)
 		f.calls, f.newSends = 0, 0
 		f.run(4 * time.Second)
-		if off := float64(f.newSends) - mostOfCalls*float64(f.calls); math.Abs(off) > float64(len(f.boxes)) {
+		if off := float64(f.newSends) - maxNewShare*float64(f.calls); math.Abs(off) > float64(len(f.boxes)) {
 			rt.Fatalf("the new version got %d of %d calls, with each box off by one at the most", f.newSends, f.calls)
 		}
 	})
@@ -145,15 +145,15 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(rt, 1, rapid.Uint64().Draw(rt, "seed"))
 		f.run(1500 * time.Millisecond)
-		f.leader.step(table.RolloutTrial, 100, 4)
+		f.leader.startStage(table.RolloutTrial, 100, 4)
 		f.run(500 * time.Millisecond)
-		f.bad = 1
+		f.failureRate = 1
 		m := f.boxes[0]
 		m.core.Reduce(f.now, subscription.RenewNow{}, &m.effects)
 		m.effects.Reset()
 		var sends []routing.Effect
 		for range 3 {
-			m.core.Reduce(f.now, &routing.CallArrived{Owner: m, Host: []byte(theService), Path: []byte("/")}, &m.effects)
+			m.core.Reduce(f.now, &routing.CallArrived{Owner: m, Host: []byte(testService), Path: []byte("/")}, &m.effects)
 		}
 		for _, x := range m.effects.Routing.List {
 			if x.Kind == routing.Send {
@@ -167,13 +167,13 @@
 		if n := len(m.effects.Subscription.Sends); n != 1 {
 			rt.Fatalf("the box sent %d requests", n)
 		}
-		if bad := lastBad(m); bad != 3 {
+		if bad := reportedFailures(m); bad != 3 {
 			rt.Fatalf("the evidence has %d bad answers", bad)
 		}
 	})
 }
 
-func lastBad(m *member) uint64 {
+func reportedFailures(m *member) uint64 {
 	bad := uint64(0)
 	for _, x := range m.effects.Subscription.Sends[0].GetRenewRequest().Evidence {
 		if units.SoftwareVersion(x.Software) == newSoftware {
@@ -187,11 +187,11 @@
 // first table.
 func TestEarlyCallsGoToTheShiftedVersion(t *testing.T) {
 	f := newFleet(t, 2, 1)
-	f.leader.step(table.RolloutTrial, 10, 2)
-	f.leader.step(table.RolloutShifted, 100, 0)
+	f.leader.startStage(table.RolloutTrial, 10, 2)
+	f.leader.startStage(table.RolloutShifted, 100, 0)
 	// The second box needs a lease to serve.
 	m := f.boxes[1]
-	f.give(m, &routing.CallArrived{Owner: m, Host: []byte(theService), Path: []byte("/")})
+	f.deliver(m, &routing.CallArrived{Owner: m, Host: []byte(testService), Path: []byte("/")})
 	f.run(100 * time.Millisecond)
 	if f.newSends == 0 {
 		t.Fatal("a call that came before the first table wasn't sent")
@@ -203,22 +203,22 @@
 func TestADrainedBoxSendsTheOldVersionNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(rt, 6, rapid.Uint64().Draw(rt, "seed"))
-		f.loss = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "loss")
-		f.late = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "late")
-		f.bad = rapid.SampledFrom([]float64{0, 0.2}).Draw(rt, "bad")
+		f.lossRate = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "loss")
+		f.delayRate = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "late")
+		f.failureRate = rapid.SampledFrom([]float64{0, 0.2}).Draw(rt, "bad")
 		f.run(1500 * time.Millisecond)
-		f.leader.step(table.RolloutTrial, 10, 4)
-		peace := f.loss == 0 && f.late == 0 && rapid.Bool().Draw(rt, "peace")
-		if !peace {
-			f.disturb()
+		f.leader.startStage(table.RolloutTrial, 10, 4)
+		faultless := f.lossRate == 0 && f.delayRate == 0 && rapid.Bool().Draw(rt, "peace")
+		if !faultless {
+			f.injectFaults()
 		}
 		f.run(time.Second)
-		f.leader.step(table.RolloutShifted, 100, 0)
-		f.run(f.upTo(2 * time.Second))
-		f.leader.withholds = true
+		f.leader.startStage(table.RolloutShifted, 100, 0)
+		f.run(f.randomBelow(2 * time.Second))
+		f.leader.withholdsExposures = true
 		f.run(2 * time.Second)
 		for _, m := range f.boxes {
-			if peace && m.drainedAt == 0 {
+			if faultless && m.drainedStage == 0 {
 				rt.Fatalf("box %d isn't drained", m.index)
 			}
 		}
