--- a/pkg/core/replication/acknowledged.go
+++ b/pkg/core/replication/acknowledged.go
@@ -5,17 +5,18 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// acknowledgement is how much of the committed log a replica has acknowledged. A disk
-// that holds less is an older copy, and its replica must not go on with it: what it
-// acknowledged may have been committed on the strength of that.
+// acknowledgement is the part of the committed log that a replica has acknowledged. A replica whose
+// disk holds less runs from an older copy and must stop: entries that it acknowledged may have been
+// committed because of its acknowledgement.
 type acknowledgement struct {
 	incarnation units.Incarnation
-	// boot is the start in which the replica last acknowledged anything.
+	// boot is the replica's start in which it last acknowledged an entry.
 	boot  uint64
 	index units.Index
 }
 
-// merge takes over what another replica knows. It returns false when that was no news.
+// merge adds another replica's knowledge of the same acknowledgement. It reports whether anything
+// changed.
 func (a *acknowledgement) merge(b acknowledgement) bool {
 	previous := *a
 	if a.incarnation != b.incarnation {
@@ -27,8 +28,8 @@
 	return *a != previous
 }
 
-// recordAcknowledged takes note of what a follower has just acknowledged to this leader.
-// Only what is committed counts: the rest may yet be replaced by another leader's log.
+// recordAcknowledged records what a follower has acknowledged to this leader, up to the commit
+// index: uncommitted entries may still be replaced by another leader's.
 func (n *Node) recordAcknowledged(p *progress) {
 	if p.match == 0 {
 		return
@@ -39,9 +40,9 @@
 	}
 }
 
-// lostAcknowledgedEntries tells whether a replica that has started again lacks entries that it
-// acknowledged before, to whichever leader. It is in question until the first append
-// that the replica takes; whatever else it may say before that proves nothing.
+// lostAcknowledgedEntries reports whether a replica that has restarted lacks entries that it
+// acknowledged before, to this leader or an earlier one. Only the position in a rejected append
+// shows this, until the replica acknowledges an entry after its restart.
 func (n *Node) lostAcknowledgedEntries(p *progress, m *wire.Envelope) bool {
 	r := m.GetAppendResponse()
 	a := &p.acknowledged
@@ -54,8 +55,8 @@
 	return units.Index(r.Match) < max(p.match, a.index)
 }
 
-// acknowledgementsFor returns what a follower should know of the voters' acknowledgements,
-// or nothing when it has the newest.
+// acknowledgementsFor returns the voters' acknowledgements for an append request to a follower, or
+// nil if the follower already has the current version of them.
 func (n *Node) acknowledgementsFor(p *progress, round units.Instant) []*wire.Acknowledged {
 	if p.acksDelivered == n.acksVersion {
 		return nil
@@ -75,14 +76,16 @@
 	return &wire.Acknowledged{Id: string(id), Incarnation: string(a.incarnation), Boot: a.boot, Index: uint64(a.index)}
 }
 
-// recordAcksDelivered takes note of an answer to the heartbeat that carried the acknowledgements.
+// recordAcksDelivered records that the follower has answered an append request, and so has received
+// the acknowledgements sent in that request or an earlier one.
 func (p *progress) recordAcksDelivered(round units.Instant) {
 	if p.acksSent.version != 0 && round >= p.acksSent.round {
 		p.acksDelivered = p.acksSent.version
 	}
 }
 
-// mergeAcknowledged takes over what the leader knows of the voters' acknowledgements.
+// mergeAcknowledged adds the voters' acknowledgements that the leader knows of. It skips those of an
+// incarnation that this replica knows to be replaced.
 func (n *Node) mergeAcknowledged(list []*wire.Acknowledged) {
 	for _, x := range list {
 		p := n.peers[units.ReplicaID(x.Id)]
--- a/pkg/core/replication/election.go
+++ b/pkg/core/replication/election.go
@@ -7,8 +7,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// startPreVote asks whether an election could be won before the term is
-// raised, so that a replica which was cut off disturbs nobody on its return.
+// startPreVote asks the other voters whether this replica could win an election, before it raises
+// the term. A replica that was disconnected thus doesn't disturb the leader on its return.
 func (n *Node) startPreVote(now units.Instant, e *Effects) {
 	n.electionAt = now.Add(n.settings.ElectionTimeout/preVoteDivisor + n.electionJitter())
 	n.leaderID = ""
@@ -21,22 +21,22 @@
 }
 
 const (
-	// preVoteDivisor divides the election timeout into the least time between two questions
-	// whether an election could be won: they change nothing, so they may come often.
+	// preVoteDivisor divides the election timeout into the shortest time between two pre-votes. They
+	// change no state, so they may be frequent.
 	preVoteDivisor = 8
-	// jitterDivisor divides the election timeout into the time over which replicas spread
-	// that could all stand at once; it is several times what an election takes.
+	// jitterDivisor divides the election timeout into the interval over which the starts of
+	// simultaneous elections are spread. It is several times the duration of an election.
 	jitterDivisor = 2
 )
 
-// electionJitter is a pause that keeps two replicas from standing at the same time.
+// electionJitter returns a random delay that keeps two replicas from becoming candidates at the same
+// time.
 func (n *Node) electionJitter() time.Duration {
 	return n.randomBelow(n.settings.ElectionTimeout / jitterDivisor)
 }
 
-// recordStart takes note of a start of a replica. One that led loses its lease when it
-// starts again, since a lease lives in memory alone; then there is nothing left to wait
-// for before another is elected.
+// recordStart records that a replica has started. If that replica held the lease, the lease has
+// ended, since it is kept in memory only, and the next election needn't wait for its expiry.
 func (n *Node) recordStart(now units.Instant, id units.ReplicaID, incarnation units.Incarnation, boot uint64) {
 	l := n.leaseHolder
 	if l == nil || l.Id != string(id) || l.Incarnation == string(incarnation) && l.Boot >= boot {
@@ -47,9 +47,8 @@
 	n.electionAt = min(n.electionAt, now.Add(n.electionJitter()))
 }
 
-// announcePresence lets the others know of a replica that doesn't vote and hears no leader: it
-// may have come back under a new incarnation, or at an address that none of them
-// knows.
+// announcePresence sends this replica's presence to all peers. It is used by a replica that isn't a
+// voter and has no leader: it may have a new incarnation or an address that no peer knows.
 func (n *Node) announcePresence(e *Effects) {
 	if n.settings.Growth == nil {
 		return
@@ -88,7 +87,7 @@
 		}
 		out := n.envelope(units.ReplicaID(m.Id))
 		out.Body = &wire.Envelope_VoteRequest{VoteRequest: r}
-		// The candidate's own vote counts, so it must be on the disk as well.
+		// The candidate's own vote counts, so it must be synced before the request is sent.
 		n.sendAfterSync(out, e)
 	}
 	n.countVotes(now, e)
@@ -100,7 +99,7 @@
 	}
 	term := units.Term(r.Term)
 	if !r.Transfer && n.HasRecentLeader(now) {
-		// Answering with the present term lets a candidate that is behind see it.
+		// The response carries the current term, so that a candidate with an earlier one updates its own.
 		n.sendVoteResponse(p.id, r, false, e)
 		return
 	}
@@ -116,8 +115,8 @@
 	n.sendVoteResponse(p.id, r, granted, e)
 }
 
-// HasRecentLeader tells whether a leader was heard within the time in which its
-// lease may still hold.
+// HasRecentLeader reports whether a leader was in contact within the time in which its
+// lease may still be valid.
 func (n *Node) HasRecentLeader(now units.Instant) bool {
 	if n.role == leader {
 		return n.quorumContact(now).Add(n.settings.ElectionTimeout) > now
@@ -164,8 +163,9 @@
 	n.countVotes(now, e)
 }
 
-// recordVoteRejection gives up an election that can't be won any more, as when several replicas
-// stood at once; the next one needn't wait until it would have timed out.
+// recordVoteRejection records a rejected vote and abandons an election that can no longer be won,
+// such as one among several simultaneous candidates. The next one starts without waiting for the
+// timeout.
 func (n *Node) recordVoteRejection(now units.Instant, p *progress, r *wire.VoteResponse) {
 	if r.Pre || !n.isCurrentElection(r) || !n.isVoter(voter{id: p.id, incarnation: p.incarnation}) {
 		return
@@ -177,7 +177,8 @@
 	}
 }
 
-// isCurrentElection tells whether an answer belongs to the vote that this replica asks for now.
+// isCurrentElection reports whether a response belongs to the vote that this replica has last
+// requested.
 func (n *Node) isCurrentElection(r *wire.VoteResponse) bool {
 	if r.Pre {
 		return n.role == preCandidate && units.Term(r.Term) == n.term+1
@@ -213,20 +214,20 @@
 	n.leaderID = n.settings.ID
 	for _, p := range n.peers {
 		p.reset(n.log.last() + 1)
-		// The votes just counted show that a quorum was there a moment ago; the
-		// time allowed for the first answers is one election timeout.
+		// The votes show that a quorum was reachable a moment ago. The followers have
+		// one election timeout for their first responses to the new leader.
 		p.lastContact = 0
 	}
 	n.termStart = n.log.last() + 1
 	n.electionAt = now.Add(n.settings.ElectionTimeout)
 	n.heartbeatAt = now
-	// An entry of the new term commits all that came before it.
+	// Committing an entry of the new term commits all entries before it.
 	n.appendEntry(&wire.Entry{Leader: &wire.LeaderStart{
 		Id: string(n.settings.ID), Incarnation: string(n.settings.Incarnation), Boot: n.settings.Boot,
 	}}, e)
 	n.leaderTick(now, e)
 }
 
-// termCommitted tells whether the leader has committed an entry of its own
-// term, and so knows everything that was committed before.
+// termCommitted reports whether the leader has committed an entry of its own
+// term, and so knows all entries that were committed before.
 func (n *Node) termCommitted() bool { return n.log.commit >= n.termStart }
--- a/pkg/core/replication/following.go
+++ b/pkg/core/replication/following.go
@@ -6,7 +6,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// acceptLeader takes note of a leader's message; false means that its term is over.
+// acceptLeader records contact with the leader of a term. It rejects the message and returns false
+// if the term is out of date.
 func (n *Node) acceptLeader(now units.Instant, p *progress, term units.Term, e *Effects) bool {
 	if term < n.term {
 		n.sendAppendResponse(p.id, &wire.AppendResponse{Rejected: true}, e)
@@ -37,7 +38,7 @@
 	n.mergeAcknowledged(r.Acknowledged)
 	previous := units.Index(r.PrevIndex)
 	if !n.formed() {
-		// Without a snapshot there is nothing to append to.
+		// Before this replica has a snapshot it has no log to append to.
 		n.sendAppendResponse(p.id, &wire.AppendResponse{Rejected: true, Round: r.Round}, e)
 		return
 	}
@@ -61,7 +62,7 @@
 	}
 	if first := units.Index(added[0].Index); first <= n.log.commit {
 		e.Halt = fault.New(fault.Damaged, "keep the data folder for analysis and start with an empty one",
-			"a leader's entry %d contradicts a committed one", first)
+			"the leader's entry %d conflicts with a committed entry", first)
 		return
 	}
 	n.writeEntries(added, e)
@@ -85,8 +86,8 @@
 		n.installSnapshot(r.Snapshot, e)
 	case index <= n.log.commit:
 	case kept && term == units.Term(r.Snapshot.Term):
-		// The log holds all that the snapshot covers. Entries that follow may have been
-		// acknowledged: put in place of the log, a late snapshot would lose them.
+		// The log holds all that the snapshot covers. The entries after it may have been
+		// acknowledged, and replacing the log with a late snapshot would lose them.
 		n.commitTo(index, e)
 	default:
 		n.installSnapshot(r.Snapshot, e)
@@ -94,7 +95,7 @@
 	n.sendAppendResponse(p.id, &wire.AppendResponse{Match: uint64(max(index, n.log.commit)), Round: r.Round}, e)
 }
 
-// installSnapshot puts a snapshot in place of log and state.
+// installSnapshot replaces the log and the applied state with a snapshot.
 func (n *Node) installSnapshot(s *wire.Snapshot, e *Effects) {
 	n.log.reset(s)
 	n.logWrites = nil
@@ -106,9 +107,8 @@
 	e.Committed = nil
 }
 
-// Compact takes a snapshot of the state at the commit index and drops the
-// entries that are older than a tail of keep entries, which slow followers may
-// still want.
+// Compact stores state as the snapshot at the commit index and drops older entries, except for
+// the last keep entries, which slow followers may still need.
 func (n *Node) Compact(state []byte, keep int, e *Effects) {
 	index := n.log.commit
 	term, kept := n.log.term(index)
@@ -145,7 +145,7 @@
 	return m
 }
 
-// EntriesSinceSnapshot returns how many committed entries the snapshot lacks.
+// EntriesSinceSnapshot returns how many committed entries aren't covered by the snapshot.
 func (n *Node) EntriesSinceSnapshot() int {
 	if n.log.snapshot == nil {
 		return int(n.log.commit)
--- a/pkg/core/replication/formation.go
+++ b/pkg/core/replication/formation.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// maxPresenceInterval is how often an empty replica asks the others. It begins with
-	// firstPresence and doubles: after a loss of power the others wait for the lease of
-	// whoever led before, until they hear that it has started again without its disk.
+	// maxPresenceInterval bounds the interval at which a replica with an empty disk requests the
+	// others' presence. The interval starts at minPresenceInterval and doubles: after a power failure
+	// the others wait for the previous leader's lease to expire, unless they learn that it has
+	// restarted with an empty disk.
 	maxPresenceInterval = 200 * time.Millisecond
 	minPresenceInterval = 10 * time.Millisecond
-	// maxPresenceAge is how old an answer may be to count when a cluster forms.
+	// maxPresenceAge is how old a presence message may be to be used in forming a cluster.
 	maxPresenceAge = 2 * time.Second
-	// firstIndex is where a new cluster's log begins.
+	// firstIndex is the index and the term at which a new cluster's log starts.
 	firstIndex = 1
 )
 
-// requestPresence asks the other replicas whether a cluster exists, and forms one where
-// that is this replica's part.
+// requestPresence asks the other replicas whether they belong to a cluster, at increasing intervals.
 func (n *Node) requestPresence(now units.Instant, e *Effects) {
 	if now < n.heartbeatAt {
 		return
@@ -58,13 +58,13 @@
 	}
 	n.sendPresence(p.id, false, e)
 	if n.formed() && !r.Formed && n.isNewlyFormed() && n.isVoter(voter{id: p.id, incarnation: p.incarnation}) {
-		// The formation message to this voter was lost.
+		// This voter hasn't received the formation message.
 		n.sendFormation(p.id, e)
 	}
 }
 
-// addReportedMembers lets a replica that belongs to no cluster ask those that a formed one
-// names; a seed may know the leader's address where this one doesn't.
+// addReportedMembers adds the members that a replica of an existing cluster reports as peers of
+// a replica that belongs to none. A seed may know the leader's address when this replica doesn't.
 func (n *Node) addReportedMembers(r *wire.Presence) {
 	if n.settings.Growth == nil || n.formed() || !r.Formed {
 		return
@@ -74,9 +74,9 @@
 	}
 }
 
-// CanBootstrap tells whether this replica is the one that forms the cluster by itself:
-// the first of the seeds, once all of them have answered that they are empty and
-// may form one as well. Only one replica can be that, so no two clusters form.
+// CanBootstrap reports whether this replica may form the cluster on its own: it is
+// the first of the seeds, and all of them have recently answered that they are empty and
+// may bootstrap too. Only one replica can meet this condition, so no two clusters form.
 func (n *Node) CanBootstrap(now units.Instant) bool {
 	g := n.settings.Growth
 	if g == nil || !g.Bootstrap || !g.Seed || n.formed() {
@@ -91,17 +91,17 @@
 	return true
 }
 
-// isNewlyFormed tells whether the log holds nothing but the cluster's formation.
+// isNewlyFormed reports whether the log holds only the cluster's formation.
 func (n *Node) isNewlyFormed() bool {
 	return n.log.snapshot != nil && n.log.snapshot.Index == firstIndex && n.log.commit == firstIndex
 }
 
-// Form makes a cluster of all the replicas that the settings name. It is done
-// once, on an operator's word, with all of them present and empty. The error is
-// of kind Unavailable or Invalid and names the replicas that stand in the way.
+// Form creates a cluster of all replicas in the settings. An operator requests it
+// once, with all of them present and empty. The error is of kind Unavailable or Invalid
+// and names the replicas that prevent it.
 func (n *Node) Form(now units.Instant, cluster string, state []byte, e *Effects) error {
 	if n.formed() {
-		return fault.New(fault.Invalid, "nothing needs to be done", "cluster %s is formed already", n.membership.current.Cluster)
+		return fault.New(fault.Invalid, "nothing needs to be done", "cluster %s already exists", n.membership.current.Cluster)
 	}
 	m := &wire.Membership{Cluster: cluster}
 	m.Voters = append(m.Voters, &wire.Member{Id: string(n.settings.ID), Incarnation: string(n.settings.Incarnation)})
@@ -113,15 +113,15 @@
 			continue
 		}
 		if p.formed {
-			problems = append(problems, fmt.Sprintf("%s belongs to a cluster already", id))
+			problems = append(problems, fmt.Sprintf("%s already belongs to a cluster", id))
 			continue
 		}
 		m.Voters = append(m.Voters, &wire.Member{Id: string(id), Incarnation: string(p.incarnation)})
 	}
 	if len(problems) > 0 {
 		return fault.New(fault.Unavailable,
-			"start all replicas with empty data folders and ask again; a replica that lost its disk needs no forming, it joins by itself",
-			"the cluster can't form: %s", strings.Join(problems, ", "))
+			"start all replicas with empty data folders and try again; a replica that lost its disk joins an existing cluster by itself",
+			"the cluster can't be formed: %s", strings.Join(problems, ", "))
 	}
 	n.installFormation(now, &wire.Snapshot{Index: firstIndex, Term: firstIndex, Membership: m, State: state}, e)
 	for _, id := range n.settings.Peers {
--- a/pkg/core/replication/formation_test.go
+++ b/pkg/core/replication/formation_test.go
@@ -7,8 +7,9 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// After a loss of power the others may start a little later than a replica whose disk is
-// lost, and wait for the lease that it may have held until they hear of it.
+// After a power failure the others may start a little later than a replica that lost its disk. They
+// wait for the expiry of a lease that it may have held, until its presence request arrives; so it
+// must send these often at first.
 func TestAnEmptyReplicaAsksOftenAtFirst(t *testing.T) {
 	n := NewNode(Settings{
 		ID: "a", Incarnation: "a.1", Boot: 1, Peers: []units.ReplicaID{"b", "c"}, ElectionTimeout: time.Second, Heartbeat: 100 * time.Millisecond,
@@ -25,9 +26,9 @@
 		return rounds
 	}
 	if rounds := asked(0, 100*time.Millisecond); rounds < 4 {
-		t.Errorf("asked %d times within 100 ms of the start", rounds)
+		t.Errorf("sent presence requests %d times within 100 ms of the start", rounds)
 	}
 	if rounds := asked(time.Second, 3*time.Second); rounds > 11 {
-		t.Errorf("asked %d times in two later seconds", rounds)
+		t.Errorf("sent presence requests %d times in two later seconds", rounds)
 	}
 }
--- a/pkg/core/replication/in_flight.go
+++ b/pkg/core/replication/in_flight.go
@@ -6,18 +6,19 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// maxInFlightAppends is how many append requests may be under way to a replica: one with entries, and one
-// that tells it of the commit that follows. What comes meanwhile goes together in the next one, so
-// that a leader's work doesn't grow with how many commands come at a time.
+// maxInFlightAppends bounds the append requests in flight to a replica: one with entries, and one
+// with the commit index that follows. Commands that arrive meanwhile are batched into the next
+// request, so that a leader's work doesn't grow with the number of concurrent commands.
 const maxInFlightAppends = 2
 
-// inFlightAppends holds the rounds of the append requests that a replica hasn't answered.
+// inFlightAppends holds the send times of the append requests that a replica hasn't answered; zero
+// marks a free place. A request's round is its send time on the leader's clock.
 type inFlightAppends struct {
 	sentAt [maxInFlightAppends]units.Instant
 }
 
-// full tells whether another request had better wait for an answer. One that hasn't been answered
-// within patience counts as lost.
+// full reports whether the limit is reached. A request without an answer after timeout counts as
+// lost.
 func (f *inFlightAppends) full(now units.Instant, timeout time.Duration) bool {
 	for _, sent := range f.sentAt {
 		if sent == 0 || now.Sub(sent) >= timeout {
@@ -27,7 +28,7 @@
 	return true
 }
 
-// add notes a request, in place of the oldest one.
+// add records a request, in place of the oldest one.
 func (f *inFlightAppends) add(round units.Instant) {
 	oldest := 0
 	for i, sent := range f.sentAt {
@@ -38,7 +39,7 @@
 	f.sentAt[oldest] = round
 }
 
-// complete notes the answer to a request. Those before it have been complete or are lost.
+// complete removes a request that was answered and all earlier ones, which were answered or lost.
 func (f *inFlightAppends) complete(round units.Instant) {
 	for i, sent := range f.sentAt {
 		if sent <= round {
--- a/pkg/core/replication/in_flight_test.go
+++ b/pkg/core/replication/in_flight_test.go
@@ -8,7 +8,7 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// newLeader returns the leader of three voters; answer gives it a follower's answer to an append
+// newLeader returns the leader of three voters; answer delivers a follower's response to an append
 // request.
 func newLeader(t *testing.T, now units.Instant) (n *Node, answer func(m *wire.Envelope, match units.Index, e *Effects)) {
 	t.Helper()
@@ -28,7 +28,7 @@
 	n.WritesSynced(now, n.lastWrite, &Effects{})
 	receive("b", &wire.Envelope_VoteResponse{VoteResponse: &wire.VoteResponse{Term: uint64(n.Term()), Granted: true}}, &Effects{})
 	if !n.IsLeader() {
-		t.Fatal("the node doesn't lead")
+		t.Fatal("the node isn't the leader")
 	}
 	return n, func(m *wire.Envelope, match units.Index, e *Effects) {
 		r := m.GetAppendRequest()
@@ -38,7 +38,7 @@
 	}
 }
 
-// appendsTo are the append requests to a replica.
+// appendsTo returns the append requests to a replica.
 func appendsTo(e *Effects, id string) []*wire.Envelope {
 	var list []*wire.Envelope
 	for _, m := range e.Sends {
@@ -49,8 +49,8 @@
 	return list
 }
 
-// A thousand commands that come while a follower is still to answer go to it in a few messages, none
-// is left out, and it learns of their commit.
+// A thousand commands that arrive before a follower's response must be batched into a few messages,
+// without losing any, and the follower must receive their commit index.
 func TestCommandsThatComeTogetherGoTogether(t *testing.T) {
 	const commands, most = 1000, 6
 	now := units.Instant(time.Second)
@@ -77,12 +77,12 @@
 		t.Errorf("the log is committed to %d of %d", n.log.commit, n.log.last())
 	}
 	list := appendsTo(e, "b")
-	if told := list[len(list)-1].GetAppendRequest().Commit; units.Index(told) != n.log.commit {
-		t.Errorf("the follower was told of the commit of %d, not %d", told, n.log.commit)
+	if sentCommit := list[len(list)-1].GetAppendRequest().Commit; units.Index(sentCommit) != n.log.commit {
+		t.Errorf("the follower was sent the commit index %d, not %d", sentCommit, n.log.commit)
 	}
 }
 
-// Requests whose answers are lost don't keep a leader from sending for longer than a heartbeat.
+// Lost responses to append requests must not block a leader's sending for longer than a heartbeat.
 func TestLostAnswersHoldUpNothingForLong(t *testing.T) {
 	now := units.Instant(time.Second)
 	n, _ := newLeader(t, now)
@@ -92,11 +92,11 @@
 	e := &Effects{}
 	n.Propose(now, [][]byte{{2}}, e)
 	if list := appendsTo(e, "b"); len(list) > 0 {
-		t.Fatalf("%d requests were sent beside those that weren't answered", len(list))
+		t.Fatalf("%d requests were sent beyond the limit of unanswered ones", len(list))
 	}
 	n.Tick(now.Add(n.settings.Heartbeat), e)
 	list := appendsTo(e, "b")
 	if len(list) == 0 || len(list[0].GetAppendRequest().Entries) == 0 {
-		t.Fatal("after a heartbeat the entries still wait")
+		t.Fatal("the entries weren't sent after a heartbeat interval")
 	}
 }
--- a/pkg/core/replication/leadership.go
+++ b/pkg/core/replication/leadership.go
@@ -8,8 +8,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// snapshotRetryHeartbeats is how many heartbeats a snapshot may take before it is sent
-// again.
+// snapshotRetryHeartbeats is the number of heartbeat intervals after which an unanswered snapshot
+// is sent again.
 const snapshotRetryHeartbeats = 20
 
 func (n *Node) leaderTick(now units.Instant, e *Effects) {
@@ -25,8 +25,8 @@
 	n.sendPending(now, e)
 }
 
-// lostQuorum tells whether the leader has gone without a quorum's answers for
-// an election timeout; another may have been elected since.
+// lostQuorum reports whether a quorum hasn't answered the leader for an
+// election timeout, in which case another leader may have been elected.
 func (n *Node) lostQuorum(now units.Instant) bool {
 	return now >= n.electionAt && now.Sub(n.quorumContact(now)) >= n.settings.ElectionTimeout
 }
@@ -53,19 +53,19 @@
 	return p.lastContact
 }
 
-// HasLease tells whether this node can be sure that no other leader exists and
-// that it knows all that was ever committed.
+// HasLease reports whether this node can be sure that no other leader exists and
+// that it knows all entries that were ever committed.
 func (n *Node) HasLease(now units.Instant) bool {
 	if !n.IsLeader() || !n.termCommitted() {
 		return false
 	}
-	// A tenth is kept back for clocks that run at different speeds.
+	// A tenth of the election timeout allows for clocks that run at different speeds.
 	leaseDuration := n.settings.ElectionTimeout * 9 / 10
 	return now.Sub(n.quorumContact(now)) < leaseDuration
 }
 
-// CaughtUp tells whether this node has committed an entry of the present leader's term,
-// and so all that was committed before it.
+// CaughtUp reports whether this node has committed an entry of the current leader's term,
+// and so all entries that were committed before it.
 func (n *Node) CaughtUp() bool {
 	term, kept := n.log.term(n.log.commit)
 	return n.leaderID != "" && kept && term == n.term
@@ -80,8 +80,8 @@
 	}
 }
 
-// shouldSendTo tells whether a replica is worth sending to: every one that the
-// settings or the membership name, and others as long as they are heard.
+// shouldSendTo reports whether the leader sends appends to a replica: always to those that the
+// settings or the membership name, and to others while they are in contact.
 func (n *Node) shouldSendTo(now units.Instant, p *progress) bool {
 	if n.settings.Growth == nil || n.hasMember(p.id) {
 		return true
@@ -89,12 +89,12 @@
 	return p.incarnation != "" && now.Sub(p.lastReceived) < nonVoterTimeout
 }
 
-// nonVoterTimeout is how long a replica that doesn't vote may be silent before a leader
-// stops sending to it.
+// nonVoterTimeout is the time without a message after which a leader stops sending to a replica
+// that doesn't vote.
 const nonVoterTimeout = 5 * time.Second
 
-// sendPending sends the entries and the commit that followers haven't been sent yet, unless they
-// have still to answer what they were sent.
+// sendPending sends followers the entries and the commit index that they haven't been sent yet,
+// unless too many appends are in flight to them.
 func (n *Node) sendPending(now units.Instant, e *Effects) {
 	for _, id := range n.peerIDs {
 		p := n.peers[id]
@@ -119,16 +119,16 @@
 	m.Body = &wire.Envelope_AppendRequest{AppendRequest: &wire.AppendRequest{
 		Term: uint64(n.term), PrevIndex: uint64(previous), PrevTerm: uint64(term),
 		Commit: uint64(n.log.commit), Entries: entries, Round: uint64(now),
-		// Whoever learns of a commit knows on whose word it rests.
+		// A replica that learns of a commit also learns which acknowledgements it is based on.
 		Acknowledged: n.acknowledgementsFor(p, now),
 	}}
 	e.Sends = append(e.Sends, m)
-	// What was sent is taken as received; a rejection puts next back.
+	// Entries are assumed to arrive; a rejection moves next back.
 	p.next += units.Index(len(entries))
 }
 
-// resendAfterRejection answers a rejection. A follower that waits for a snapshot rejects
-// everything until it has come; answering each of those would only feed it more.
+// resendAfterRejection sends the follower an append that matches its log. A follower that waits for
+// a snapshot rejects all appends until it has arrived; answering those would only cause more of them.
 func (n *Node) resendAfterRejection(now units.Instant, p *progress, e *Effects) {
 	if _, kept := n.log.term(p.next - 1); !kept && n.snapshotInFlight(now, p) {
 		return
@@ -140,7 +140,7 @@
 	return p.snapshotSentAt != 0 && now.Sub(p.snapshotSentAt) < snapshotRetryHeartbeats*n.settings.Heartbeat
 }
 
-// sendSnapshot sends the snapshot, and between two of them an empty append that
+// sendSnapshot sends the snapshot or, while one is in flight, an empty append that
 // keeps the follower from starting an election.
 func (n *Node) sendSnapshot(now units.Instant, p *progress, e *Effects) {
 	m := n.envelope(p.id)
@@ -187,14 +187,14 @@
 	n.sendPending(now, e)
 }
 
-// requiredCopies is how many voters must have synced an entry before it is committed. A
-// young cluster may have fewer voters than requiredCopies are asked for; then all of them
-// must, and nothing is committed before the cluster has grown.
+// requiredCopies returns how many voters must have synced an entry before it is committed. A new
+// cluster may have fewer voters than MinCopies; it commits nothing until it has grown to that
+// number.
 func (n *Node) requiredCopies() int {
 	return max(n.quorum(), n.settings.MinCopies)
 }
 
-// advanceCommit moves the commit index to what enough voters have synced.
+// advanceCommit moves the commit index to the last entry that enough voters have synced.
 func (n *Node) advanceCommit(now units.Instant, e *Effects) {
 	matches := make([]units.Index, 0, len(n.voters()))
 	for _, m := range n.voters() {
@@ -214,7 +214,7 @@
 		n.recordAcknowledged(p)
 	}
 	n.changeMembership(now, e)
-	// Followers learn of the commit at once, not with the next heartbeat.
+	// Followers are sent the commit index at once, not only with the next heartbeat.
 	n.sendPending(now, e)
 }
 
@@ -236,8 +236,8 @@
 	n.log.commit = max(n.log.commit, index)
 }
 
-// Propose adds commands to the log. It returns false when this node doesn't
-// lead; nothing was added then.
+// Propose appends commands to the log. It returns false, without appending any, when this node
+// isn't the leader.
 func (n *Node) Propose(now units.Instant, commands [][]byte, e *Effects) bool {
 	if !n.IsLeader() {
 		return false
@@ -257,9 +257,8 @@
 	n.writeEntries([]*wire.Entry{entry}, e)
 }
 
-// TransferLeadership asks the follower that has most of the log to take over. From then
-// on this node leads no more in its term. It returns false when it doesn't lead
-// or nobody else can.
+// TransferLeadership asks the follower with the most complete log to start an election, and steps
+// down. It returns false when this node isn't the leader or no voter was recently in contact.
 func (n *Node) TransferLeadership(now units.Instant, e *Effects) bool {
 	if !n.IsLeader() {
 		return false
@@ -272,8 +271,8 @@
 	m := n.envelope(successor.id)
 	m.Body = &wire.Envelope_TimeoutNow{TimeoutNow: &wire.TimeoutNow{Term: uint64(n.term)}}
 	e.Sends = append(e.Sends, m)
-	// Without heartbeats from here the others elect somebody even if the heir
-	// never hears of it.
+	// As this node sends no more heartbeats, the others elect a leader even if the
+	// successor doesn't receive the request.
 	n.becomeFollower(now, n.term, "", e)
 	return true
 }
--- a/pkg/core/replication/log.go
+++ b/pkg/core/replication/log.go
@@ -7,14 +7,14 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// maxAppendBytes bounds the commands that one append request carries.
+// maxAppendBytes bounds the bytes of the commands in one append request.
 const maxAppendBytes = 512 << 10
 
 // entryLog holds the log in memory: a snapshot and the entries that follow it.
 type entryLog struct {
 	snapshot *wire.Snapshot
-	// base is the index before the first entry kept; entries up to the
-	// snapshot's index may still be kept for slow followers.
+	// base is the index before the first entry kept. Entries covered by the
+	// snapshot may be kept for slow followers.
 	base     units.Index
 	baseTerm units.Term
 	entries  []*wire.Entry
@@ -30,7 +30,7 @@
 		l.baseTerm = units.Term(l.snapshot.Term)
 		l.commit = l.base
 	}
-	// Entries that the snapshot covers are of no further use after a start.
+	// After a start, entries that the snapshot covers aren't needed.
 	l.entries = slices.DeleteFunc(l.entries, func(e *wire.Entry) bool {
 		return units.Index(e.Index) <= l.base
 	})
@@ -47,8 +47,8 @@
 	return term
 }
 
-// leaderOf returns the start of the replica that led a term, as the term's first entry
-// names it; nil when that isn't kept.
+// leaderOf returns the start of the replica that led a term, from the term's first entry or from
+// the snapshot; nil when neither is kept.
 func (l *entryLog) leaderOf(term units.Term) *wire.LeaderStart {
 	for _, e := range l.entries {
 		if units.Term(e.Term) == term && e.Leader != nil {
@@ -76,7 +76,7 @@
 	return l.entries[i-l.base-1]
 }
 
-// entriesFrom returns the entries entriesFrom an index on, up to maxAppendBytes of commands.
+// entriesFrom returns the entries from index i on, up to maxAppendBytes of commands but at least one.
 func (l *entryLog) entriesFrom(i units.Index) []*wire.Entry {
 	if i > l.last() {
 		return nil
@@ -92,8 +92,8 @@
 	return l.entries[first:]
 }
 
-// merge adds a leader's entries after prev and returns those that were new. An
-// entry that contradicts a kept one replaces it and all that follow it.
+// merge adds a leader's entries and returns those that were new. An
+// entry that conflicts with a kept one replaces it and all that follow it.
 func (l *entryLog) merge(entries []*wire.Entry) []*wire.Entry {
 	for n, e := range entries {
 		i := units.Index(e.Index)
@@ -112,17 +112,17 @@
 	return nil
 }
 
-// truncate drops the entries from an index on.
+// truncate drops the entries from index i on.
 func (l *entryLog) truncate(i units.Index) {
 	if i > l.last() {
 		return
 	}
-	// The old array may be read by a message that isn't encoded yet.
+	// A message that isn't encoded yet may still read the old array.
 	l.entries = slices.Clone(l.entries[:i-l.base-1])
 	l.synced = min(l.synced, l.last())
 }
 
-// compact drops the entries up to an index.
+// compact drops the entries up to and including an index.
 func (l *entryLog) compact(to units.Index) {
 	if to <= l.base || to > l.last() {
 		return
@@ -133,7 +133,7 @@
 	l.baseTerm = term
 }
 
-// reset puts a snapshot in place of the whole log.
+// reset replaces the whole log with a snapshot.
 func (l *entryLog) reset(s *wire.Snapshot) {
 	l.snapshot = s
 	l.base = units.Index(s.Index)
@@ -143,8 +143,8 @@
 	l.synced = l.base
 }
 
-// upToDate tells whether a log that ends with the given entry holds at least
-// what this one holds.
+// upToDate reports whether a log that ends with the given entry is at least as
+// complete as this one, by Raft's rule for granting votes.
 func (l *entryLog) upToDate(last units.Index, lastTerm units.Term) bool {
 	if lastTerm != l.lastTerm() {
 		return lastTerm > l.lastTerm()
--- a/pkg/core/replication/membership.go
+++ b/pkg/core/replication/membership.go
@@ -7,7 +7,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// voter is a replica in one of its incarnations; only both together count.
+// voter identifies a voting replica by its id and incarnation; another incarnation of the same
+// replica isn't that voter.
 type voter struct {
 	id          units.ReplicaID
 	incarnation units.Incarnation
@@ -23,8 +24,8 @@
 	index   units.Index
 }
 
-// recomputeMembership reads the newest membership from the log, as it must be
-// after a truncation or a restart.
+// recomputeMembership reads the newest membership from the log, after a truncation, a snapshot or a
+// restart.
 func (n *Node) recomputeMembership() {
 	n.membership = membershipState{}
 	if s := n.log.snapshot; s != nil {
@@ -44,7 +45,7 @@
 	n.addVotersAsPeers()
 }
 
-// formed tells whether this replica belongs to a cluster at all.
+// formed reports whether this replica belongs to a cluster.
 func (n *Node) formed() bool { return n.membership.current != nil }
 
 func (n *Node) voters() []*wire.Member {
@@ -58,7 +59,7 @@
 	return slices.ContainsFunc(n.voters(), func(m *wire.Member) bool { return voterOf(m) == v })
 }
 
-// hasMember tells whether a replica votes under any incarnation.
+// hasMember reports whether a replica is a voter under any incarnation.
 func (n *Node) hasMember(id units.ReplicaID) bool {
 	return slices.ContainsFunc(n.voters(), func(m *wire.Member) bool { return m.Id == string(id) })
 }
@@ -69,10 +70,10 @@
 
 func (n *Node) quorum() int { return len(n.voters())/2 + 1 }
 
-// changeMembership brings the voters a step closer to the replicas there are, one
-// replica at a time: a replica whose disk was lost first leaves under its old
-// incarnation, then joins under the new one. Two steps keep any two quorums
-// overlapping, whatever becomes of the old disk.
+// changeMembership moves the voters one step closer to the replicas that are present, one
+// replica at a time. A replica that lost its disk is first removed under its old
+// incarnation, then added under the new one. The two steps keep any two quorums
+// overlapping, even if the old disk returns.
 func (n *Node) changeMembership(now units.Instant, e *Effects) {
 	if n.role != leader || !n.termCommitted() || n.membership.index > n.log.commit {
 		return
@@ -89,8 +90,8 @@
 	}
 }
 
-// nextMembershipFor returns the membership that comes next on the way to having a
-// replica as a voter, or nil when it has to wait.
+// nextMembershipFor returns the next membership on the way to making a
+// replica a voter, or nil when it has to wait.
 func (n *Node) nextMembershipFor(now units.Instant, p *progress) *wire.Membership {
 	without := n.membershipWithout(p.id)
 	if len(without.Voters) < len(n.voters()) {
@@ -103,13 +104,13 @@
 	return without
 }
 
-// hasAllVoters tells whether the cluster has as many voters as it may grow to.
+// hasAllVoters reports whether the cluster has as many voters as it may grow to.
 func (n *Node) hasAllVoters() bool {
 	return n.settings.Growth != nil && len(n.voters()) >= n.settings.Growth.Voters
 }
 
-// withoutUnresponsive returns the membership without a voter that has been silent for so
-// long that another replica may take its place, or nil when there is none.
+// withoutUnresponsive returns the membership without a voter that hasn't responded for
+// ReplaceAfter and may be replaced, or nil when there is none.
 func (n *Node) withoutUnresponsive(now units.Instant) *wire.Membership {
 	for _, m := range n.voters() {
 		v := voterOf(m)
--- a/pkg/core/replication/node.go
+++ b/pkg/core/replication/node.go
@@ -9,7 +9,7 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// role is what a replica does in its term.
+// role is a replica's role in its term.
 type role int
 
 const (
@@ -26,13 +26,13 @@
 	leader:       "leader",
 }
 
-// deferredSend is a message that must not leave before a write is synced.
+// deferredSend is a message that must not be sent before a write is synced.
 type deferredSend struct {
 	after    WriteSequence
 	envelope *wire.Envelope
 }
 
-// Node is one control replica's part of the replicated log.
+// Node is the state of one control replica in the replicated log.
 type Node struct {
 	settings Settings
 	random   *rand.Rand
@@ -45,9 +45,9 @@
 	role     role
 	leaderID units.ReplicaID
 	peers    map[units.ReplicaID]*progress
-	// peerIDs holds the peers' ids, in the peerIDs in which they became known.
+	// peerIDs holds the peers' ids in the order in which they were added.
 	peerIDs []units.ReplicaID
-	// votes and refusals are the answers to the vote that is under way.
+	// votes and rejections are the answers to the vote that this node has last requested.
 	votes      map[units.ReplicaID]bool
 	rejections map[units.ReplicaID]bool
 	// leaderSince is when this node last became the leader.
@@ -57,21 +57,21 @@
 
 	electionAt  units.Instant
 	heartbeatAt units.Instant
-	// presenceInterval is the pause before an empty replica asks the others again.
+	// presenceInterval is the current interval between presence requests of a replica without a cluster.
 	presenceInterval time.Duration
-	// lastLeaderContact is when a leader was last heard; for a while after it no vote
-	// is given, which is what makes a leader's lease hold.
+	// lastLeaderContact is when a leader's message last arrived. For an election timeout after it no
+	// vote is granted, which guarantees the leader's lease.
 	lastLeaderContact units.Instant
-	// acksVersion counts the changes of what voters are known to have acknowledged.
+	// acksVersion counts the changes of the voters' known acknowledgements.
 	acksVersion uint64
-	// leaseHolder is the start of the leader whose lease this replica may last have answered
-	// to; nil when that isn't known.
+	// leaseHolder is the start of the last leader whose lease this replica may have supported; nil
+	// when that isn't known.
 	leaseHolder *wire.LeaderStart
 
 	lastWrite  WriteSequence
 	lastSynced WriteSequence
 	deferred   []deferredSend
-	// logWrites remembers which index each outstanding write ends with.
+	// logWrites holds the last entry of each log write that isn't synced yet.
 	logWrites []logWrite
 }
 
@@ -81,8 +81,8 @@
 	term     units.Term
 }
 
-// NewNode returns a node that goes on from what its disk holds. An empty
-// Durable makes a replica that belongs to no cluster yet.
+// NewNode returns a node that continues from its durable state. A replica with an empty
+// DurableState belongs to no cluster yet.
 func NewNode(s Settings, d *DurableState, now units.Instant) *Node {
 	n := &Node{
 		settings: s,
@@ -91,7 +91,7 @@
 		vote:     units.ReplicaID(d.HardState.Vote),
 		log:      newEntryLog(d),
 		peers:    map[units.ReplicaID]*progress{},
-		// A restart forgets when the leader was last heard, so it counts as now.
+		// The time of the last leader contact isn't stored; now is the latest it can be.
 		lastLeaderContact: now,
 	}
 	for _, id := range s.Peers {
@@ -100,16 +100,16 @@
 	n.recomputeMembership()
 	n.addVotersAsPeers()
 	if n.log.lastTerm() == n.term {
-		// Whoever answers a leader of a later term has written that term down.
+		// A replica stores a later term before it answers that term's leader.
 		n.leaseHolder = n.log.leaderOf(n.term)
 	}
 	n.recordStart(now, s.ID, s.Incarnation, s.Boot)
-	// The others hear at once of this start: it may have ended a lease.
+	// An early pre-vote informs the others of this start, which may have ended a lease.
 	n.electionAt = now.Add(n.randomBelow(s.ElectionTimeout / preVoteDivisor))
 	return n
 }
 
-// Tick lets the time pass; call it at NextWake or later.
+// Tick starts the elections, heartbeats and requests that are due; call it at NextWake or later.
 func (n *Node) Tick(now units.Instant, e *Effects) {
 	if !n.formed() {
 		n.requestPresence(now, e)
@@ -124,7 +124,7 @@
 	}
 }
 
-// NextWake returns when Tick has something to do at the latest.
+// NextWake returns the latest time at which Tick must be called.
 func (n *Node) NextWake() units.Instant {
 	if n.role == leader || !n.formed() {
 		return n.heartbeatAt
@@ -132,13 +132,13 @@
 	return n.electionAt
 }
 
-// WritesSynced reports that all writes up to a sequence are synced.
+// WritesSynced records that all writes up to and including a sequence are synced.
 func (n *Node) WritesSynced(now units.Instant, s WriteSequence, e *Effects) {
 	n.lastSynced = max(n.lastSynced, s)
 	for len(n.logWrites) > 0 && n.logWrites[0].sequence <= n.lastSynced {
 		w := n.logWrites[0]
 		n.logWrites = n.logWrites[1:]
-		// An entry that was replaced meanwhile isn't the one that was synced.
+		// The synced entry may have been replaced since.
 		if term, ok := n.log.term(w.last); ok && term == w.term {
 			n.log.synced = max(n.log.synced, w.last)
 		}
@@ -161,7 +161,7 @@
 	n.deferred = kept
 }
 
-// Receive takes a message from another replica.
+// Receive processes a message from another replica.
 func (n *Node) Receive(now units.Instant, m *wire.Envelope, e *Effects) {
 	p := n.senderOf(m)
 	if p == nil || !n.admit(now, p, m, e) {
@@ -170,7 +170,7 @@
 	n.dispatch(now, p, m, e)
 }
 
-// admit decides whether a sender may be listened to at all.
+// admit reports whether a sender's messages may be processed, and refuses the sender if not.
 func (n *Node) admit(now units.Instant, p *progress, m *wire.Envelope, e *Effects) bool {
 	if n.formed() && m.Cluster != "" && m.Cluster != n.membership.current.Cluster {
 		n.refuseForeignCluster(p.id, m, e)
@@ -198,16 +198,16 @@
 	return true
 }
 
-// refuseForeignCluster answers a member of another cluster. Only a cluster that has
-// worked may refuse; of two that formed at once, the one without a quorum goes.
+// refuseForeignCluster refuses a member of another cluster. Only a cluster with a commit after its
+// formation refuses: of two clusters that formed at once, the one without a quorum is given up.
 func (n *Node) refuseForeignCluster(to units.ReplicaID, m *wire.Envelope, e *Effects) {
 	if n.log.commit > firstIndex {
 		n.refuse(to, m, "they belong to cluster "+n.membership.current.Cluster+", this one to "+m.Cluster, e)
 	}
 }
 
-// refuse tells the sender of a message why it isn't listened to. The answer may find a
-// later start of it, or one with another disk, which it doesn't concern.
+// refuse tells a sender why its messages are rejected, which stops it. The refusal names the boot
+// and incarnation of the message, so that a later start, or one with another disk, ignores it.
 func (n *Node) refuse(to units.ReplicaID, refused *wire.Envelope, reason string, e *Effects) {
 	m := n.envelope(to)
 	m.Body = &wire.Envelope_Refusal{Refusal: &wire.Refusal{Reason: reason, Boot: refused.Boot, Incarnation: refused.Incarnation}}
@@ -259,7 +259,7 @@
 	return m
 }
 
-// sendAfterSync sends a message once every write made so far is on the disk.
+// sendAfterSync sends a message once every write issued so far is synced.
 func (n *Node) sendAfterSync(m *wire.Envelope, e *Effects) {
 	if n.lastWrite <= n.lastSynced {
 		e.Sends = append(e.Sends, m)
@@ -299,22 +299,22 @@
 	return time.Duration(n.random.Int64N(int64(limit)))
 }
 
-// IsLeader tells whether this node leads, as far as it knows.
+// IsLeader reports whether this node is the leader, as far as it knows.
 func (n *Node) IsLeader() bool { return n.role == leader }
 
-// Leader returns the replica that leads in this term, or an empty id.
+// Leader returns the leader of this term, or an empty id when it isn't known.
 func (n *Node) Leader() units.ReplicaID { return n.leaderID }
 
-// Term returns the present term.
+// Term returns the current term.
 func (n *Node) Term() units.Term { return n.term }
 
-// Formed tells whether this replica belongs to a cluster.
+// Formed reports whether this replica belongs to a cluster.
 func (n *Node) Formed() bool { return n.formed() }
 
-// Commit returns the last index known to be on a quorum's disks.
+// Commit returns the index of the last entry known to be committed.
 func (n *Node) Commit() units.Index { return n.log.commit }
 
-// Status is a node's state as the dump shows it.
+// Status is a node's state as written to the dump.
 type Status struct {
 	Role        string            `json:"role"`
 	Term        units.Term        `json:"term"`
@@ -331,21 +331,21 @@
 	Peers       []PeerStatus      `json:"peers"`
 }
 
-// PeerStatus is what a node knows of another one.
+// PeerStatus is what a node knows of another replica.
 type PeerStatus struct {
 	ID          units.ReplicaID   `json:"id"`
 	Incarnation units.Incarnation `json:"incarnation,omitempty"`
 	Voter       bool              `json:"voter"`
 	Match       units.Index       `json:"match"`
-	// Acknowledged is up to where it is known to have acknowledged the committed log, to
+	// Acknowledged is the last committed index that the replica is known to have acknowledged, to
 	// this leader or an earlier one.
 	Acknowledged units.Index `json:"acknowledged"`
-	// SinceReceived is how long nothing has come from it.
+	// SinceReceived is the time since its last message.
 	SinceReceived time.Duration `json:"silence"`
 	Contacted     bool          `json:"heard"`
 }
 
-// Status returns the node's state at a time.
+// Status returns the node's state at the given time.
 func (n *Node) Status(now units.Instant) Status {
 	s := Status{
 		Role: roleNames[n.role], Term: n.term, Leader: n.leaderID,
--- a/pkg/core/replication/peers.go
+++ b/pkg/core/replication/peers.go
@@ -7,11 +7,10 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// maxPeers bounds the replicas that a node keeps account of; it is well above any
-// size that a cluster grows to.
+// maxPeers bounds the peers of a node. It is well above the size of any cluster.
 const maxPeers = 64
 
-// addPeer begins to keep account of another replica.
+// addPeer adds another replica to the peers and returns its progress; nil when it can't be added.
 func (n *Node) addPeer(id units.ReplicaID) *progress {
 	if p := n.peers[id]; p != nil || id == n.settings.ID || id == "" || len(n.peerIDs) >= maxPeers {
 		return p
@@ -22,17 +21,17 @@
 	return p
 }
 
-// Peers are the other replicas that this node keeps account of.
+// Peers returns the other replicas that this node knows of.
 func (n *Node) Peers() []units.ReplicaID { return slices.Clone(n.peerIDs) }
 
-// AddPeers begins to keep account of replicas that the settings name now.
+// AddPeers adds replicas that the settings now name.
 func (n *Node) AddPeers(list []units.ReplicaID) {
 	for _, id := range list {
 		n.addPeer(id)
 	}
 }
 
-// addVotersAsPeers makes sure that all voters are kept account of.
+// addVotersAsPeers adds all voters to the peers, if the cluster may grow.
 func (n *Node) addVotersAsPeers() {
 	if n.settings.Growth == nil {
 		return
@@ -42,8 +41,8 @@
 	}
 }
 
-// senderOf returns a message's sender, or nil when it is none of the cluster's. A
-// cluster that grows takes in whoever reports; others keep to their settings.
+// senderOf returns a message's sender, or nil when the node doesn't know it. With Growth, an
+// unknown sender is added as a peer; without, only the replicas in the settings are.
 func (n *Node) senderOf(m *wire.Envelope) *progress {
 	id := units.ReplicaID(m.From)
 	if p := n.peers[id]; p != nil || n.settings.Growth == nil {
@@ -52,7 +51,7 @@
 	return n.addPeer(id)
 }
 
-// Voters returns the replicas that vote, as far as this one knows.
+// Voters returns the voters that this node knows of.
 func (n *Node) Voters() []units.ReplicaID {
 	var voters []units.ReplicaID
 	for _, m := range n.voters() {
@@ -61,12 +60,12 @@
 	return voters
 }
 
-// MembershipIndex returns where in the log the present membership stands; zero before
+// MembershipIndex returns the log index of the current membership; zero before
 // there is one.
 func (n *Node) MembershipIndex() units.Index { return n.membership.index }
 
-// Members returns the replicas that are known here, this one among them: the
-// voters first, then those that follow.
+// Members returns the replicas that are known here, including this one: the
+// voters first, then the others.
 func (n *Node) Members() []units.ReplicaID {
 	members := n.Voters()
 	for _, id := range append([]units.ReplicaID{n.settings.ID}, n.peerIDs...) {
@@ -77,8 +76,8 @@
 	return members
 }
 
-// LiveMembers returns those of the members that this leader has had answers from
-// within two election timeouts, itself among them.
+// LiveMembers returns the members that have answered this leader
+// within two election timeouts, including itself.
 func (n *Node) LiveMembers(now units.Instant) []units.ReplicaID {
 	live := []units.ReplicaID{n.settings.ID}
 	for _, id := range n.peerIDs {
--- a/pkg/core/replication/progress.go
+++ b/pkg/core/replication/progress.go
@@ -4,21 +4,21 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// progress is what a replica knows of another one. The fields on the log are
-// of use to a leader only.
+// progress is what a replica knows of another one. The fields about the replication of the log are
+// used by a leader only.
 type progress struct {
 	id units.ReplicaID
-	// incarnation is empty until the other replica has been heard.
+	// incarnation is empty until the first message of the other replica arrives.
 	incarnation units.Incarnation
-	// previousIncarnations are the incarnations that were heard before it. A message of one of them
-	// that comes late says nothing about a later one.
+	// previousIncarnations are those that incarnation has replaced. A late message of one of them is no
+	// evidence about the current one.
 	previousIncarnations map[units.Incarnation]bool
 	boot                 uint64
 	// acknowledged is what the replica is known to have acknowledged, to this leader or
 	// to an earlier one.
 	acknowledged acknowledgement
-	// acksDelivered is which version of all acknowledgements the replica is known to have, and
-	// telling the one that was last sent to it, in which round.
+	// acksDelivered is the version of the voters' acknowledgements that the replica is known to have;
+	// acksSent is the version last sent to it and the round of that append request.
 	acksDelivered uint64
 	acksSent      struct {
 		version uint64
@@ -26,24 +26,24 @@
 	}
 	next  units.Index
 	match units.Index
-	// sentCommit is the commit index that the replica was last sent.
+	// sentCommit is the commit index last sent to the replica.
 	sentCommit units.Index
 	inFlight   inFlightAppends
-	// lastContact is when the newest answered heartbeat was sent, on the leader's
-	// clock; it bounds how long no other leader can have been elected.
+	// lastContact is when the newest answered append request was sent, on the leader's
+	// clock. Over a quorum, these times bound how long no other leader can have been elected.
 	lastContact units.Instant
-	// lastReceived is when anything at all came from the other replica.
+	// lastReceived is when the last message arrived from the replica.
 	lastReceived units.Instant
-	// snapshotSentAt is when a snapshot was last sent; another waits its turn.
+	// snapshotSentAt is when a snapshot was last sent; another is sent only after a timeout.
 	snapshotSentAt units.Instant
-	// formed is what the replica said of itself when it was last asked.
+	// formed and bootstrap are the replica's last presence message, received at presenceAt.
 	formed     bool
 	bootstrap  bool
 	presenceAt units.Instant
 }
 
-// replaceIncarnation takes note of another disk of the replica; it returns false for one
-// that was replaced before.
+// replaceIncarnation records that the replica runs with another disk. It returns false for an
+// incarnation that was replaced before.
 func (p *progress) replaceIncarnation(next units.Incarnation) bool {
 	if p.previousIncarnations == nil {
 		p.previousIncarnations = map[units.Incarnation]bool{}
@@ -53,7 +53,7 @@
 	return !p.previousIncarnations[next]
 }
 
-// reset forgets the log position, as after a change of leader or disk.
+// reset discards the replication state after a change of leader or incarnation.
 func (p *progress) reset(next units.Index) {
 	p.next = next
 	p.match = 0
--- a/pkg/core/replication/settings.go
+++ b/pkg/core/replication/settings.go
@@ -6,49 +6,49 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Settings are what a node needs to know of itself and its cluster.
+// Settings are the parameters of a node.
 type Settings struct {
 	ID          units.ReplicaID
 	Incarnation units.Incarnation
-	// Boot names this start of the replica; later starts have greater ones.
+	// Boot numbers the starts of the replica, in increasing order.
 	Boot uint64
-	// Peers are the other replicas, in an order that stays the same. With Growth
-	// they are the seeds: where a replica that knows nobody begins to ask.
+	// Peers are the other replicas, in a fixed order. With Growth they are the seeds, which a replica
+	// without a cluster asks first.
 	Peers []units.ReplicaID
-	// Growth lets the cluster form and grow by itself; nil leaves both to the
-	// operator and to Peers.
+	// Growth lets the cluster form and grow automatically. If it is nil, an operator forms the cluster
+	// and Peers are its other members.
 	Growth *Growth
-	// MinCopies is how many disks must hold an entry before it is committed, where
-	// that is more than a quorum; zero asks for a quorum.
+	// MinCopies is how many voters must have synced an entry before it is committed, if
+	// that is more than a quorum; zero requires a quorum.
 	MinCopies int
-	// ElectionTimeout is the least time without a leader before an election; the
-	// actual time is drawn between it and its double.
+	// ElectionTimeout is the minimum time without a leader before an election; the
+	// actual time is random between it and its double.
 	ElectionTimeout time.Duration
-	// Heartbeat is the time between a leader's messages to each follower.
+	// Heartbeat is the interval between a leader's messages to each follower.
 	Heartbeat time.Duration
-	// Seed feeds the node's own random numbers.
+	// Seed is the seed of the node's random numbers.
 	Seed uint64
 }
 
-// Growth says how a cluster forms from its seeds and grows by itself.
+// Growth holds the parameters of a cluster that forms from its seeds and grows automatically.
 type Growth struct {
 	// Bootstrap lets this replica form a cluster, if it is the first of the seeds
 	// and all of them are present and empty.
 	Bootstrap bool
 	// Seed is set for a replica that is one of the seeds.
 	Seed bool
-	// Voters is how many voting replicas the cluster grows to; others that report
-	// follow it, and take the place of a voter that is gone.
+	// Voters is the number of voters that the cluster grows to. Further replicas
+	// follow without a vote, and replace voters that are gone.
 	Voters int
-	// ReplaceAfter is how long a voter must be silent for another replica to take
-	// its place.
+	// ReplaceAfter is the time without a response from a voter after which another replica may replace
+	// it.
 	ReplaceAfter time.Duration
 }
 
-// DefaultReplaceAfter is longer than a restart or a cut of some seconds takes.
+// DefaultReplaceAfter is longer than a restart or a network interruption of a few seconds.
 const DefaultReplaceAfter = 8 * time.Second
 
-// Default timings; a cluster over regions needs longer ones.
+// Default timings. A cluster across regions needs longer ones.
 const (
 	DefaultElectionTimeout = 400 * time.Millisecond
 	DefaultHeartbeat       = 50 * time.Millisecond
--- a/pkg/core/replication/snapshot_test.go
+++ b/pkg/core/replication/snapshot_test.go
@@ -8,8 +8,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// A snapshot that comes late, and covers less than the follower holds already, must not
-// take entries from it that it has acknowledged.
+// A late snapshot that covers less than the follower already holds must not remove entries that the
+// follower has acknowledged.
 func TestALateSnapshotTakesNoAcknowledgedEntry(t *testing.T) {
 	membership := &wire.Membership{Cluster: "c", Voters: []*wire.Member{
 		{Id: "a", Incarnation: "a.1"}, {Id: "b", Incarnation: "b.1"}, {Id: "c", Incarnation: "c.1"},
