--- a/pkg/core/box/box.go
+++ b/pkg/core/box/box.go
@@ -1,5 +1,5 @@
-// Package box is the whole decision logic of an entry box: one reducer over all
-// of its events, made of its subscription to the control state and its routing.
+// Package box implements the decision logic of an entry box: one reducer over all
+// of its events, composed of its subscription to the control state and its router.
 package box
 
 import (
@@ -12,16 +12,16 @@
 // Event is a subscription.Event, a routing.Event or a Tick.
 type Event any
 
-// Tick says that time has passed; it is due at NextWake.
+// Tick reports that time has passed; it is due at NextWake.
 type Tick struct{}
 
-// Effects are what the shell is to do.
+// Effects are the actions for the shell, which does the I/O.
 type Effects struct {
 	Subscription subscription.Effects
 	Routing      routing.Effects
 }
 
-// Reset empties the effects and keeps their room.
+// Reset clears the effects and keeps their capacity.
 func (e *Effects) Reset() {
 	e.Subscription = subscription.Effects{}
 	e.Routing.Reset()
@@ -43,8 +43,8 @@
 	return &Box{subscription: subscription.NewSubscription(s, now), router: router}, nil
 }
 
-// Reduce takes one event at a time of the box's clock and adds what is to be
-// done to e.
+// Reduce processes one event at a time of the box's clock and adds the resulting
+// actions to e.
 func (b *Box) Reduce(now units.Instant, event Event, e *Effects) {
 	switch v := event.(type) {
 	case routing.Event:
@@ -60,7 +60,7 @@
 	}
 }
 
-// reduceSubscription lets the router know at once what has changed.
+// reduceSubscription also passes the changes that result from the event to the router.
 func (b *Box) reduceSubscription(now units.Instant, event subscription.Event, e *Effects) {
 	before := len(e.Subscription.Sends)
 	b.subscription.Reduce(now, event, &e.Subscription)
@@ -68,7 +68,7 @@
 		b.router.Reduce(now, &routing.TableChanged{Table: e.Subscription.Table}, &e.Routing)
 		e.Subscription.Table = nil
 	}
-	// Before the lease, which has the router decide about calls that came before it.
+	// Exposures precede the lease, as the lease makes the router handle calls that have waited for it.
 	if e.Subscription.ExposuresChanged {
 		b.router.Reduce(now, &routing.ExposuresChanged{Exposures: e.Subscription.Exposures}, &e.Routing)
 		e.Subscription.ExposuresChanged = false
@@ -85,8 +85,8 @@
 	b.addEvidence(now, e.Subscription.Sends[before:])
 }
 
-// addEvidence has requests for a lease carry what the router has seen of new versions, of
-// crashes and of workspaces' calls.
+// addEvidence adds to lease requests what the router has observed about new versions,
+// crashes and workspaces' calls.
 func (b *Box) addEvidence(now units.Instant, sends []*wire.Envelope) {
 	for _, m := range sends {
 		if x := m.GetRenewRequest(); x != nil {
@@ -98,29 +98,29 @@
 	}
 }
 
-// NextWake returns when the next Tick is due at the latest.
+// NextWake returns the latest time at which the next Tick is due.
 func (b *Box) NextWake() units.Instant {
 	return min(b.subscription.NextWake(), b.router.NextWake())
 }
 
-// Ready tells whether callers should be sent to this box.
+// Ready reports whether callers should be sent to this box.
 func (b *Box) Ready(now units.Instant) bool {
 	return b.router.Serving(now) && (b.router.ServesStale() || b.subscription.HasFreshLease(now))
 }
 
-// Subscription returns the box's subscription, for reading.
+// Subscription returns the box's subscription, which mustn't be changed.
 func (b *Box) Subscription() *subscription.Subscription { return b.subscription }
 
-// Router returns the box's router, for reading.
+// Router returns the box's router, which mustn't be changed.
 func (b *Box) Router() *routing.Router { return b.router }
 
-// Status is a box's state as the dump shows it.
+// Status is a box's state as written to the dump.
 type Status struct {
 	Subscription subscription.Status `json:"subscription"`
 	Routing      routing.Status      `json:"routing"`
 }
 
-// Status returns the box's state at a time.
+// Status returns the box's state at the given time.
 func (b *Box) Status(now units.Instant) Status {
 	return Status{Subscription: b.subscription.Status(now), Routing: b.router.Status(now)}
 }
--- a/pkg/core/box/exposure_test.go
+++ b/pkg/core/box/exposure_test.go
@@ -17,14 +17,14 @@
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 const (
-	// maxNewShare and slack bound what a bad version may get of its service's calls.
+	// maxNewShare and maxNewSlack bound the calls of a service that a bad version may get.
 	maxNewShare = 0.1
 	maxNewSlack = 50
-	// leaderCheckInterval is how often the leader looks at the evidence.
+	// leaderCheckInterval is how often the leader evaluates the evidence.
 	leaderCheckInterval = 100 * time.Millisecond
 )
 
-// faultScenario is what goes wrong in a fleet, and how long the stages of its trial last.
+// faultScenario holds the faults in a fleet and the durations of the stages of its trial.
 type faultScenario struct {
 	boxes                            int
 	seed                             uint64
@@ -32,9 +32,9 @@
 	stages                           []time.Duration
 }
 
-// However messages are lost, late and reordered, whichever boxes stand still, start anew or
-// are cut off, and whatever stops the leader: all boxes together send the new version at most
-// a tenth of the calls and 50, and none once the last grant has run out.
+// With lost, late and reordered messages, suspended, restarted and disconnected boxes, and pauses of
+// the leader, all boxes together must send the new version at most a tenth of the calls plus 50, and
+// none after the last grant has expired.
 func TestExposureIsBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		x := faultScenario{
@@ -51,16 +51,16 @@
 	})
 }
 
-// The same with as many boxes as a large deployment has, each of which gets few calls.
+// The bound must also hold with as many boxes as in a large deployment, each of which gets few calls.
 func TestExposureOfManyBoxesIsBounded(t *testing.T) {
 	for _, bad := range []float64{0, 0.1, 1} {
 		x := faultScenario{boxes: 122, seed: 7, lossRate: 0.05, delayRate: 0.05, failureRate: bad, stages: []time.Duration{2 * time.Second, time.Second, 3 * time.Second}}
 		f := x.run(t)
-		t.Logf("with a part of %.1f bad the new version got %d of %d calls", bad, f.newSends, f.calls)
+		t.Logf("with a failure rate of %.1f the new version got %d of %d calls", bad, f.newSends, f.calls)
 	}
 }
 
-// run has a trial's stages pass, which the leader rolls back at the end at the latest.
+// run runs a trial's stages. The leader rolls it back at the end, if not before.
 func (x *faultScenario) run(t testFailer) *fleet {
 	f := newFleet(t, x.boxes, x.seed)
 	f.lossRate, f.delayRate, f.failureRate = x.lossRate, x.delayRate, x.failureRate
@@ -83,8 +83,7 @@
 	return f
 }
 
-// runStage lets a stage pass, during which the leader rolls back when it knows of 50 bad
-// answers.
+// runStage runs a stage, during which the leader rolls back when it knows of 50 failures.
 func (f *fleet) runStage(d time.Duration) {
 	for ; d > 0; d -= leaderCheckInterval {
 		f.run(min(d, leaderCheckInterval))
@@ -94,7 +93,7 @@
 	}
 }
 
-// injectFaults has something go wrong during the next stage.
+// injectFaults schedules random faults during the next stage.
 func (f *fleet) injectFaults() {
 	for _, m := range f.boxes {
 		switch f.random.IntN(12) {
@@ -125,7 +124,7 @@
 	}
 }
 
-// A trial without faults: the new version gets its share, each box off by one call at the most.
+// In a trial without faults the new version gets its share, to within one call per box.
 func TestExposureIsUsed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(rt, 12, rapid.Uint64().Draw(rt, "seed"))
@@ -140,7 +139,7 @@
 	})
 }
 
-// A box that sees several bad answers sends its evidence before the next renewal is due.
+// A box that sees several failures must send its evidence before the next renewal is due.
 func TestBadAnswersReachTheLeaderAtOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(rt, 1, rapid.Uint64().Draw(rt, "seed"))
@@ -168,7 +167,7 @@
 			rt.Fatalf("the box sent %d requests", n)
 		}
 		if bad := reportedFailures(m); bad != 3 {
-			rt.Fatalf("the evidence has %d bad answers", bad)
+			rt.Fatalf("the evidence has %d failures", bad)
 		}
 	})
 }
@@ -183,23 +182,23 @@
 	return bad
 }
 
-// A box that starts while all calls go to the new version serves those that came before its
+// A box that starts while all calls go to the new version must serve calls that arrived before its
 // first table.
 func TestEarlyCallsGoToTheShiftedVersion(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	f.leader.startStage(table.RolloutTrial, 10, 2)
 	f.leader.startStage(table.RolloutShifted, 100, 0)
-	// The second box needs a lease to serve.
+	// The second box has no lease yet and needs one to serve.
 	m := f.boxes[1]
 	f.deliver(m, &routing.CallArrived{Owner: m, Host: []byte(testService), Path: []byte("/")})
 	f.run(100 * time.Millisecond)
 	if f.newSends == 0 {
-		t.Fatal("a call that came before the first table wasn't sent")
+		t.Fatal("a call that arrived before the first table wasn't sent")
 	}
 }
 
-// Once a box has told that nothing is under way at the old version it sends that nothing, so
-// that the old targets may stop when all boxes have.
+// Once a box has reported that no calls are in flight at the old version it must send that version
+// none, so that the old targets may stop when all boxes have reported so.
 func TestADrainedBoxSendsTheOldVersionNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(rt, 6, rapid.Uint64().Draw(rt, "seed"))
--- a/pkg/core/box/fleet_test.go
+++ b/pkg/core/box/fleet_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// exposureTime is how long the leader's leases and exposures last.
+	// exposureTime is the duration of the leader's leases and exposures.
 	exposureTime   = time.Second
 	renewInterval  = 400 * time.Millisecond
 	replicaTimeout = 850 * time.Millisecond
@@ -25,13 +25,13 @@
 	testService    = units.ServiceName("s")
 )
 
-// testFailer is what ends a test: of the testing package, or of rapid.
+// testFailer is the part of testing.T and rapid.T that ends a test.
 type testFailer interface {
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-// fleet is many boxes, a leader and the targets of a service in two versions, in virtual time.
+// fleet simulates many boxes, a leader and the targets of a service in two versions, in virtual time.
 type fleet struct {
 	t      testFailer
 	random *rand.Rand
@@ -39,12 +39,12 @@
 	events *container.Heap[scheduledEvent]
 	boxes  []*member
 	leader leader
-	// lossRate is the part of messages that are lost, delayRate the part that take up to 3 s.
+	// lossRate is the fraction of messages that are lost, delayRate the fraction delayed by up to 3 s.
 	lossRate, delayRate float64
-	// failureRate is the part of the new version's answers that fail.
+	// failureRate is the fraction of the new version's answers that fail.
 	failureRate float64
-	// calls counts those that arrived, newSends the sends to the new version, lastNew when the
-	// last of them was sent.
+	// calls counts the calls that arrived, newSends the sends to the new version; lastNewSend is the
+	// time of the last of these.
 	calls, newSends int
 	lastNewSend     units.Instant
 }
@@ -55,12 +55,12 @@
 	index   int
 	start   uint64
 	effects Effects
-	// inFlight are the attempts under way at the old version.
+	// inFlight are the attempts in flight at the old version.
 	inFlight map[attemptKey]bool
-	// drainedStage is the stage for which the box has told that nothing is under way at the old
-	// version, by its revision.
+	// drainedStage is the revision of the stage for which the box has reported that nothing is in
+	// flight at the old version.
 	drainedStage units.Revision
-	// frozenUntil is when a box that stands still wakes, disconnectedAt when its messages end.
+	// frozenUntil is when a suspended box resumes, disconnectedAt when its messages stop.
 	frozenUntil, disconnectedAt units.Instant
 }
 
@@ -69,7 +69,7 @@
 	number routing.AttemptNumber
 }
 
-// scheduledEvent is what happens at a time.
+// scheduledEvent is an action at a virtual time.
 type scheduledEvent struct {
 	at units.Instant
 	do func()
@@ -93,7 +93,7 @@
 
 func boxName(i int) units.BoxID { return units.BoxID(fmt.Sprintf("b%03d", i)) }
 
-// start starts a box, anew where it ran before.
+// start starts or restarts a box.
 func (f *fleet) start(m *member) {
 	m.start++
 	m.drainedStage = 0
@@ -116,7 +116,7 @@
 	f.events.Push(scheduledEvent{at: f.now.Add(d), do: do})
 }
 
-// run lets time pass.
+// run advances the virtual time.
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
 	for {
@@ -131,7 +131,7 @@
 	f.now = end
 }
 
-// keepTicking wakes a box until it is started anew.
+// keepTicking sends a box its ticks until it is restarted.
 func (f *fleet) keepTicking(m *member, start uint64) {
 	if m.start != start {
 		return
@@ -140,7 +140,7 @@
 	f.schedule(max(10*time.Millisecond, m.core.NextWake().Sub(f.now)), func() { f.keepTicking(m, start) })
 }
 
-// keepCalling brings a box 8 calls a second.
+// keepCalling sends a box 8 calls a second on average.
 func (f *fleet) keepCalling(m *member) {
 	f.schedule(time.Duration(f.random.ExpFloat64()*float64(125*time.Millisecond)), func() {
 		f.calls++
@@ -149,8 +149,8 @@
 	})
 }
 
-// deliver gives a box an event, or once it wakes where it stands still: what came meanwhile is
-// then read in any order.
+// deliver sends a box an event, or schedules it for when a suspended box resumes. Events from the
+// time of the suspension are then processed in any order.
 func (f *fleet) deliver(m *member, e Event) {
 	if f.now < m.frozenUntil {
 		start := m.start
@@ -191,8 +191,9 @@
 	}
 }
 
-// checkReportedInFlight checks what a request tells of the old version's calls: too few never, and too
-// many only if it was made before the same event canceled some.
+// checkReportedInFlight checks the reported number of calls in flight at the old version. It must
+// never be too low, and may be too high only if the same event canceled some after the request was
+// made.
 func (f *fleet) checkReportedInFlight(m *member, x *wire.RenewRequest, before int) {
 	reported := 0
 	for _, v := range x.Evidence {
@@ -201,11 +202,11 @@
 		}
 	}
 	if len(x.Evidence) > 0 && reported != len(m.inFlight) && (reported != before || reported < len(m.inFlight)) {
-		f.t.Fatalf("box %d tells of %d calls under way at the old version, there are %d", m.index, reported, len(m.inFlight))
+		f.t.Fatalf("box %d reports %d calls in flight at the old version, there are %d", m.index, reported, len(m.inFlight))
 	}
 }
 
-// transmit delivers a message between a box and its replica, late or never at times.
+// transmit delivers a message between a box and its replica; some are late and some are lost.
 func (f *fleet) transmit(m *member, do func()) {
 	start := m.start
 	if f.random.Float64() < f.lossRate || f.now >= m.disconnectedAt {
@@ -222,7 +223,7 @@
 	})
 }
 
-// answer answers an attempt after some time, and counts it where it went.
+// answer ends an attempt after a random time and counts the sends to the new version.
 func (f *fleet) answer(m *member, x routing.Effect) {
 	result := routing.Answered
 	if x.Endpoint.Target[0] == 'o' {
@@ -245,15 +246,16 @@
 	})
 }
 
-// leader is the control side: it grants exposures, and rolls back at 50 bad answers.
+// leader is the control side: it grants leases and exposures and collects evidence.
 type leader struct {
 	f     *fleet
 	table *table.Table
-	// down is set while no leader answers, withholdsExposures while it grants leases without exposures.
+	// down is set while the leader doesn't answer, withholdsExposures while it grants leases without
+	// exposures.
 	down, withholdsExposures bool
-	// stageStartedAt is when the present stage began, rolledBackAt when the rollout was rolled back.
+	// stageStartedAt is when the current stage started, rolledBackAt when the rollout was rolled back.
 	stageStartedAt, rolledBackAt units.Instant
-	// failuresByRun are the bad answers of the new version that each run of a box has told of.
+	// failuresByRun are the new version's failures that each run of a box has reported.
 	failuresByRun map[string]uint64
 }
 
@@ -283,7 +285,7 @@
 
 func (l *leader) rollout() *table.Rollout { return l.table.Rollout(testService) }
 
-// startStage puts a stage in force and pushes the change to all boxes.
+// startStage starts a stage and pushes the change to all boxes.
 func (l *leader) startStage(stage table.RolloutStage, share units.Percent, targets int) {
 	x := table.Rollout{Service: testService, From: oldSoftware, To: newSoftware, Stage: stage, Share: share, Order: l.table.Revision + 1}
 	if before := l.rollout(); before.Active() {
@@ -296,7 +298,7 @@
 	d := &table.Delta{From: l.table.Revision, Revision: x.Since, Rollouts: []table.Rollout{x}}
 	next, ok := l.table.Patch(d)
 	if !ok {
-		l.f.t.Fatal("the leader's own change doesn't follow")
+		l.f.t.Fatal("the leader's own delta doesn't follow")
 	}
 	l.table, l.stageStartedAt = next, l.f.now
 	if stage == table.RolloutRolledBack {
@@ -318,7 +320,7 @@
 	l.push(m, &wire.Envelope{Body: &wire.Envelope_Table{Table: wire.FromTable(l.table)}})
 }
 
-// receive answers a request for a lease, and rolls back once it knows of 50 bad answers.
+// receive answers a lease request and records the failures that it reports.
 func (l *leader) receive(m *member, x *wire.Envelope) {
 	if l.down {
 		return
@@ -349,9 +351,8 @@
 	return sum
 }
 
-// checkNewSend checks a send to the new version: nobody may send any when the last grant has run
-// out that the leader can have given, without a rollout in its table, or after a failure on
-// trial.
+// checkNewSend fails the test if a box sends the new version a call after the last grant that
+// the leader can have given has expired, without a rollout in its table, or as a retry during a trial.
 func (l *leader) checkNewSend(m *member, n routing.AttemptNumber) {
 	if l.rolledBackAt != 0 && l.f.now >= l.rolledBackAt.Add(exposureTime) {
 		l.f.t.Fatalf("box %d sent the new version a call %s after the rollback", m.index, l.f.now.Sub(l.rolledBackAt))
@@ -361,11 +362,11 @@
 		l.f.t.Fatalf("box %d sent the new version a call without a rollout in its table", m.index)
 	}
 	if n > 1 && v.Stage == table.RolloutTrial {
-		l.f.t.Fatalf("box %d sent the new version a call again", m.index)
+		l.f.t.Fatalf("box %d retried a call at the new version", m.index)
 	}
 }
 
-// recordDrained notes a box that knows of the shift and has nothing under way at the old version.
+// recordDrained records a box that knows of the shift and has nothing in flight at the old version.
 func (l *leader) recordDrained(m *member, request *wire.RenewRequest) {
 	v := l.rollout()
 	if v == nil || v.Stage != table.RolloutShifted || request.Revision < uint64(v.Since) {
@@ -379,10 +380,9 @@
 	m.drainedStage = v.Since
 }
 
-// checkOldSend checks a send to the old version: none may come from a box with a link that was
-// drained.
+// checkOldSend fails the test if a drained box that holds a lease sends the old version a call.
 func (l *leader) checkOldSend(m *member) {
 	if m.drainedStage != 0 && l.f.now < m.core.Subscription().LeaseUntil() {
-		l.f.t.Fatalf("box %d sent the old version a call after it had told that none was under way", m.index)
+		l.f.t.Fatalf("box %d sent the old version a call after it had reported none in flight", m.index)
 	}
 }
--- a/pkg/core/subscription/exposures.go
+++ b/pkg/core/subscription/exposures.go
@@ -5,22 +5,22 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// RenewNow asks for a request for a lease at once: it carries news that the leader had better
-// have before the next one is due.
+// RenewNow requests a lease renewal at once: the box has evidence for the leader that shouldn't wait
+// for the next renewal.
 type RenewNow struct{}
 
 func (RenewNow) subscriptionEvent() {}
 
-// renewNow sends a request at once where there is a replica to send it to.
+// renewNow sends a renewal at once if the box is attached to a replica.
 func (s *Subscription) renewNow(now units.Instant, e *Effects) {
 	if s.link.state == linkUp {
 		s.renew(now, e)
 	}
 }
 
-// applyExposures passes on what a grant says of rollouts, unless a later request was answered
-// before: a late answer must not bring back what the leader has withdrawn.
-func (s *Subscription) applyExposures(asked units.Instant, r *wire.RenewResponse, e *Effects) {
+// applyExposures reports a grant's exposures of new versions in e, unless a later request has
+// already been answered: a late grant must not restore what the leader has withdrawn.
+func (s *Subscription) applyExposures(requestedAt units.Instant, r *wire.RenewResponse, e *Effects) {
 	if r.Nonce < s.exposuresNonce {
 		return
 	}
@@ -30,5 +30,5 @@
 	}
 	s.hasExposures = len(r.Exposures) > 0
 	e.ExposuresChanged = true
-	e.Exposures = wire.ToExposures(r.Exposures, asked)
+	e.Exposures = wire.ToExposures(r.Exposures, requestedAt)
 }
--- a/pkg/core/subscription/exposures_test.go
+++ b/pkg/core/subscription/exposures_test.go
@@ -12,7 +12,7 @@
 
 const testExposure = 900 * time.Millisecond
 
-// grantWithExposure returns a grant that names an exposure for a stage.
+// grantWithExposure returns a grant with an exposure for a stage of a rollout.
 func grantWithExposure(nonce, since uint64) *wire.Envelope {
 	m := grantOf(nonce, 0, start)
 	m.GetRenewResponse().Exposures = []*wire.Exposure{{Service: "s", Order: 3, Since: since, Share: 10, Duration: int64(testExposure)}}
@@ -21,10 +21,10 @@
 
 func TestAnExposureCountsFromItsRequest(t *testing.T) {
 	b := newBox()
-	asked, nonce := b.now, b.nonce()
+	requestedAt, nonce := b.now, b.nonce()
 	b.now = b.now.Add(200 * time.Millisecond)
 	b.receive(grantWithExposure(nonce, 5))
-	want := []rollout.Exposure{{Service: "s", Order: 3, Since: 5, Share: 10, Asked: asked, Until: asked.Add(testExposure)}}
+	want := []rollout.Exposure{{Service: "s", Order: 3, Since: 5, Share: 10, Asked: requestedAt, Until: requestedAt.Add(testExposure)}}
 	if difference := cmp.Diff(want, b.effects.Exposures); difference != "" || !b.effects.ExposuresChanged {
 		t.Fatal(difference)
 	}
@@ -40,7 +40,7 @@
 	b.receive(grantWithExposure(second, 5))
 	b.receive(grantWithExposure(first, 4))
 	if b.effects.ExposuresChanged {
-		t.Fatal("a grant for an earlier request was taken")
+		t.Fatal("a grant for an earlier request was accepted")
 	}
 	b.receive(grantOf(third, 0, start))
 	if !b.effects.ExposuresChanged || len(b.effects.Exposures) > 0 {
@@ -48,7 +48,7 @@
 	}
 	b.receive(grantWithExposure(second, 5))
 	if b.effects.ExposuresChanged {
-		t.Fatal("a grant that came twice was taken again")
+		t.Fatal("a duplicate grant was accepted")
 	}
 }
 
@@ -68,7 +68,7 @@
 			s.change(m.GetRenewResponse())
 			b.receive(m)
 			if b.effects.ExposuresChanged {
-				t.Fatal("the exposure was taken")
+				t.Fatal("the exposure was accepted")
 			}
 		})
 	}
--- a/pkg/core/subscription/home_test.go
+++ b/pkg/core/subscription/home_test.go
@@ -11,7 +11,7 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// newBoxInDomain is a box of a failure domain that is attached to a seed elsewhere and has learnt of the others.
+// newBoxInDomain returns a box that is attached to a seed in another domain and knows all replicas' domains.
 func newBoxInDomain(id units.BoxID, domain units.Domain, names, domains []string) *box {
 	b := &box{now: units.Instant(time.Second)}
 	b.Subscription = NewSubscription(Settings{
@@ -25,7 +25,7 @@
 	return b
 }
 
-// renewFor has the box renew its lease for a time, and returns the replicas that it dials meanwhile.
+// renewFor renews the box's lease for a time and returns the replicas that it dials meanwhile.
 func (b *box) renewFor(d time.Duration) [][]units.ReplicaID {
 	var dialled [][]units.ReplicaID
 	for end := b.now.Add(d); b.now < end; {
@@ -52,14 +52,14 @@
 		t.Fatalf("the box dials %v", dialled)
 	}
 	if b.LeaseUntil() <= b.now {
-		t.Error("the box has lost its lease on its way")
+		t.Error("the box has lost its lease while it moved")
 	}
 	if dialled := b.renewFor(20 * time.Second); len(dialled) > 0 {
-		t.Errorf("a box at home dials %v", dialled)
+		t.Errorf("a box attached to its preferred replica dials %v", dialled)
 	}
 }
 
-// A home that can't be reached costs a box a dial now and then, and never its lease.
+// An unreachable preferred replica must be dialled only occasionally, and must not cost the box its lease.
 func TestABoxWhoseHomeIsOutOfReachStays(t *testing.T) {
 	b := newBoxInDomain("box", "b", replicaNames, replicaDomains)
 	b.renewFor(400 * time.Millisecond)
@@ -87,11 +87,11 @@
 		}
 	}
 	if dials == 0 || dials > 8 {
-		t.Errorf("the home was dialled %d times in a minute", dials)
+		t.Errorf("the preferred replica was dialled %d times in a minute", dials)
 	}
 }
 
-// Boxes of a domain without a replica are spread over all, those of others over their own.
+// Boxes of a domain without a replica are spread over all replicas, other boxes over those of their domain.
 func TestBoxesAreSpreadOverReplicas(t *testing.T) {
 	count := map[units.ReplicaID]int{}
 	for i := range 600 {
@@ -100,18 +100,19 @@
 		l.updateListed(replicaNames, replicaDomains)
 		preferred := l.preferred(units.BoxID(fmt.Sprint("box", i)), domain, 0)
 		if domain != "none" && l.domains[preferred] != domain {
-			t.Fatalf("a box of %s is at home at %s", domain, preferred)
+			t.Fatalf("a box of domain %s prefers replica %s", domain, preferred)
 		}
 		count[preferred]++
 	}
 	if count["a1"] < 100 || count["a2"] < 100 || count["b1"] < 200 || count["seed"] < 25 {
-		t.Errorf("boxes are spread as %v", count)
+		t.Errorf("the boxes per replica are %v", count)
 	}
 }
 
-// A leader that learns more of the replicas' domains names them again.
+// A leader that learns of another replica's domain must send its list again, so the checksum must cover
+// domains.
 func TestTheChecksumKnowsDomains(t *testing.T) {
 	if wire.ChecksumReplicas(replicaNames, replicaDomains) == wire.ChecksumReplicas(replicaNames, []string{"c", "a", "a", ""}) {
-		t.Error("the checksum leaves out domains")
+		t.Error("the checksum doesn't cover domains")
 	}
 }
--- a/pkg/core/subscription/link.go
+++ b/pkg/core/subscription/link.go
@@ -8,35 +8,36 @@
 )
 
 const (
-	// firstGrantDivisor is by how much a box without any grant yet is less patient: it serves nobody,
-	// and the replica may be standing still.
+	// firstGrantDivisor shortens the timeout and the renewal interval of a box without any grant. It
+	// can't serve calls yet, and the replica's process may be suspended.
 	firstGrantDivisor = 4
 	// maxConcurrentDials bounds the replicas that are dialled at the same time.
 	maxConcurrentDials = 5
-	// minDialTimeout is how long an attempt to reach replicas may take. What is sent to a
-	// box without power is sent again only after a second, so attempts are short at first:
-	// the replicas may be starting, as this box is. After evenDials attempts in vain the
-	// limit doubles with each one, up to maxDialLimit, so that many boxes without any replica
-	// in reach make few attempts.
+	// minDialTimeout is the timeout of the first attempts to reach replicas. A connection request to a
+	// machine without power is retransmitted only after a second, so these attempts are short: the
+	// replicas may be starting, like this box. After dialsBeforeBackoff failed attempts the timeout
+	// doubles with each one, up to maxDialTimeout, so that many boxes that can't reach any replica
+	// make few attempts.
 	minDialTimeout     = 60 * time.Millisecond
 	dialsBeforeBackoff = 12
 	maxDialTimeout     = 2 * time.Second
-	// maxTimeoutDoublings is well above what leads to maxDialLimit, and below an overflow.
+	// maxTimeoutDoublings is well above the number that leads to maxDialTimeout, and avoids an overflow.
 	maxTimeoutDoublings = 16
-	// failuresToRetryAvoided is the number of attempts in vain from which on replicas are dialled
-	// that had to be left a moment ago: they may have started again.
+	// failuresToRetryAvoided is the number of failed attempts after which avoided replicas are dialled
+	// too: they may have restarted.
 	failuresToRetryAvoided = 2
-	// minMoveDelay and moveSpread are how long after it learnt of its home a box moves there: replicas that
-	// form a cluster are named one after the other. moveAgain is when it tries again.
+	// minMoveDelay and moveJitter determine how long a box waits before it moves to its preferred
+	// replica: the replicas of a new cluster are listed one after the other. moveRetryDelay is the time
+	// to the next attempt.
 	minMoveDelay   = 500 * time.Millisecond
 	moveJitter     = 1500 * time.Millisecond
 	moveRetryDelay = 10 * time.Second
-	// dialJitter is the part of a limit by which boxes differ, so that they don't all dial
-	// at the same time.
+	// dialJitter is the relative range over which boxes vary the dial timeout, so that they don't all
+	// dial at the same time.
 	dialJitter = 0.5
 )
 
-// linkState is how far the connection to a replica has come.
+// linkState is the state of the connection to a replica.
 type linkState uint8
 
 const (
@@ -48,25 +49,25 @@
 // link is the connection to a control replica.
 type link struct {
 	state linkState
-	// lastActivity is when the connection was made or last brought news.
+	// lastActivity is when the connection was made or last brought a grant or a part of the table.
 	lastActivity units.Instant
-	// awaitsLeader is set once the replica has said that it awaitsLeader for a leader.
+	// awaitsLeader is set once the replica has answered that it has no leader.
 	awaitsLeader bool
 	// nextDialAt is when replicas may be dialled again.
 	nextDialAt units.Instant
-	// moveAt is when a box that isn't attached to its home moves there; zero while it is.
+	// moveAt is when a box moves to its preferred replica; zero while it is attached to it.
 	moveAt units.Instant
-	// failures counts the attempts that have brought no news since the last that did.
+	// failures counts the attempts since the replica last showed activity.
 	failures int
 }
 
-// attach dials replicas anew.
+// attach dials the best candidates.
 func (s *Subscription) attach(now units.Instant, e *Effects) {
 	s.dial(now, s.replicas.candidates(now, maxConcurrentDials, s.link.failures >= failuresToRetryAvoided), e)
 }
 
-// moveToPreferred has a box that has a lease move to the replica that it is to be attached to, some time after it
-// learnt that it isn't, so that not all boxes move together.
+// moveToPreferred moves a box with a lease to its preferred replica, after a random delay so that
+// the boxes don't all move at the same time.
 func (s *Subscription) moveToPreferred(now units.Instant, e *Effects) {
 	preferred := s.replicas.preferred(s.settings.Box.ID, s.settings.Box.Domain, now)
 	switch {
@@ -82,7 +83,7 @@
 		return
 	}
 	s.link.moveAt = now.Add(moveRetryDelay)
-	// An attempt in vain is put down to the home, not to the replica that is left.
+	// If the attempt fails, the preferred replica is avoided, not the one that is left.
 	s.replicas.current = preferred
 	s.dial(now, []units.ReplicaID{preferred}, e)
 }
@@ -103,7 +104,7 @@
 	e.DialTimeout = timeout
 }
 
-// nextDialTimeout is how long the next attempt may take, after which another may follow.
+// nextDialTimeout returns the timeout of the next attempt, after which another may follow.
 func (s *Subscription) nextDialTimeout() time.Duration {
 	timeout := maxDialTimeout
 	if doublings := max(0, s.link.failures-dialsBeforeBackoff); doublings < maxTimeoutDoublings {
@@ -113,7 +114,7 @@
 	return time.Duration(float64(timeout) * (1 + dialJitter*(s.random.Float64()-0.5)))
 }
 
-// connected takes the connection that was made first.
+// connected starts to use the connection that was made first.
 func (s *Subscription) connected(now units.Instant, to units.ReplicaID, e *Effects) {
 	s.replicas.current = to
 	s.link.state = linkUp
@@ -121,20 +122,20 @@
 	s.renew(now, e)
 }
 
-// disconnected gives the connection up. Replicas are dialled again with the next tick,
-// unless the last attempt was a moment ago.
+// disconnected gives up the connection and avoids its replica. Replicas are dialled with the next
+// tick, unless the last attempt is too recent.
 func (s *Subscription) disconnected(now units.Instant) {
 	s.link.state = linkDown
 	s.replicas.avoidCurrent(now)
 }
 
-// recordActivity says that the replica is at work.
+// recordActivity records that the replica works.
 func (s *Subscription) recordActivity(now units.Instant) {
 	s.link.lastActivity = now
 	s.link.failures = 0
 }
 
-// replicaTimeout is how long the replica may go without news.
+// replicaTimeout returns the time without activity after which the replica is given up.
 func (s *Subscription) replicaTimeout() time.Duration {
 	if s.grantedAt == 0 && !s.link.awaitsLeader {
 		return s.settings.ReplicaTimeout / firstGrantDivisor
--- a/pkg/core/subscription/replicas.go
+++ b/pkg/core/subscription/replicas.go
@@ -10,23 +10,23 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// avoidTime is how long a replica that had to be left comes after all others.
+// avoidTime is how long a replica that was given up ranks after all others.
 const avoidTime = 3 * time.Second
 
-// replicaList is the choice of the replicas to attach to. The settings name some
-// replicas, the leader names those that it knows to be at work.
+// replicaList selects the replicas to attach to. Some are known from the settings, others from the
+// leader's list of active replicas.
 type replicaList struct {
 	random *rand.Rand
-	// known are all replicas: those of the settings first, then those learned.
+	// known are all known replicas, those of the settings first.
 	known []units.ReplicaID
-	// listed are those that the leader listed last.
+	// listed are the replicas in the leader's last list.
 	listed []units.ReplicaID
-	// domains are the failure domains of those, as far as they are known.
+	// domains are the failure domains of the listed replicas, as far as they are known.
 	domains map[units.ReplicaID]units.Domain
-	// checksum sums up both, as they came.
+	// checksum is the checksum of the leader's last list, with its domains.
 	checksum uint64
 	leftAt   map[units.ReplicaID]units.Instant
-	// current is the replica that the box is attached to, or was last.
+	// current is the replica that the box is attached to or moves to; empty after it was given up.
 	current units.ReplicaID
 }
 
@@ -36,8 +36,7 @@
 	}
 }
 
-// configure takes the replicas that the settings name now. Those that the leader named
-// last stay known as well.
+// configure replaces the replicas from the settings. Those in the leader's last list remain known.
 func (l *replicaList) configure(settings []units.ReplicaID) {
 	l.known = slices.Clone(settings)
 	l.addKnown(l.listed)
@@ -51,7 +50,7 @@
 	}
 }
 
-// updateListed takes the leader's list of replicas at work; an empty one says nothing.
+// updateListed replaces the leader's list of active replicas. An empty list means no change.
 func (l *replicaList) updateListed(names, domains []string) {
 	if len(names) == 0 {
 		return
@@ -68,7 +67,7 @@
 	l.addKnown(l.listed)
 }
 
-// avoidCurrent says that the present replica had to be left.
+// avoidCurrent gives up the current replica and ranks it last for avoidTime.
 func (l *replicaList) avoidCurrent(now units.Instant) {
 	if l.current != "" {
 		l.leftAt[l.current] = now
@@ -76,10 +75,10 @@
 	}
 }
 
-// candidates returns up to n replicas to attach to, the best first and equals in a random
-// order: those that the leader named, then the other known ones. Those that were left
-// lately come last, and only when desperate is set or no other is known: a process that
-// stands still is connected to as fast as one that works.
+// candidates returns up to n replicas to attach to by rank, in random order within a rank:
+// those in the leader's list, then the other known ones. Avoided replicas come last, and only if
+// includeAvoided is set or there is no other: a suspended process still accepts connections as fast
+// as one that works.
 func (l *replicaList) candidates(now units.Instant, n int, includeAvoided bool) []units.ReplicaID {
 	list := slices.Clone(l.known)
 	l.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
@@ -90,7 +89,7 @@
 	return list[:min(n, len(list))]
 }
 
-// The ranks of a replica as a candidate.
+// The ranks of a candidate, the best first.
 const (
 	rankListed = iota
 	rankKnown
@@ -98,7 +97,7 @@
 )
 
 func (l *replicaList) rank(id units.ReplicaID, now units.Instant) int {
-	if left := l.leftAt[id]; left != 0 && now.Sub(left) <= avoidTime {
+	if leftAt := l.leftAt[id]; leftAt != 0 && now.Sub(leftAt) <= avoidTime {
 		return rankAvoided
 	}
 	if slices.Contains(l.listed, id) {
@@ -107,9 +106,9 @@
 	return rankKnown
 }
 
-// preferred returns the replica that a box of a domain is to be attached to: one of its own domain where there are
-// any, so that what each box gets crosses no border, and of those the one that comes first for the box, so
-// that boxes are spread over them. It is empty where none is known, or the preferred was left lately.
+// preferred returns the replica that a box should be attached to. It is in the box's own domain if
+// any listed one is, so that updates don't cross domains, and chosen by rendezvous hashing, so that
+// boxes are spread evenly. It is empty if no replica is listed or the preferred one is avoided.
 func (l *replicaList) preferred(box units.BoxID, domain units.Domain, now units.Instant) units.ReplicaID {
 	preferable := slices.DeleteFunc(slices.Clone(l.listed), func(id units.ReplicaID) bool { return domain == "" || l.domains[id] != domain })
 	if len(preferable) == 0 {
--- a/pkg/core/subscription/subscription.go
+++ b/pkg/core/subscription/subscription.go
@@ -1,6 +1,6 @@
-// Package subscription is a box's side of the control state: it attaches to the
-// control replica that is reached first, keeps the table up to date, renews the
-// lease on it and moves on from a replica that has gone silent. It is pure.
+// Package subscription is a box's connection to the control state: it attaches to the
+// control replica that answers first, keeps the table up to date, renews the lease
+// on it and leaves a replica that no longer responds. It does no I/O; the shell executes its Effects.
 package subscription
 
 import (
@@ -14,33 +14,33 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Defaults of the timings.
+// Default timings.
 const (
 	DefaultRenewInterval  = 400 * time.Millisecond
 	DefaultReplicaTimeout = 850 * time.Millisecond
 )
 
-// Settings are what a box needs to know to subscribe.
+// Settings are the parameters of a subscription.
 type Settings struct {
 	Box table.Box
-	// Replicas are the control replicas, in the settings' order, or those of them
-	// that the settings know; the leader names the others.
+	// Replicas are the control replicas in the order of the settings, or some of them;
+	// the leader lists the others.
 	Replicas []units.ReplicaID
-	// RenewInterval is the time between two requests for a lease.
+	// RenewInterval is the interval between two lease requests.
 	RenewInterval time.Duration
-	// ReplicaTimeout is how long a replica may go without granting a lease.
+	// ReplicaTimeout is how long a replica may go without activity before the box leaves it.
 	ReplicaTimeout time.Duration
-	// Start names this run of the box, so that grants for an earlier one don't
-	// count.
+	// Start identifies this run of the box, so that grants for an earlier run are
+	// ignored.
 	Start uint64
-	// Seed feeds the order of the replicas and the jitter of pauses.
+	// Seed is the seed of the order of the replicas and the jitter of delays.
 	Seed uint64
 }
 
-// Event is something that happened outside of the core.
+// Event is an input to Reduce.
 type Event interface{ subscriptionEvent() }
 
-// Tick says that time has passed; it is due at NextWake.
+// Tick reports that time has passed; it is due at NextWake.
 type Tick struct{}
 
 // Received is a message from the attached replica.
@@ -49,20 +49,20 @@
 	Envelope   *wire.Envelope
 }
 
-// Attached says that the connection to a replica has been made.
+// Attached reports that the connection to a replica has been made.
 type Attached struct {
 	Attachment Attachment
 	Replica    units.ReplicaID
 }
 
-// Detached says that the connection to the replica has ended, or that none of the
-// replicas could be reached.
+// Detached reports that the connection to the replica has ended, or that no
+// replica could be reached.
 type Detached struct{ Attachment Attachment }
 
-// ReplicasChanged says that the settings name other replicas.
+// ReplicasChanged reports that the settings name other replicas.
 type ReplicasChanged struct{ Replicas []units.ReplicaID }
 
-// Leaving says whether the box is about to go.
+// Leaving reports whether the box is about to stop serving.
 type Leaving struct{ IsLeaving bool }
 
 func (Tick) subscriptionEvent()            {}
@@ -72,39 +72,40 @@
 func (ReplicasChanged) subscriptionEvent() {}
 func (Leaving) subscriptionEvent()         {}
 
-// Attachment numbers the attempts to attach, so that news of an earlier one
-// can't be taken for the present one's.
+// Attachment numbers the attempts to attach, so that events of an earlier attempt
+// can be told from those of the current one.
 type Attachment uint64
 
-// Effects are what the shell is to do. Attach means: end the connection there
-// is, connect to the Replicas at the same time and keep the connection that is
-// made first, within DialLimit.
+// Effects are the actions for the shell. Attach means: close the current connection,
+// dial the Replicas concurrently and keep the connection that is
+// made first, within DialTimeout.
 type Effects struct {
 	Attach      bool
 	Replicas    []units.ReplicaID
 	Attachment  Attachment
 	DialTimeout time.Duration
 	Sends       []*wire.Envelope
-	// Table is set when a new table is in force.
+	// Table is set when the table has changed.
 	Table *table.Table
-	// LeaseChanged is set when LeaseUntil returns something new.
+	// LeaseChanged is set when LeaseUntil has changed.
 	LeaseChanged bool
-	// ExposuresChanged is set when Exposures replace those there were.
+	// ExposuresChanged is set when Exposures replace the previous ones.
 	ExposuresChanged bool
 	Exposures        []rollout.Exposure
-	// Watched is set when a grant says something of calls under which targets crash.
+	// Watched is set when a grant carries or ends watched calls, acknowledges crash notes or is of
+	// another leader's term.
 	Watched *Watched
 }
 
-// grant is a lease that waits for the revision it was given for.
+// grant is a lease that becomes valid once the table has reached its revision.
 type grant struct {
 	revision units.Revision
-	// requestedAt is when the request for it was requestedAt.
+	// requestedAt is when the request for it was sent.
 	requestedAt units.Instant
 	expiresAt   units.Instant
 }
 
-// maxPendingGrants bounds the leases that wait for their revision.
+// maxPendingGrants bounds the grants that wait for their revision, and the requests in flight.
 const maxPendingGrants = 16
 
 // Subscription is the state of a box's subscription.
@@ -114,27 +115,27 @@
 	table      *table.Table
 	attachment Attachment
 	replicas   replicaList
-	// assembly holds the fragments of a message that is coming in.
+	// assembly holds the fragments of a message that is being received.
 	assembly  wire.Assembly
 	link      link
 	grantedAt units.Instant
 	renewAt   units.Instant
 	nonce     uint64
-	// sentAt remembers when the requests that are under way were sent.
+	// sentAt holds the send times of the requests in flight, by nonce.
 	sentAt        map[uint64]units.Instant
 	pendingGrants []grant
 	leaseUntil    units.Instant
-	// leaseRequestedAt is when the request for the present lease was sent.
+	// leaseRequestedAt is when the request for the current lease was sent.
 	leaseRequestedAt units.Instant
-	// leaseDuration is how long the last grant was for.
+	// leaseDuration is the duration of the last grant.
 	leaseDuration time.Duration
 	leaving       bool
-	// exposuresNonce names the request whose answer the present exposures came with; exposed is set
-	// while there are some.
+	// exposuresNonce is the nonce of the request that the current exposures answer; hasExposures is
+	// set while there are any.
 	exposuresNonce uint64
 	hasExposures   bool
-	// watchedNonce names the request whose answer last said which calls are watched, watchedTerm the
-	// leader that said so; watching is set while there are some.
+	// watchedNonce is the nonce of the request that the current watched calls answer, watchedTerm the
+	// leader's term in that answer; hasWatched is set while there are any.
 	watchedNonce uint64
 	watchedTerm  units.Term
 	hasWatched   bool
@@ -154,8 +155,8 @@
 	}
 }
 
-// Reduce takes one event at a time of the box's clock and adds what is to be
-// done to e.
+// Reduce processes one event at a time of the box's clock and adds the resulting
+// actions to e.
 func (s *Subscription) Reduce(now units.Instant, event Event, e *Effects) {
 	switch v := event.(type) {
 	case Tick:
@@ -233,13 +234,13 @@
 	s.activateGrants(e)
 }
 
-// receiveFragment takes a part of a large message. Each one shows that the replica is at
-// work, however long the link takes for all of them.
+// receiveFragment adds a part of a large message. Each part counts as activity of the replica,
+// however long the link takes to transfer all of them.
 func (s *Subscription) receiveFragment(now units.Instant, f *wire.Fragment, e *Effects) {
 	s.recordActivity(now)
 	whole, err := s.assembly.Add(f)
 	if err != nil {
-		// Attaching anew brings the whole table.
+		// A new attachment brings the whole table.
 		s.disconnected(now)
 		return
 	}
@@ -248,8 +249,8 @@
 	}
 }
 
-// replaceTable never goes back to an earlier revision than one in force. A newer table
-// shows that the replica is at work, so its leader's grant has time anew.
+// replaceTable ignores revisions that aren't newer than the current one. A newer table
+// counts as activity, so that its leader's grant may take the full timeout again.
 func (s *Subscription) replaceTable(now units.Instant, t *table.Table, e *Effects) {
 	if t.Revision <= s.table.Revision {
 		return
@@ -262,8 +263,8 @@
 func (s *Subscription) patchTable(now units.Instant, d *table.Delta, e *Effects) {
 	next, ok := s.table.Patch(d)
 	if !ok {
-		// A change that doesn't follow is either old, which is harmless, or shows
-		// that one was missed; attaching anew brings the whole table.
+		// A delta that doesn't follow is either old, which is harmless, or shows
+		// that one was missed; a new attachment brings the whole table.
 		if d.Revision > s.table.Revision {
 			s.disconnected(now)
 		}
@@ -274,7 +275,7 @@
 }
 
 func (s *Subscription) receiveGrant(now units.Instant, r *wire.RenewResponse, e *Effects) {
-	sent, known := s.sentAt[r.Nonce]
+	requestedAt, known := s.sentAt[r.Nonce]
 	if !known || r.Start != s.settings.Start {
 		return
 	}
@@ -287,19 +288,19 @@
 	s.recordActivity(now)
 	s.grantedAt = now
 	s.leaseDuration = time.Duration(r.Duration)
-	s.applyExposures(sent, r, e)
+	s.applyExposures(requestedAt, r, e)
 	s.applyWatched(r, e)
 	s.pendingGrants = append(s.pendingGrants, grant{
 		revision:    units.Revision(r.Revision),
-		requestedAt: sent,
-		expiresAt:   sent.Add(time.Duration(r.Duration)),
+		requestedAt: requestedAt,
+		expiresAt:   requestedAt.Add(time.Duration(r.Duration)),
 	})
 	if len(s.pendingGrants) > maxPendingGrants {
 		s.pendingGrants = s.pendingGrants[1:]
 	}
 }
 
-// activateGrants puts those leases in force whose revision has been reached.
+// activateGrants applies the grants whose revision the table has reached.
 func (s *Subscription) activateGrants(e *Effects) {
 	s.pendingGrants = slices.DeleteFunc(s.pendingGrants, func(g grant) bool {
 		if g.revision > s.table.Revision {
@@ -313,7 +314,7 @@
 	})
 }
 
-// NextWake returns when the next Tick is due at the latest.
+// NextWake returns the latest time at which the next Tick is due.
 func (s *Subscription) NextWake() units.Instant {
 	if s.link.state == linkUp {
 		return s.renewAt
@@ -321,38 +322,38 @@
 	return s.link.nextDialAt
 }
 
-// LeaseUntil returns when the lease on the table runs out; from then on the box
-// can't know whether the table is still in force.
+// LeaseUntil returns when the lease on the table expires. From then on the box
+// can't know whether the table is still current.
 func (s *Subscription) LeaseUntil() units.Instant { return s.leaseUntil }
 
-// LeaseRequestedAt returns when the table was last known to be in force: when the request for the
-// present lease was sent.
+// LeaseRequestedAt returns when the table was last known to be current: when the request for the
+// current lease was sent.
 func (s *Subscription) LeaseRequestedAt() units.Instant { return s.leaseRequestedAt }
 
-// HasFreshLease tells whether at least half of the lease is left. A box that isn't fresh
-// has missed several renewals; callers had better be sent elsewhere while it can
-// still answer those that come.
+// HasFreshLease reports whether at least half of the lease is left. Otherwise the box
+// has missed several renewals, and new callers should be sent to other boxes while it can
+// still answer.
 func (s *Subscription) HasFreshLease(now units.Instant) bool {
 	return s.leaseUntil.Sub(now) > s.leaseDuration/2
 }
 
-// Table returns the table in force, which is never changed in place.
+// Table returns the current table, which is never modified in place.
 func (s *Subscription) Table() *table.Table { return s.table }
 
-// Status is a subscription's state as the dump shows it.
+// Status is a subscription's state as written to the dump.
 type Status struct {
 	Box      units.BoxID     `json:"box"`
 	Replica  units.ReplicaID `json:"replica"`
 	Attached bool            `json:"attached"`
 	Revision units.Revision  `json:"revision"`
-	// LeaseLeft is how long the lease still holds; negative when it has run out.
+	// LeaseLeft is the remaining time of the lease; negative after it has expired.
 	LeaseLeft time.Duration `json:"leaseLeft"`
-	// GrantAge is how long ago the last grant came.
+	// GrantAge is the time since the last grant.
 	GrantAge time.Duration `json:"grantAge"`
 	Leaving  bool          `json:"leaving"`
 }
 
-// Status returns the subscription's state at a time.
+// Status returns the subscription's state at the given time.
 func (s *Subscription) Status(now units.Instant) Status {
 	status := Status{
 		Box: s.settings.Box.ID, Attached: s.link.state == linkUp, Revision: s.table.Revision,
@@ -362,5 +363,5 @@
 	return status
 }
 
-// Attachment returns the number of the present attempt to attach, or of the connection.
+// Attachment returns the number of the current attempt to attach, or of the connection it made.
 func (s *Subscription) Attachment() Attachment { return s.attachment }
--- a/pkg/core/subscription/subscription_test.go
+++ b/pkg/core/subscription/subscription_test.go
@@ -17,14 +17,14 @@
 	testLease = time.Second
 )
 
-// box is a subscription with what it last sent.
+// box is a subscription with its last effects.
 type box struct {
 	*Subscription
 	now     units.Instant
 	effects Effects
 	// unreachable is set while no replica can be reached.
 	unreachable bool
-	// dialCount counts how often replicas were dialled.
+	// dialCount is the number of dial attempts.
 	dialCount int
 }
 
@@ -55,7 +55,7 @@
 	b.deliver(Tick{})
 }
 
-// nonce is that of the request just sent.
+// nonce returns the nonce of the last request.
 func (b *box) nonce() uint64 {
 	return b.effects.Sends[len(b.effects.Sends)-1].GetRenewRequest().Nonce
 }
@@ -74,10 +74,10 @@
 
 func TestALeaseCountsFromItsRequest(t *testing.T) {
 	b := newBox()
-	asked, nonce := b.now, b.nonce()
+	requestedAt, nonce := b.now, b.nonce()
 	b.now = b.now.Add(400 * time.Millisecond)
 	b.receive(grantOf(nonce, 0, start))
-	if want := asked.Add(testLease); b.LeaseUntil() != want {
+	if want := requestedAt.Add(testLease); b.LeaseUntil() != want {
 		t.Fatalf("the lease ends at %d, not at %d", b.LeaseUntil(), want)
 	}
 }
@@ -86,15 +86,15 @@
 	b := newBox()
 	b.receive(grantOf(b.nonce(), 5, start))
 	if b.LeaseUntil() != 0 {
-		t.Fatal("the lease holds before its revision is shown")
+		t.Fatal("the lease is valid before its revision is reached")
 	}
 	b.receive(tableAt(4))
 	if b.LeaseUntil() != 0 {
-		t.Fatal("the lease holds at an earlier revision")
+		t.Fatal("the lease is valid at an earlier revision")
 	}
 	b.receive(tableAt(5))
 	if b.LeaseUntil() == 0 {
-		t.Fatal("the lease doesn't hold at its revision")
+		t.Fatal("the lease isn't valid at its revision")
 	}
 }
 
@@ -111,7 +111,7 @@
 			b := newBox()
 			b.receive(s.grant(b))
 			if b.LeaseUntil() != 0 {
-				t.Fatal("the grant was taken")
+				t.Fatal("the grant was accepted")
 			}
 		})
 	}
@@ -129,11 +129,11 @@
 		b.advance(100 * time.Millisecond)
 	}
 	if b.attachment == first {
-		t.Fatal("the box stayed with a replica that has gone silent")
+		t.Fatal("the box stayed with a replica that no longer responds")
 	}
 	b.deliver(Received{Attachment: first, Envelope: tableAt(10)})
 	if b.Table().Revision != 9 {
-		t.Fatal("news of an earlier attachment was taken")
+		t.Fatal("a message of an earlier attachment was processed")
 	}
 }
 
@@ -142,23 +142,23 @@
 	b.receive(tableAt(3))
 	b.receive(&wire.Envelope{Body: &wire.Envelope_DeltaBatch{DeltaBatch: &wire.DeltaBatch{Deltas: []*wire.Delta{{From: 4, Revision: 5}}}}})
 	if b.Table().Revision != 3 {
-		t.Fatal("a change that doesn't follow was taken")
+		t.Fatal("a delta that doesn't follow was applied")
 	}
 	before := b.attachment
 	b.advance(100 * time.Millisecond)
 	if b.attachment == before {
-		t.Fatal("the box didn't attach anew for the whole table")
+		t.Fatal("the box didn't attach again to get the whole table")
 	}
 }
 
-// A box that has just started may have chosen a replica that starts as well; it serves
-// nobody until it has found another.
+// A replica that starts at the same time as a box may accept its connection without answering. As
+// the box can't serve before its first grant, it must leave such a replica sooner than later ones.
 func TestABoxWithoutAnyGrantMovesOnSooner(t *testing.T) {
 	b := newBox()
 	first := b.attachment
 	b.advance(80 * time.Millisecond)
 	if b.attachment == first {
-		t.Fatal("it still waits for a replica that is silent from the start")
+		t.Fatal("it still waits for a replica that has never responded")
 	}
 	b.receive(grantOf(b.nonce(), 0, start))
 	second := b.attachment
@@ -168,7 +168,7 @@
 	}
 }
 
-// A replica that has just sent the whole table is at work; its leader's grant follows.
+// A replica that has just sent the whole table works, so the box must wait for its leader's grant.
 func TestABoxStaysWhereItGotItsFirstTable(t *testing.T) {
 	b := newBox()
 	first := b.attachment
@@ -194,13 +194,13 @@
 	}
 }
 
-// A process that stands still takes connections as fast as one that works.
+// A suspended process accepts connections as fast as one that works.
 func TestAReplicaThatWasLeftIsNotDialledAtOnce(t *testing.T) {
 	b := newBox()
 	left := b.replicas.current
 	b.advance(100 * time.Millisecond)
 	if slices.Contains(b.effects.Replicas, left) {
-		t.Fatalf("%s was silent and is dialled again beside %v", left, b.effects.Replicas)
+		t.Fatalf("%s didn't respond and is dialled again with %v", left, b.effects.Replicas)
 	}
 	b.unreachable = true
 	b.deliver(Detached{Attachment: b.attachment})
@@ -210,14 +210,14 @@
 			return
 		}
 	}
-	t.Fatalf("%s is never dialled again though no other is in reach", left)
+	t.Fatalf("%s is never dialled again though no other replica is reachable", left)
 }
 
-// Hundreds of boxes that dial without pause keep busy the replicas that are left.
+// Hundreds of boxes that dial without a backoff overload the replicas that are left.
 func TestPausesGrowWhileNoReplicaIsInReach(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		// from and to bound the seconds without a replica that are looked at.
+		// from and to limit the measured seconds without a replica.
 		from, to int
 		maxDials int
 	}{
@@ -245,13 +245,13 @@
 			b.unreachable = false
 			b.advance(maxDialTimeout * 2)
 			if b.link.state != linkUp {
-				t.Error("the box isn't attached though replicas are back")
+				t.Error("the box isn't attached though replicas are reachable again")
 			}
 		})
 	}
 }
 
-// Boxes that lose a replica at the same moment don't dial the next at the same moments.
+// Boxes that lose a replica at the same time must not dial the next one at the same time.
 func TestBoxesDialAtDifferentTimes(t *testing.T) {
 	limits := map[time.Duration]bool{}
 	for seed := range uint64(20) {
@@ -259,7 +259,7 @@
 		limits[s.nextDialTimeout()] = true
 	}
 	if len(limits) < 15 {
-		t.Errorf("20 boxes have %d different limits", len(limits))
+		t.Errorf("20 boxes have %d different dial timeouts", len(limits))
 	}
 }
 
@@ -270,10 +270,10 @@
 	before := b.attachment
 	b.deliver(Detached{Attachment: before})
 	if wake := b.NextWake(); wake > b.now {
-		t.Fatalf("the box waits %v before it attaches anew", wake.Sub(b.now))
+		t.Fatalf("the box waits %v before it attaches again", wake.Sub(b.now))
 	}
 	b.advance(0)
 	if b.attachment == before {
-		t.Fatal("the box isn't attached anew")
+		t.Fatal("the box isn't attached again")
 	}
 }
--- a/pkg/core/subscription/watched.go
+++ b/pkg/core/subscription/watched.go
@@ -6,16 +6,17 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Watched is what a grant says of calls under which targets crash.
+// Watched holds a grant's data on calls that may crash targets.
 type Watched struct {
-	// Term is the leader's, Noted the last of the box's notes that it has.
+	// Term is the leader's term, Noted the number of the last crash note of this box that it has received,
+	// and Calls are the calls to watch.
 	Term  units.Term
 	Noted uint64
 	Calls []crash.Watched
 }
 
-// applyWatched passes on what a grant says of calls, unless a later request was answered before.
-// Most grants say nothing.
+// applyWatched reports a grant's watched calls in e, unless a later request has already been
+// answered. Most grants carry none.
 func (s *Subscription) applyWatched(r *wire.RenewResponse, e *Effects) {
 	if r.Nonce < s.watchedNonce {
 		return
