--- a/pkg/core/box/exposure_test.go
+++ b/pkg/core/box/exposure_test.go
@@ -53,10 +53,10 @@
 
 // The bound must also hold with as many boxes as in a large deployment, each of which gets few calls.
 func TestExposureOfManyBoxesIsBounded(t *testing.T) {
-	for _, bad := range []float64{0, 0.1, 1} {
-		x := faultScenario{boxes: 122, seed: 7, lossRate: 0.05, delayRate: 0.05, failureRate: bad, stages: []time.Duration{2 * time.Second, time.Second, 3 * time.Second}}
+	for _, failureRate := range []float64{0, 0.1, 1} {
+		x := faultScenario{boxes: 122, seed: 7, lossRate: 0.05, delayRate: 0.05, failureRate: failureRate, stages: []time.Duration{2 * time.Second, time.Second, 3 * time.Second}}
 		f := x.run(t)
-		t.Logf("with a failure rate of %.1f the new version got %d of %d calls", bad, f.newSends, f.calls)
+		t.Logf("with a failure rate of %.1f the new version got %d of %d calls", failureRate, f.newSends, f.calls)
 	}
 }
 
@@ -166,20 +166,20 @@
 		if n := len(m.effects.Subscription.Sends); n != 1 {
 			rt.Fatalf("the box sent %d requests", n)
 		}
-		if bad := reportedFailures(m); bad != 3 {
-			rt.Fatalf("the evidence has %d failures", bad)
+		if failures := reportedFailures(m); failures != 3 {
+			rt.Fatalf("the evidence has %d failures", failures)
 		}
 	})
 }
 
 func reportedFailures(m *member) uint64 {
-	bad := uint64(0)
+	failures := uint64(0)
 	for _, x := range m.effects.Subscription.Sends[0].GetRenewRequest().Evidence {
 		if units.SoftwareVersion(x.Software) == newSoftware {
-			bad += x.Bad
+			failures += x.Bad
 		}
 	}
-	return bad
+	return failures
 }
 
 // A box that starts while all calls go to the new version must serve calls that arrived before its
--- a/pkg/core/box/fleet_test.go
+++ b/pkg/core/box/fleet_test.go
@@ -246,7 +246,8 @@
 	})
 }
 
-// leader is the control side: it grants leases and exposures and collects evidence.
+// leader is the control side: it grants leases and exposures and collects evidence, by which runStage
+// rolls back at 50 failures.
 type leader struct {
 	f     *fleet
 	table *table.Table
--- a/pkg/core/replication/in_flight.go
+++ b/pkg/core/replication/in_flight.go
@@ -12,7 +12,7 @@
 const maxInFlightAppends = 2
 
 // inFlightAppends holds the send times of the append requests that a replica hasn't answered; zero
-// marks a free place. A request's round is its send time on the leader's clock.
+// marks an unused element. A request's round is its send time on the leader's clock.
 type inFlightAppends struct {
 	sentAt [maxInFlightAppends]units.Instant
 }
--- a/pkg/core/subscription/replicas.go
+++ b/pkg/core/subscription/replicas.go
@@ -97,7 +97,7 @@
 )
 
 func (l *replicaList) rank(id units.ReplicaID, now units.Instant) int {
-	if leftAt := l.leftAt[id]; leftAt != 0 && now.Sub(leftAt) <= avoidTime {
+	if left := l.leftAt[id]; left != 0 && now.Sub(left) <= avoidTime {
 		return rankAvoided
 	}
 	if slices.Contains(l.listed, id) {
--- a/pkg/core/subscription/subscription.go
+++ b/pkg/core/subscription/subscription.go
@@ -1,5 +1,5 @@
 // Package subscription is a box's connection to the control state: it attaches to the
-// control replica that answers first, keeps the table up to date, renews the lease
+// control replica that is reached first, keeps the table up to date, renews the lease
 // on it and leaves a replica that no longer responds. It does no I/O; the shell executes its Effects.
 package subscription
 
