--- a/pkg/core/control/parts_test.go
+++ b/pkg/core/control/parts_test.go
@@ -18,7 +18,7 @@
 // with the targets of one service.
 func replicaWithBoxes(t *testing.T, boxes, targets int) (*Replica, []*session) {
 	t.Helper()
-	r, err := NewReplica(Settings{Replication: replication.Settings{ID: "r", ElectionTimeout: time.Second, Heartbeat: time.Second}}, &replication.Durable{}, 0)
+	r, err := NewReplica(Settings{Replication: replication.Settings{ID: "r", ElectionTimeout: time.Second, Heartbeat: time.Second}}, &replication.DurableState{}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/core/control/world_test.go
+++ b/pkg/core/control/world_test.go
@@ -76,7 +76,7 @@
 type fakeReplica struct {
 	id          units.ReplicaID
 	core        *Replica
-	disk        replication.Durable
+	disk        replication.DurableState
 	pending     []*replication.Write
 	incarnation int
 	boot        uint64
@@ -205,8 +205,8 @@
 	w.tickReplica(r, r.generation)
 }
 
-func copyDurable(d *replication.Durable) *replication.Durable {
-	c := &replication.Durable{Entries: append([]*wire.Entry(nil), d.Entries...), Snapshot: d.Snapshot}
+func copyDurable(d *replication.DurableState) *replication.DurableState {
+	c := &replication.DurableState{Entries: append([]*wire.Entry(nil), d.Entries...), Snapshot: d.Snapshot}
 	c.HardState.Term, c.HardState.Vote = d.HardState.Term, d.HardState.Vote
 	return c
 }
@@ -282,7 +282,7 @@
 }
 
 // applyWrite applies a write to a disk, as the store does.
-func applyWrite(d *replication.Durable, x *replication.Write) {
+func applyWrite(d *replication.DurableState, x *replication.Write) {
 	if x.HardState != nil {
 		d.HardState.Term, d.HardState.Vote = x.HardState.Term, x.HardState.Vote
 	}
@@ -405,8 +405,8 @@
 		}
 	}
 	b.core = subscription.NewSubscription(subscription.Settings{
-		Box: table.Box{ID: b.id, Address: "127.0.0.1:1"}, Replicas: ids, RenewEvery: w.renewEvery,
-		Silence: w.silence, Start: uint64(b.generation), Seed: w.random.Uint64(),
+		Box: table.Box{ID: b.id, Address: "127.0.0.1:1"}, Replicas: ids, RenewInterval: w.renewEvery,
+		ReplicaTimeout: w.silence, Start: uint64(b.generation), Seed: w.random.Uint64(),
 	}, w.now)
 	w.tickBox(b, b.generation)
 }
@@ -499,7 +499,7 @@
 // loseDisk crashes a replica and replaces its disk by an empty one.
 func (w *world) loseDisk(r *fakeReplica) {
 	w.crash(r)
-	r.disk = replication.Durable{}
+	r.disk = replication.DurableState{}
 	r.incarnation++
 	r.boot = 0
 }
--- a/pkg/core/replication/acknowledged.go
+++ b/pkg/core/replication/acknowledged.go
@@ -5,44 +5,45 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// acknowledgement is how much of the committed log a replica has acknowledged. A disk
-// that holds less is an older copy, and its replica must not go on with it: what it
-// acknowledged may have been committed on the strength of that.
+// acknowledgement is the part of the committed log that a replica has acknowledged. A replica whose
+// disk holds less runs from an older copy and must stop: entries that it acknowledged may have been
+// committed because of its acknowledgement.
 type acknowledgement struct {
 	incarnation units.Incarnation
-	// boot is the start in which the replica last acknowledged anything.
+	// boot is the replica's start in which it last acknowledged an entry.
 	boot  uint64
 	index units.Index
 }
 
-// merge takes over what another replica knows. It returns false when that was no news.
+// merge adds another replica's knowledge of the same acknowledgement. It reports whether anything
+// changed.
 func (a *acknowledgement) merge(b acknowledgement) bool {
-	before := *a
+	previous := *a
 	if a.incarnation != b.incarnation {
 		*a = b
 		return true
 	}
 	a.boot = max(a.boot, b.boot)
 	a.index = max(a.index, b.index)
-	return *a != before
+	return *a != previous
 }
 
-// noteAcknowledged takes note of what a follower has just acknowledged to this leader.
-// Only what is committed counts: the rest may yet be replaced by another leader's log.
-func (n *Node) noteAcknowledged(p *progress) {
+// recordAcknowledged records what a follower has acknowledged to this leader, up to the commit
+// index: uncommitted entries may still be replaced by another leader's.
+func (n *Node) recordAcknowledged(p *progress) {
 	if p.match == 0 {
 		return
 	}
 	a := acknowledgement{incarnation: p.incarnation, boot: p.boot, index: min(p.match, n.log.commit)}
 	if p.acknowledged.merge(a) {
-		n.acknowledgedVersion++
+		n.acksVersion++
 	}
 }
 
-// wentBack tells whether a replica that has started again lacks entries that it
-// acknowledged before, to whichever leader. It is in question until the first append
-// that the replica takes; whatever else it may say before that proves nothing.
-func (n *Node) wentBack(p *progress, m *wire.Envelope) bool {
+// lostAcknowledgedEntries reports whether a replica that has restarted lacks entries that it
+// acknowledged before, to this leader or an earlier one. Only the position in a rejected append
+// shows this, until the replica acknowledges an entry after its restart.
+func (n *Node) lostAcknowledgedEntries(p *progress, m *wire.Envelope) bool {
 	r := m.GetAppendResponse()
 	a := &p.acknowledged
 	if n.role != leader || r == nil || !r.Rejected || units.Term(r.Term) != n.term {
@@ -54,40 +55,42 @@
 	return units.Index(r.Match) < max(p.match, a.index)
 }
 
-// acknowledgedFor returns what a follower should know of the voters' acknowledgements,
-// or nothing when it has the newest.
-func (n *Node) acknowledgedFor(p *progress, round units.Instant) []*wire.Acknowledged {
-	if p.told == n.acknowledgedVersion {
+// acknowledgementsFor returns the voters' acknowledgements for an append request to a follower, or
+// nil if the follower already has the current version of them.
+func (n *Node) acknowledgementsFor(p *progress, round units.Instant) []*wire.Acknowledged {
+	if p.acksDelivered == n.acksVersion {
 		return nil
 	}
-	p.telling.version, p.telling.round = n.acknowledgedVersion, round
+	p.acksSent.version, p.acksSent.round = n.acksVersion, round
 	own := acknowledgement{incarnation: n.settings.Incarnation, boot: n.settings.Boot, index: min(n.log.synced, n.log.commit)}
-	list := []*wire.Acknowledged{toWire(n.settings.ID, own)}
-	for _, id := range n.order {
+	list := []*wire.Acknowledged{acknowledgedToWire(n.settings.ID, own)}
+	for _, id := range n.peerIDs {
 		if a := n.peers[id].acknowledged; id != p.id && a.index > 0 {
-			list = append(list, toWire(id, a))
+			list = append(list, acknowledgedToWire(id, a))
 		}
 	}
 	return list
 }
 
-func toWire(id units.ReplicaID, a acknowledgement) *wire.Acknowledged {
+func acknowledgedToWire(id units.ReplicaID, a acknowledgement) *wire.Acknowledged {
 	return &wire.Acknowledged{Id: string(id), Incarnation: string(a.incarnation), Boot: a.boot, Index: uint64(a.index)}
 }
 
-// noteTold takes note of an answer to the heartbeat that carried the acknowledgements.
-func (p *progress) noteTold(round units.Instant) {
-	if p.telling.version != 0 && round >= p.telling.round {
-		p.told = p.telling.version
+// recordAcksDelivered records that the follower has answered an append request, and so has received
+// the acknowledgements sent in that request or an earlier one.
+func (p *progress) recordAcksDelivered(round units.Instant) {
+	if p.acksSent.version != 0 && round >= p.acksSent.round {
+		p.acksDelivered = p.acksSent.version
 	}
 }
 
-// takeAcknowledged takes over what the leader knows of the voters' acknowledgements.
-func (n *Node) takeAcknowledged(list []*wire.Acknowledged) {
+// mergeAcknowledged adds the voters' acknowledgements that the leader knows of. It skips those of an
+// incarnation that this replica knows to be replaced.
+func (n *Node) mergeAcknowledged(list []*wire.Acknowledged) {
 	for _, x := range list {
 		p := n.peers[units.ReplicaID(x.Id)]
 		incarnation := units.Incarnation(x.Incarnation)
-		if p == nil || p.earlier[incarnation] && p.incarnation != incarnation {
+		if p == nil || p.previousIncarnations[incarnation] && p.incarnation != incarnation {
 			continue
 		}
 		p.acknowledged.merge(acknowledgement{incarnation: incarnation, boot: x.Boot, index: units.Index(x.Index)})
--- a/pkg/core/replication/formation.go
+++ b/pkg/core/replication/formation.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// presencePeriod is how often an empty replica asks the others. It begins with
-	// firstPresence and doubles: after a loss of power the others wait for the lease of
-	// whoever led before, until they hear that it has started again without its disk.
-	presencePeriod = 200 * time.Millisecond
-	firstPresence  = 10 * time.Millisecond
-	// presenceAge is how old an answer may be to count when a cluster forms.
-	presenceAge = 2 * time.Second
-	// firstIndex is where a new cluster's log begins.
+	// maxPresenceInterval bounds the interval at which a replica with an empty disk requests the
+	// others' presence. The interval starts at minPresenceInterval and doubles: after a power failure
+	// the others wait for the previous leader's lease to expire, unless they learn that it has
+	// restarted with an empty disk.
+	maxPresenceInterval = 200 * time.Millisecond
+	minPresenceInterval = 10 * time.Millisecond
+	// maxPresenceAge is how old a presence message may be to be used in forming a cluster.
+	maxPresenceAge = 2 * time.Second
+	// firstIndex is the index and the term at which a new cluster's log starts.
 	firstIndex = 1
 )
 
-// askPresence asks the other replicas whether a cluster exists, and forms one where
-// that is this replica's part.
-func (n *Node) askPresence(now units.Instant, e *Effects) {
+// requestPresence asks the other replicas whether they belong to a cluster, at increasing intervals.
+func (n *Node) requestPresence(now units.Instant, e *Effects) {
 	if now < n.heartbeatAt {
 		return
 	}
-	n.presenceWait = min(presencePeriod, max(firstPresence, 2*n.presenceWait))
-	n.heartbeatAt = now.Add(n.presenceWait)
-	for _, id := range n.order {
+	n.presenceInterval = min(maxPresenceInterval, max(minPresenceInterval, 2*n.presenceInterval))
+	n.heartbeatAt = now.Add(n.presenceInterval)
+	for _, id := range n.peerIDs {
 		n.sendPresence(id, true, e)
 	}
 }
 
-func (n *Node) sendPresence(to units.ReplicaID, asks bool, e *Effects) {
+func (n *Node) sendPresence(to units.ReplicaID, isRequest bool, e *Effects) {
 	m := n.envelope(to)
-	presence := &wire.Presence{Asks: asks, Formed: n.formed()}
+	presence := &wire.Presence{Asks: isRequest, Formed: n.formed()}
 	if g := n.settings.Growth; g != nil {
 		presence.Bootstrap = g.Bootstrap
 		for _, id := range n.Members() {
@@ -51,21 +51,21 @@
 func (n *Node) receivePresence(now units.Instant, p *progress, r *wire.Presence, e *Effects) {
 	p.formed = r.Formed
 	p.bootstrap = r.Bootstrap
-	p.asked = now
-	n.meetMembers(r)
+	p.presenceAt = now
+	n.addReportedMembers(r)
 	if !r.Asks {
 		return
 	}
 	n.sendPresence(p.id, false, e)
-	if n.formed() && !r.Formed && n.stillFirst() && n.isVoter(voter{id: p.id, incarnation: p.incarnation}) {
-		// The formation message to this voter was lost.
+	if n.formed() && !r.Formed && n.isNewlyFormed() && n.isVoter(voter{id: p.id, incarnation: p.incarnation}) {
+		// This voter hasn't received the formation message.
 		n.sendFormation(p.id, e)
 	}
 }
 
-// meetMembers lets a replica that belongs to no cluster ask those that a formed one
-// names; a seed may know the leader's address where this one doesn't.
-func (n *Node) meetMembers(r *wire.Presence) {
+// addReportedMembers adds the members that a replica of an existing cluster reports as peers of
+// a replica that belongs to none. A seed may know the leader's address when this replica doesn't.
+func (n *Node) addReportedMembers(r *wire.Presence) {
 	if n.settings.Growth == nil || n.formed() || !r.Formed {
 		return
 	}
@@ -74,66 +74,66 @@
 	}
 }
 
-// MayForm tells whether this replica is the one that forms the cluster by itself:
-// the first of the seeds, once all of them have answered that they are empty and
-// may form one as well. Only one replica can be that, so no two clusters form.
-func (n *Node) MayForm(now units.Instant) bool {
+// CanBootstrap reports whether this replica may form the cluster on its own: it is
+// the first of the seeds, and all of them have recently answered that they are empty and
+// may bootstrap too. Only one replica can meet this condition, so no two clusters form.
+func (n *Node) CanBootstrap(now units.Instant) bool {
 	g := n.settings.Growth
 	if g == nil || !g.Bootstrap || !g.Seed || n.formed() {
 		return false
 	}
 	for _, id := range n.settings.Peers {
 		p := n.peers[id]
-		if id < n.settings.ID || p.asked == 0 || now.Sub(p.asked) > presenceAge || p.formed || !p.bootstrap {
+		if id < n.settings.ID || p.presenceAt == 0 || now.Sub(p.presenceAt) > maxPresenceAge || p.formed || !p.bootstrap {
 			return false
 		}
 	}
 	return true
 }
 
-// stillFirst tells whether the log holds nothing but the cluster's formation.
-func (n *Node) stillFirst() bool {
+// isNewlyFormed reports whether the log holds only the cluster's formation.
+func (n *Node) isNewlyFormed() bool {
 	return n.log.snapshot != nil && n.log.snapshot.Index == firstIndex && n.log.commit == firstIndex
 }
 
-// Form makes a cluster of all the replicas that the settings name. It is done
-// once, on an operator's word, with all of them present and empty. The error is
-// of kind Unavailable or Invalid and names the replicas that stand in the way.
+// Form creates a cluster of all replicas in the settings. An operator requests it
+// once, with all of them present and empty. The error is of kind Unavailable or Invalid
+// and names the replicas that prevent it.
 func (n *Node) Form(now units.Instant, cluster string, state []byte, e *Effects) error {
 	if n.formed() {
-		return fault.New(fault.Invalid, "nothing needs to be done", "cluster %s is formed already", n.membership.current.Cluster)
+		return fault.New(fault.Invalid, "nothing needs to be done", "cluster %s already exists", n.membership.current.Cluster)
 	}
 	m := &wire.Membership{Cluster: cluster}
 	m.Voters = append(m.Voters, &wire.Member{Id: string(n.settings.ID), Incarnation: string(n.settings.Incarnation)})
-	var missing []string
+	var problems []string
 	for _, id := range n.settings.Peers {
 		p := n.peers[id]
-		if p.asked == 0 || now.Sub(p.asked) > presenceAge {
-			missing = append(missing, fmt.Sprintf("%s can't be reached", id))
+		if p.presenceAt == 0 || now.Sub(p.presenceAt) > maxPresenceAge {
+			problems = append(problems, fmt.Sprintf("%s can't be reached", id))
 			continue
 		}
 		if p.formed {
-			missing = append(missing, fmt.Sprintf("%s belongs to a cluster already", id))
+			problems = append(problems, fmt.Sprintf("%s already belongs to a cluster", id))
 			continue
 		}
 		m.Voters = append(m.Voters, &wire.Member{Id: string(id), Incarnation: string(p.incarnation)})
 	}
-	if len(missing) > 0 {
+	if len(problems) > 0 {
 		return fault.New(fault.Unavailable,
-			"start all replicas with empty data folders and ask again; a replica that lost its disk needs no forming, it joins by itself",
-			"the cluster can't form: %s", strings.Join(missing, ", "))
+			"start all replicas with empty data folders and try again; a replica that lost its disk joins an existing cluster by itself",
+			"the cluster can't be formed: %s", strings.Join(problems, ", "))
 	}
-	n.startFormed(now, &wire.Snapshot{Index: firstIndex, Term: firstIndex, Membership: m, State: state}, e)
+	n.installFormation(now, &wire.Snapshot{Index: firstIndex, Term: firstIndex, Membership: m, State: state}, e)
 	for _, id := range n.settings.Peers {
 		n.sendFormation(id, e)
 	}
 	return nil
 }
 
-func (n *Node) startFormed(now units.Instant, s *wire.Snapshot, e *Effects) {
+func (n *Node) installFormation(now units.Instant, s *wire.Snapshot, e *Effects) {
 	n.term = max(n.term, firstIndex)
 	n.writeHardState(e)
-	n.install(s, e)
+	n.installSnapshot(s, e)
 	n.role = follower
 	n.resetElection(now)
 }
@@ -141,7 +141,7 @@
 func (n *Node) sendFormation(to units.ReplicaID, e *Effects) {
 	m := n.envelope(to)
 	m.Body = &wire.Envelope_FormCluster{FormCluster: &wire.FormCluster{Snapshot: n.log.snapshot}}
-	n.sendSynced(m, e)
+	n.sendAfterSync(m, e)
 }
 
 func (n *Node) receiveFormCluster(now units.Instant, r *wire.FormCluster, e *Effects) {
@@ -150,7 +150,7 @@
 	}
 	for _, m := range r.Snapshot.Membership.GetVoters() {
 		if voterOf(m) == n.self() {
-			n.startFormed(now, r.Snapshot, e)
+			n.installFormation(now, r.Snapshot, e)
 			return
 		}
 	}
--- a/pkg/core/replication/snapshot_test.go
+++ b/pkg/core/replication/snapshot_test.go
@@ -8,8 +8,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// A snapshot that comes late, and covers less than the follower holds already, must not
-// take entries from it that it has acknowledged.
+// A late snapshot that covers less than the follower already holds must not remove entries that the
+// follower has acknowledged.
 func TestALateSnapshotTakesNoAcknowledgedEntry(t *testing.T) {
 	membership := &wire.Membership{Cluster: "c", Voters: []*wire.Member{
 		{Id: "a", Incarnation: "a.1"}, {Id: "b", Incarnation: "b.1"}, {Id: "c", Incarnation: "c.1"},
@@ -19,7 +19,7 @@
 		ID: "b", Incarnation: "b.1", Boot: 1, Peers: []units.ReplicaID{"a", "c"},
 		ElectionTimeout: time.Second, Heartbeat: 100 * time.Millisecond,
 	}
-	durable := &Durable{Snapshot: start}
+	durable := &DurableState{Snapshot: start}
 	durable.HardState.Term = 1
 	now := units.Instant(time.Second)
 	n := NewNode(s, durable, now)
--- a/pkg/core/subscription/subscription.go
+++ b/pkg/core/subscription/subscription.go
@@ -1,6 +1,6 @@
-// Package subscription is a box's side of the control state: it attaches to the
-// control replica that is reached first, keeps the table up to date, renews the
-// lease on it and moves on from a replica that has gone silent. It is pure.
+// Package subscription is a box's connection to the control state: it attaches to the
+// control replica that is reached first, keeps the table up to date, renews the lease
+// on it and leaves a replica that no longer responds. It does no I/O; the shell executes its Effects.
 package subscription
 
 import (
@@ -14,33 +14,33 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Defaults of the timings.
+// Default timings.
 const (
-	DefaultRenewEvery = 400 * time.Millisecond
-	DefaultSilence    = 850 * time.Millisecond
+	DefaultRenewInterval  = 400 * time.Millisecond
+	DefaultReplicaTimeout = 850 * time.Millisecond
 )
 
-// Settings are what a box needs to know to subscribe.
+// Settings are the parameters of a subscription.
 type Settings struct {
 	Box table.Box
-	// Replicas are the control replicas, in the settings' order, or those of them
-	// that the settings know; the leader names the others.
+	// Replicas are the control replicas in the order of the settings, or some of them;
+	// the leader lists the others.
 	Replicas []units.ReplicaID
-	// RenewEvery is the time between two requests for a lease.
-	RenewEvery time.Duration
-	// Silence is how long a replica may go without granting a lease.
-	Silence time.Duration
-	// Start names this run of the box, so that grants for an earlier one don't
-	// count.
+	// RenewInterval is the interval between two lease requests.
+	RenewInterval time.Duration
+	// ReplicaTimeout is how long a replica may go without activity before the box leaves it.
+	ReplicaTimeout time.Duration
+	// Start identifies this run of the box, so that grants for an earlier run are
+	// ignored.
 	Start uint64
-	// Seed feeds the order of the replicas and the jitter of pauses.
+	// Seed is the seed of the order of the replicas and the jitter of delays.
 	Seed uint64
 }
 
-// Event is something that happened outside of the core.
+// Event is an input to Reduce.
 type Event interface{ subscriptionEvent() }
 
-// Tick says that time has passed; it is due at NextWake.
+// Tick reports that time has passed; it is due at NextWake.
 type Tick struct{}
 
 // Received is a message from the attached replica.
@@ -49,21 +49,21 @@
 	Envelope   *wire.Envelope
 }
 
-// Attached says that the connection to a replica has been made.
+// Attached reports that the connection to a replica has been made.
 type Attached struct {
 	Attachment Attachment
 	Replica    units.ReplicaID
 }
 
-// Detached says that the connection to the replica has ended, or that none of the
-// replicas could be reached.
+// Detached reports that the connection to the replica has ended, or that no
+// replica could be reached.
 type Detached struct{ Attachment Attachment }
 
-// ReplicasChanged says that the settings name other replicas.
+// ReplicasChanged reports that the settings name other replicas.
 type ReplicasChanged struct{ Replicas []units.ReplicaID }
 
-// Leaving says whether the box is about to go.
-type Leaving struct{ On bool }
+// Leaving reports whether the box is about to stop serving.
+type Leaving struct{ IsLeaving bool }
 
 func (Tick) subscriptionEvent()            {}
 func (Received) subscriptionEvent()        {}
@@ -72,40 +72,41 @@
 func (ReplicasChanged) subscriptionEvent() {}
 func (Leaving) subscriptionEvent()         {}
 
-// Attachment numbers the attempts to attach, so that news of an earlier one
-// can't be taken for the present one's.
+// Attachment numbers the attempts to attach, so that events of an earlier attempt
+// can be told from those of the current one.
 type Attachment uint64
 
-// Effects are what the shell is to do. Attach means: end the connection there
-// is, connect to the Replicas at the same time and keep the connection that is
-// made first, within DialLimit.
+// Effects are the actions for the shell. Attach means: close the current connection,
+// dial the Replicas concurrently and keep the connection that is
+// made first, within DialTimeout.
 type Effects struct {
-	Attach     bool
-	Replicas   []units.ReplicaID
-	Attachment Attachment
-	DialLimit  time.Duration
-	Sends      []*wire.Envelope
-	// Table is set when a new table is in force.
+	Attach      bool
+	Replicas    []units.ReplicaID
+	Attachment  Attachment
+	DialTimeout time.Duration
+	Sends       []*wire.Envelope
+	// Table is set when the table has changed.
 	Table *table.Table
-	// LeaseChanged is set when LeaseUntil returns something new.
+	// LeaseChanged is set when LeaseUntil has changed.
 	LeaseChanged bool
-	// ExposuresChanged is set when Exposures replace those there were.
+	// ExposuresChanged is set when Exposures replace the previous ones.
 	ExposuresChanged bool
 	Exposures        []rollout.Exposure
-	// Watched is set when a grant says something of calls under which targets crash.
+	// Watched is set when a grant carries or ends watched calls, acknowledges crash notes or is of
+	// another leader's term.
 	Watched *Watched
 }
 
-// grant is a lease that waits for the revision it was given for.
+// grant is a lease that becomes valid once the table has reached its revision.
 type grant struct {
 	revision units.Revision
-	// sent is when the request for it was sent.
-	sent  units.Instant
-	until units.Instant
+	// requestedAt is when the request for it was sent.
+	requestedAt units.Instant
+	expiresAt   units.Instant
 }
 
-// maxGrants bounds the leases that wait for their revision.
-const maxGrants = 16
+// maxPendingGrants bounds the grants that wait for their revision, and the requests in flight.
+const maxPendingGrants = 16
 
 // Subscription is the state of a box's subscription.
 type Subscription struct {
@@ -114,30 +115,30 @@
 	table      *table.Table
 	attachment Attachment
 	replicas   replicaList
-	// assembly holds the fragments of a message that is coming in.
+	// assembly holds the fragments of a message that is being received.
 	assembly  wire.Assembly
 	link      link
 	grantedAt units.Instant
 	renewAt   units.Instant
 	nonce     uint64
-	// sentAt remembers when the requests that are under way were sent.
-	sentAt     map[uint64]units.Instant
-	grants     []grant
-	leaseUntil units.Instant
-	// leasedAt is when the request for the present lease was sent.
-	leasedAt units.Instant
-	// leaseTime is how long the last grant was for.
-	leaseTime time.Duration
-	leaving   bool
-	// exposedBy names the request whose answer the present exposures came with; exposed is set
-	// while there are some.
-	exposedBy uint64
-	exposed   bool
-	// watchedBy names the request whose answer last said which calls are watched, watchedTerm the
-	// leader that said so; watching is set while there are some.
-	watchedBy   uint64
-	watchedTerm units.Term
-	watching    bool
+	// sentAt holds the send times of the requests in flight, by nonce.
+	sentAt        map[uint64]units.Instant
+	pendingGrants []grant
+	leaseUntil    units.Instant
+	// leaseRequestedAt is when the request for the current lease was sent.
+	leaseRequestedAt units.Instant
+	// leaseDuration is the duration of the last grant.
+	leaseDuration time.Duration
+	leaving       bool
+	// exposuresNonce is the nonce of the request that the current exposures answer; hasExposures is
+	// set while there are any.
+	exposuresNonce uint64
+	hasExposures   bool
+	// watchedNonce is the nonce of the request that the current watched calls answer, watchedTerm the
+	// leader's term in that answer; hasWatched is set while there are any.
+	watchedNonce uint64
+	watchedTerm  units.Term
+	hasWatched   bool
 }
 
 // NewSubscription returns a subscription that has no table yet.
@@ -148,14 +149,14 @@
 		random:   random,
 		table:    table.NewTable(),
 		replicas: newReplicaList(s.Replicas, random),
-		link:     link{nextAt: now},
+		link:     link{nextDialAt: now},
 		sentAt:   map[uint64]units.Instant{},
 		renewAt:  now,
 	}
 }
 
-// Reduce takes one event at a time of the box's clock and adds what is to be
-// done to e.
+// Reduce processes one event at a time of the box's clock and adds the resulting
+// actions to e.
 func (s *Subscription) Reduce(now units.Instant, event Event, e *Effects) {
 	switch v := event.(type) {
 	case Tick:
@@ -175,36 +176,36 @@
 	case ReplicasChanged:
 		s.replicas.configure(v.Replicas)
 	case Leaving:
-		s.leaving = v.On
+		s.leaving = v.IsLeaving
 		s.renewAt = now
 		s.tick(now, e)
-	case Urgent:
-		s.sendUrgently(now, e)
+	case RenewNow:
+		s.renewNow(now, e)
 	}
 }
 
 func (s *Subscription) tick(now units.Instant, e *Effects) {
-	if s.link.state == linkUp && now.Sub(max(s.link.since, s.grantedAt)) >= s.patience() {
+	if s.link.state == linkUp && now.Sub(max(s.link.lastActivity, s.grantedAt)) >= s.replicaTimeout() {
 		s.disconnected(now)
 	}
-	if s.link.state != linkUp && now >= s.link.nextAt {
+	if s.link.state != linkUp && now >= s.link.nextDialAt {
 		s.attach(now, e)
 	}
 	if s.link.state == linkUp && now >= s.renewAt {
 		s.renew(now, e)
-		s.moveHome(now, e)
+		s.moveToPreferred(now, e)
 	}
 }
 
 func (s *Subscription) renew(now units.Instant, e *Effects) {
-	s.renewAt = now.Add(s.renewPeriod())
+	s.renewAt = now.Add(s.renewInterval())
 	s.sendRenewal(now, e)
 }
 
 func (s *Subscription) sendRenewal(now units.Instant, e *Effects) {
 	s.nonce++
 	s.sentAt[s.nonce] = now
-	delete(s.sentAt, s.nonce-maxGrants)
+	delete(s.sentAt, s.nonce-maxPendingGrants)
 	box := s.settings.Box
 	box.Leaving = s.leaving
 	m := &wire.Envelope{From: string(box.ID), Body: &wire.Envelope_RenewRequest{RenewRequest: &wire.RenewRequest{
@@ -226,20 +227,20 @@
 			s.patchTable(now, wire.ToDelta(d), e)
 		}
 	case *wire.Envelope_RenewResponse:
-		s.takeGrant(now, b.RenewResponse, e)
+		s.receiveGrant(now, b.RenewResponse, e)
 	case *wire.Envelope_Fragment:
-		s.takeFragment(now, b.Fragment, e)
+		s.receiveFragment(now, b.Fragment, e)
 	}
-	s.useGrants(e)
+	s.activateGrants(e)
 }
 
-// takeFragment takes a part of a large message. Each one shows that the replica is at
-// work, however long the link takes for all of them.
-func (s *Subscription) takeFragment(now units.Instant, f *wire.Fragment, e *Effects) {
-	s.noteNews(now)
+// receiveFragment adds a part of a large message. Each part counts as activity of the replica,
+// however long the link takes to transfer all of them.
+func (s *Subscription) receiveFragment(now units.Instant, f *wire.Fragment, e *Effects) {
+	s.recordActivity(now)
 	whole, err := s.assembly.Add(f)
 	if err != nil {
-		// Attaching anew brings the whole table.
+		// A new attachment brings the whole table.
 		s.disconnected(now)
 		return
 	}
@@ -248,13 +249,13 @@
 	}
 }
 
-// replaceTable never goes back to an earlier revision than one in force. A newer table
-// shows that the replica is at work, so its leader's grant has time anew.
+// replaceTable ignores revisions that aren't newer than the current one. A newer table
+// counts as activity, so that its leader's grant may take the full timeout again.
 func (s *Subscription) replaceTable(now units.Instant, t *table.Table, e *Effects) {
 	if t.Revision <= s.table.Revision {
 		return
 	}
-	s.noteNews(now)
+	s.recordActivity(now)
 	s.table = t
 	e.Table = t
 }
@@ -262,8 +263,8 @@
 func (s *Subscription) patchTable(now units.Instant, d *table.Delta, e *Effects) {
 	next, ok := s.table.Patch(d)
 	if !ok {
-		// A change that doesn't follow is either old, which is harmless, or shows
-		// that one was missed; attaching anew brings the whole table.
+		// A delta that doesn't follow is either old, which is harmless, or shows
+		// that one was missed; a new attachment brings the whole table.
 		if d.Revision > s.table.Revision {
 			s.disconnected(now)
 		}
@@ -273,86 +274,86 @@
 	e.Table = next
 }
 
-func (s *Subscription) takeGrant(now units.Instant, r *wire.RenewResponse, e *Effects) {
-	sent, known := s.sentAt[r.Nonce]
+func (s *Subscription) receiveGrant(now units.Instant, r *wire.RenewResponse, e *Effects) {
+	requestedAt, known := s.sentAt[r.Nonce]
 	if !known || r.Start != s.settings.Start {
 		return
 	}
 	if r.Duration == 0 {
-		s.link.waits = true
+		s.link.awaitsLeader = true
 		return
 	}
 	delete(s.sentAt, r.Nonce)
-	s.replicas.learn(r.Replicas, r.ReplicaDomains)
-	s.noteNews(now)
+	s.replicas.updateListed(r.Replicas, r.ReplicaDomains)
+	s.recordActivity(now)
 	s.grantedAt = now
-	s.leaseTime = time.Duration(r.Duration)
-	s.takeExposures(sent, r, e)
-	s.takeWatched(r, e)
-	s.grants = append(s.grants, grant{
-		revision: units.Revision(r.Revision),
-		sent:     sent,
-		until:    sent.Add(time.Duration(r.Duration)),
+	s.leaseDuration = time.Duration(r.Duration)
+	s.applyExposures(requestedAt, r, e)
+	s.applyWatched(r, e)
+	s.pendingGrants = append(s.pendingGrants, grant{
+		revision:    units.Revision(r.Revision),
+		requestedAt: requestedAt,
+		expiresAt:   requestedAt.Add(time.Duration(r.Duration)),
 	})
-	if len(s.grants) > maxGrants {
-		s.grants = s.grants[1:]
+	if len(s.pendingGrants) > maxPendingGrants {
+		s.pendingGrants = s.pendingGrants[1:]
 	}
 }
 
-// useGrants puts those leases in force whose revision has been reached.
-func (s *Subscription) useGrants(e *Effects) {
-	s.grants = slices.DeleteFunc(s.grants, func(g grant) bool {
+// activateGrants applies the grants whose revision the table has reached.
+func (s *Subscription) activateGrants(e *Effects) {
+	s.pendingGrants = slices.DeleteFunc(s.pendingGrants, func(g grant) bool {
 		if g.revision > s.table.Revision {
 			return false
 		}
-		if g.until > s.leaseUntil {
-			s.leaseUntil, s.leasedAt = g.until, g.sent
+		if g.expiresAt > s.leaseUntil {
+			s.leaseUntil, s.leaseRequestedAt = g.expiresAt, g.requestedAt
 			e.LeaseChanged = true
 		}
 		return true
 	})
 }
 
-// NextWake returns when the next Tick is due at the latest.
+// NextWake returns the latest time at which the next Tick is due.
 func (s *Subscription) NextWake() units.Instant {
 	if s.link.state == linkUp {
 		return s.renewAt
 	}
-	return s.link.nextAt
+	return s.link.nextDialAt
 }
 
-// LeaseUntil returns when the lease on the table runs out; from then on the box
-// can't know whether the table is still in force.
+// LeaseUntil returns when the lease on the table expires. From then on the box
+// can't know whether the table is still current.
 func (s *Subscription) LeaseUntil() units.Instant { return s.leaseUntil }
 
-// LeasedAt returns when the table was last known to be in force: when the request for the
-// present lease was sent.
-func (s *Subscription) LeasedAt() units.Instant { return s.leasedAt }
+// LeaseRequestedAt returns when the table was last known to be current: when the request for the
+// current lease was sent.
+func (s *Subscription) LeaseRequestedAt() units.Instant { return s.leaseRequestedAt }
 
-// Fresh tells whether at least half of the lease is left. A box that isn't fresh
-// has missed several renewals; callers had better be sent elsewhere while it can
-// still answer those that come.
-func (s *Subscription) Fresh(now units.Instant) bool {
-	return s.leaseUntil.Sub(now) > s.leaseTime/2
+// HasFreshLease reports whether at least half of the lease is left. Otherwise the box
+// has missed several renewals, and new callers should be sent to other boxes while it can
+// still answer.
+func (s *Subscription) HasFreshLease(now units.Instant) bool {
+	return s.leaseUntil.Sub(now) > s.leaseDuration/2
 }
 
-// Table returns the table in force, which is never changed in place.
+// Table returns the current table, which is never modified in place.
 func (s *Subscription) Table() *table.Table { return s.table }
 
-// Status is a subscription's state as the dump shows it.
+// Status is a subscription's state as written to the dump.
 type Status struct {
 	Box      units.BoxID     `json:"box"`
 	Replica  units.ReplicaID `json:"replica"`
 	Attached bool            `json:"attached"`
 	Revision units.Revision  `json:"revision"`
-	// LeaseLeft is how long the lease still holds; negative when it has run out.
+	// LeaseLeft is the remaining time of the lease; negative after it has expired.
 	LeaseLeft time.Duration `json:"leaseLeft"`
-	// GrantAge is how long ago the last grant came.
+	// GrantAge is the time since the last grant.
 	GrantAge time.Duration `json:"grantAge"`
 	Leaving  bool          `json:"leaving"`
 }
 
-// Status returns the subscription's state at a time.
+// Status returns the subscription's state at the given time.
 func (s *Subscription) Status(now units.Instant) Status {
 	status := Status{
 		Box: s.settings.Box.ID, Attached: s.link.state == linkUp, Revision: s.table.Revision,
@@ -362,5 +363,5 @@
 	return status
 }
 
-// Attachment returns the number of the present attempt to attach, or of the connection.
+// Attachment returns the number of the current attempt to attach, or of the connection it made.
 func (s *Subscription) Attachment() Attachment { return s.attachment }
--- a/pkg/core/subscription/subscription_test.go
+++ b/pkg/core/subscription/subscription_test.go
@@ -17,50 +17,50 @@
 	testLease = time.Second
 )
 
-// box is a subscription with what it last sent.
+// box is a subscription with its last effects.
 type box struct {
 	*Subscription
 	now     units.Instant
 	effects Effects
-	// dark is set while no replica can be reached.
-	dark bool
-	// attaches counts how often replicas were dialled.
-	attaches int
+	// unreachable is set while no replica can be reached.
+	unreachable bool
+	// dialCount is the number of dial attempts.
+	dialCount int
 }
 
 func newBox() *box {
 	b := &box{now: units.Instant(time.Second)}
 	b.Subscription = NewSubscription(Settings{
-		Box: table.Box{ID: "b"}, Replicas: []units.ReplicaID{"r1", "r2", "r3"}, RenewEvery: 100 * time.Millisecond,
-		Silence: 300 * time.Millisecond, Start: start,
+		Box: table.Box{ID: "b"}, Replicas: []units.ReplicaID{"r1", "r2", "r3"}, RenewInterval: 100 * time.Millisecond,
+		ReplicaTimeout: 300 * time.Millisecond, Start: start,
 	}, b.now)
-	b.give(Tick{})
+	b.deliver(Tick{})
 	return b
 }
 
-func (b *box) give(e Event) {
+func (b *box) deliver(e Event) {
 	b.effects = Effects{}
 	b.Reduce(b.now, e, &b.effects)
 	if !b.effects.Attach {
 		return
 	}
-	b.attaches++
-	if !b.dark {
+	b.dialCount++
+	if !b.unreachable {
 		b.Reduce(b.now, Attached{Attachment: b.effects.Attachment, Replica: b.effects.Replicas[0]}, &b.effects)
 	}
 }
 
-func (b *box) pass(d time.Duration) {
+func (b *box) advance(d time.Duration) {
 	b.now = b.now.Add(d)
-	b.give(Tick{})
+	b.deliver(Tick{})
 }
 
-// nonce is that of the request just sent.
+// nonce returns the nonce of the last request.
 func (b *box) nonce() uint64 {
 	return b.effects.Sends[len(b.effects.Sends)-1].GetRenewRequest().Nonce
 }
 
-func (b *box) receive(m *wire.Envelope) { b.give(Received{Attachment: b.attachment, Envelope: m}) }
+func (b *box) receive(m *wire.Envelope) { b.deliver(Received{Attachment: b.attachment, Envelope: m}) }
 
 func grantOf(nonce, revision, start uint64) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_RenewResponse{RenewResponse: &wire.RenewResponse{
@@ -74,10 +74,10 @@
 
 func TestALeaseCountsFromItsRequest(t *testing.T) {
 	b := newBox()
-	asked, nonce := b.now, b.nonce()
+	requestedAt, nonce := b.now, b.nonce()
 	b.now = b.now.Add(400 * time.Millisecond)
 	b.receive(grantOf(nonce, 0, start))
-	if want := asked.Add(testLease); b.LeaseUntil() != want {
+	if want := requestedAt.Add(testLease); b.LeaseUntil() != want {
 		t.Fatalf("the lease ends at %d, not at %d", b.LeaseUntil(), want)
 	}
 }
@@ -86,15 +86,15 @@
 	b := newBox()
 	b.receive(grantOf(b.nonce(), 5, start))
 	if b.LeaseUntil() != 0 {
-		t.Fatal("the lease holds before its revision is shown")
+		t.Fatal("the lease is valid before its revision is reached")
 	}
 	b.receive(tableAt(4))
 	if b.LeaseUntil() != 0 {
-		t.Fatal("the lease holds at an earlier revision")
+		t.Fatal("the lease is valid at an earlier revision")
 	}
 	b.receive(tableAt(5))
 	if b.LeaseUntil() == 0 {
-		t.Fatal("the lease doesn't hold at its revision")
+		t.Fatal("the lease isn't valid at its revision")
 	}
 }
 
@@ -111,7 +111,7 @@
 			b := newBox()
 			b.receive(s.grant(b))
 			if b.LeaseUntil() != 0 {
-				t.Fatal("the grant was taken")
+				t.Fatal("the grant was accepted")
 			}
 		})
 	}
@@ -126,14 +126,14 @@
 	}
 	first := b.attachment
 	for range 4 {
-		b.pass(100 * time.Millisecond)
+		b.advance(100 * time.Millisecond)
 	}
 	if b.attachment == first {
-		t.Fatal("the box stayed with a replica that has gone silent")
+		t.Fatal("the box stayed with a replica that no longer responds")
 	}
-	b.give(Received{Attachment: first, Envelope: tableAt(10)})
+	b.deliver(Received{Attachment: first, Envelope: tableAt(10)})
 	if b.Table().Revision != 9 {
-		t.Fatal("news of an earlier attachment was taken")
+		t.Fatal("a message of an earlier attachment was processed")
 	}
 }
 
@@ -142,43 +142,43 @@
 	b.receive(tableAt(3))
 	b.receive(&wire.Envelope{Body: &wire.Envelope_DeltaBatch{DeltaBatch: &wire.DeltaBatch{Deltas: []*wire.Delta{{From: 4, Revision: 5}}}}})
 	if b.Table().Revision != 3 {
-		t.Fatal("a change that doesn't follow was taken")
+		t.Fatal("a delta that doesn't follow was applied")
 	}
 	before := b.attachment
-	b.pass(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	if b.attachment == before {
-		t.Fatal("the box didn't attach anew for the whole table")
+		t.Fatal("the box didn't attach again to get the whole table")
 	}
 }
 
-// A box that has just started may have chosen a replica that starts as well; it serves
-// nobody until it has found another.
+// A replica that starts at the same time as a box may accept its connection without answering. As
+// the box can't serve before its first grant, it must leave such a replica sooner than later ones.
 func TestABoxWithoutAnyGrantMovesOnSooner(t *testing.T) {
 	b := newBox()
 	first := b.attachment
-	b.pass(80 * time.Millisecond)
+	b.advance(80 * time.Millisecond)
 	if b.attachment == first {
-		t.Fatal("it still waits for a replica that is silent from the start")
+		t.Fatal("it still waits for a replica that has never responded")
 	}
 	b.receive(grantOf(b.nonce(), 0, start))
 	second := b.attachment
-	b.pass(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	if b.attachment != second {
 		t.Fatal("it has left a replica that granted a lease a moment ago")
 	}
 }
 
-// A replica that has just sent the whole table is at work; its leader's grant follows.
+// A replica that has just sent the whole table works, so the box must wait for its leader's grant.
 func TestABoxStaysWhereItGotItsFirstTable(t *testing.T) {
 	b := newBox()
 	first := b.attachment
-	b.pass(50 * time.Millisecond)
+	b.advance(50 * time.Millisecond)
 	b.receive(tableAt(3))
-	b.pass(40 * time.Millisecond)
+	b.advance(40 * time.Millisecond)
 	if b.attachment != first {
 		t.Fatal("it has left a replica that sent the table a moment ago")
 	}
-	b.pass(80 * time.Millisecond)
+	b.advance(80 * time.Millisecond)
 	if b.attachment == first {
 		t.Fatal("it still waits for a grant")
 	}
@@ -194,32 +194,32 @@
 	}
 }
 
-// A process that stands still takes connections as fast as one that works.
+// A suspended process accepts connections as fast as one that works.
 func TestAReplicaThatWasLeftIsNotDialledAtOnce(t *testing.T) {
 	b := newBox()
 	left := b.replicas.current
-	b.pass(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	if slices.Contains(b.effects.Replicas, left) {
-		t.Fatalf("%s was silent and is dialled again beside %v", left, b.effects.Replicas)
+		t.Fatalf("%s didn't respond and is dialled again with %v", left, b.effects.Replicas)
 	}
-	b.dark = true
-	b.give(Detached{Attachment: b.attachment})
+	b.unreachable = true
+	b.deliver(Detached{Attachment: b.attachment})
 	for range 100 {
-		b.pass(10 * time.Millisecond)
+		b.advance(10 * time.Millisecond)
 		if slices.Contains(b.effects.Replicas, left) {
 			return
 		}
 	}
-	t.Fatalf("%s is never dialled again though no other is in reach", left)
+	t.Fatalf("%s is never dialled again though no other replica is reachable", left)
 }
 
-// Hundreds of boxes that dial without pause keep busy the replicas that are left.
+// Hundreds of boxes that dial without a backoff overload the replicas that are left.
 func TestPausesGrowWhileNoReplicaIsInReach(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		// from and to bound the seconds without a replica that are looked at.
+		// from and to limit the measured seconds without a replica.
 		from, to int
-		most     int
+		maxDials int
 	}{
 		{"the first second", 0, 1, 18},
 		{"later", 6, 12, 6},
@@ -228,52 +228,52 @@
 		t.Run(s.testName, func(t *testing.T) {
 			b := newBox()
 			b.receive(grantOf(b.nonce(), 0, start))
-			b.dark = true
-			b.give(Detached{Attachment: b.attachment})
+			b.unreachable = true
+			b.deliver(Detached{Attachment: b.attachment})
 			for i := range s.to * 100 {
 				if i == s.from*100 {
-					b.attaches = 0
+					b.dialCount = 0
 				}
-				b.pass(10 * time.Millisecond)
+				b.advance(10 * time.Millisecond)
 				if b.effects.Attach {
-					b.give(Detached{Attachment: b.attachment})
+					b.deliver(Detached{Attachment: b.attachment})
 				}
 			}
-			if b.attaches > s.most {
-				t.Errorf("replicas were dialled %d times", b.attaches)
+			if b.dialCount > s.maxDials {
+				t.Errorf("replicas were dialled %d times", b.dialCount)
 			}
-			b.dark = false
-			b.pass(maxDialLimit * 2)
+			b.unreachable = false
+			b.advance(maxDialTimeout * 2)
 			if b.link.state != linkUp {
-				t.Error("the box isn't attached though replicas are back")
+				t.Error("the box isn't attached though replicas are reachable again")
 			}
 		})
 	}
 }
 
-// Boxes that lose a replica at the same moment don't dial the next at the same moments.
+// Boxes that lose a replica at the same time must not dial the next one at the same time.
 func TestBoxesDialAtDifferentTimes(t *testing.T) {
 	limits := map[time.Duration]bool{}
 	for seed := range uint64(20) {
 		s := NewSubscription(Settings{Replicas: []units.ReplicaID{"r1"}, Seed: seed}, 1)
-		limits[s.nextDialLimit()] = true
+		limits[s.nextDialTimeout()] = true
 	}
 	if len(limits) < 15 {
-		t.Errorf("20 boxes have %d different limits", len(limits))
+		t.Errorf("20 boxes have %d different dial timeouts", len(limits))
 	}
 }
 
 func TestALostConnectionIsMadeAnewWithoutDelay(t *testing.T) {
 	b := newBox()
 	b.receive(grantOf(b.nonce(), 0, start))
-	b.pass(90 * time.Millisecond)
+	b.advance(90 * time.Millisecond)
 	before := b.attachment
-	b.give(Detached{Attachment: before})
+	b.deliver(Detached{Attachment: before})
 	if wake := b.NextWake(); wake > b.now {
-		t.Fatalf("the box waits %v before it attaches anew", wake.Sub(b.now))
+		t.Fatalf("the box waits %v before it attaches again", wake.Sub(b.now))
 	}
-	b.pass(0)
+	b.advance(0)
 	if b.attachment == before {
-		t.Fatal("the box isn't attached anew")
+		t.Fatal("the box isn't attached again")
 	}
 }
--- a/pkg/core/subscription/watched.go
+++ b/pkg/core/subscription/watched.go
@@ -6,26 +6,27 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Watched is what a grant says of calls under which targets crash.
+// Watched holds a grant's data on calls that may crash targets.
 type Watched struct {
-	// Term is the leader's, Noted the last of the box's notes that it has.
+	// Term is the leader's term, Noted the number of the last crash note of this box that it has received,
+	// and Calls are the calls to watch.
 	Term  units.Term
 	Noted uint64
 	Calls []crash.Watched
 }
 
-// takeWatched passes on what a grant says of calls, unless a later request was answered before.
-// Most grants say nothing.
-func (s *Subscription) takeWatched(r *wire.RenewResponse, e *Effects) {
-	if r.Nonce < s.watchedBy {
+// applyWatched reports a grant's watched calls in e, unless a later request has already been
+// answered. Most grants carry none.
+func (s *Subscription) applyWatched(r *wire.RenewResponse, e *Effects) {
+	if r.Nonce < s.watchedNonce {
 		return
 	}
-	s.watchedBy = r.Nonce
+	s.watchedNonce = r.Nonce
 	term := units.Term(r.Term)
-	if len(r.Watched) == 0 && !s.watching && r.Noted == 0 && term == s.watchedTerm {
+	if len(r.Watched) == 0 && !s.hasWatched && r.Noted == 0 && term == s.watchedTerm {
 		return
 	}
-	s.watching = len(r.Watched) > 0
+	s.hasWatched = len(r.Watched) > 0
 	s.watchedTerm = term
 	e.Watched = &Watched{Term: term, Noted: r.Noted, Calls: wire.ToWatched(r.Watched)}
 }
