--- a/pkg/core/control/requests.go
+++ b/pkg/core/control/requests.go
@@ -138,7 +138,7 @@
 // after another order of the same operator was acknowledged elsewhere, must not undo that one.
 func (r *Replica) submitEvacuation(v EvacuationOrdered, log *replication.Effects, e *Effects) {
 	if problems := table.CheckEvacuation(&v.Order); len(problems) > 0 {
-		err := fault.New(fault.Invalid, problems[0].Remedy, "%q is not a valid failure domain", v.Order.Domain)
+		err := fault.New(fault.Invalid, problems[0].Remedy, "%q is no failure domain", v.Order.Domain)
 		e.Answers = append(e.Answers, Answer{Request: v.Request, Err: err})
 		return
 	}
--- a/pkg/core/replication/formation.go
+++ b/pkg/core/replication/formation.go
@@ -101,7 +101,7 @@
 // and names the replicas that prevent it.
 func (n *Node) Form(now units.Instant, cluster string, state []byte, e *Effects) error {
 	if n.formed() {
-		return fault.New(fault.Invalid, "nothing needs to be done", "cluster %s already exists", n.membership.current.Cluster)
+		return fault.New(fault.Invalid, "nothing needs to be done", "cluster %s is formed already", n.membership.current.Cluster)
 	}
 	m := &wire.Membership{Cluster: cluster}
 	m.Voters = append(m.Voters, &wire.Member{Id: string(n.settings.ID), Incarnation: string(n.settings.Incarnation)})
