--- a/pkg/core/control/quarantines.go
+++ b/pkg/core/control/quarantines.go
@@ -244,7 +244,7 @@
 			list = append(slices.Clip(list), crash.Watched{Call: x.call, Quarantined: true, Trial: x.number})
 		}
 	}
-	return wire.FromWatched(list)
+	return wire.FromWatchedCalls(list)
 }
 
 // lastNoteNumber returns the number of the last crash note of a request, or 0.
--- a/pkg/core/subscription/watched.go
+++ b/pkg/core/subscription/watched.go
@@ -27,5 +27,5 @@
 	}
 	s.watching = len(r.Watched) > 0
 	s.watchedTerm = term
-	e.Watched = &Watched{Term: term, Noted: r.Noted, Calls: wire.ToWatched(r.Watched)}
+	e.Watched = &Watched{Term: term, Noted: r.Noted, Calls: wire.ToWatchedCalls(r.Watched)}
 }
--- a/pkg/wire/command.go
+++ b/pkg/wire/command.go
@@ -11,7 +11,7 @@
 // is an Internal fault.
 func EncodeCommand(c *Command) ([]byte, error) {
 	data, err := proto.Marshal(c)
-	if err == nil && len(data) >= compressFrom {
+	if err == nil && len(data) >= compressThresholdBytes {
 		data, err = compressCommand(data)
 	}
 	if err != nil {
--- a/pkg/wire/command_test.go
+++ b/pkg/wire/command_test.go
@@ -15,7 +15,7 @@
 	scenarios := []struct {
 		testName string
 		source   []byte
-		most     int
+		maxBytes int
 	}{
 		{"a small one as it is", route, 100},
 		{"a large one compressed", bytes.Repeat(route, 500), 1000},
@@ -27,14 +27,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(data) > s.most {
+			if len(data) > s.maxBytes {
 				t.Errorf("%d bytes in the log for %d", len(data), len(s.source))
 			}
-			back, err := DecodeCommand(data)
+			decoded, err := DecodeCommand(data)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if d := cmp.Diff(c, back, protocmp.Transform()); d != "" {
+			if d := cmp.Diff(c, decoded, protocmp.Transform()); d != "" {
 				t.Error(d)
 			}
 		})
@@ -42,11 +42,11 @@
 }
 
 func TestASpoiledCommandIsDamage(t *testing.T) {
-	spoiled, err := compressCommand([]byte("no command"))
+	corrupt, err := compressCommand([]byte("no command"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, data := range [][]byte{{0xff}, spoiled} {
+	for _, data := range [][]byte{{0xff}, corrupt} {
 		if _, err := DecodeCommand(data); fault.KindOf(err) != fault.Damaged {
 			t.Errorf("%x gives %v", data, err)
 		}
--- a/pkg/wire/compress.go
+++ b/pkg/wire/compress.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// compressFrom is the encoded size from which a message is worth compressing.
-	compressFrom = 1 << 10
-	// decompressedBytes bounds what compressed data may come to.
-	decompressedBytes = 64 << 20
+	// compressThresholdBytes is the encoded size from which a message is worth compressing.
+	compressThresholdBytes = 1 << 10
+	// maxDecompressedBytes bounds what compressed data may come to.
+	maxDecompressedBytes = 64 << 20
 )
 
-// compressors are used again, since each holds several hundred KB.
-var compressors = sync.Pool{New: func() any {
+// flateWriters are used again, since each holds several hundred KB.
+var flateWriters = sync.Pool{New: func() any {
 	// The level is one that the library knows, so there is no error.
 	w, _ := flate.NewWriter(nil, flate.DefaultCompression)
 	return w
@@ -25,8 +25,8 @@
 
 func compress(data []byte) ([]byte, error) {
 	var compressed bytes.Buffer
-	w := compressors.Get().(*flate.Writer)
-	defer compressors.Put(w)
+	w := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(w)
 	w.Reset(&compressed)
 	if _, err := w.Write(data); err != nil {
 		return nil, err
@@ -38,12 +38,12 @@
 }
 
 func decompress(data []byte) ([]byte, error) {
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), decompressedBytes+1))
+	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxDecompressedBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(plain) > decompressedBytes {
-		return nil, fmt.Errorf("compressed data comes to more than %d bytes", decompressedBytes)
+	if len(plain) > maxDecompressedBytes {
+		return nil, fmt.Errorf("compressed data comes to more than %d bytes", maxDecompressedBytes)
 	}
 	return plain, nil
 }
--- a/pkg/wire/convert.go
+++ b/pkg/wire/convert.go
@@ -177,32 +177,32 @@
 	return scope.DomainStep{Domain: units.Domain(s.Domain), Step: scope.Step(s.Step)}
 }
 
-// entryParts are the services and rows of a list of entries, side by side.
-type entryParts struct {
+// flatEntries are the services and rows of a list of entries, side by side.
+type flatEntries struct {
 	services []*Service
 	rows     []*Row
 }
 
-func fromEntries(entries []*table.Entry) entryParts {
-	var parts entryParts
+func fromEntries(entries []*table.Entry) flatEntries {
+	var flat flatEntries
 	for _, e := range entries {
 		service := FromService(&e.Service, e.Version)
 		service.Division = mapSlice(e.Division, fromDomainStep)
-		parts.services = append(parts.services, service)
+		flat.services = append(flat.services, service)
 		for r := range e.Rows.All() {
-			parts.rows = append(parts.rows, FromRow(r))
+			flat.rows = append(flat.rows, FromRow(r))
 		}
 	}
-	return parts
+	return flat
 }
 
-func (p entryParts) entries() []*table.Entry {
-	rows := make(map[string][]table.Row, len(p.services))
-	for _, r := range p.rows {
+func (f flatEntries) entries() []*table.Entry {
+	rows := make(map[string][]table.Row, len(f.services))
+	for _, r := range f.rows {
 		rows[r.Service] = append(rows[r.Service], *ToRow(r))
 	}
-	entries := make([]*table.Entry, 0, len(p.services))
-	for _, s := range p.services {
+	entries := make([]*table.Entry, 0, len(f.services))
+	for _, s := range f.services {
 		entries = append(entries, &table.Entry{
 			Service: *ToService(s), Version: units.Version(s.Version), Division: mapSlice(s.Division, toDomainStep), Rows: table.RowsOf(rows[s.Name]...),
 		})
@@ -216,9 +216,9 @@
 	for _, n := range t.ServiceNames() {
 		entries = append(entries, t.Services[n])
 	}
-	parts := fromEntries(entries)
+	flat := fromEntries(entries)
 	return &Table{
-		Revision: uint64(t.Revision), Services: parts.services, Rows: parts.rows,
+		Revision: uint64(t.Revision), Services: flat.services, Rows: flat.rows,
 		Boxes: mapSlice(t.Boxes, FromBox), DocumentVersion: uint64(t.Document), Routes: fromRoutes(t.Routes),
 		Evacuations: mapSlice(t.Evacuations, fromEvacuation),
 		Rollouts:    mapSlice(t.Rollouts, fromRollout), InForce: mapSlice(t.InForce, fromInForce),
@@ -231,7 +231,7 @@
 func ToTable(t *Table) *table.Table {
 	out := table.NewTable()
 	out.Revision = units.Revision(t.Revision)
-	for _, e := range (entryParts{services: t.Services, rows: t.Rows}).entries() {
+	for _, e := range (flatEntries{services: t.Services, rows: t.Rows}).entries() {
 		out.Services[e.Service.Name] = e
 	}
 	out.Boxes = mapSlice(t.Boxes, ToBox)
@@ -248,9 +248,9 @@
 
 // FromDelta converts a delta.
 func FromDelta(d *table.Delta) *Delta {
-	parts := fromEntries(d.Changed)
+	flat := fromEntries(d.Changed)
 	out := &Delta{
-		From: uint64(d.From), Revision: uint64(d.Revision), Services: parts.services, Rows: parts.rows,
+		From: uint64(d.From), Revision: uint64(d.Revision), Services: flat.services, Rows: flat.rows,
 		Removed: mapSlice(d.Removed, func(n units.ServiceName) string { return string(n) }),
 
 		DocumentVersion: uint64(d.Document), Routes: mapSlice(d.Routes.Put, FromRoute),
@@ -272,7 +272,7 @@
 func ToDelta(d *Delta) *table.Delta {
 	out := &table.Delta{
 		From: units.Revision(d.From), Revision: units.Revision(d.Revision),
-		Changed: entryParts{services: d.Services, rows: d.Rows}.entries(),
+		Changed: flatEntries{services: d.Services, rows: d.Rows}.entries(),
 		Removed: mapSlice(d.Removed, func(n string) units.ServiceName { return units.ServiceName(n) }),
 
 		Document:    units.DocumentVersion(d.DocumentVersion),
--- a/pkg/wire/convert_crash.go
+++ b/pkg/wire/convert_crash.go
@@ -86,15 +86,15 @@
 	})
 }
 
-// FromWatched converts the calls that boxes watch.
-func FromWatched(list []crash.Watched) []*WatchedCall {
+// FromWatchedCalls converts the calls that boxes watch.
+func FromWatchedCalls(list []crash.Watched) []*WatchedCall {
 	return mapSlice(list, func(x crash.Watched) *WatchedCall {
 		return &WatchedCall{Call: FromFingerprint(x.Call), Quarantined: x.Quarantined, Trial: int32(x.Trial)}
 	})
 }
 
-// ToWatched converts the calls that boxes watch back.
-func ToWatched(list []*WatchedCall) []crash.Watched {
+// ToWatchedCalls converts the calls that boxes watch back.
+func ToWatchedCalls(list []*WatchedCall) []crash.Watched {
 	return mapSlice(list, func(x *WatchedCall) crash.Watched {
 		return crash.Watched{Call: ToFingerprint(x.Call), Quarantined: x.Quarantined, Trial: int(x.Trial)}
 	})
--- a/pkg/wire/convert_evidence.go
+++ b/pkg/wire/convert_evidence.go
@@ -9,16 +9,16 @@
 
 // FromEvidence returns the messages for what a box has seen of versions.
 func FromEvidence(list []rollout.Evidence) []*VersionEvidence {
-	return mapSlice(list, fromOneEvidence)
+	return mapSlice(list, fromVersionEvidence)
 }
 
 // ToEvidence is the inverse of FromEvidence. Buckets beyond the known ones are dropped.
 func ToEvidence(list []*VersionEvidence) []rollout.Evidence {
-	return mapSlice(list, toOneEvidence)
+	return mapSlice(list, toVersionEvidence)
 }
 
-// fromOneEvidence leaves out the empty buckets at the end.
-func fromOneEvidence(x rollout.Evidence) *VersionEvidence {
+// fromVersionEvidence leaves out the empty buckets at the end.
+func fromVersionEvidence(x rollout.Evidence) *VersionEvidence {
 	used := len(x.Times)
 	for used > 0 && x.Times[used-1] == 0 {
 		used--
@@ -30,7 +30,7 @@
 	}
 }
 
-func toOneEvidence(x *VersionEvidence) rollout.Evidence {
+func toVersionEvidence(x *VersionEvidence) rollout.Evidence {
 	out := rollout.Evidence{
 		Service: units.ServiceName(x.Service), Order: units.Revision(x.Order), Software: units.SoftwareVersion(x.Software),
 		Route: rollout.RouteID(x.Route), Good: x.Good, Bad: x.Bad, UnderWay: x.UnderWay,
@@ -41,11 +41,11 @@
 
 // ToExposures returns the exposures of a grant whose request was sent at an instant of the
 // box's clock.
-func ToExposures(list []*Exposure, asked units.Instant) []rollout.Exposure {
+func ToExposures(list []*Exposure, requestedAt units.Instant) []rollout.Exposure {
 	return mapSlice(list, func(x *Exposure) rollout.Exposure {
 		return rollout.Exposure{
 			Service: units.ServiceName(x.Service), Order: units.Revision(x.Order), Since: units.Revision(x.Since),
-			Share: units.Percent(x.Share), Asked: asked, Until: asked.Add(time.Duration(x.Duration)),
+			Share: units.Percent(x.Share), Asked: requestedAt, Until: requestedAt.Add(time.Duration(x.Duration)),
 		}
 	})
 }
--- a/pkg/wire/convert_evidence_test.go
+++ b/pkg/wire/convert_evidence_test.go
@@ -20,12 +20,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := &RenewRequest{}
-	if err := proto.Unmarshal(raw, back); err != nil {
+	decoded := &RenewRequest{}
+	if err := proto.Unmarshal(raw, decoded); err != nil {
 		t.Fatal(err)
 	}
-	if difference := cmp.Diff(want, ToEvidence(back.Evidence)); difference != "" {
-		t.Fatal(difference)
+	if diff := cmp.Diff(want, ToEvidence(decoded.Evidence)); diff != "" {
+		t.Fatal(diff)
 	}
 	t.Logf("%d bytes for two entries", len(raw))
 }
--- a/pkg/wire/convert_test.go
+++ b/pkg/wire/convert_test.go
@@ -23,10 +23,10 @@
 // A box that comes or goes must cost the others what it is, not what they are: a
 // node has 28 KB a second for control.
 func TestAChangeOfOneBoxStaysSmall(t *testing.T) {
-	const boxes, most = 18_000, 200
+	const boxes, maxBytes = 18_000, 200
 	to := newBoxes(boxes)
 	d := &table.Delta{From: 1, Revision: 2, Boxes: table.BoxDifference(to[1:], to)}
-	if size := proto.Size(FromDelta(d)); size > most {
+	if size := proto.Size(FromDelta(d)); size > maxBytes {
 		t.Fatalf("a change of one box of %d takes %d bytes", boxes, size)
 	}
 }
@@ -34,9 +34,9 @@
 // A list without a workspace lets nobody in, and must not come back as none at all.
 func TestAnEmptyListOfWorkspacesStaysOne(t *testing.T) {
 	for _, list := range []table.Workspaces{nil, {}} {
-		again := ToDocument(FromDocument(&table.Document{Version: 1, Workspaces: list}))
-		if (again.Workspaces == nil) != (list == nil) {
-			t.Errorf("%#v comes back as %#v", list, again.Workspaces)
+		restored := ToDocument(FromDocument(&table.Document{Version: 1, Workspaces: list}))
+		if (restored.Workspaces == nil) != (list == nil) {
+			t.Errorf("%#v comes back as %#v", list, restored.Workspaces)
 		}
 	}
 }
@@ -62,12 +62,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := DecodeState(data)
+	restored, err := DecodeState(data)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, d := range []string{
-		cmp.Diff(s.Table(), again.Table()), cmp.Diff(s.Document(), again.Document()), cmp.Diff(s.Results(), again.Results()), cmp.Diff(s.History(), again.History()),
+		cmp.Diff(s.Table(), restored.Table()), cmp.Diff(s.Document(), restored.Document()), cmp.Diff(s.Results(), restored.Results()), cmp.Diff(s.History(), restored.History()),
 	} {
 		if d != "" {
 			t.Error(d)
--- a/pkg/wire/fragment.go
+++ b/pkg/wire/fragment.go
@@ -12,16 +12,16 @@
 // Fragments returns a message as it is best sent: itself if it is small, else its
 // fragments in order. The error is an Internal fault.
 func Fragments(m *Envelope) ([]*Envelope, error) {
-	if proto.Size(m) < compressFrom {
+	if proto.Size(m) < compressThresholdBytes {
 		return []*Envelope{m}, nil
 	}
 	encoded, err := proto.Marshal(m)
 	if err != nil {
-		return nil, cannotEncode(err)
+		return nil, encodeError(err)
 	}
 	data, err := compress(encoded)
 	if err != nil {
-		return nil, cannotEncode(err)
+		return nil, encodeError(err)
 	}
 	var fragments []*Envelope
 	for len(data) > 0 {
@@ -33,7 +33,7 @@
 	return fragments, nil
 }
 
-func cannotEncode(err error) error {
+func encodeError(err error) error {
 	return fault.Wrap(err, fault.Internal, "report this as a fault of madderpond", "a message can't be encoded")
 }
 
@@ -44,7 +44,7 @@
 // the error is a Protocol fault, after which the assembly is empty.
 func (a *Assembly) Add(f *Fragment) (*Envelope, error) {
 	a.data = append(a.data, f.Data...)
-	if len(a.data) > decompressedBytes {
+	if len(a.data) > maxDecompressedBytes {
 		a.data = nil
 		return nil, fault.New(fault.Protocol, "let only madderpond's own processes connect to this port", "a message is too large")
 	}
--- a/pkg/wire/fragment_test.go
+++ b/pkg/wire/fragment_test.go
@@ -11,7 +11,7 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-func messageOf(bytes int) *Envelope {
+func newMessage(bytes int) *Envelope {
 	random := rand.New(rand.NewPCG(1, 2))
 	data := make([]byte, bytes)
 	for i := range data {
@@ -29,12 +29,12 @@
 		fragments int
 	}{
 		{"a small message goes as it is", 100, 1},
-		{"one fragment", compressFrom, 1},
+		{"one fragment", compressThresholdBytes, 1},
 		{"several fragments", 3 * fragmentBytes, 4},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			m := messageOf(s.bytes)
+			m := newMessage(s.bytes)
 			fragments, err := Fragments(m)
 			if err != nil {
 				t.Fatal(err)
@@ -46,16 +46,16 @@
 				return
 			}
 			var a Assembly
-			var whole *Envelope
+			var assembled *Envelope
 			for i, f := range fragments {
-				if whole != nil {
+				if assembled != nil {
 					t.Fatalf("the message came with fragment %d", i-1)
 				}
-				if whole, err = a.Add(f.GetFragment()); err != nil {
+				if assembled, err = a.Add(f.GetFragment()); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if d := cmp.Diff(m, whole, protocmp.Transform()); d != "" {
+			if d := cmp.Diff(m, assembled, protocmp.Transform()); d != "" {
 				t.Errorf("another message came out:\n%s", d)
 			}
 		})
@@ -68,7 +68,7 @@
 	if m != nil || fault.KindOf(err) != fault.Protocol {
 		t.Fatalf("message %v, error %v", m, err)
 	}
-	fragments, err := Fragments(messageOf(2 * fragmentBytes))
+	fragments, err := Fragments(newMessage(2 * fragmentBytes))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,13 +76,13 @@
 	if _, err := a.Add(fragments[len(fragments)-1].GetFragment()); fault.KindOf(err) != fault.Protocol {
 		t.Fatalf("half a message was taken: %v", err)
 	}
-	var whole *Envelope
+	var assembled *Envelope
 	for _, f := range fragments {
-		if whole, err = a.Add(f.GetFragment()); err != nil {
+		if assembled, err = a.Add(f.GetFragment()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if whole == nil {
+	if assembled == nil {
 		t.Fatal("the whole message didn't come")
 	}
 }
--- a/pkg/wire/kind.go
+++ b/pkg/wire/kind.go
@@ -5,23 +5,23 @@
 
 // The kinds whose traffic is told apart.
 const (
-	KindOther        Kind = "other"
-	KindAppend       Kind = "append"
-	KindAppendAnswer Kind = "append-answer"
-	KindSnapshot     Kind = "snapshot"
-	KindVote         Kind = "vote"
-	KindPropose      Kind = "propose"
-	KindHeard        Kind = "heard"
-	KindRead         Kind = "read"
-	KindRenew        Kind = "renew"
-	KindGrant        Kind = "grant"
-	KindTable        Kind = "table"
-	KindDelta        Kind = "delta"
-	KindFragment     Kind = "fragment"
-	KindLoan         Kind = "loan"
-	KindLimit        Kind = "limit"
-	KindQuota        Kind = "quota"
-	KindCanary       Kind = "canary"
+	KindOther          Kind = "other"
+	KindAppend         Kind = "append"
+	KindAppendResponse Kind = "append-answer"
+	KindSnapshot       Kind = "snapshot"
+	KindVote           Kind = "vote"
+	KindPropose        Kind = "propose"
+	KindHeard          Kind = "heard"
+	KindRead           Kind = "read"
+	KindRenew          Kind = "renew"
+	KindGrant          Kind = "grant"
+	KindTable          Kind = "table"
+	KindDelta          Kind = "delta"
+	KindFragment       Kind = "fragment"
+	KindLoan           Kind = "loan"
+	KindLimit          Kind = "limit"
+	KindQuota          Kind = "quota"
+	KindCanary         Kind = "canary"
 )
 
 // KindOf returns the kind of message that an envelope carries.
@@ -30,7 +30,7 @@
 	case *Envelope_AppendRequest:
 		return KindAppend
 	case *Envelope_AppendResponse:
-		return KindAppendAnswer
+		return KindAppendResponse
 	case *Envelope_SnapshotRequest:
 		return KindSnapshot
 	case *Envelope_VoteRequest, *Envelope_VoteResponse:
