--- a/pkg/app/app.go
+++ b/pkg/app/app.go
@@ -181,7 +181,7 @@
 		return err
 	}
 	a.admin.Publish()
-	expvar.Publish("madderpond.traffic", expvar.Func(func() any { return transport.Counts() }))
+	expvar.Publish("madderpond.traffic", expvar.Func(func() any { return transport.TrafficCounts() }))
 	a.logTraffic()
 	expvar.Publish("madderpond.log", expvar.Func(func() any { return map[string]uint64{"dropped": a.logger.Dropped()} }))
 	a.metrics.Start()
@@ -324,7 +324,7 @@
 func (a *App) logTraffic() {
 	a.trafficTimer = time.AfterFunc(trafficPeriod, func() {
 		defer a.trafficTimer.Reset(trafficPeriod)
-		counts := transport.Counts()
+		counts := transport.TrafficCounts()
 		a.Log.WithFields(logrus.Fields{"kind": "traffic", "counts": counts[:min(mostTraffic, len(counts))]}).Info("what has passed between this process and others")
 	})
 }
--- a/pkg/transport/conn.go
+++ b/pkg/transport/conn.go
@@ -23,11 +23,11 @@
 	protocolVersion = 4
 	// maxMessageBytes bounds one message; a snapshot is the largest.
 	maxMessageBytes = 64 << 20
-	// silenceLimit is how long a connection may be dead before it is given up;
+	// peerTimeout is how long a connection may be dead before it is given up;
 	// a cut connection raises no error of its own.
-	silenceLimit = 2 * time.Second
-	// helloLimit is how long a new connection may take to say who it is.
-	helloLimit = 2 * time.Second
+	peerTimeout = 2 * time.Second
+	// helloTimeout is how long a new connection may take to say who it is.
+	helloTimeout = 2 * time.Second
 )
 
 // Conn is a connection to another process. Send may be called from several
@@ -38,15 +38,15 @@
 	reader  *bufio.Reader
 	lock    sync.Mutex
 	writer  *bufio.Writer
-	// crossing says where the other side is.
-	crossing Crossing
+	// locality says where the other side is.
+	locality Locality
 }
 
 func yamuxSettings() *yamux.Config {
 	c := yamux.DefaultConfig()
-	c.KeepAliveInterval = silenceLimit / 2
-	c.ConnectionWriteTimeout = silenceLimit
-	c.StreamOpenTimeout = silenceLimit
+	c.KeepAliveInterval = peerTimeout / 2
+	c.ConnectionWriteTimeout = peerTimeout
+	c.StreamOpenTimeout = peerTimeout
 	c.LogOutput = discard{}
 	return c
 }
@@ -64,7 +64,7 @@
 		reader:  bufio.NewReader(stream),
 		writer:  bufio.NewWriter(stream),
 
-		crossing: Dialled,
+		locality: UnknownDomain,
 	}
 }
 
@@ -76,52 +76,52 @@
 
 // DialContext is Dial for as long as the context lasts.
 func DialContext(ctx context.Context, address string, security *Security, hello *wire.Hello) (*Conn, error) {
-	dialer := net.Dialer{Timeout: silenceLimit}
+	dialer := net.Dialer{Timeout: peerTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, unreachable(err, address)
+		return nil, connectError(err, address)
 	}
-	below := &carrier{Conn: security.client(raw)}
-	session, err := yamux.Client(below, yamuxSettings())
+	underlying := &sessionConn{Conn: security.wrapClient(raw)}
+	session, err := yamux.Client(underlying, yamuxSettings())
 	if err != nil {
 		raw.Close()
-		return nil, unreachable(err, address)
+		return nil, connectError(err, address)
 	}
 	stream, err := session.OpenStream()
 	if err != nil {
 		session.Close()
-		return nil, unreachable(err, address)
+		return nil, connectError(err, address)
 	}
-	below.carry(stream)
+	underlying.setStream(stream)
 	c := newConn(session, stream)
 	hello.Protocol = protocolVersion
 	if err := c.Send(&wire.Envelope{Body: &wire.Envelope_Hello{Hello: hello}}); err != nil {
 		c.Close()
-		return nil, unreachable(err, address)
+		return nil, connectError(err, address)
 	}
 	return c, nil
 }
 
-func unreachable(err error, address string) error {
+func connectError(err error, address string) error {
 	return fault.Wrap(err, fault.Unavailable, "check that the process runs there and that the network lets it through", "can't connect to %s", address)
 }
 
 // accept takes the other side of Dial.
 func accept(raw net.Conn, security *Security) (*Conn, *wire.Hello, error) {
-	raw.SetDeadline(time.Now().Add(helloLimit))
-	wrapped := security.server(raw)
-	below := &carrier{Conn: wrapped}
-	session, err := yamux.Server(below, yamuxSettings())
+	raw.SetDeadline(time.Now().Add(helloTimeout))
+	wrapped := security.wrapServer(raw)
+	underlying := &sessionConn{Conn: wrapped}
+	session, err := yamux.Server(underlying, yamuxSettings())
 	if err != nil {
 		raw.Close()
-		return nil, nil, junk(err)
+		return nil, nil, handshakeError(err)
 	}
 	stream, err := session.AcceptStream()
 	if err != nil {
 		session.Close()
-		return nil, nil, junk(err)
+		return nil, nil, handshakeError(err)
 	}
-	below.carry(stream)
+	underlying.setStream(stream)
 	c := newConn(session, stream)
 	m, err := c.Receive()
 	if err != nil {
@@ -134,14 +134,14 @@
 		c.Close()
 		return nil, nil, fault.New(fault.Protocol, "run the same version of madderpond on both sides", "the first message is no hello of protocol %d", protocolVersion)
 	}
-	if err := security.checkName(wrapped, hello); err != nil {
+	if err := security.verifyName(wrapped, hello); err != nil {
 		c.Close()
 		return nil, nil, err
 	}
 	return c, hello, nil
 }
 
-func junk(err error) error {
+func handshakeError(err error) error {
 	return fault.Wrap(err, fault.Protocol, "let only madderpond's own processes connect to this port", "a connection didn't begin as madderpond's do")
 }
 
@@ -149,7 +149,7 @@
 func (c *Conn) Send(m *wire.Envelope) error {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.stream.SetWriteDeadline(time.Now().Add(silenceLimit))
+	c.stream.SetWriteDeadline(time.Now().Add(peerTimeout))
 	n, err := protodelim.MarshalTo(c.writer, m)
 	if err != nil {
 		return fault.Wrap(err, fault.Unavailable, "wait for the connection to be made anew", "a message can't be sent")
@@ -157,15 +157,15 @@
 	if err := c.writer.Flush(); err != nil {
 		return fault.Wrap(err, fault.Unavailable, "wait for the connection to be made anew", "a message can't be sent")
 	}
-	traffic.note(trafficKey{kind: wire.KindOf(m), crossing: c.crossing, sent: true}, n)
+	traffic.add(trafficKey{kind: wire.KindOf(m), locality: c.locality, sent: true}, n)
 	return nil
 }
 
 // Receive reads one message. Bytes that aren't one give a Protocol fault.
 func (c *Conn) Receive() (*wire.Envelope, error) {
 	m, err := ReadEnvelope(c.reader)
-	if err == nil && c.crossing != Dialled {
-		traffic.note(trafficKey{kind: wire.KindOf(m), crossing: c.crossing}, proto.Size(m))
+	if err == nil && c.locality != UnknownDomain {
+		traffic.add(trafficKey{kind: wire.KindOf(m), locality: c.locality}, proto.Size(m))
 	}
 	return m, err
 }
--- a/pkg/transport/dial_first.go
+++ b/pkg/transport/dial_first.go
@@ -35,7 +35,7 @@
 	for ended := 0; ended < len(addresses); {
 		var next <-chan time.Time
 		if started < len(addresses) {
-			go dialOne(ctx, started, addresses[started], security, hello, results)
+			go dialAddress(ctx, started, addresses[started], security, hello, results)
 			started++
 			next = time.After(dialStagger)
 		}
@@ -43,7 +43,7 @@
 		case d := <-results:
 			ended++
 			if d.err == nil {
-				go closeLate(results, started-ended)
+				go closeUnused(results, started-ended)
 				return d.conn, d.index, nil
 			}
 			lastError = d.err
@@ -53,15 +53,15 @@
 	return nil, 0, lastError
 }
 
-func dialOne(ctx context.Context, index int, address string, security *Security, hello *wire.Hello, results chan<- dialResult) {
-	// The message is written to while it is sent, so each attempt has its own.
-	own := proto.Clone(hello).(*wire.Hello)
-	conn, err := DialContext(ctx, address, security, own)
+func dialAddress(ctx context.Context, index int, address string, security *Security, hello *wire.Hello, results chan<- dialResult) {
+	// The message is written to while it is sent, so each attempt has its helloCopy.
+	helloCopy := proto.Clone(hello).(*wire.Hello)
+	conn, err := DialContext(ctx, address, security, helloCopy)
 	results <- dialResult{conn: conn, index: index, err: err}
 }
 
-// closeLate ends connections that are made after another one was chosen.
-func closeLate(results <-chan dialResult, pending int) {
+// closeUnused ends connections that are made after another one was chosen.
+func closeUnused(results <-chan dialResult, pending int) {
 	for range pending {
 		if d := <-results; d.conn != nil {
 			d.conn.Close()
--- a/pkg/transport/dial_first_test.go
+++ b/pkg/transport/dial_first_test.go
@@ -14,13 +14,13 @@
 
 // listenSilently returns an address that takes connections and says nothing, or one that
 // refuses them.
-func listenSilently(t *testing.T, open bool) string {
+func listenSilently(t *testing.T, accepting bool) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !open {
+	if !accepting {
 		l.Close()
 	} else {
 		t.Cleanup(func() { l.Close() })
@@ -28,9 +28,9 @@
 	return l.Addr().String()
 }
 
-// listenWithoutRoom returns an address whose queue of new connections is full, so that it
+// listenWithFullBacklog returns an address whose queue of new connections is full, so that it
 // doesn't answer more of them.
-func listenWithoutRoom(t *testing.T) string {
+func listenWithFullBacklog(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -58,7 +58,7 @@
 }
 
 func TestTheFirstAddressThatAnswersIsTaken(t *testing.T) {
-	refusing, answering, dark := listenSilently(t, false), listenSilently(t, true), listenWithoutRoom(t)
+	refusing, answering, unresponsive := listenSilently(t, false), listenSilently(t, true), listenWithFullBacklog(t)
 	scenarios := []struct {
 		testName  string
 		addresses []string
@@ -67,7 +67,7 @@
 		{"the preferred one", []string{answering, refusing}, 0},
 		{"the next after one that refuses", []string{refusing, answering}, 1},
 		{"the last after two that refuse", []string{refusing, refusing, answering}, 2},
-		{"one that answers beside one that says nothing", []string{dark, answering}, 1},
+		{"one that answers beside one that says nothing", []string{unresponsive, answering}, 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/pkg/transport/link.go
+++ b/pkg/transport/link.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// linkQueue bounds the messages that wait for a connection; when it is full
+	// linkQueueLength bounds the messages that wait for a connection; when it is full
 	// the oldest kind of loss applies: the message is dropped, as a network may.
-	linkQueue = 256
-	// firstRedial doubles with each failure up to maxRedial.
-	firstRedial = 20 * time.Millisecond
-	maxRedial   = 500 * time.Millisecond
+	linkQueueLength = 256
+	// minRedialDelay doubles with each failure up to maxRedial.
+	minRedialDelay = 20 * time.Millisecond
+	maxRedialDelay = 500 * time.Millisecond
 )
 
 // Link sends messages to one process and makes its connection anew whenever it
@@ -27,26 +27,26 @@
 	queue    chan *wire.Envelope
 	done     chan struct{}
 	once     sync.Once
-	// woken brings the news that the other side is there.
-	woken chan struct{}
-	// firstRedial is the wait after the first failure.
-	firstRedial time.Duration
+	// wakeups brings the news that the other side is there.
+	wakeups chan struct{}
+	// minRedialDelay is the wait after the first failure.
+	minRedialDelay time.Duration
 }
 
 // NewLink returns a link that starts to connect with its first message.
 func NewLink(address string, security *Security, hello func() *wire.Hello) *Link {
-	return newLink(address, security, hello, firstRedial)
+	return newLink(address, security, hello, minRedialDelay)
 }
 
-func newLink(address string, security *Security, hello func() *wire.Hello, redial time.Duration) *Link {
+func newLink(address string, security *Security, hello func() *wire.Hello, redialDelay time.Duration) *Link {
 	l := &Link{
 		address: address, security: security,
-		hello: hello,
-		queue: make(chan *wire.Envelope, linkQueue),
-		done:  make(chan struct{}),
-		woken: make(chan struct{}, 1),
+		hello:   hello,
+		queue:   make(chan *wire.Envelope, linkQueueLength),
+		done:    make(chan struct{}),
+		wakeups: make(chan struct{}, 1),
 
-		firstRedial: redial,
+		minRedialDelay: redialDelay,
 	}
 	go l.run()
 	return l
@@ -56,7 +56,7 @@
 // failure, or of an attempt to connect that began before it was there, is in vain.
 func (l *Link) Wake() {
 	select {
-	case l.woken <- struct{}{}:
+	case l.wakeups <- struct{}{}:
 	default:
 	}
 }
@@ -76,7 +76,7 @@
 
 func (l *Link) run() {
 	var conn *Conn
-	redial := l.firstRedial
+	redialDelay := l.minRedialDelay
 	defer func() {
 		if conn != nil {
 			conn.Close()
@@ -91,7 +91,7 @@
 				conn = nil
 			}
 			if conn == nil {
-				conn = l.connect(&redial)
+				conn = l.connect(&redialDelay)
 			}
 			if conn == nil {
 				continue
@@ -105,19 +105,19 @@
 }
 
 // connect dials once; after a failure it waits a little longer each time.
-func (l *Link) connect(redial *time.Duration) *Conn {
+func (l *Link) connect(redialDelay *time.Duration) *Conn {
 	conn, err := l.dial()
 	if err == nil {
-		*redial = l.firstRedial
-		go l.watch(conn)
+		*redialDelay = l.minRedialDelay
+		go l.closeOnEnd(conn)
 		return conn
 	}
 	select {
 	case <-l.done:
-	case <-l.woken:
-		*redial = l.firstRedial
-	case <-time.After(*redial):
-		*redial = min(2**redial, maxRedial)
+	case <-l.wakeups:
+		*redialDelay = l.minRedialDelay
+	case <-time.After(*redialDelay):
+		*redialDelay = min(2**redialDelay, maxRedialDelay)
 	}
 	l.drain()
 	return nil
@@ -132,7 +132,7 @@
 	defer close(ended)
 	go func() {
 		select {
-		case <-l.woken:
+		case <-l.wakeups:
 			cancel()
 		case <-l.done:
 			cancel()
@@ -157,9 +157,9 @@
 	}
 }
 
-// watch reads what the other side sends on this connection, which is nothing
+// closeOnEnd reads what the other side sends on this connection, which is nothing
 // but its end.
-func (l *Link) watch(conn *Conn) {
+func (l *Link) closeOnEnd(conn *Conn) {
 	for {
 		if _, err := conn.Receive(); err != nil {
 			conn.Close()
--- a/pkg/transport/listener.go
+++ b/pkg/transport/listener.go
@@ -91,7 +91,7 @@
 }
 
 func (l *Listener) serve(raw net.Conn) {
-	defer l.forget(raw)
+	defer l.remove(raw)
 	if from, ok := raw.RemoteAddr().(*net.TCPAddr); ok && l.gate != nil {
 		l.gate.Wait(from.AddrPort().Addr().Unmap())
 	}
@@ -101,9 +101,9 @@
 		return
 	}
 	defer c.Close()
-	c.crossing = OtherDomain
+	c.locality = OtherDomain
 	if hello.Domain == l.domain {
-		c.crossing = SameDomain
+		c.locality = SameDomain
 	}
 	l.handler(hello, c)
 }
@@ -120,7 +120,7 @@
 	entry.Warn("connection refused")
 }
 
-func (l *Listener) forget(raw net.Conn) {
+func (l *Listener) remove(raw net.Conn) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	delete(l.conns, raw)
--- a/pkg/transport/security.go
+++ b/pkg/transport/security.go
@@ -37,10 +37,10 @@
 	return &Security{certificate: pair, authority: pool}, nil
 }
 
-// settings are the same on both sides: each shows its certificate and checks the
+// tlsConfig are the same on both sides: each shows its certificate and checks the
 // other's. Names are compared with the hello's, not with addresses, since boxes
 // reach each other by IP numbers.
-func (s *Security) settings() *tls.Config {
+func (s *Security) tlsConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{s.certificate},
@@ -57,35 +57,35 @@
 	if len(state.PeerCertificates) == 0 {
 		return fault.New(fault.Unauthorized, "set peer.certificate on both sides", "the other side shows no certificate")
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{
-		Roots: s.authority, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
+		Roots: s.authority, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
 	return fault.Wrap(err, fault.Unauthorized, "have the same authority sign both sides' certificates", "the other side's certificate isn't trusted")
 }
 
-// client wraps a connection that this process has made.
-func (s *Security) client(raw net.Conn) net.Conn {
+// wrapClient wraps a connection that this process has made.
+func (s *Security) wrapClient(raw net.Conn) net.Conn {
 	if s == nil {
 		return raw
 	}
-	return tls.Client(raw, s.settings())
+	return tls.Client(raw, s.tlsConfig())
 }
 
-// server wraps a connection that was made to this process.
-func (s *Security) server(raw net.Conn) net.Conn {
+// wrapServer wraps a connection that was made to this process.
+func (s *Security) wrapServer(raw net.Conn) net.Conn {
 	if s == nil {
 		return raw
 	}
-	return tls.Server(raw, s.settings())
+	return tls.Server(raw, s.tlsConfig())
 }
 
-// checkName makes sure that a hello's box or replica is one that the other side's
+// verifyName makes sure that a hello's box or replica is one that the other side's
 // certificate names.
-func (s *Security) checkName(conn net.Conn, hello *wire.Hello) error {
+func (s *Security) verifyName(conn net.Conn, hello *wire.Hello) error {
 	if s == nil {
 		return nil
 	}
--- a/pkg/transport/transport_test.go
+++ b/pkg/transport/transport_test.go
@@ -160,9 +160,9 @@
 }
 
 func FuzzReadEnvelope(f *testing.F) {
-	var whole bytes.Buffer
-	protodelim.MarshalTo(&whole, &wire.Envelope{From: "a", Body: &wire.Envelope_VoteRequest{VoteRequest: &wire.VoteRequest{Term: 3}}})
-	f.Add(whole.Bytes())
+	var encoded bytes.Buffer
+	protodelim.MarshalTo(&encoded, &wire.Envelope{From: "a", Body: &wire.Envelope_VoteRequest{VoteRequest: &wire.VoteRequest{Term: 3}}})
+	f.Add(encoded.Bytes())
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := ReadEnvelope(bufio.NewReader(bytes.NewReader(data)))
@@ -178,8 +178,8 @@
 // The accepting side counts what passes between failure domains, both ways.
 func TestTrafficIsCountedByKindAndDomain(t *testing.T) {
 	before := map[Traffic]Traffic{}
-	key := func(c Traffic) Traffic { return Traffic{Kind: c.Kind, Crossing: c.Crossing, Sent: c.Sent} }
-	for _, c := range Counts() {
+	key := func(c Traffic) Traffic { return Traffic{Kind: c.Kind, Locality: c.Locality, Sent: c.Sent} }
+	for _, c := range TrafficCounts() {
 		before[key(c)] = c
 	}
 	done := make(chan bool)
@@ -198,12 +198,12 @@
 		c.Close()
 	}
 	after := map[Traffic]Traffic{}
-	for _, c := range Counts() {
+	for _, c := range TrafficCounts() {
 		after[key(c)] = c
 	}
 	for _, x := range []Traffic{
-		{Kind: "renew", Crossing: SameDomain}, {Kind: "renew", Crossing: OtherDomain}, {Kind: "grant", Crossing: SameDomain, Sent: true},
-		{Kind: "grant", Crossing: OtherDomain, Sent: true},
+		{Kind: "renew", Locality: SameDomain}, {Kind: "renew", Locality: OtherDomain}, {Kind: "grant", Locality: SameDomain, Sent: true},
+		{Kind: "grant", Locality: OtherDomain, Sent: true},
 	} {
 		if got := after[x].Messages - before[x].Messages; got != 1 || after[x].Bytes <= before[x].Bytes {
 			t.Errorf("%+v: %d messages, %d bytes", x, got, after[x].Bytes-before[x].Bytes)
