--- a/pkg/wire/box_update.go
+++ b/pkg/wire/box_update.go
@@ -2,12 +2,12 @@
 
 import "github.com/madderpond/madderpond/pkg/core/table"
 
-// TableEnvelope is the message that gives a box a whole table.
+// TableEnvelope returns the message that sends a whole table to a box.
 func TableEnvelope(t *table.Table) *Envelope {
 	return &Envelope{Body: &Envelope_Table{Table: FromTable(t)}}
 }
 
-// DeltaEnvelope is the message that gives a box a change of its table.
+// DeltaEnvelope returns the message that sends one delta to a box.
 func DeltaEnvelope(d *table.Delta) *Envelope {
 	return &Envelope{Body: &Envelope_DeltaBatch{DeltaBatch: &DeltaBatch{Deltas: []*Delta{FromDelta(d)}}}}
 }
--- a/pkg/wire/checksum.go
+++ b/pkg/wire/checksum.go
@@ -7,13 +7,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ChecksumNames sums up a list of names, so that a list which the other side knows needn't
-// be sent again.
+// ChecksumNames returns the checksum of a list of names. Peers compare it to avoid sending
+// a list that the receiver already has.
 func ChecksumNames(names []string) uint64 {
 	return xxhash.Sum64String(strings.Join(names, "\n"))
 }
 
-// ChecksumReplicas sums up the names of replicas and their failure domains.
+// ChecksumReplicas returns the checksum of the names of replicas and their failure domains.
 func ChecksumReplicas(names, domains []string) uint64 {
 	return ChecksumNames(append(slices.Clone(names), domains...))
 }
--- a/pkg/wire/command.go
+++ b/pkg/wire/command.go
@@ -6,9 +6,9 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-// EncodeCommand returns a command as it goes into the log. Large ones, whole tables above
-// all, are compressed: they are sent to every replica and written to every disk. The error
-// is an Internal fault.
+// EncodeCommand encodes a command for the replicated log. Large commands, mainly whole
+// tables, are compressed, since each is sent to every replica and written to every disk.
+// The error is an Internal fault.
 func EncodeCommand(c *Command) ([]byte, error) {
 	data, err := proto.Marshal(c)
 	if err == nil && len(data) >= compressThresholdBytes {
@@ -28,7 +28,7 @@
 	return proto.Marshal(&Command{Kind: &Command_Compressed{Compressed: compressed}})
 }
 
-// DecodeCommand undoes EncodeCommand. The error is a Damaged fault.
+// DecodeCommand is the inverse of EncodeCommand. The error is a Damaged fault.
 func DecodeCommand(data []byte) (*Command, error) {
 	c := &Command{}
 	err := proto.Unmarshal(data, c)
--- a/pkg/wire/command_test.go
+++ b/pkg/wire/command_test.go
@@ -28,7 +28,7 @@
 				t.Fatal(err)
 			}
 			if len(data) > s.maxBytes {
-				t.Errorf("%d bytes in the log for %d", len(data), len(s.source))
+				t.Errorf("encoded %d bytes for a source of %d", len(data), len(s.source))
 			}
 			decoded, err := DecodeCommand(data)
 			if err != nil {
--- a/pkg/wire/compress.go
+++ b/pkg/wire/compress.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// compressThresholdBytes is the encoded size from which a message is worth compressing.
+	// compressThresholdBytes is the encoded size from which messages and commands are compressed.
 	compressThresholdBytes = 1 << 10
-	// maxDecompressedBytes bounds what compressed data may come to.
+	// maxDecompressedBytes is the largest size that data may decompress to.
 	maxDecompressedBytes = 64 << 20
 )
 
-// flateWriters are used again, since each holds several hundred KB.
+// flateWriters pools the writers, since each holds several hundred KB.
 var flateWriters = sync.Pool{New: func() any {
-	// The level is one that the library knows, so there is no error.
+	// NewWriter fails only for an invalid level.
 	w, _ := flate.NewWriter(nil, flate.DefaultCompression)
 	return w
 }}
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	if len(plain) > maxDecompressedBytes {
-		return nil, fmt.Errorf("compressed data comes to more than %d bytes", maxDecompressedBytes)
+		return nil, fmt.Errorf("decompressed data exceeds %d bytes", maxDecompressedBytes)
 	}
 	return plain, nil
 }
--- a/pkg/wire/convert.go
+++ b/pkg/wire/convert.go
@@ -14,7 +14,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// mapSlice converts every value of a slice.
+// mapSlice converts every value of a slice; an empty slice becomes nil.
 func mapSlice[A, B any](values []A, convert func(A) B) []B {
 	if len(values) == 0 {
 		return nil
@@ -26,7 +26,7 @@
 	return out
 }
 
-// FromService converts a service with its version.
+// FromService converts a service and its version to a message.
 func FromService(s *table.Service, version units.Version) *Service {
 	return &Service{
 		Name: string(s.Name), Kind: int32(s.Work), Hosts: s.Hosts, PathPrefix: s.PathPrefix,
@@ -38,7 +38,7 @@
 	}
 }
 
-// ToService converts a service back.
+// ToService is the inverse of FromService; nil stays nil, and the version is dropped.
 func ToService(s *Service) *table.Service {
 	if s == nil {
 		return nil
@@ -53,7 +53,7 @@
 	}
 }
 
-// FromRow converts a row.
+// FromRow converts a row to a message.
 func FromRow(r *table.Row) *Row {
 	return &Row{
 		Service: string(r.Service), Target: string(r.Target), Address: r.Address, Domain: string(r.Domain),
@@ -64,7 +64,7 @@
 	}
 }
 
-// ToRow converts a row back.
+// ToRow is the inverse of FromRow; nil stays nil.
 func ToRow(r *Row) *table.Row {
 	if r == nil {
 		return nil
@@ -78,12 +78,12 @@
 	}
 }
 
-// FromBox converts a box.
+// FromBox converts a box to a message.
 func FromBox(b table.Box) *Box {
 	return &Box{Id: string(b.ID), Domain: string(b.Domain), Address: b.Address, Leaving: b.Leaving}
 }
 
-// ToBox converts a box back.
+// ToBox is the inverse of FromBox; nil gives the zero value.
 func ToBox(b *Box) table.Box {
 	return table.Box{
 		ID: units.BoxID(b.GetId()), Domain: units.Domain(b.GetDomain()),
@@ -91,7 +91,7 @@
 	}
 }
 
-// FromBoxChange converts a change of the list of boxes.
+// FromBoxChange converts a change of the list of boxes to a message.
 func FromBoxChange(c table.BoxChange) *BoxChange {
 	return &BoxChange{
 		Put:     mapSlice(c.Put, FromBox),
@@ -99,7 +99,7 @@
 	}
 }
 
-// ToBoxChange converts a change of the list of boxes back.
+// ToBoxChange is the inverse of FromBoxChange.
 func ToBoxChange(c *BoxChange) table.BoxChange {
 	return table.BoxChange{
 		Put:     mapSlice(c.Put, ToBox),
@@ -123,7 +123,7 @@
 	return out
 }
 
-// FromEdit converts an edit.
+// FromEdit converts an edit to a message.
 func FromEdit(e *table.Edit) *Edit {
 	return &Edit{
 		Id: string(e.ID), Operator: e.Operator, Bases: fromVersions(e.Bases),
@@ -131,7 +131,7 @@
 	}
 }
 
-// ToEdit converts an edit back.
+// ToEdit is the inverse of FromEdit.
 func ToEdit(e *Edit) *table.Edit {
 	return &table.Edit{
 		ID: units.EditID(e.GetId()), Operator: e.GetOperator(), Bases: toVersions(e.GetBases()),
@@ -177,7 +177,8 @@
 	return scope.DomainStep{Domain: units.Domain(s.Domain), Step: scope.Step(s.Step)}
 }
 
-// flatEntries are the services and rows of a list of entries, side by side.
+// flatEntries holds the services and rows of a list of entries as two separate lists, as
+// messages carry them.
 type flatEntries struct {
 	services []*Service
 	rows     []*Row
@@ -210,7 +211,7 @@
 	return entries
 }
 
-// FromTable converts a table without the answers to edits.
+// FromTable converts a table to a message, without the results of edits.
 func FromTable(t *table.Table) *Table {
 	entries := make([]*table.Entry, 0, len(t.Services))
 	for _, n := range t.ServiceNames() {
@@ -227,7 +228,7 @@
 	}
 }
 
-// ToTable converts a table back.
+// ToTable is the inverse of FromTable.
 func ToTable(t *Table) *table.Table {
 	out := table.NewTable()
 	out.Revision = units.Revision(t.Revision)
@@ -246,7 +247,7 @@
 	return out
 }
 
-// FromDelta converts a delta.
+// FromDelta converts a delta to a message.
 func FromDelta(d *table.Delta) *Delta {
 	flat := fromEntries(d.Changed)
 	out := &Delta{
@@ -268,7 +269,7 @@
 	return out
 }
 
-// ToDelta converts a delta back.
+// ToDelta is the inverse of FromDelta.
 func ToDelta(d *Delta) *table.Delta {
 	out := &table.Delta{
 		From: units.Revision(d.From), Revision: units.Revision(d.Revision),
@@ -308,8 +309,7 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(t)
 }
 
-// DecodeState decodes a snapshot's state; bytes that aren't one give a Damaged
-// fault.
+// DecodeState is the inverse of EncodeState. The error is a Damaged fault.
 func DecodeState(data []byte) (*table.State, error) {
 	t := &Table{}
 	if err := proto.Unmarshal(data, t); err != nil {
@@ -320,7 +320,8 @@
 	return s, nil
 }
 
-// toDepartures returns the departed targets of a snapshot.
+// toDepartures returns the departed targets of a snapshot. Older snapshots have no start times
+// for them.
 func toDepartures(t *Table) []table.Departure {
 	list := make([]table.Departure, 0, len(t.Departed))
 	for i, id := range t.Departed {
--- a/pkg/wire/convert_crash.go
+++ b/pkg/wire/convert_crash.go
@@ -9,22 +9,22 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// FromFingerprint converts a call's fingerprint.
+// FromFingerprint converts a call's fingerprint to a message.
 func FromFingerprint(f crash.Fingerprint) *CallFingerprint {
 	return &CallFingerprint{Head: f.Head, Body: f.Body, Caller: f.Caller}
 }
 
-// ToFingerprint converts a call's fingerprint back.
+// ToFingerprint is the inverse of FromFingerprint; nil gives the zero value.
 func ToFingerprint(f *CallFingerprint) crash.Fingerprint {
 	return crash.Fingerprint{Head: f.GetHead(), Body: f.GetBody(), Caller: f.GetCaller()}
 }
 
-// FromFingerprints converts fingerprints of calls.
+// FromFingerprints converts fingerprints of calls to messages.
 func FromFingerprints(list []crash.Fingerprint) []*CallFingerprint {
 	return mapSlice(list, FromFingerprint)
 }
 
-// ToFingerprints converts fingerprints of calls back.
+// ToFingerprints is the inverse of FromFingerprints.
 func ToFingerprints(list []*CallFingerprint) []crash.Fingerprint {
 	return mapSlice(list, ToFingerprint)
 }
@@ -43,7 +43,7 @@
 	}
 }
 
-// FromQuarantineStep converts a step of a quarantine.
+// FromQuarantineStep converts a step of a quarantine to a message.
 func FromQuarantineStep(x *table.QuarantineStep) *QuarantineStep {
 	return &QuarantineStep{
 		Call: FromFingerprint(x.Call), Action: int32(x.Action), Service: string(x.Service), Targets: fromTargets(x.Targets),
@@ -51,7 +51,7 @@
 	}
 }
 
-// ToQuarantineStep converts a step of a quarantine back.
+// ToQuarantineStep is the inverse of FromQuarantineStep.
 func ToQuarantineStep(x *QuarantineStep) *table.QuarantineStep {
 	return &table.QuarantineStep{
 		Call: ToFingerprint(x.Call), Action: table.QuarantineAction(x.Action), Service: units.ServiceName(x.Service),
@@ -60,7 +60,8 @@
 	}
 }
 
-// FromCrashNotes converts a box's notes as of now, by the box's clock.
+// FromCrashNotes converts a box's crash notes to messages. Their times become ages relative to
+// now, by the box's clock.
 func FromCrashNotes(list []crash.Note, now units.Instant) []*CrashNote {
 	return mapSlice(list, func(n crash.Note) *CrashNote {
 		return &CrashNote{
@@ -72,8 +73,8 @@
 	})
 }
 
-// ToCrashNotes converts the notes of a box's request that come now, by the clock of whoever takes
-// them.
+// ToCrashNotes converts the crash notes of a box's request. Their ages become times relative to
+// now, the time of receipt by the receiver's clock.
 func ToCrashNotes(r *RenewRequest, now units.Instant) []crash.Note {
 	return mapSlice(r.CrashNotes, func(n *CrashNote) crash.Note {
 		return crash.Note{
@@ -86,26 +87,26 @@
 	})
 }
 
-// FromWatchedCalls converts the calls that boxes watch.
+// FromWatchedCalls converts the calls that boxes watch to messages.
 func FromWatchedCalls(list []crash.Watched) []*WatchedCall {
 	return mapSlice(list, func(x crash.Watched) *WatchedCall {
 		return &WatchedCall{Call: FromFingerprint(x.Call), Quarantined: x.Quarantined, Trial: int32(x.Trial)}
 	})
 }
 
-// ToWatchedCalls converts the calls that boxes watch back.
+// ToWatchedCalls is the inverse of FromWatchedCalls.
 func ToWatchedCalls(list []*WatchedCall) []crash.Watched {
 	return mapSlice(list, func(x *WatchedCall) crash.Watched {
 		return crash.Watched{Call: ToFingerprint(x.Call), Quarantined: x.Quarantined, Trial: int(x.Trial)}
 	})
 }
 
-// FromCanary converts a message between boxes.
+// FromCanary converts a message between boxes about calls suspected of crashing targets.
 func FromCanary(m *routing.CanaryMessage) *Canary {
 	return &Canary{Kind: int32(m.Kind), Calls: FromFingerprints(m.Calls), Call: uint64(m.Call), Origin: string(m.Origin)}
 }
 
-// ToCanary converts a message between boxes back.
+// ToCanary is the inverse of FromCanary.
 func ToCanary(m *Canary) routing.CanaryMessage {
 	return routing.CanaryMessage{Kind: routing.CanaryKind(m.Kind), Calls: ToFingerprints(m.Calls), Call: routing.CallID(m.Call), Origin: units.BoxID(m.Origin)}
 }
--- a/pkg/wire/convert_document.go
+++ b/pkg/wire/convert_document.go
@@ -11,7 +11,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// FromRoute converts a route.
+// FromRoute converts a route to a message.
 func FromRoute(r *table.Route) *Route {
 	return &Route{
 		Name: r.Name, Host: r.Host, PathPrefix: r.PathPrefix, Work: int32(r.Work), Deadline: int64(r.Deadline),
@@ -22,7 +22,7 @@
 	}
 }
 
-// ToRoute converts a route back.
+// ToRoute is the inverse of FromRoute.
 func ToRoute(r *Route) *table.Route {
 	return &table.Route{
 		Name: r.Name, Host: r.Host, PathPrefix: r.PathPrefix, Work: table.WorkKind(r.Work), Deadline: time.Duration(r.Deadline),
@@ -75,7 +75,7 @@
 	return out
 }
 
-// FromDocument converts a document; nil stays nil.
+// FromDocument converts a document to a message; nil stays nil.
 func FromDocument(d *table.Document) *Document {
 	if d == nil {
 		return nil
@@ -87,7 +87,7 @@
 	}
 }
 
-// ToDocument converts a document back; nil stays nil.
+// ToDocument is the inverse of FromDocument; nil stays nil.
 func ToDocument(d *Document) *table.Document {
 	if d == nil {
 		return nil
@@ -103,7 +103,7 @@
 	return out
 }
 
-// FromRegistration converts a target's report.
+// FromRegistration converts a target's registration to a message.
 func FromRegistration(r *table.Registration) *Registration {
 	return &Registration{
 		Target: string(r.Target), Service: string(r.Service), Address: r.Address, Domain: string(r.Domain),
@@ -112,7 +112,7 @@
 	}
 }
 
-// ToRegistration converts a target's report back.
+// ToRegistration is the inverse of FromRegistration.
 func ToRegistration(r *Registration) *table.Registration {
 	return &table.Registration{
 		Target: units.TargetID(r.Target), Service: units.ServiceName(r.Service), Address: r.Address,
@@ -121,7 +121,8 @@
 	}
 }
 
-// fromPatch converts a patch; its rows go without their service, which is the patch's.
+// fromPatch converts a patch to a message. The rows are sent without their service name, which
+// is the patch's.
 func fromPatch(p *table.EntryPatch) *EntryPatch {
 	out := &EntryPatch{
 		Service: string(p.Service), Version: uint64(p.Version),
@@ -160,12 +161,12 @@
 	}
 }
 
-// FromEvacuationOrder converts an operator's order.
+// FromEvacuationOrder converts an operator's evacuation order to a message.
 func FromEvacuationOrder(o *table.EvacuationOrder) *EvacuationOrder {
 	return &EvacuationOrder{Domain: string(o.Domain), Evacuate: o.Evacuate, Base: uint64(o.Base), Operator: o.Operator}
 }
 
-// ToEvacuationOrder converts an operator's order back.
+// ToEvacuationOrder is the inverse of FromEvacuationOrder.
 func ToEvacuationOrder(o *EvacuationOrder) *table.EvacuationOrder {
 	return &table.EvacuationOrder{
 		Domain: units.Domain(o.Domain), Evacuate: o.Evacuate, Base: units.Revision(o.Base), Operator: o.Operator,
--- a/pkg/wire/convert_evidence.go
+++ b/pkg/wire/convert_evidence.go
@@ -7,17 +7,17 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// FromEvidence returns the messages for what a box has seen of versions.
+// FromEvidence converts a box's statistics of software versions to messages.
 func FromEvidence(list []rollout.Evidence) []*VersionEvidence {
 	return mapSlice(list, fromVersionEvidence)
 }
 
-// ToEvidence is the inverse of FromEvidence. Buckets beyond the known ones are dropped.
+// ToEvidence is the inverse of FromEvidence. Histogram buckets beyond the known ones are dropped.
 func ToEvidence(list []*VersionEvidence) []rollout.Evidence {
 	return mapSlice(list, toVersionEvidence)
 }
 
-// fromVersionEvidence leaves out the empty buckets at the end.
+// fromVersionEvidence leaves out trailing empty buckets of the histogram.
 func fromVersionEvidence(x rollout.Evidence) *VersionEvidence {
 	used := len(x.Times)
 	for used > 0 && x.Times[used-1] == 0 {
@@ -39,8 +39,8 @@
 	return out
 }
 
-// ToExposures returns the exposures of a grant whose request was sent at an instant of the
-// box's clock.
+// ToExposures converts the exposures of a grant. They end a duration after the box sent the
+// request, by the box's clock.
 func ToExposures(list []*Exposure, requestedAt units.Instant) []rollout.Exposure {
 	return mapSlice(list, func(x *Exposure) rollout.Exposure {
 		return rollout.Exposure{
--- a/pkg/wire/convert_evidence_test.go
+++ b/pkg/wire/convert_evidence_test.go
@@ -27,7 +27,7 @@
 	if diff := cmp.Diff(want, ToEvidence(decoded.Evidence)); diff != "" {
 		t.Fatal(diff)
 	}
-	t.Logf("%d bytes for two entries", len(raw))
+	t.Logf("two entries encode to %d bytes", len(raw))
 }
 
 func TestMoreBucketsThanKnownAreDropped(t *testing.T) {
--- a/pkg/wire/convert_limit.go
+++ b/pkg/wire/convert_limit.go
@@ -9,7 +9,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// FromLimit converts a message between boxes.
+// FromLimit converts a message between boxes about a target's limit.
 func FromLimit(m *routing.LimitMessage) *Limit {
 	return &Limit{
 		Kind: int32(m.Kind), Service: string(m.Service), Target: string(m.Target), Born: int64(m.Born), Nonce: m.Nonce,
@@ -18,8 +18,8 @@
 	}
 }
 
-// ToLimit converts a message between boxes back. A rate that is no number of calls a second is none at
-// all, which permits the least.
+// ToLimit is the inverse of FromLimit. Invalid values become zero: a negative or NaN rate, which then
+// is the strictest limit, a negative count and a negative delay.
 func ToLimit(m *Limit) routing.LimitMessage {
 	rate := m.Rate
 	if math.IsNaN(rate) || rate < 0 {
--- a/pkg/wire/convert_limit_test.go
+++ b/pkg/wire/convert_limit_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// What no box sends must not permit more, nor make a box wait for less than nothing.
+// Invalid values from a faulty peer must not permit more calls or give a negative delay.
 func TestLimitMessagesThatMakeNoSense(t *testing.T) {
 	scenarios := []struct {
 		testName string
--- a/pkg/wire/convert_loan.go
+++ b/pkg/wire/convert_loan.go
@@ -7,7 +7,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// FromLoan converts a message between boxes.
+// FromLoan converts a message between boxes about loans of slots.
 func FromLoan(m routing.LoanMessage) *Loan {
 	return &Loan{
 		Kind: int32(m.Kind), Service: string(m.Service), Target: string(m.Target), Loan: uint64(m.Loan),
@@ -16,7 +16,7 @@
 	}
 }
 
-// ToLoan converts a message between boxes back.
+// ToLoan is the inverse of FromLoan.
 func ToLoan(m *Loan) routing.LoanMessage {
 	return routing.LoanMessage{
 		Kind: routing.LoanKind(m.Kind), Service: units.ServiceName(m.Service), Target: units.TargetID(m.Target),
--- a/pkg/wire/convert_quota_test.go
+++ b/pkg/wire/convert_quota_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// Another box's message can't make a count negative.
+// A peer's message can't make a count or a delay negative.
 func TestQuotaMessagesThatMakeNoSense(t *testing.T) {
 	if m := ToQuota(&Quota{Count: -5, Again: -1}); m.Count != 0 || m.Again != 0 {
-		t.Errorf("read as %+v", m)
+		t.Errorf("converted to %+v", m)
 	}
 }
--- a/pkg/wire/convert_rollout.go
+++ b/pkg/wire/convert_rollout.go
@@ -41,7 +41,7 @@
 	return table.SoftwareInForce{Service: units.ServiceName(x.Service), Software: units.SoftwareVersion(x.Software)}
 }
 
-// FromRolloutOrder converts an operator's order.
+// FromRolloutOrder converts an operator's rollout order to a message.
 func FromRolloutOrder(o *table.RolloutOrder) *RolloutOrder {
 	return &RolloutOrder{
 		Service: string(o.Service), To: string(o.To), Duration: int64(o.Duration), Abort: o.Abort, Operator: o.Operator,
@@ -49,7 +49,7 @@
 	}
 }
 
-// ToRolloutOrder converts an operator's order back.
+// ToRolloutOrder is the inverse of FromRolloutOrder.
 func ToRolloutOrder(o *RolloutOrder) *table.RolloutOrder {
 	return &table.RolloutOrder{
 		Service: units.ServiceName(o.Service), To: units.SoftwareVersion(o.To), Duration: time.Duration(o.Duration),
@@ -57,7 +57,7 @@
 	}
 }
 
-// FromRolloutStep converts a leader's decision.
+// FromRolloutStep converts the leader's decision on a rollout to a message.
 func FromRolloutStep(x *table.RolloutStep) *RolloutStep {
 	return &RolloutStep{
 		Service: string(x.Service), Order: uint64(x.Order), Stage: int32(x.Stage), Share: float64(x.Share),
@@ -65,7 +65,7 @@
 	}
 }
 
-// ToRolloutStep converts a leader's decision back.
+// ToRolloutStep is the inverse of FromRolloutStep.
 func ToRolloutStep(x *RolloutStep) *table.RolloutStep {
 	return &table.RolloutStep{
 		Service: units.ServiceName(x.Service), Order: units.Revision(x.Order), Stage: table.RolloutStage(x.Stage),
@@ -73,7 +73,7 @@
 	}
 }
 
-// FromExposure converts an exposure that is granted for a time.
+// FromExposure converts an exposure that is granted for a duration.
 func FromExposure(x rollout.Exposure, duration time.Duration) *Exposure {
 	return &Exposure{
 		Service: string(x.Service), Order: uint64(x.Order), Since: uint64(x.Since), Share: float64(x.Share),
--- a/pkg/wire/convert_test.go
+++ b/pkg/wire/convert_test.go
@@ -20,8 +20,8 @@
 	return boxes
 }
 
-// A box that comes or goes must cost the others what it is, not what they are: a
-// node has 28 KB a second for control.
+// When one box joins or leaves, the message to the other boxes must not grow with their number:
+// a box has 28 KB a second for control traffic.
 func TestAChangeOfOneBoxStaysSmall(t *testing.T) {
 	const boxes, maxBytes = 18_000, 200
 	to := newBoxes(boxes)
@@ -31,7 +31,7 @@
 	}
 }
 
-// A list without a workspace lets nobody in, and must not come back as none at all.
+// An empty list of workspaces admits only calls of public routes; it must not become nil, which admits every call.
 func TestAnEmptyListOfWorkspacesStaysOne(t *testing.T) {
 	for _, list := range []table.Workspaces{nil, {}} {
 		restored := ToDocument(FromDocument(&table.Document{Version: 1, Workspaces: list}))
@@ -74,6 +74,6 @@
 		}
 	}
 	if _, err := DecodeState([]byte{0xff}); err == nil {
-		t.Error("junk was taken for a state")
+		t.Error("DecodeState accepted invalid bytes")
 	}
 }
--- a/pkg/wire/convert_workspace.go
+++ b/pkg/wire/convert_workspace.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// toDigest converts a digest; one of another length is no key's.
+// toDigest converts a digest. One of the wrong length becomes the zero digest, which matches no key.
 func toDigest(data []byte) apikey.Digest {
 	var d apikey.Digest
 	if len(data) == len(d) {
--- a/pkg/wire/envelope.go
+++ b/pkg/wire/envelope.go
@@ -1,4 +1,4 @@
 package wire
 
-// Body is what an envelope carries: one of the generated Envelope_ types.
+// Body is the content of an envelope: one of the generated Envelope_ types.
 type Body = isEnvelope_Body
--- a/pkg/wire/fragment.go
+++ b/pkg/wire/fragment.go
@@ -6,11 +6,11 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-// fragmentBytes is the size of a fragment: a link of 1 Mbit/s takes 64 ms for it.
+// fragmentBytes is the size of a fragment: a link of 1 Mbit/s transfers it in 64 ms.
 const fragmentBytes = 8 << 10
 
-// Fragments returns a message as it is best sent: itself if it is small, else its
-// fragments in order. The error is an Internal fault.
+// Fragments returns the messages to send in place of a message: itself if it is small, else
+// its compressed fragments in order. The error is an Internal fault.
 func Fragments(m *Envelope) ([]*Envelope, error) {
 	if proto.Size(m) < compressThresholdBytes {
 		return []*Envelope{m}, nil
@@ -37,11 +37,11 @@
 	return fault.Wrap(err, fault.Internal, "report this as a fault of madderpond", "a message can't be encoded")
 }
 
-// Assembly puts fragments together again. The zero value is ready for the first one.
+// Assembly reassembles a message from its fragments. The zero value is ready for the first one.
 type Assembly struct{ data []byte }
 
-// Add takes the next fragment. It returns the message with the last one, and nil before;
-// the error is a Protocol fault, after which the assembly is empty.
+// Add appends the next fragment. It returns the message once it is complete, and nil before.
+// The error is a Protocol fault; after an error the assembly is empty.
 func (a *Assembly) Add(f *Fragment) (*Envelope, error) {
 	a.data = append(a.data, f.Data...)
 	if len(a.data) > maxDecompressedBytes {
@@ -55,7 +55,7 @@
 	a.data = nil
 	m, err := assemble(data)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Protocol, "let only madderpond's own processes connect to this port", "fragments don't make a message")
+		return nil, fault.Wrap(err, fault.Protocol, "let only madderpond's own processes connect to this port", "the fragments of a message can't be decoded")
 	}
 	return m, nil
 }
--- a/pkg/wire/fragment_test.go
+++ b/pkg/wire/fragment_test.go
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 			if len(fragments) != s.fragments {
-				t.Errorf("%d fragments in place of %d", len(fragments), s.fragments)
+				t.Errorf("%d fragments, expected %d", len(fragments), s.fragments)
 			}
 			if fragments[0] == m {
 				return
@@ -49,14 +49,14 @@
 			var assembled *Envelope
 			for i, f := range fragments {
 				if assembled != nil {
-					t.Fatalf("the message came with fragment %d", i-1)
+					t.Fatalf("the message was complete after fragment %d", i-1)
 				}
 				if assembled, err = a.Add(f.GetFragment()); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if d := cmp.Diff(m, assembled, protocmp.Transform()); d != "" {
-				t.Errorf("another message came out:\n%s", d)
+				t.Errorf("the reassembled message differs:\n%s", d)
 			}
 		})
 	}
@@ -72,9 +72,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The first fragment is missing; the next whole message isn't harmed by that.
+	// The first fragment is missing; the next message must still be reassembled.
 	if _, err := a.Add(fragments[len(fragments)-1].GetFragment()); fault.KindOf(err) != fault.Protocol {
-		t.Fatalf("half a message was taken: %v", err)
+		t.Fatalf("an incomplete message was accepted: %v", err)
 	}
 	var assembled *Envelope
 	for _, f := range fragments {
@@ -83,6 +83,6 @@
 		}
 	}
 	if assembled == nil {
-		t.Fatal("the whole message didn't come")
+		t.Fatal("the message wasn't reassembled")
 	}
 }
--- a/pkg/wire/generate.go
+++ b/pkg/wire/generate.go
@@ -1,6 +1,6 @@
 // Package wire holds the protobuf messages that madderpond's processes exchange
-// and keep on disk, their conversion to the table's own types, and the framing
-// of messages on a yamux stream.
+// and store on disk, the conversions between them and the types of the core
+// packages, and the division of large messages into fragments.
 package wire
 
 //go:generate protoc --go_out=. --go_opt=paths=source_relative wire.proto
--- a/pkg/wire/kind.go
+++ b/pkg/wire/kind.go
@@ -3,7 +3,7 @@
 // Kind is the kind of message that an envelope carries.
 type Kind string
 
-// The kinds whose traffic is told apart.
+// The kinds that traffic counters distinguish.
 const (
 	KindOther          Kind = "other"
 	KindAppend         Kind = "append"
--- a/pkg/wire/table_bench_test.go
+++ b/pkg/wire/table_bench_test.go
@@ -10,8 +10,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// fleetTable is a table of hundreds of boxes and targets, with names as they come from
-// outside.
+// fleetTable returns a table of hundreds of boxes and targets with realistic names.
 func fleetTable(routes int) *table.Table {
 	random := rand.New(rand.NewPCG(1, 2))
 	domains := []units.Domain{"tk-a", "tk-b", "lp-a", "bk-a", "kt-a", "bk-b"}
@@ -48,8 +47,8 @@
 	return t
 }
 
-// BenchmarkTableToBox is what a box does to read a whole table of 473 boxes and 719 targets
-// (1.5 ms with 19 routes; 2.3 ms while rows were put one after the other), and how many bytes its link carries for it (11 KB).
+// BenchmarkTableToBox measures how long a box takes to decode a whole table of 473 boxes and 719 targets
+// (1.5 ms with 19 routes; 2.3 ms when rows were inserted one at a time), and its size on the link (11 KB).
 func BenchmarkTableToBox(b *testing.B) {
 	for _, routes := range []int{19, 1900} {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
