--- a/pkg/transport/conn.go
+++ b/pkg/transport/conn.go
@@ -1,5 +1,5 @@
-// Package transport carries envelopes between madderpond's processes: protobuf
-// messages, each with its length before it, on a yamux stream over TCP.
+// Package transport sends envelopes between madderpond's processes: protobuf
+// messages, each prefixed with its length, on a yamux stream over TCP.
 package transport
 
 import (
@@ -18,15 +18,14 @@
 )
 
 const (
-	// protocolVersion is raised when messages change so that old processes can't
-	// read them.
+	// protocolVersion is incremented when messages change incompatibly.
 	protocolVersion = 4
-	// maxMessageBytes bounds one message; a snapshot is the largest.
+	// maxMessageBytes is the largest size of a message; snapshots are the largest messages.
 	maxMessageBytes = 64 << 20
-	// peerTimeout is how long a connection may be dead before it is given up;
-	// a cut connection raises no error of its own.
+	// peerTimeout is how long the peer may be unresponsive before the connection is closed;
+	// a broken network path alone causes no error.
 	peerTimeout = 2 * time.Second
-	// helloTimeout is how long a new connection may take to say who it is.
+	// helloTimeout is how long an accepted connection may take to send its hello.
 	helloTimeout = 2 * time.Second
 )
 
@@ -38,7 +37,7 @@
 	reader  *bufio.Reader
 	lock    sync.Mutex
 	writer  *bufio.Writer
-	// locality says where the other side is.
+	// locality is where the peer is; UnknownDomain on the dialing side.
 	locality Locality
 }
 
@@ -51,8 +50,7 @@
 	return c
 }
 
-// discard drops yamux's own log lines; what matters in them comes back as
-// errors.
+// discard drops yamux's log output; relevant failures are returned as errors.
 type discard struct{}
 
 func (discard) Write(p []byte) (int, error) { return len(p), nil }
@@ -68,13 +66,13 @@
 	}
 }
 
-// Dial connects to another process and says who is calling. Errors are of kind
-// Unavailable.
+// Dial connects to another process and sends it a hello, whose protocol version it
+// sets. Errors are of kind Unavailable.
 func Dial(address string, security *Security, hello *wire.Hello) (*Conn, error) {
 	return DialContext(context.Background(), address, security, hello)
 }
 
-// DialContext is Dial for as long as the context lasts.
+// DialContext is Dial with a context that cancels the attempt to connect.
 func DialContext(ctx context.Context, address string, security *Security, hello *wire.Hello) (*Conn, error) {
 	dialer := net.Dialer{Timeout: peerTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
@@ -106,7 +104,8 @@
 	return fault.Wrap(err, fault.Unavailable, "check that the process runs there and that the network lets it through", "can't connect to %s", address)
 }
 
-// accept takes the other side of Dial.
+// accept is the accepting side of Dial: it receives the peer's hello. Errors are of
+// kind Protocol or Unauthorized.
 func accept(raw net.Conn, security *Security) (*Conn, *wire.Hello, error) {
 	raw.SetDeadline(time.Now().Add(helloTimeout))
 	wrapped := security.wrapServer(raw)
@@ -132,7 +131,7 @@
 	hello := m.GetHello()
 	if hello == nil || hello.Protocol != protocolVersion {
 		c.Close()
-		return nil, nil, fault.New(fault.Protocol, "run the same version of madderpond on both sides", "the first message is no hello of protocol %d", protocolVersion)
+		return nil, nil, fault.New(fault.Protocol, "run the same version of madderpond on both sides", "the first message is not a hello of protocol version %d", protocolVersion)
 	}
 	if err := security.verifyName(wrapped, hello); err != nil {
 		c.Close()
@@ -142,10 +141,11 @@
 }
 
 func handshakeError(err error) error {
-	return fault.Wrap(err, fault.Protocol, "let only madderpond's own processes connect to this port", "a connection didn't begin as madderpond's do")
+	return fault.Wrap(err, fault.Protocol, "let only madderpond's own processes connect to this port", "the session can't be established")
 }
 
-// Send writes one message; it fails when the other side takes too long.
+// Send writes one message. The error is an Unavailable fault, also when the peer doesn't
+// read the message in time.
 func (c *Conn) Send(m *wire.Envelope) error {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// Receive reads one message. Bytes that aren't one give a Protocol fault.
+// Receive reads one message. The error is a Protocol fault.
 func (c *Conn) Receive() (*wire.Envelope, error) {
 	m, err := ReadEnvelope(c.reader)
 	if err == nil && c.locality != UnknownDomain {
@@ -170,7 +170,8 @@
 	return m, err
 }
 
-// ReadEnvelope reads one message with its length before it.
+// ReadEnvelope reads one message, prefixed with its length. The error is a Protocol
+// fault.
 func ReadEnvelope(r protodelim.Reader) (*wire.Envelope, error) {
 	m := &wire.Envelope{}
 	options := protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}
@@ -180,8 +181,8 @@
 	return m, nil
 }
 
-// closed tells whether the connection has ended, as far as that is known.
+// closed returns whether the connection is known to have ended.
 func (c *Conn) closed() bool { return c.session.IsClosed() }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() error { return c.session.Close() }
--- a/pkg/transport/dial_first.go
+++ b/pkg/transport/dial_first.go
@@ -10,22 +10,22 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// dialStagger is how long an address has to answer before the next one is dialled as
-// well: several times the way there and back within a region, so that as a rule only one
-// connection is made.
+// dialStagger is how long an address has to answer before the next one is dialed as
+// well: several round trips within a region, so that usually only one connection is
+// made.
 const dialStagger = 10 * time.Millisecond
 
-// dialResult is how one of several attempts to connect has ended.
+// dialResult is the result of one of several attempts to connect.
 type dialResult struct {
 	conn  *Conn
 	index int
 	err   error
 }
 
-// DialFirst connects to one of several processes, the first addresses preferred, and
-// returns the connection with the index of its address. An address that fails or takes
-// long doesn't hold up the next one; all attempts go on until one succeeds, and the others
-// are ended then. Errors are of kind Unavailable.
+// DialFirst connects to one of several processes, preferring earlier addresses, and
+// returns the connection and the index of its address. The next address is dialed when
+// one fails or doesn't answer within dialStagger. All attempts continue until one
+// succeeds, which cancels the others. Errors are of kind Unavailable.
 func DialFirst(ctx context.Context, addresses []string, security *Security, hello *wire.Hello) (*Conn, int, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -54,13 +54,13 @@
 }
 
 func dialAddress(ctx context.Context, index int, address string, security *Security, hello *wire.Hello, results chan<- dialResult) {
-	// The message is written to while it is sent, so each attempt has its helloCopy.
+	// DialContext sets the protocol version in the hello, so each attempt needs its own copy.
 	helloCopy := proto.Clone(hello).(*wire.Hello)
 	conn, err := DialContext(ctx, address, security, helloCopy)
 	results <- dialResult{conn: conn, index: index, err: err}
 }
 
-// closeUnused ends connections that are made after another one was chosen.
+// closeUnused closes connections that were established after another one was chosen.
 func closeUnused(results <-chan dialResult, pending int) {
 	for range pending {
 		if d := <-results; d.conn != nil {
--- a/pkg/transport/dial_first_test.go
+++ b/pkg/transport/dial_first_test.go
@@ -12,8 +12,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// listenSilently returns an address that takes connections and says nothing, or one that
-// refuses them.
+// listenSilently returns an address that accepts connections but sends nothing, or one that
+// refuses connections.
 func listenSilently(t *testing.T, accepting bool) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,8 +28,8 @@
 	return l.Addr().String()
 }
 
-// listenWithFullBacklog returns an address whose queue of new connections is full, so that it
-// doesn't answer more of them.
+// listenWithFullBacklog returns an address whose backlog of new connections is full, so that
+// further attempts to connect get no answer.
 func listenWithFullBacklog(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -79,7 +79,7 @@
 			}
 			defer conn.Close()
 			if i != s.want {
-				t.Errorf("address %d was taken, not %d", i, s.want)
+				t.Errorf("connected to address %d, expected %d", i, s.want)
 			}
 		})
 	}
--- a/pkg/transport/gate_test.go
+++ b/pkg/transport/gate_test.go
@@ -11,7 +11,7 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// testGate lets connections through once it is open.
+// testGate admits connections once it is open.
 type testGate struct{ open chan struct{} }
 
 func (g testGate) Wait(netip.Addr) { <-g.open }
--- a/pkg/transport/link.go
+++ b/pkg/transport/link.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// linkQueueLength bounds the messages that wait for a connection; when it is full
-	// the oldest kind of loss applies: the message is dropped, as a network may.
+	// linkQueueLength is the number of messages that may wait to be sent. Further
+	// messages are dropped; callers tolerate loss, as on any network.
 	linkQueueLength = 256
-	// minRedialDelay doubles with each failure up to maxRedial.
+	// minRedialDelay is the delay after the first failed dial; it doubles with each
+	// further failure, up to maxRedialDelay.
 	minRedialDelay = 20 * time.Millisecond
 	maxRedialDelay = 500 * time.Millisecond
 )
 
-// Link sends messages to one process and makes its connection anew whenever it
-// is lost. Messages may be lost, as on any network; their order is kept on each
-// connection.
+// Link sends messages to one process and reconnects when the connection is lost.
+// Messages may be lost, as on any network; each connection preserves their order.
 type Link struct {
 	address  string
 	security *Security
@@ -27,13 +27,13 @@
 	queue    chan *wire.Envelope
 	done     chan struct{}
 	once     sync.Once
-	// wakeups brings the news that the other side is there.
+	// wakeups signals that the peer is reachable.
 	wakeups chan struct{}
-	// minRedialDelay is the wait after the first failure.
+	// minRedialDelay is the delay after the first failed dial.
 	minRedialDelay time.Duration
 }
 
-// NewLink returns a link that starts to connect with its first message.
+// NewLink returns a link that connects when the first message is sent.
 func NewLink(address string, security *Security, hello func() *wire.Hello) *Link {
 	return newLink(address, security, hello, minRedialDelay)
 }
@@ -52,8 +52,8 @@
 	return l
 }
 
-// Wake says that the other side has just been heard: what is left of the wait after a
-// failure, or of an attempt to connect that began before it was there, is in vain.
+// Wake signals that the peer is reachable. It ends the delay after a failed dial, and
+// restarts an attempt to connect that may have begun before the peer listened.
 func (l *Link) Wake() {
 	select {
 	case l.wakeups <- struct{}{}:
@@ -61,7 +61,8 @@
 	}
 }
 
-// Send queues a message; it never blocks, and tells whether there was room.
+// Send queues a message without blocking. It returns false if the queue is full and the
+// message is dropped.
 func (l *Link) Send(m *wire.Envelope) bool {
 	select {
 	case l.queue <- m:
@@ -71,7 +72,7 @@
 	}
 }
 
-// Close ends the link and its connection.
+// Close stops the link and closes its connection; queued messages are dropped.
 func (l *Link) Close() { l.once.Do(func() { close(l.done) }) }
 
 func (l *Link) run() {
@@ -104,7 +105,8 @@
 	}
 }
 
-// connect dials once; after a failure it waits a little longer each time.
+// connect dials once. After a failure it waits for the redial delay, doubles the delay and
+// drops the queued messages.
 func (l *Link) connect(redialDelay *time.Duration) *Conn {
 	conn, err := l.dial()
 	if err == nil {
@@ -123,8 +125,8 @@
 	return nil
 }
 
-// dial connects, and begins anew once when the other side is heard meanwhile: packets
-// that it lost before it was there are sent again only after a second.
+// dial connects, and restarts the attempt once if Wake is called meanwhile: TCP would
+// retransmit a packet that was lost before the peer listened only after a second.
 func (l *Link) dial() (*Conn, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -146,7 +148,7 @@
 	return Dial(l.address, l.security, l.hello())
 }
 
-// drain drops what has become old while there was no connection.
+// drain drops the messages that were queued while there was no connection, as outdated.
 func (l *Link) drain() {
 	for {
 		select {
@@ -157,8 +159,8 @@
 	}
 }
 
-// closeOnEnd reads what the other side sends on this connection, which is nothing
-// but its end.
+// closeOnEnd closes the connection when the peer ends it. The peer sends no messages on
+// this connection.
 func (l *Link) closeOnEnd(conn *Conn) {
 	for {
 		if _, err := conn.Receive(); err != nil {
--- a/pkg/transport/listener.go
+++ b/pkg/transport/listener.go
@@ -13,17 +13,17 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Handler serves one accepted connection until it ends; the connection is
-// closed once it returns.
+// Handler serves one accepted connection; the connection is closed when it
+// returns.
 type Handler func(hello *wire.Hello, c *Conn)
 
 // Gate decides when an accepted connection is served.
 type Gate interface {
-	// Wait returns once a connection from an address may be served.
+	// Wait blocks until a connection from an address may be served.
 	Wait(from netip.Addr)
 }
 
-// Listener accepts connections of other processes.
+// Listener accepts connections from other processes.
 type Listener struct {
 	domain   string
 	log      *logrus.Entry
@@ -36,12 +36,12 @@
 	closed   bool
 }
 
-// maxConns bounds the connections that are open at a time.
+// maxConns is the largest number of open connections; further ones are closed at once.
 const maxConns = 4096
 
-// Listen opens a port for other processes, which tell by their failure domain whether they are in the
-// given one. The gate may be nil; then each connection is served at once. The error is an Unavailable
-// fault.
+// Listen starts to accept connections on an address. The domain is this process's failure domain; the
+// peers' hellos name theirs. If the gate is nil, each connection is served at once. The error is an
+// Unavailable fault.
 func Listen(address, domain string, security *Security, log *logrus.Entry, gate Gate, handler Handler) (*Listener, error) {
 	raw, err := net.Listen("tcp", address)
 	if err != nil {
@@ -52,10 +52,10 @@
 	return l, nil
 }
 
-// Address returns the address that is listened on.
+// Address returns the address that the listener is bound to.
 func (l *Listener) Address() string { return l.listener.Addr().String() }
 
-// Close ends the listener and every connection it has accepted.
+// Close closes the listener and all accepted connections.
 func (l *Listener) Close() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -108,9 +108,9 @@
 	l.handler(hello, c)
 }
 
-// logRefusal says why a connection isn't served. One that ends before its first message is
-// of a caller that dialled several addresses and was served by another; after a restart
-// there may be hundreds.
+// logRefusal logs why a connection isn't served. A connection that ends before its first
+// message usually belongs to a process that dialed several addresses and chose another one;
+// after a restart there may be hundreds, so these are logged at debug level.
 func (l *Listener) logRefusal(raw net.Conn, err error) {
 	entry := l.log.WithError(err).WithField("remote", raw.RemoteAddr().String())
 	if errors.Is(err, io.EOF) {
--- a/pkg/transport/security.go
+++ b/pkg/transport/security.go
@@ -11,16 +11,16 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Security proves the processes to each other by certificates of one authority.
-// Each certificate names the boxes that may show it. A nil Security leaves the
-// connections open, for a network that only madderpond's boxes can reach.
+// Security authenticates processes to each other with mutual TLS, by certificates of
+// one authority. Each certificate names the boxes that may present it. A nil Security
+// uses plain TCP, for a network that only madderpond's boxes can reach.
 type Security struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
 // LoadSecurity reads a process's certificate, its key and the authority's
-// certificate, all in PEM. The error is a Settings fault.
+// certificate from PEM files. The error is a Settings fault.
 func LoadSecurity(certificate, key, authority string) (*Security, error) {
 	pair, err := tls.LoadX509KeyPair(certificate, key)
 	if err != nil {
@@ -37,9 +37,9 @@
 	return &Security{certificate: pair, authority: pool}, nil
 }
 
-// tlsConfig are the same on both sides: each shows its certificate and checks the
-// other's. Names are compared with the hello's, not with addresses, since boxes
-// reach each other by IP numbers.
+// tlsConfig is the same on both sides: each presents its certificate and verifies the
+// peer's. Names are compared with the hello's, not with addresses, since boxes connect
+// to each other by IP address.
 func (s *Security) tlsConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -47,7 +47,7 @@
 		RootCAs:      s.authority,
 		ClientCAs:    s.authority,
 		ClientAuth:   tls.RequireAndVerifyClientCert,
-		// The chain is checked below; there is no host name to compare.
+		// verify checks the certificate chain; there is no host name to compare.
 		InsecureSkipVerify: true,
 		VerifyConnection:   s.verify,
 	}
@@ -55,7 +55,7 @@
 
 func (s *Security) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return fault.New(fault.Unauthorized, "set peer.certificate on both sides", "the other side shows no certificate")
+		return fault.New(fault.Unauthorized, "set peer.certificate on both sides", "the peer presents no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
@@ -64,10 +64,10 @@
 	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{
 		Roots: s.authority, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
-	return fault.Wrap(err, fault.Unauthorized, "have the same authority sign both sides' certificates", "the other side's certificate isn't trusted")
+	return fault.Wrap(err, fault.Unauthorized, "have the same authority sign both sides' certificates", "the peer's certificate isn't trusted")
 }
 
-// wrapClient wraps a connection that this process has made.
+// wrapClient wraps a connection that this process has dialed.
 func (s *Security) wrapClient(raw net.Conn) net.Conn {
 	if s == nil {
 		return raw
@@ -75,7 +75,7 @@
 	return tls.Client(raw, s.tlsConfig())
 }
 
-// wrapServer wraps a connection that was made to this process.
+// wrapServer wraps a connection that this process has accepted.
 func (s *Security) wrapServer(raw net.Conn) net.Conn {
 	if s == nil {
 		return raw
@@ -83,8 +83,8 @@
 	return tls.Server(raw, s.tlsConfig())
 }
 
-// verifyName makes sure that a hello's box or replica is one that the other side's
-// certificate names.
+// verifyName verifies that the peer's certificate contains the replica name in its hello or,
+// without one, the box name. The error is an Unauthorized fault.
 func (s *Security) verifyName(conn net.Conn, hello *wire.Hello) error {
 	if s == nil {
 		return nil
@@ -97,5 +97,5 @@
 	if len(state.PeerCertificates) > 0 && slices.Contains(state.PeerCertificates[0].DNSNames, name) {
 		return nil
 	}
-	return fault.New(fault.Unauthorized, "sign a certificate that names this box", "the other side calls itself %s, which its certificate doesn't name", name)
+	return fault.New(fault.Unauthorized, "sign a certificate that names this box", "the peer identifies itself as %s, which its certificate doesn't contain", name)
 }
--- a/pkg/transport/session_conn_test.go
+++ b/pkg/transport/session_conn_test.go
@@ -8,7 +8,7 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// slowClosingConn is a connection whose end takes until it is let go.
+// slowClosingConn is a connection whose Close blocks until it is released.
 type slowClosingConn struct {
 	net.Conn
 	release chan struct{}
@@ -19,8 +19,8 @@
 	return c.Conn.Close()
 }
 
-// Whoever waits for a message hears of the connection's end before the connection below is closed: until then
-// the wait would take a whole processor.
+// Receive must return before the underlying connection is closed: a yamux stream reader spins from the end of its
+// session until then, and takes a whole processor.
 func TestReceiveEndsBeforeTheConnectionBelow(t *testing.T) {
 	const receiveTimeout = 10 * time.Second
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The connection must not end while its dialer side is still saying who it is.
+	// The connection must not end while the dialing side is still sending its hello.
 	if dialer := <-dialed; dialer != nil {
 		defer dialer.Close()
 	}
@@ -59,10 +59,10 @@
 	select {
 	case err := <-ended:
 		if err == nil {
-			t.Error("a message came out of nothing")
+			t.Error("Receive returned a message that wasn't sent")
 		}
 	case <-time.After(receiveTimeout):
-		t.Error("the wait for a message goes on while the connection is closed")
+		t.Error("Receive still blocks while the connection is being closed")
 	}
 	close(release)
 	if err := <-closed; err != nil {
--- a/pkg/transport/traffic.go
+++ b/pkg/transport/traffic.go
@@ -8,41 +8,42 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Locality says whether messages pass between failure domains.
+// Locality is whether a connection crosses failure domains.
 type Locality string
 
-// The ways. Only the accepting side of a connection knows where the other one is: it counts what
-// passes both ways, and the dialling side what it sends.
+// The localities. Only the accepting side of a connection knows the peer's failure domain. It counts
+// messages in both directions; the dialing side counts the messages that it sends, as UnknownDomain.
 const (
 	SameDomain    Locality = "same-domain"
 	OtherDomain   Locality = "other-domain"
 	UnknownDomain Locality = "dialled"
 )
 
-// Traffic is how many messages of a kind have passed, and their bytes without those of the connection.
+// Traffic is the number of messages of one kind, and their size in bytes without the overhead of
+// yamux, TLS and TCP.
 type Traffic struct {
 	Kind     string   `json:"kind"`
 	Locality Locality `json:"crossing"`
-	// Sent is set for messages of this process, unset for those that came.
+	// Sent is set for sent messages, unset for received ones.
 	Sent     bool   `json:"sent"`
 	Messages uint64 `json:"messages"`
 	Bytes    uint64 `json:"bytes"`
 }
 
-// trafficKey tells counters apart.
+// trafficKey identifies a counter.
 type trafficKey struct {
 	kind     wire.Kind
 	locality Locality
 	sent     bool
 }
 
-// trafficCounters counts the messages of this process.
+// trafficCounters holds the counters of all connections.
 type trafficCounters struct {
 	lock   sync.Mutex
 	counts map[trafficKey]*Traffic
 }
 
-// traffic counts for the whole process, as its metrics do.
+// traffic counts for the whole process, as metrics are published for the process.
 var traffic = &trafficCounters{counts: map[trafficKey]*Traffic{}}
 
 func (b *trafficCounters) add(k trafficKey, bytes int) {
@@ -57,7 +58,7 @@
 	c.Bytes += uint64(bytes)
 }
 
-// TrafficCounts returns what has passed since the start of the process, the most bytes first.
+// TrafficCounts returns the traffic since the start of the process, in descending order of bytes.
 func TrafficCounts() []Traffic {
 	traffic.lock.Lock()
 	defer traffic.lock.Unlock()
--- a/pkg/transport/transport_test.go
+++ b/pkg/transport/transport_test.go
@@ -49,10 +49,10 @@
 	}
 	for i := range uint64(messages) {
 		if n := <-got; n != i {
-			t.Fatalf("message %d came in place of %d", n, i)
+			t.Fatalf("received message %d, expected %d", n, i)
 		}
 	}
-	// Every connection is cut; the link makes a new one for what follows.
+	// All connections are closed; the link must reconnect for the next messages.
 	l.lock.Lock()
 	for c := range l.conns {
 		c.Close()
@@ -63,7 +63,7 @@
 		select {
 		case n := <-got:
 			if n < 1000 {
-				t.Fatalf("an old message came again: %d", n)
+				t.Fatalf("an old message was received again: %d", n)
 			}
 			return
 		case <-time.After(20 * time.Millisecond):
@@ -71,8 +71,8 @@
 	}
 }
 
-// A process that was away when it was last tried is connected to as soon as it is heard,
-// however long the wait for the next try would be.
+// After a failed dial, Wake must make the link connect at once, however long the remaining
+// redial delay.
 func TestAWokenLinkConnectsAtOnce(t *testing.T) {
 	reserved, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -175,7 +175,7 @@
 	})
 }
 
-// The accepting side counts what passes between failure domains, both ways.
+// The accepting side counts messages in both directions, by whether they cross failure domains.
 func TestTrafficIsCountedByKindAndDomain(t *testing.T) {
 	before := map[Traffic]Traffic{}
 	key := func(c Traffic) Traffic { return Traffic{Kind: c.Kind, Locality: c.Locality, Sent: c.Sent} }
