--- a/pkg/admin/documents.go
+++ b/pkg/admin/documents.go
@@ -66,7 +66,7 @@
 		return fault.Wrap(err, fault.Invalid, "see docs/API.md for what a report looks like", "the report can't be read")
 	}
 	r.Target = units.TargetID(path.Base(string(ctx.Path())))
-	if err := s.replica.Report(r); err != nil {
+	if err := s.replica.ReportTarget(r); err != nil {
 		return err
 	}
 	return writeJSON(ctx, r)
@@ -78,7 +78,7 @@
 		return err
 	}
 	id := units.TargetID(path.Base(string(ctx.Path())))
-	if err := s.replica.Depart(id); err != nil {
+	if err := s.replica.RemoveTarget(id); err != nil {
 		return err
 	}
 	return writeJSON(ctx, map[string]units.TargetID{"target": id})
--- a/pkg/admin/handlers.go
+++ b/pkg/admin/handlers.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	result, err := s.replica.Submit(edit)
+	result, err := s.replica.SubmitEdit(edit)
 	if err != nil {
 		return err
 	}
--- a/pkg/ctl/document.go
+++ b/pkg/ctl/document.go
@@ -74,8 +74,8 @@
 	var rows [][]string
 	for _, t := range targets {
 		heard := "unknown"
-		if t.HeardBefore >= 0 {
-			heard = t.HeardBefore.Round(time.Millisecond).String()
+		if t.SinceReport >= 0 {
+			heard = t.SinceReport.Round(time.Millisecond).String()
 		}
 		state := t.State.String()
 		if t.Silent {
--- a/pkg/replica/box_conn.go
+++ b/pkg/replica/box_conn.go
@@ -6,9 +6,9 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// boxQueue bounds the messages that wait for one box. A box that can't keep up
+// boxQueueLength bounds the messages that wait for one box. A box that can't keep up
 // is cut off, and comes back for the whole table.
-const boxQueue = 512
+const boxQueueLength = 512
 
 // boxConn is a box's connection to this replica.
 type boxConn struct {
@@ -43,10 +43,10 @@
 // ServeBox takes a box's messages until its connection ends. first is a message
 // that has been read already.
 func (r *Replica) ServeBox(first *wire.Envelope, c *transport.Conn) {
-	b := &boxConn{conn: c, queue: make(chan *wire.Envelope, boxQueue), done: make(chan struct{})}
+	b := &boxConn{conn: c, queue: make(chan *wire.Envelope, boxQueueLength), done: make(chan struct{})}
 	r.lock.Lock()
-	r.nextConn++
-	id := r.nextConn
+	r.lastConn++
+	id := r.lastConn
 	r.boxes[id] = b
 	r.lock.Unlock()
 	go b.run()
--- a/pkg/replica/edits.go
+++ b/pkg/replica/edits.go
@@ -8,12 +8,12 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Submit has an edit decided. The error is of kind Unknown or Unavailable.
-func (r *Replica) Submit(edit *table.Edit) (table.Result, error) {
+// SubmitEdit has an edit decided. The error is of kind Unknown or Unavailable.
+func (r *Replica) SubmitEdit(edit *table.Edit) (table.Result, error) {
 	if edit.ID == "" {
 		edit.ID = units.EditID(uuid.NewString())
 	}
-	a := r.ask(func(id control.RequestID) control.Event {
+	a := r.request(func(id control.RequestID) control.Event {
 		return control.EditSubmitted{Request: id, Edit: edit}
 	})
 	if a.Err != nil {
@@ -24,7 +24,7 @@
 
 // Form forms the cluster; see replication.Node.Form for the errors.
 func (r *Replica) Form() error {
-	return r.ask(func(id control.RequestID) control.Event {
+	return r.request(func(id control.RequestID) control.Event {
 		return control.FormRequested{Request: id, Cluster: uuid.NewString()}
 	}).Err
 }
--- a/pkg/replica/gate.go
+++ b/pkg/replica/gate.go
@@ -9,24 +9,24 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// gateLimit is the longest that boxes' connections are held up. It is below the time after
+// maxGateDelay is the longest that boxes' connections are held up. It is below the time after
 // which a box without a table leaves a silent replica, a quarter of
 // subscription.DefaultSilence.
-const gateLimit = 150 * time.Millisecond
+const maxGateDelay = 150 * time.Millisecond
 
-// startGate holds up boxes' connections while a replica starts. After a loss of power
+// startupGate holds up boxes' connections while a replica starts. After a loss of power
 // hundreds of boxes connect at the moment in which the replicas elect a leader and commit
 // the log's end, and without a leader there is nothing to tell them. What that saves wasn't
 // measured by itself.
-type startGate struct {
+type startupGate struct {
 	open chan struct{}
 	once sync.Once
 }
 
-func newStartGate() *startGate { return &startGate{open: make(chan struct{})} }
+func newStartupGate() *startupGate { return &startupGate{open: make(chan struct{})} }
 
 // release lets all connections through, now and later.
-func (g *startGate) release() { g.once.Do(func() { close(g.open) }) }
+func (g *startupGate) release() { g.once.Do(func() { close(g.open) }) }
 
 // Wait returns once a connection from an address may be served: at once for another
 // replica, and for a box once this replica knows the newest table, or has been starting for gateLimit.
@@ -36,7 +36,7 @@
 		return
 	default:
 	}
-	if r.isReplica(from) {
+	if r.isReplicaAddress(from) {
 		return
 	}
 	select {
@@ -45,8 +45,8 @@
 	}
 }
 
-// isReplica tells whether another replica is known at an IP number.
-func (r *Replica) isReplica(ip netip.Addr) bool {
+// isReplicaAddress tells whether another replica is known at an IP number.
+func (r *Replica) isReplicaAddress(ip netip.Addr) bool {
 	r.lock.Lock()
 	peers := r.core.Peers()
 	r.lock.Unlock()
--- a/pkg/replica/gate_test.go
+++ b/pkg/replica/gate_test.go
@@ -28,15 +28,15 @@
 		t.Fatal(err)
 	}
 	r := &Replica{
-		Common: &common.Common{Settings: s, Clock: clock.NewClock()}, core: core, gate: newStartGate(),
+		Common: &common.Common{Settings: s, Clock: clock.NewClock()}, core: core, gate: newStartupGate(),
 		done: make(chan struct{}), wake: make(chan struct{}), links: map[units.ReplicaID]*transport.Link{},
 	}
 	t.Cleanup(r.gate.release)
 	return r
 }
 
-// waits returns a channel that is closed once a connection may be served.
-func waits(r *Replica, from string) <-chan struct{} {
+// waitAsync returns a channel that is closed once a connection may be served.
+func waitAsync(r *Replica, from string) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		r.Wait(netip.MustParseAddr(from))
@@ -48,9 +48,9 @@
 func TestOtherReplicasPassTheGateAtOnce(t *testing.T) {
 	r := newGatedReplica(t)
 	for _, from := range []string{"127.0.0.2", "127.0.0.3"} {
-		<-waits(r, from)
+		<-waitAsync(r, from)
 	}
-	box := waits(r, "127.0.0.4")
+	box := waitAsync(r, "127.0.0.4")
 	select {
 	case <-box:
 		t.Fatal("a box passed before the replica knows the newest table")
@@ -58,18 +58,18 @@
 	}
 	r.gate.release()
 	<-box
-	<-waits(r, "127.0.0.5")
+	<-waitAsync(r, "127.0.0.5")
 }
 
 // A replica that can't catch up still serves boxes, and one that stops holds nobody.
 func TestTheGateOpensByItself(t *testing.T) {
 	r := newGatedReplica(t)
 	r.Start()
-	<-waits(r, "127.0.0.4")
+	<-waitAsync(r, "127.0.0.4")
 	close(r.done)
-	r.waker.Wait()
+	r.timerLoop.Wait()
 	r = newGatedReplica(t)
-	box := waits(r, "127.0.0.4")
+	box := waitAsync(r, "127.0.0.4")
 	close(r.done)
 	<-box
 }
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -29,52 +29,52 @@
 type Replica struct {
 	*common.Common
 	// lock guards the core, the effects and what is below them.
-	lock     sync.Mutex
-	core     *control.Replica
-	effects  control.Effects
-	changed  chan struct{}
-	requests control.RequestID
-	answers  map[control.RequestID]chan control.Answer
-	boxes    map[control.ConnectionID]*boxConn
-	nextConn control.ConnectionID
+	lock           sync.Mutex
+	core           *control.Replica
+	effects        control.Effects
+	changed        chan struct{}
+	lastRequest    control.RequestID
+	pendingAnswers map[control.RequestID]chan control.Answer
+	boxes          map[control.ConnectionID]*boxConn
+	lastConn       control.ConnectionID
 
-	store    *store.Store
-	disk     pond.Pool
-	pending  []*replication.Write
-	writing  bool
-	links    map[units.ReplicaID]*transport.Link
-	identity store.Identity
-	halted   chan error
-	gate     *startGate
-	// syncs is how long writes take until they are on the disk.
-	syncs   *latency.Histogram
-	stopped atomic.Bool
-	wake    chan struct{}
-	done    chan struct{}
-	waker   sync.WaitGroup
+	store           *store.Store
+	diskWorker      pond.Pool
+	pendingWrites   []*replication.Write
+	writeInProgress bool
+	links           map[units.ReplicaID]*transport.Link
+	identity        store.Identity
+	halted          chan error
+	gate            *startupGate
+	// writeLatency is how long writes take until they are on the disk.
+	writeLatency *latency.Histogram
+	stopped      atomic.Bool
+	wake         chan struct{}
+	done         chan struct{}
+	timerLoop    sync.WaitGroup
 }
 
 // NewReplica opens the data folder and returns a replica that goes on from it.
 // The error is of a kind of package store.
 func NewReplica(c *common.Common) (*Replica, error) {
-	s, err := openPatiently(c)
+	s, err := openWithRetry(c)
 	if err != nil {
 		return nil, err
 	}
 	r := &Replica{
-		Common:   c,
-		changed:  make(chan struct{}),
-		answers:  map[control.RequestID]chan control.Answer{},
-		boxes:    map[control.ConnectionID]*boxConn{},
-		store:    s,
-		disk:     pond.NewPool(1),
-		links:    map[units.ReplicaID]*transport.Link{},
-		identity: s.Identity(),
-		halted:   make(chan error, 1),
-		syncs:    latency.NewHistogram(latency.Fine),
-		wake:     make(chan struct{}, 1),
-		done:     make(chan struct{}),
-		gate:     newStartGate(),
+		Common:         c,
+		changed:        make(chan struct{}),
+		pendingAnswers: map[control.RequestID]chan control.Answer{},
+		boxes:          map[control.ConnectionID]*boxConn{},
+		store:          s,
+		diskWorker:     pond.NewPool(1),
+		links:          map[units.ReplicaID]*transport.Link{},
+		identity:       s.Identity(),
+		halted:         make(chan error, 1),
+		writeLatency:   latency.NewHistogram(latency.Fine),
+		wake:           make(chan struct{}, 1),
+		done:           make(chan struct{}),
+		gate:           newStartupGate(),
 	}
 	r.core, err = control.NewReplica(r.coreSettings(), s.Durable(), c.Clock.Now())
 	if err != nil {
@@ -127,9 +127,9 @@
 			r.links[units.ReplicaID(p.Box)] = r.newLink(p.Address)
 		}
 	}
-	time.AfterFunc(gateLimit, r.gate.release)
-	r.waker.Add(1)
-	go r.runWaker()
+	time.AfterFunc(maxGateDelay, r.gate.release)
+	r.timerLoop.Add(1)
+	go r.runTimer()
 }
 
 // SetSeeds takes the seeds that changed settings name. In a cluster whose settings name
@@ -143,8 +143,8 @@
 // Halted gives the reason when the replica had to stop by itself.
 func (r *Replica) Halted() <-chan error { return r.halted }
 
-func (r *Replica) runWaker() {
-	defer r.waker.Done()
+func (r *Replica) runTimer() {
+	defer r.timerLoop.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -174,13 +174,13 @@
 		return
 	}
 	r.core.Reduce(r.Clock.Now(), r.Clock.Wall(), event, &r.effects)
-	r.carryOut()
+	r.applyEffects()
 }
 
-func (r *Replica) carryOut() {
+func (r *Replica) applyEffects() {
 	e := &r.effects
-	r.pending = append(r.pending, e.Writes...)
-	r.startWriting()
+	r.pendingWrites = append(r.pendingWrites, e.Writes...)
+	r.startWrite()
 	for _, m := range e.PeerSends {
 		if link := r.linkTo(units.ReplicaID(m.To)); link != nil {
 			link.Send(m)
@@ -192,8 +192,8 @@
 		}
 	}
 	for _, a := range e.Answers {
-		if waiting := r.answers[a.Request]; waiting != nil {
-			waiting <- a
+		if pending := r.pendingAnswers[a.Request]; pending != nil {
+			pending <- a
 		}
 	}
 	for _, c := range e.Changes {
@@ -233,10 +233,10 @@
 	}
 }
 
-func (r *Replica) forget(id control.RequestID) {
+func (r *Replica) removePendingAnswer(id control.RequestID) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	delete(r.answers, id)
+	delete(r.pendingAnswers, id)
 }
 
 // Table returns the present table.
@@ -272,19 +272,19 @@
 	control.Status
 	StoreBytes int64 `json:"storeBytes"`
 	BoxConns   int   `json:"boxConnections"`
-	// Syncs is how long writes took until they were on the disk.
-	Syncs latency.Summary `json:"syncs"`
+	// WriteLatency is how long writes took until they were on the disk.
+	WriteLatency latency.Summary `json:"syncs"`
 }
 
 // Status returns the replica's state.
 func (r *Replica) Status() Status {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return Status{Status: r.core.Status(r.Clock.Now()), StoreBytes: r.store.Size(), BoxConns: len(r.boxes), Syncs: r.syncs.Summary()}
+	return Status{Status: r.core.Status(r.Clock.Now()), StoreBytes: r.store.Size(), BoxConns: len(r.boxes), WriteLatency: r.writeLatency.Summary()}
 }
 
-// handOverLimit is how long a stopping leader waits for its successor.
-const handOverLimit = 2 * time.Second
+// handoverTimeout is how long a stopping leader waits for its successor.
+const handoverTimeout = 2 * time.Second
 
 // Stop hands leadership over, if this replica has it, and closes the store.
 func (r *Replica) Stop(ctx context.Context) {
@@ -292,11 +292,11 @@
 	r.awaitSuccessor(ctx)
 	r.stopped.Store(true)
 	close(r.done)
-	r.waker.Wait()
+	r.timerLoop.Wait()
 	for _, l := range r.links {
 		l.Close()
 	}
-	r.disk.StopAndWait()
+	r.diskWorker.StopAndWait()
 	if err := r.store.Close(); err != nil {
 		r.Log.WithError(err).Warn("the data folder wasn't closed cleanly")
 	}
@@ -305,7 +305,7 @@
 // awaitSuccessor waits until another replica leads, so that edits under way are
 // taken over before this one goes.
 func (r *Replica) awaitSuccessor(ctx context.Context) {
-	limit := time.After(handOverLimit)
+	timeout := time.After(handoverTimeout)
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
 	for len(r.links) > 0 {
@@ -315,7 +315,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-limit:
+		case <-timeout:
 			return
 		case <-ticker.C:
 		}
--- a/pkg/replica/requests.go
+++ b/pkg/replica/requests.go
@@ -18,7 +18,7 @@
 // or a table of its version or a higher one is. The error is of kind Invalid, Unknown
 // or Unavailable.
 func (r *Replica) PutDocument(d *table.Document) error {
-	return r.ask(func(id control.RequestID) control.Event {
+	return r.request(func(id control.RequestID) control.Event {
 		return control.DocumentSubmitted{Request: id, Document: d}
 	}).Err
 }
@@ -26,21 +26,21 @@
 // ReadDocument returns the newest document, or nil when there is none yet. The error
 // is an Unavailable fault when this replica can't be sure of it.
 func (r *Replica) ReadDocument() (*table.Document, error) {
-	a := r.ask(func(id control.RequestID) control.Event { return control.ReadRequested{Request: id} })
+	a := r.request(func(id control.RequestID) control.Event { return control.ReadRequested{Request: id} })
 	return a.Document, a.Err
 }
 
-// Report takes the report of a target that registers by itself. Without an error what
+// ReportTarget takes the report of a target that registers by itself. Without an error what
 // it says is on enough disks. The error is of kind Invalid, Unknown or Unavailable.
-func (r *Replica) Report(t *table.Registration) error {
-	return r.ask(func(id control.RequestID) control.Event {
+func (r *Replica) ReportTarget(t *table.Registration) error {
+	return r.request(func(id control.RequestID) control.Event {
 		return control.TargetReported{Request: id, Registration: t}
 	}).Err
 }
 
-// Depart takes a registered target out for good, as Report does.
-func (r *Replica) Depart(t units.TargetID) error {
-	return r.ask(func(id control.RequestID) control.Event {
+// RemoveTarget takes a registered target out for good, as Report does.
+func (r *Replica) RemoveTarget(t units.TargetID) error {
+	return r.request(func(id control.RequestID) control.Event {
 		return control.TargetDeparted{Request: id, Target: t}
 	}).Err
 }
@@ -49,7 +49,7 @@
 // enough disks. The error is of kind Invalid, NotFound where no box or target is in such a
 // domain, Unavailable where another order came first, or Unknown.
 func (r *Replica) OrderEvacuation(o table.EvacuationOrder) error {
-	return r.ask(func(id control.RequestID) control.Event {
+	return r.request(func(id control.RequestID) control.Event {
 		return control.EvacuationOrdered{Request: id, Order: o}
 	}).Err
 }
@@ -58,7 +58,7 @@
 // disks. The error is of kind Invalid, NotFound for an unknown service, Conflict where another
 // rollout is under way, Unavailable where no version is in force yet, or Unknown.
 func (r *Replica) OrderRollout(o table.RolloutOrder) error {
-	return r.ask(func(id control.RequestID) control.Event {
+	return r.request(func(id control.RequestID) control.Event {
 		return control.RolloutOrdered{Request: id, Order: o}
 	}).Err
 }
@@ -67,7 +67,7 @@
 // isn't in quarantine. The error is of kind Unavailable where the quarantine has begun anew, or
 // Unknown.
 func (r *Replica) ReleaseCall(f crash.Fingerprint, operator string) error {
-	return r.ask(func(id control.RequestID) control.Event {
+	return r.request(func(id control.RequestID) control.Event {
 		return control.ReleaseOrdered{Request: id, Call: f, Operator: operator}
 	}).Err
 }
@@ -82,7 +82,7 @@
 // Rollout returns the newest record of a service's last rollout, or nil when it had none. The
 // error is an Unavailable fault when this replica can't be sure of it.
 func (r *Replica) Rollout(service units.ServiceName) (*table.Rollout, error) {
-	a := r.ask(func(id control.RequestID) control.Event { return control.ReadRequested{Request: id} })
+	a := r.request(func(id control.RequestID) control.Event { return control.ReadRequested{Request: id} })
 	if a.Err != nil {
 		return nil, a.Err
 	}
@@ -92,9 +92,9 @@
 // TargetReport is what a replica knows of a registered target.
 type TargetReport struct {
 	table.Registration
-	// HeardBefore is how long ago the leader last heard of the target, in nanoseconds;
+	// SinceReport is how long ago the leader last heard of the target, in nanoseconds;
 	// negative on other replicas and for one that it hasn't heard yet.
-	HeardBefore time.Duration `json:"heardBefore"`
+	SinceReport time.Duration `json:"heardBefore"`
 }
 
 // Targets returns the registered targets, sorted by id.
@@ -104,22 +104,22 @@
 	var all []TargetReport
 	now := r.Clock.Now()
 	r.core.EachTarget(now, func(t *table.Registration, heard time.Duration) {
-		all = append(all, TargetReport{Registration: *t, HeardBefore: heard})
+		all = append(all, TargetReport{Registration: *t, SinceReport: heard})
 	})
 	slices.SortFunc(all, func(a, b TargetReport) int { return strings.Compare(string(a.Target), string(b.Target)) })
 	return all
 }
 
-// ask gives the core a request and waits for its answer.
-func (r *Replica) ask(event func(control.RequestID) control.Event) control.Answer {
+// request gives the core a request and waits for its answer.
+func (r *Replica) request(event func(control.RequestID) control.Event) control.Answer {
 	answer := make(chan control.Answer, 1)
 	r.lock.Lock()
-	r.requests++
-	id := r.requests
-	r.answers[id] = answer
+	r.lastRequest++
+	id := r.lastRequest
+	r.pendingAnswers[id] = answer
 	r.reduce(event(id))
 	r.lock.Unlock()
-	defer r.forget(id)
+	defer r.removePendingAnswer(id)
 	timer := time.NewTimer(r.Settings.Control.EditTimeout.Std() + time.Second)
 	defer timer.Stop()
 	select {
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -26,12 +26,12 @@
 )
 
 const (
-	fileName     = "control.db"
-	formatNumber = 1
-	lockTimeout  = 2 * time.Second
-	checksumSize = 8
-	fileMode     = 0o600
-	folderMode   = 0o700
+	fileName      = "control.db"
+	formatVersion = 1
+	lockTimeout   = 2 * time.Second
+	checksumSize  = 8
+	fileMode      = 0o600
+	folderMode    = 0o700
 )
 
 var (
@@ -109,7 +109,7 @@
 }
 
 func (s *Store) load(replica units.ReplicaID, wall units.WallTime) error {
-	err := s.db.View(func(tx *bbolt.Tx) error { return firstProblem(tx) })
+	err := s.db.View(func(tx *bbolt.Tx) error { return checkConsistency(tx) })
 	if err != nil {
 		return err
 	}
@@ -135,8 +135,8 @@
 	})
 }
 
-// firstProblem looks at the structure of the whole file.
-func firstProblem(tx *bbolt.Tx) error {
+// checkConsistency looks at the structure of the whole file.
+func checkConsistency(tx *bbolt.Tx) error {
 	for problem := range tx.Check() {
 		return fault.Wrap(problem, fault.Damaged, damagedRemedy, "the data folder's file is inconsistent")
 	}
@@ -148,7 +148,7 @@
 		key   []byte
 		value []byte
 	}{
-		{formatKey, binary.BigEndian.AppendUint64(nil, formatNumber)},
+		{formatKey, binary.BigEndian.AppendUint64(nil, formatVersion)},
 		{replicaKey, []byte(replica)},
 		{incarnationKey, []byte(newIncarnation())},
 		{bootKey, binary.BigEndian.AppendUint64(nil, 0)},
@@ -205,13 +205,13 @@
 func (s *Store) loadLog(log *bbolt.Bucket) error {
 	c := log.Cursor()
 	for k, v := c.First(); k != nil; k, v = c.Next() {
-		data, err := open(k, v)
+		data, err := verifyValue(k, v)
 		if err != nil {
 			return err
 		}
 		e := &wire.Entry{}
 		if err := proto.Unmarshal(data, e); err != nil {
-			return damaged(k)
+			return damagedError(k)
 		}
 		if n := len(s.durable.Entries); n > 0 && s.durable.Entries[n-1].Index+1 != e.Index {
 			return fault.New(fault.Damaged, damagedRemedy, "the log lacks what comes before entry %d", e.Index)
@@ -232,7 +232,7 @@
 func (s *Store) Write(writes []*replication.Write) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		for _, w := range writes {
-			if err := carryOut(tx, w); err != nil {
+			if err := applyWrite(tx, w); err != nil {
 				return err
 			}
 		}
@@ -241,7 +241,7 @@
 	return fault.Wrap(err, fault.Damaged, "make room on the disk or replace it, then start the replica again", "the data folder can't be written")
 }
 
-func carryOut(tx *bbolt.Tx, w *replication.Write) error {
+func applyWrite(tx *bbolt.Tx, w *replication.Write) error {
 	meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
 	if w.HardState != nil {
 		if err := putMessage(meta, hardStateKey, w.HardState); err != nil {
@@ -296,9 +296,9 @@
 	return nil
 }
 
-// IsFull tells whether an error says that the disk takes no more. bbolt tells some of
+// IsDiskFull tells whether an error says that the disk takes no more. bbolt tells some of
 // its errors in words only.
-func IsFull(err error) bool {
+func IsDiskFull(err error) bool {
 	return err != nil && (errors.Is(err, syscall.ENOSPC) || strings.Contains(err.Error(), syscall.ENOSPC.Error()))
 }
 
@@ -330,7 +330,7 @@
 }
 
 func get(b *bbolt.Bucket, key []byte) ([]byte, error) {
-	return open(key, b.Get(key))
+	return verifyValue(key, b.Get(key))
 }
 
 func getNumber(b *bbolt.Bucket, key []byte) (uint64, error) {
@@ -339,7 +339,7 @@
 		return 0, err
 	}
 	if len(data) != 8 {
-		return 0, damaged(key)
+		return 0, damagedError(key)
 	}
 	return binary.BigEndian.Uint64(data), nil
 }
@@ -353,19 +353,19 @@
 		return err
 	}
 	if err := proto.Unmarshal(data, m); err != nil {
-		return damaged(key)
+		return damagedError(key)
 	}
 	return nil
 }
 
-// open checks a value against its checksum.
-func open(key, stored []byte) ([]byte, error) {
+// verifyValue checks a value against its checksum.
+func verifyValue(key, stored []byte) ([]byte, error) {
 	if len(stored) < checksumSize {
-		return nil, damaged(key)
+		return nil, damagedError(key)
 	}
 	value := append([]byte(nil), stored[checksumSize:]...)
 	if string(checksum(key, value)) != string(stored[:checksumSize]) {
-		return nil, damaged(key)
+		return nil, damagedError(key)
 	}
 	return value, nil
 }
@@ -377,6 +377,6 @@
 	return binary.BigEndian.AppendUint64(nil, d.Sum64())
 }
 
-func damaged(key []byte) error {
+func damagedError(key []byte) error {
 	return fault.New(fault.Damaged, damagedRemedy, "the value %q doesn't match its checksum", key)
 }
--- a/pkg/store/store_test.go
+++ b/pkg/store/store_test.go
@@ -42,7 +42,7 @@
 		{fmt.Errorf("file resize error: %s", syscall.ENOSPC), true},
 		{syscall.EIO, false},
 	} {
-		if IsFull(x.err) != x.full {
+		if IsDiskFull(x.err) != x.full {
 			t.Errorf("%v counts as full: %t", x.err, !x.full)
 		}
 	}
@@ -104,14 +104,14 @@
 func TestAFolderThatCanNotBeTrustedIsRefused(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		spoil    func(t *testing.T, folder string)
+		corrupt  func(t *testing.T, folder string)
 		replica  units.ReplicaID
 		kind     fault.Kind
 	}{
 		{"somebody else's folder", func(*testing.T, string) {}, "r2", fault.ForeignData},
 		{"a file cut to one page", truncateTo(4096), "r1", fault.Damaged},
 		{"a file cut to three pages", truncateTo(3 * 4096), "r1", fault.Damaged},
-		{"one flipped bit in each entry", flipIn("command"), "r1", fault.Damaged},
+		{"one flipped bit in each entry", flipBitIn("command"), "r1", fault.Damaged},
 		{"an empty file's worth of junk", overwrite([]byte("junk")), "r1", fault.Damaged},
 	}
 	for _, x := range scenarios {
@@ -122,7 +122,7 @@
 				t.Fatal(err)
 			}
 			s.Close()
-			x.spoil(t, folder)
+			x.corrupt(t, folder)
 			_, err := Open(folder, x.replica, 0)
 			if fault.KindOf(err) != x.kind || fault.RemedyOf(err) == "" {
 				t.Fatalf("unexpected error: %v", err)
@@ -139,8 +139,8 @@
 	}
 }
 
-// flipIn flips a bit of every place that holds a text.
-func flipIn(text string) func(*testing.T, string) {
+// flipBitIn flips a bit of every place that holds a text.
+func flipBitIn(text string) func(*testing.T, string) {
 	return func(t *testing.T, folder string) {
 		path := filepath.Join(folder, fileName)
 		data, err := os.ReadFile(path)
@@ -148,11 +148,11 @@
 			t.Fatal(err)
 		}
 		flipped := strings.ToUpper(text[:1]) + text[1:]
-		spoilt := bytes.ReplaceAll(data, []byte(text), []byte(flipped))
-		if bytes.Equal(data, spoilt) {
+		corrupted := bytes.ReplaceAll(data, []byte(text), []byte(flipped))
+		if bytes.Equal(data, corrupted) {
 			t.Fatalf("the file holds no %q", text)
 		}
-		if err := os.WriteFile(path, spoilt, fileMode); err != nil {
+		if err := os.WriteFile(path, corrupted, fileMode); err != nil {
 			t.Fatal(err)
 		}
 	}
