--- a/pkg/replica/box_conn.go
+++ b/pkg/replica/box_conn.go
@@ -6,18 +6,18 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// boxQueueLength bounds the messages that wait for one box. A box that can't keep up
-// is cut off, and comes back for the whole table.
+// boxQueueLength is the number of messages that may wait to be sent to one box. A box that
+// can't keep up is disconnected; it reconnects and receives the whole table.
 const boxQueueLength = 512
 
-// boxConn is a box's connection to this replica.
+// boxConn is a box's connection to this replica, with a queue of messages to send.
 type boxConn struct {
 	conn  *transport.Conn
 	queue chan *wire.Envelope
 	done  chan struct{}
 }
 
-// send queues a message; it never waits.
+// send queues a message without blocking. It closes the connection if the queue is full.
 func (b *boxConn) send(m *wire.Envelope) {
 	select {
 	case b.queue <- m:
@@ -40,8 +40,8 @@
 	}
 }
 
-// ServeBox takes a box's messages until its connection ends. first is a message
-// that has been read already.
+// ServeBox handles a box's messages until its connection ends. first is a message
+// that has already been received on it.
 func (r *Replica) ServeBox(first *wire.Envelope, c *transport.Conn) {
 	b := &boxConn{conn: c, queue: make(chan *wire.Envelope, boxQueueLength), done: make(chan struct{})}
 	r.lock.Lock()
--- a/pkg/replica/disk.go
+++ b/pkg/replica/disk.go
@@ -11,21 +11,21 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// openWithRetry opens the data folder, again and again while the disk is full, so that
-// a restart then doesn't end the process over and over.
+// openWithRetry opens the data folder and retries while the disk is full, so that a
+// process that starts on a full disk waits and doesn't exit in a loop.
 func openWithRetry(c *common.Common) (*store.Store, error) {
 	for {
 		s, err := store.Open(c.Settings.Control.DataFolder, units.ReplicaID(c.Settings.ReplicaName()), c.Clock.Wall())
 		if !store.IsDiskFull(err) {
 			return s, err
 		}
-		c.Log.WithError(err).WithField("kind", "disk-full").Error("the disk is full; the start waits")
+		c.Log.WithError(err).WithField("kind", "disk-full").Error("the disk is full; retrying to open the data folder")
 		time.Sleep(diskFullRetryInterval)
 	}
 }
 
-// startWrite has the disk worker carry out all writes that wait, in one
-// transaction, unless it is at work already.
+// startWrite makes the disk worker apply all pending writes in one transaction, unless
+// a write is in progress.
 func (r *Replica) startWrite() {
 	if r.writeInProgress || len(r.pendingWrites) == 0 {
 		return
@@ -38,24 +38,24 @@
 	}
 }
 
-// diskFullRetryInterval is how often a write that found the disk full is tried again.
+// diskFullRetryInterval is the time between attempts to write while the disk is full.
 const diskFullRetryInterval = 200 * time.Millisecond
 
-// writeWithRetry carries out writes, again and again while the disk is full: nothing of
-// them counts until then, and the others go on without this replica's vote.
+// writeWithRetry applies writes and retries while the disk is full. None of them takes effect
+// until an attempt succeeds; meanwhile the other replicas proceed without this one's vote.
 func (r *Replica) writeWithRetry(batch []*replication.Write) error {
 	fullLogged := false
 	for {
 		err := r.store.Write(batch)
 		if !store.IsDiskFull(err) || r.stopped.Load() {
 			if fullLogged && err == nil {
-				r.Log.WithField("kind", "disk-regained").Info("the disk takes writes again")
+				r.Log.WithField("kind", "disk-regained").Info("the disk accepts writes again")
 			}
 			return err
 		}
 		if !fullLogged {
 			fullLogged = true
-			r.Log.WithError(err).WithField("kind", "disk-full").Error("the disk is full; writes wait")
+			r.Log.WithError(err).WithField("kind", "disk-full").Error("the disk is full; retrying the writes")
 		}
 		time.Sleep(diskFullRetryInterval)
 	}
--- a/pkg/replica/edits.go
+++ b/pkg/replica/edits.go
@@ -8,7 +8,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// SubmitEdit has an edit decided. The error is of kind Unknown or Unavailable.
+// SubmitEdit submits an edit and returns its result. An edit without an ID gets a random one.
+// The error is of kind Unknown or Unavailable.
 func (r *Replica) SubmitEdit(edit *table.Edit) (table.Result, error) {
 	if edit.ID == "" {
 		edit.ID = units.EditID(uuid.NewString())
--- a/pkg/replica/gate.go
+++ b/pkg/replica/gate.go
@@ -9,15 +9,14 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// maxGateDelay is the longest that boxes' connections are held up. It is below the time after
-// which a box without a table leaves a silent replica, a quarter of
-// subscription.DefaultSilence.
+// maxGateDelay is the longest that connections of boxes are delayed. It is shorter than the
+// time after which a box without a table abandons an unresponsive replica, which is a quarter
+// of subscription.DefaultSilence.
 const maxGateDelay = 150 * time.Millisecond
 
-// startupGate holds up boxes' connections while a replica starts. After a loss of power
-// hundreds of boxes connect at the moment in which the replicas elect a leader and commit
-// the log's end, and without a leader there is nothing to tell them. What that saves wasn't
-// measured by itself.
+// startupGate delays connections of boxes while a replica starts. After a power failure,
+// hundreds of boxes connect while the replicas elect a leader and commit the end of the log,
+// and without a leader there is nothing to send them.
 type startupGate struct {
 	open chan struct{}
 	once sync.Once
@@ -25,11 +24,12 @@
 
 func newStartupGate() *startupGate { return &startupGate{open: make(chan struct{})} }
 
-// release lets all connections through, now and later.
+// release opens the gate for all current and future connections.
 func (g *startupGate) release() { g.once.Do(func() { close(g.open) }) }
 
-// Wait returns once a connection from an address may be served: at once for another
-// replica, and for a box once this replica knows the newest table, or has been starting for gateLimit.
+// Wait blocks until a connection from an address may be served. Connections of other replicas
+// may be served at once, those of boxes once this replica has the newest table or has been
+// starting for maxGateDelay. Wait also returns when the replica stops.
 func (r *Replica) Wait(from netip.Addr) {
 	select {
 	case <-r.gate.open:
@@ -45,7 +45,7 @@
 	}
 }
 
-// isReplicaAddress tells whether another replica is known at an IP number.
+// isReplicaAddress returns whether an IP address is that of another known replica.
 func (r *Replica) isReplicaAddress(ip netip.Addr) bool {
 	r.lock.Lock()
 	peers := r.core.Peers()
@@ -53,8 +53,8 @@
 	return slices.ContainsFunc(peers, func(id units.ReplicaID) bool { return hasIP(r.addressOf(id), ip) })
 }
 
-// addressOf returns where another replica is reached. In a cluster that grows by itself a
-// replica's name is its address.
+// addressOf returns another replica's address. In a cluster that grows automatically, a
+// replica's ID is its address.
 func (r *Replica) addressOf(id units.ReplicaID) string {
 	for _, x := range r.Settings.Replicas {
 		if units.ReplicaID(x.Box) == id {
--- a/pkg/replica/gate_test.go
+++ b/pkg/replica/gate_test.go
@@ -14,9 +14,9 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// newGatedReplica returns what a gate needs of a replica that knows two others from its
-// settings, one by its address, as in a cluster that grows, and one by name. It hasn't sent
-// them anything yet.
+// newGatedReplica returns a replica with only what the gate needs. It has two peers: one whose
+// address is in the settings, and one whose ID is its address, as in a cluster that grows
+// automatically. It hasn't sent them any message yet.
 func newGatedReplica(t *testing.T) *Replica {
 	t.Helper()
 	s := config.Defaults()
@@ -35,7 +35,7 @@
 	return r
 }
 
-// waitAsync returns a channel that is closed once a connection may be served.
+// waitAsync returns a channel that is closed once a connection from an address may be served.
 func waitAsync(r *Replica, from string) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -53,7 +53,7 @@
 	box := waitAsync(r, "127.0.0.4")
 	select {
 	case <-box:
-		t.Fatal("a box passed before the replica knows the newest table")
+		t.Fatal("a box's connection was served before the replica has the newest table")
 	case <-time.After(50 * time.Millisecond):
 	}
 	r.gate.release()
@@ -61,7 +61,7 @@
 	<-waitAsync(r, "127.0.0.5")
 }
 
-// A replica that can't catch up still serves boxes, and one that stops holds nobody.
+// The gate must open after maxGateDelay on a replica that can't catch up, and when a replica stops.
 func TestTheGateOpensByItself(t *testing.T) {
 	r := newGatedReplica(t)
 	r.Start()
--- a/pkg/replica/links.go
+++ b/pkg/replica/links.go
@@ -12,7 +12,8 @@
 	})
 }
 
-// wakeLink has the link to a replica that has just connected made at once.
+// wakeLink makes the link to a replica connect at once, since that replica has just connected
+// to this one and so is reachable.
 func (r *Replica) wakeLink(id units.ReplicaID) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -21,8 +22,8 @@
 	}
 }
 
-// linkTo returns the link to another replica, or nil when nothing is known of it. In
-// a cluster that grows by itself a replica's name is its address.
+// linkTo returns the link to another replica, or nil if its address is unknown. In a cluster
+// that grows automatically, a replica's ID is its address.
 func (r *Replica) linkTo(id units.ReplicaID) *transport.Link {
 	link := r.links[id]
 	if link == nil && len(r.Settings.Seeds) > 0 {
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica is the shell of a control replica: its disk, its connections
-// to the other replicas and to boxes, and the questions of the administration
-// API. All decisions are the core's.
+// Package replica runs a control replica: it performs the disk writes, the
+// connections to other replicas and to boxes, and the requests of the
+// administration API. All decisions are made by package control.
 package replica
 
 import (
@@ -25,10 +25,10 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Replica is a control replica at work.
+// Replica is a running control replica.
 type Replica struct {
 	*common.Common
-	// lock guards the core, the effects and what is below them.
+	// lock guards the fields from core to lastConn, and pendingWrites, writeInProgress and links.
 	lock           sync.Mutex
 	core           *control.Replica
 	effects        control.Effects
@@ -46,7 +46,7 @@
 	identity        store.Identity
 	halted          chan error
 	gate            *startupGate
-	// writeLatency is how long writes take until they are on the disk.
+	// writeLatency is how long writes take until they are synced to disk, with retries.
 	writeLatency *latency.Histogram
 	stopped      atomic.Bool
 	wake         chan struct{}
@@ -54,8 +54,8 @@
 	timerLoop    sync.WaitGroup
 }
 
-// NewReplica opens the data folder and returns a replica that goes on from it.
-// The error is of a kind of package store.
+// NewReplica opens the data folder and returns a replica that continues from its
+// state. Errors are of kind Damaged, ForeignData or Unavailable.
 func NewReplica(c *common.Common) (*Replica, error) {
 	s, err := openWithRetry(c)
 	if err != nil {
@@ -108,8 +108,9 @@
 	}
 }
 
-// growth returns how the cluster forms and grows by itself, or nil when the settings
-// name all replicas. A replica that is a seed has one peer fewer than there are seeds.
+// growth returns how the cluster forms and grows automatically, or nil if the settings
+// name all replicas. A replica that is itself a seed has one peer fewer than there are
+// seeds.
 func (r *Replica) growth(peers int) *replication.Growth {
 	if len(r.Settings.Seeds) == 0 {
 		return nil
@@ -120,7 +121,7 @@
 	}
 }
 
-// Start connects to the other replicas and lets the time run.
+// Start creates the links to the other replicas and starts the timer loop.
 func (r *Replica) Start() {
 	for _, p := range r.Settings.Replicas {
 		if p.Box != r.Settings.Box {
@@ -132,15 +133,16 @@
 	go r.runTimer()
 }
 
-// SetSeeds takes the seeds that changed settings name. In a cluster whose settings name
-// all replicas, a change of these takes a restart.
+// SetSeeds applies the seeds of changed settings. In a cluster whose settings name all
+// replicas, a change of these requires a restart.
 func (r *Replica) SetSeeds(s *config.Settings) {
 	if len(s.Seeds) > 0 {
 		r.handle(control.SeedsChanged{Seeds: s.ReplicaIDs()})
 	}
 }
 
-// Halted gives the reason when the replica had to stop by itself.
+// Halted returns a channel that receives the reason if the replica has to stop because of
+// an error.
 func (r *Replica) Halted() <-chan error { return r.halted }
 
 func (r *Replica) runTimer() {
@@ -162,7 +164,7 @@
 	}
 }
 
-// handle gives the core an event from outside.
+// handle passes an event to the core and applies its effects.
 func (r *Replica) handle(event control.Event) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -220,12 +222,12 @@
 	}
 }
 
-// ServeReplica takes another replica's messages until its connection ends.
+// ServeReplica handles another replica's messages until its connection ends.
 func (r *Replica) ServeReplica(hello *wire.Hello, c *transport.Conn) {
 	r.wakeLink(units.ReplicaID(hello.Replica))
 	for {
 		m, err := c.Receive()
-		// A replica speaks for itself only.
+		// A replica may send messages only in its own name.
 		if err != nil || m.From != hello.Replica {
 			return
 		}
@@ -239,40 +241,40 @@
 	delete(r.pendingAnswers, id)
 }
 
-// Table returns the present table.
+// Table returns the current table.
 func (r *Replica) Table() *table.Table {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.core.Table()
 }
 
-// Workspaces are what operators see of the workspaces.
+// Workspaces returns the workspaces as they are shown to operators.
 func (r *Replica) Workspaces() []table.WorkspaceView {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.core.WorkspaceViews(r.Clock.Now())
 }
 
-// Changed returns a channel that is closed with the next change of the table.
+// Changed returns a channel that is closed at the next change of the table.
 func (r *Replica) Changed() <-chan struct{} {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.changed
 }
 
-// Leader returns the replica that leads, or an empty id.
+// Leader returns the current leader's ID, or an empty one if it is unknown.
 func (r *Replica) Leader() units.ReplicaID {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.core.Leader()
 }
 
-// Status is a replica's state as the dump shows it.
+// Status is a replica's state for diagnostic dumps.
 type Status struct {
 	control.Status
 	StoreBytes int64 `json:"storeBytes"`
 	BoxConns   int   `json:"boxConnections"`
-	// WriteLatency is how long writes took until they were on the disk.
+	// WriteLatency is how long writes took until they were synced to disk.
 	WriteLatency latency.Summary `json:"syncs"`
 }
 
@@ -283,10 +285,11 @@
 	return Status{Status: r.core.Status(r.Clock.Now()), StoreBytes: r.store.Size(), BoxConns: len(r.boxes), WriteLatency: r.writeLatency.Summary()}
 }
 
-// handoverTimeout is how long a stopping leader waits for its successor.
+// handoverTimeout is how long a stopping leader waits for another replica to lead.
 const handoverTimeout = 2 * time.Second
 
-// Stop hands leadership over, if this replica has it, and closes the store.
+// Stop transfers leadership, if this replica leads, and closes the store. The context ends
+// the wait for a new leader early.
 func (r *Replica) Stop(ctx context.Context) {
 	r.handle(control.StopRequested{})
 	r.awaitSuccessor(ctx)
@@ -298,12 +301,12 @@
 	}
 	r.diskWorker.StopAndWait()
 	if err := r.store.Close(); err != nil {
-		r.Log.WithError(err).Warn("the data folder wasn't closed cleanly")
+		r.Log.WithError(err).Warn("closing the data folder failed")
 	}
 }
 
-// awaitSuccessor waits until another replica leads, so that edits under way are
-// taken over before this one goes.
+// awaitSuccessor waits until another replica leads, so that it can take over pending
+// edits before this replica stops.
 func (r *Replica) awaitSuccessor(ctx context.Context) {
 	timeout := time.After(handoverTimeout)
 	ticker := time.NewTicker(5 * time.Millisecond)
--- a/pkg/replica/requests.go
+++ b/pkg/replica/requests.go
@@ -14,73 +14,73 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// PutDocument has a whole table put in force. Without an error it is on enough disks,
-// or a table of its version or a higher one is. The error is of kind Invalid, Unknown
-// or Unavailable.
+// PutDocument submits a document. If it returns no error, this document, or one of the same or
+// a higher version, is committed. The error is of kind Invalid, Unknown or Unavailable.
 func (r *Replica) PutDocument(d *table.Document) error {
 	return r.request(func(id control.RequestID) control.Event {
 		return control.DocumentSubmitted{Request: id, Document: d}
 	}).Err
 }
 
-// ReadDocument returns the newest document, or nil when there is none yet. The error
-// is an Unavailable fault when this replica can't be sure of it.
+// ReadDocument returns the newest document, or nil if there is none yet. The error is an
+// Unavailable fault if this replica can't ensure that it is the newest.
 func (r *Replica) ReadDocument() (*table.Document, error) {
 	a := r.request(func(id control.RequestID) control.Event { return control.ReadRequested{Request: id} })
 	return a.Document, a.Err
 }
 
-// ReportTarget takes the report of a target that registers by itself. Without an error what
-// it says is on enough disks. The error is of kind Invalid, Unknown or Unavailable.
+// ReportTarget submits the report of a target that registers itself. If it returns no error,
+// the registration is committed. The error is of kind Invalid, Unknown or Unavailable.
 func (r *Replica) ReportTarget(t *table.Registration) error {
 	return r.request(func(id control.RequestID) control.Event {
 		return control.TargetReported{Request: id, Registration: t}
 	}).Err
 }
 
-// RemoveTarget takes a registered target out for good, as Report does.
+// RemoveTarget permanently removes a registered target. Commitment and errors are as for
+// ReportTarget.
 func (r *Replica) RemoveTarget(t units.TargetID) error {
 	return r.request(func(id control.RequestID) control.Event {
 		return control.TargetDeparted{Request: id, Target: t}
 	}).Err
 }
 
-// OrderEvacuation evacuates a failure domain or restores it. Without an error that is on
-// enough disks. The error is of kind Invalid, NotFound where no box or target is in such a
-// domain, Unavailable where another order came first, or Unknown.
+// OrderEvacuation evacuates a failure domain or restores it. If it returns no error, the order
+// is committed. The error is of kind Invalid, NotFound if no box or target is in the domain,
+// Unavailable if another order came first, or Unknown.
 func (r *Replica) OrderEvacuation(o table.EvacuationOrder) error {
 	return r.request(func(id control.RequestID) control.Event {
 		return control.EvacuationOrdered{Request: id, Order: o}
 	}).Err
 }
 
-// OrderRollout orders a rollout, or ends the one under way. Without an error that is on enough
-// disks. The error is of kind Invalid, NotFound for an unknown service, Conflict where another
-// rollout is under way, Unavailable where no version is in force yet, or Unknown.
+// OrderRollout starts a rollout, or aborts the one in progress. If it returns no error, the order
+// is committed. The error is of kind Invalid, NotFound for an unknown service, Conflict if another
+// rollout is in progress, Unavailable if no version is in force yet, or Unknown.
 func (r *Replica) OrderRollout(o table.RolloutOrder) error {
 	return r.request(func(id control.RequestID) control.Event {
 		return control.RolloutOrdered{Request: id, Order: o}
 	}).Err
 }
 
-// ReleaseCall ends the quarantine of a call. Without an error that is on enough disks, or the call
-// isn't in quarantine. The error is of kind Unavailable where the quarantine has begun anew, or
-// Unknown.
+// ReleaseCall ends the quarantine of a call. If it returns no error, the release is committed, or
+// the call isn't in quarantine. The error is of kind Unavailable if the call has been quarantined
+// again since, or Unknown.
 func (r *Replica) ReleaseCall(f crash.Fingerprint, operator string) error {
 	return r.request(func(id control.RequestID) control.Event {
 		return control.ReleaseOrdered{Request: id, Call: f, Operator: operator}
 	}).Err
 }
 
-// Quarantines returns the calls in quarantine as this replica knows them.
+// Quarantines returns the calls in quarantine according to this replica, which may lag behind.
 func (r *Replica) Quarantines() []control.QuarantineStatus {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.core.QuarantineStatuses(r.Clock.Now())
 }
 
-// Rollout returns the newest record of a service's last rollout, or nil when it had none. The
-// error is an Unavailable fault when this replica can't be sure of it.
+// Rollout returns the newest state of a service's last rollout, or nil if it had none. The
+// error is an Unavailable fault if this replica can't ensure that it is the newest.
 func (r *Replica) Rollout(service units.ServiceName) (*table.Rollout, error) {
 	a := r.request(func(id control.RequestID) control.Event { return control.ReadRequested{Request: id} })
 	if a.Err != nil {
@@ -89,15 +89,15 @@
 	return a.Table.Rollout(service), nil
 }
 
-// TargetReport is what a replica knows of a registered target.
+// TargetReport is a registered target with the age of its last report.
 type TargetReport struct {
 	table.Registration
-	// SinceReport is how long ago the leader last heard of the target, in nanoseconds;
-	// negative on other replicas and for one that it hasn't heard yet.
+	// SinceReport is how long ago the leader last received a report of the target, in
+	// nanoseconds in JSON; negative on other replicas, and if there was no report yet.
 	SinceReport time.Duration `json:"heardBefore"`
 }
 
-// Targets returns the registered targets, sorted by id.
+// Targets returns the registered targets, sorted by ID.
 func (r *Replica) Targets() []TargetReport {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -110,7 +110,8 @@
 	return all
 }
 
-// request gives the core a request and waits for its answer.
+// request passes an event with a new request ID to the core and waits for the answer. If there
+// is none in time, the answer's error is an Unknown fault.
 func (r *Replica) request(event func(control.RequestID) control.Event) control.Answer {
 	answer := make(chan control.Answer, 1)
 	r.lock.Lock()
@@ -131,7 +132,7 @@
 	return control.Answer{Err: fault.New(fault.Unknown, "send it again; it takes effect once at most", "this replica can't answer now")}
 }
 
-// logChange tells what this replica has come to believe.
+// logChange logs a change of the control state as this replica has observed it.
 func (r *Replica) logChange(c control.Change) {
 	fields := logrus.Fields{"kind": string(c.Kind), "revision": c.Revision}
 	switch c.Kind {
@@ -156,5 +157,5 @@
 	default:
 		fields["target"], fields["sequence"] = c.Target, c.Sequence
 	}
-	r.Log.WithFields(fields).Info("the control state has changed")
+	r.Log.WithFields(fields).Info("control state changed")
 }
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -1,6 +1,6 @@
 // Package store keeps a control replica's durable state in one bbolt file in the
-// data folder. Every value carries a checksum; whatever can't be trusted gives a
-// typed error at the start, never a guess.
+// data folder. Every value is stored with a checksum. Damaged or foreign data gives
+// a typed error on opening and is never repaired by guessing.
 package store
 
 import (
@@ -48,32 +48,32 @@
 
 const damagedRemedy = "keep the data folder for analysis and start with an empty one; the replica then copies the state from the others"
 
-// Identity says whose data the folder holds.
+// Identity identifies the replica that owns a data folder, and this start of it.
 type Identity struct {
 	Replica     units.ReplicaID
 	Incarnation units.Incarnation
-	// Boot names this start; it is greater than that of any earlier one. It comes
-	// from the wall clock, so that a start from an older copy of the folder doesn't
-	// pass for the start that followed when the copy was taken.
+	// Boot identifies this start and is greater than that of any earlier start. It is
+	// derived from the wall clock, in Unix milliseconds, so that a start from an older
+	// copy of the folder isn't mistaken for the start that followed the copying.
 	Boot uint64
 }
 
-// Store is an open data folder. Its methods are for one goroutine.
+// Store is an open data folder. Its methods must not be called concurrently.
 type Store struct {
 	db       *bbolt.DB
 	identity Identity
 	durable  replication.Durable
 }
 
-// Open opens the data folder of a replica, making it when there is none. Errors
+// Open opens the data folder of a replica, and creates it if it doesn't exist. Errors
 // are of kind Damaged, ForeignData or Unavailable.
 func Open(folder string, replica units.ReplicaID, wall units.WallTime) (s *Store, err error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return nil, fault.Wrap(err, fault.Unavailable, "make the folder writable for madderpond", "the data folder %s can't be made", folder)
+		return nil, fault.Wrap(err, fault.Unavailable, "make the folder writable for madderpond", "the data folder %s can't be created", folder)
 	}
 	path := filepath.Join(folder, fileName)
-	// A file cut short shows as a fault of the mapped memory, or as a panic of
-	// the library.
+	// Reading a truncated file causes a fault in the memory-mapped pages, or a panic
+	// in bbolt.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -135,7 +135,8 @@
 	})
 }
 
-// checkConsistency looks at the structure of the whole file.
+// checkConsistency returns the first inconsistency in the structure of the file as a
+// Damaged fault.
 func checkConsistency(tx *bbolt.Tx) error {
 	for problem := range tx.Check() {
 		return fault.Wrap(problem, fault.Damaged, damagedRemedy, "the data folder's file is inconsistent")
@@ -161,8 +162,8 @@
 	return nil
 }
 
-// incarnationLength is how much of a random name tells the disks of one cluster apart; it
-// stands in every message between replicas.
+// incarnationLength is the number of characters of a random UUID that identify a disk within
+// its cluster. It is short since every message between replicas contains an incarnation.
 const incarnationLength = 13
 
 func newIncarnation() string { return uuid.NewString()[:incarnationLength] }
@@ -214,21 +215,22 @@
 			return damagedError(k)
 		}
 		if n := len(s.durable.Entries); n > 0 && s.durable.Entries[n-1].Index+1 != e.Index {
-			return fault.New(fault.Damaged, damagedRemedy, "the log lacks what comes before entry %d", e.Index)
+			return fault.New(fault.Damaged, damagedRemedy, "the log has a gap before entry %d", e.Index)
 		}
 		s.durable.Entries = append(s.durable.Entries, e)
 	}
 	return nil
 }
 
-// Identity returns whose data this is.
+// Identity returns the replica that owns the data folder, and this start of it.
 func (s *Store) Identity() Identity { return s.identity }
 
-// Durable returns what was on the disk when the folder was opened.
+// Durable returns the state that was stored when the folder was opened.
 func (s *Store) Durable() *replication.Durable { return &s.durable }
 
-// Write carries out writes in order, all in one synced transaction. When it
-// fails nothing of them counts, and the replica must stop.
+// Write applies writes in order, in one transaction that is synced to disk. If it fails,
+// none of them takes effect. The error is a Damaged fault; the replica must stop, unless
+// IsDiskFull.
 func (s *Store) Write(writes []*replication.Write) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		for _, w := range writes {
@@ -281,7 +283,7 @@
 	return nil
 }
 
-// deleteRange drops the entries from one index to another, both included.
+// deleteRange deletes the entries in a range of indexes, both bounds inclusive.
 func deleteRange(log *bbolt.Bucket, from, to uint64) error {
 	var keys [][]byte
 	c := log.Cursor()
@@ -296,13 +298,13 @@
 	return nil
 }
 
-// IsDiskFull tells whether an error says that the disk takes no more. bbolt tells some of
-// its errors in words only.
+// IsDiskFull returns whether an error means that the disk is full. The text is compared too,
+// since bbolt doesn't wrap all errors of the system.
 func IsDiskFull(err error) bool {
 	return err != nil && (errors.Is(err, syscall.ENOSPC) || strings.Contains(err.Error(), syscall.ENOSPC.Error()))
 }
 
-// Size returns the size of the file in bytes.
+// Size returns the size of the file in bytes, or 0 if it is unknown.
 func (s *Store) Size() int64 {
 	info, err := os.Stat(s.db.Path())
 	if err != nil {
@@ -316,7 +318,7 @@
 
 func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
-// put writes a value after a checksum of its key and itself.
+// put stores a value, prefixed with a checksum of the key and the value.
 func put(b *bbolt.Bucket, key, value []byte) error {
 	return b.Put(key, append(checksum(key, value), value...))
 }
@@ -358,7 +360,7 @@
 	return nil
 }
 
-// verifyValue checks a value against its checksum.
+// verifyValue verifies the checksum of a stored value and returns a copy of the value without it.
 func verifyValue(key, stored []byte) ([]byte, error) {
 	if len(stored) < checksumSize {
 		return nil, damagedError(key)
--- a/pkg/store/store_test.go
+++ b/pkg/store/store_test.go
@@ -43,7 +43,7 @@
 		{syscall.EIO, false},
 	} {
 		if IsDiskFull(x.err) != x.full {
-			t.Errorf("%v counts as full: %t", x.err, !x.full)
+			t.Errorf("IsDiskFull(%v) is %t", x.err, !x.full)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 		t.Fatal(d)
 	}
 	if s.Identity().Incarnation != first.Incarnation || s.Identity().Boot <= first.Boot {
-		t.Fatalf("the identity went from %+v to %+v", first, s.Identity())
+		t.Fatalf("the identity changed from %+v to %+v", first, s.Identity())
 	}
 }
 
@@ -139,7 +139,7 @@
 	}
 }
 
-// flipBitIn flips a bit of every place that holds a text.
+// flipBitIn flips a bit in every occurrence of a text in the file.
 func flipBitIn(text string) func(*testing.T, string) {
 	return func(t *testing.T, folder string) {
 		path := filepath.Join(folder, fileName)
@@ -150,7 +150,7 @@
 		flipped := strings.ToUpper(text[:1]) + text[1:]
 		corrupted := bytes.ReplaceAll(data, []byte(text), []byte(flipped))
 		if bytes.Equal(data, corrupted) {
-			t.Fatalf("the file holds no %q", text)
+			t.Fatalf("the file doesn't contain %q", text)
 		}
 		if err := os.WriteFile(path, corrupted, fileMode); err != nil {
 			t.Fatal(err)
