--- a/pkg/replica/gate_test.go
+++ b/pkg/replica/gate_test.go
@@ -61,7 +61,8 @@
 	<-waitAsync(r, "127.0.0.5")
 }
 
-// The gate must open after maxGateDelay on a replica that can't catch up, and when a replica stops.
+// The gate must open after maxGateDelay on a replica that can't catch up, and Wait must return
+// when a replica stops.
 func TestTheGateOpensByItself(t *testing.T) {
 	r := newGatedReplica(t)
 	r.Start()
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -1,4 +1,4 @@
-// Package replica runs a control replica: it performs the disk writes, the
+// Package replica runs a control replica: it manages the replica's store, its
 // connections to other replicas and to boxes, and the requests of the
 // administration API. All decisions are made by package control.
 package replica
--- a/pkg/replica/requests.go
+++ b/pkg/replica/requests.go
@@ -103,8 +103,8 @@
 	defer r.lock.Unlock()
 	var all []TargetReport
 	now := r.Clock.Now()
-	r.core.EachTarget(now, func(t *table.Registration, heard time.Duration) {
-		all = append(all, TargetReport{Registration: *t, SinceReport: heard})
+	r.core.EachTarget(now, func(t *table.Registration, sinceReport time.Duration) {
+		all = append(all, TargetReport{Registration: *t, SinceReport: sinceReport})
 	})
 	slices.SortFunc(all, func(a, b TargetReport) int { return strings.Compare(string(a.Target), string(b.Target)) })
 	return all
--- a/pkg/transport/conn.go
+++ b/pkg/transport/conn.go
@@ -152,10 +152,10 @@
 	c.stream.SetWriteDeadline(time.Now().Add(peerTimeout))
 	n, err := protodelim.MarshalTo(c.writer, m)
 	if err != nil {
-		return fault.Wrap(err, fault.Unavailable, "wait for the connection to be made anew", "a message can't be sent")
+		return fault.Wrap(err, fault.Unavailable, "wait for the connection to be re-established", "a message can't be sent")
 	}
 	if err := c.writer.Flush(); err != nil {
-		return fault.Wrap(err, fault.Unavailable, "wait for the connection to be made anew", "a message can't be sent")
+		return fault.Wrap(err, fault.Unavailable, "wait for the connection to be re-established", "a message can't be sent")
 	}
 	traffic.add(trafficKey{kind: wire.KindOf(m), locality: c.locality, sent: true}, n)
 	return nil
--- a/pkg/wire/convert.go
+++ b/pkg/wire/convert.go
@@ -222,7 +222,7 @@
 		Revision: uint64(t.Revision), Services: flat.services, Rows: flat.rows,
 		Boxes: mapSlice(t.Boxes, FromBox), DocumentVersion: uint64(t.Document), Routes: fromRoutes(t.Routes),
 		Evacuations: mapSlice(t.Evacuations, fromEvacuation),
-		Rollouts:    mapSlice(t.Rollouts, fromRollout), InForce: mapSlice(t.InForce, fromInForce),
+		Rollouts:    mapSlice(t.Rollouts, fromRollout), InForce: mapSlice(t.InForce, fromSoftwareInForce),
 		Quarantines: mapSlice(t.Quarantines, fromQuarantine),
 		Workspaces:  mapSlice(t.Workspaces, fromWorkspace), KeysRequired: t.KeysRequired,
 	}
@@ -240,7 +240,7 @@
 	out.Routes = toRoutes(t.Routes)
 	out.Evacuations = mapSlice(t.Evacuations, toEvacuation)
 	out.Rollouts = mapSlice(t.Rollouts, toRollout)
-	out.InForce = mapSlice(t.InForce, toInForce)
+	out.InForce = mapSlice(t.InForce, toSoftwareInForce)
 	out.Quarantines = mapSlice(t.Quarantines, toQuarantine)
 	out.Workspaces = mapSlice(t.Workspaces, toWorkspace)
 	out.KeysRequired = t.KeysRequired
@@ -257,7 +257,7 @@
 		DocumentVersion: uint64(d.Document), Routes: mapSlice(d.Routes.Put, FromRoute),
 		RemovedRoutes: mapSlice(d.Routes.Removed, fromRouteKey), Patched: mapSlice(d.Patched, fromPatch),
 		Evacuations: mapSlice(d.Evacuations, fromEvacuation),
-		Rollouts:    mapSlice(d.Rollouts, fromRollout), InForce: mapSlice(d.InForce, fromInForce),
+		Rollouts:    mapSlice(d.Rollouts, fromRollout), InForce: mapSlice(d.InForce, fromSoftwareInForce),
 		Quarantines: mapSlice(d.Quarantines, fromQuarantine), Released: FromFingerprints(d.Released),
 		Workspaces:        mapSlice(d.Workspaces.Put, fromWorkspace),
 		RemovedWorkspaces: mapSlice(d.Workspaces.Removed, func(n units.WorkspaceName) string { return string(n) }),
@@ -279,7 +279,7 @@
 		Document:    units.DocumentVersion(d.DocumentVersion),
 		Patched:     mapSlice(d.Patched, toPatch),
 		Evacuations: mapSlice(d.Evacuations, toEvacuation),
-		Rollouts:    mapSlice(d.Rollouts, toRollout), InForce: mapSlice(d.InForce, toInForce),
+		Rollouts:    mapSlice(d.Rollouts, toRollout), InForce: mapSlice(d.InForce, toSoftwareInForce),
 		Quarantines: mapSlice(d.Quarantines, toQuarantine), Released: ToFingerprints(d.Released),
 		Routes: table.RouteChange{Put: mapSlice(d.Routes, ToRoute), Removed: mapSlice(d.RemovedRoutes, toRouteKey)},
 		Workspaces: table.WorkspaceChange{
--- a/pkg/wire/convert_rollout.go
+++ b/pkg/wire/convert_rollout.go
@@ -33,11 +33,11 @@
 	return mapSlice(ids, func(id string) units.TargetID { return units.TargetID(id) })
 }
 
-func fromInForce(x table.SoftwareInForce) *SoftwareInForce {
+func fromSoftwareInForce(x table.SoftwareInForce) *SoftwareInForce {
 	return &SoftwareInForce{Service: string(x.Service), Software: string(x.Software)}
 }
 
-func toInForce(x *SoftwareInForce) table.SoftwareInForce {
+func toSoftwareInForce(x *SoftwareInForce) table.SoftwareInForce {
 	return table.SoftwareInForce{Service: units.ServiceName(x.Service), Software: units.SoftwareVersion(x.Software)}
 }
 
