--- a/pkg/core/subscription/watched.go
+++ b/pkg/core/subscription/watched.go
@@ -28,5 +28,5 @@
 	}
 	s.hasWatched = len(r.Watched) > 0
 	s.watchedTerm = term
-	e.Watched = &Watched{Term: term, Noted: r.Noted, Calls: wire.ToWatched(r.Watched)}
+	e.Watched = &Watched{Term: term, Noted: r.Noted, Calls: wire.ToWatchedCalls(r.Watched)}
 }
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica is the shell of a control replica: its disk, its connections
-// to the other replicas and to boxes, and the questions of the administration
-// API. All decisions are the core's.
+// Package replica runs a control replica: it manages the replica's store, its
+// connections to other replicas and to boxes, and the requests of the
+// administration API. All decisions are made by package control.
 package replica
 
 import (
@@ -25,56 +25,56 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Replica is a control replica at work.
+// Replica is a running control replica.
 type Replica struct {
 	*common.Common
-	// lock guards the core, the effects and what is below them.
-	lock     sync.Mutex
-	core     *control.Replica
-	effects  control.Effects
-	changed  chan struct{}
-	requests control.RequestID
-	answers  map[control.RequestID]chan control.Answer
-	boxes    map[control.ConnectionID]*boxConn
-	nextConn control.ConnectionID
+	// lock guards the fields from core to lastConn, and pendingWrites, writeInProgress and links.
+	lock           sync.Mutex
+	core           *control.Replica
+	effects        control.Effects
+	changed        chan struct{}
+	lastRequest    control.RequestID
+	pendingAnswers map[control.RequestID]chan control.Answer
+	boxes          map[control.ConnectionID]*boxConn
+	lastConn       control.ConnectionID
 
-	store    *store.Store
-	disk     pond.Pool
-	pending  []*replication.Write
-	writing  bool
-	links    map[units.ReplicaID]*transport.Link
-	identity store.Identity
-	halted   chan error
-	gate     *startGate
-	// syncs is how long writes take until they are on the disk.
-	syncs   *latency.Histogram
-	stopped atomic.Bool
-	wake    chan struct{}
-	done    chan struct{}
-	waker   sync.WaitGroup
+	store           *store.Store
+	diskWorker      pond.Pool
+	pendingWrites   []*replication.Write
+	writeInProgress bool
+	links           map[units.ReplicaID]*transport.Link
+	identity        store.Identity
+	halted          chan error
+	gate            *startupGate
+	// writeLatency is how long writes take until they are synced to disk, with retries.
+	writeLatency *latency.Histogram
+	stopped      atomic.Bool
+	wake         chan struct{}
+	done         chan struct{}
+	timerLoop    sync.WaitGroup
 }
 
-// NewReplica opens the data folder and returns a replica that goes on from it.
-// The error is of a kind of package store.
+// NewReplica opens the data folder and returns a replica that continues from its
+// state. Errors are of kind Damaged, ForeignData or Unavailable.
 func NewReplica(c *common.Common) (*Replica, error) {
-	s, err := openPatiently(c)
+	s, err := openWithRetry(c)
 	if err != nil {
 		return nil, err
 	}
 	r := &Replica{
-		Common:   c,
-		changed:  make(chan struct{}),
-		answers:  map[control.RequestID]chan control.Answer{},
-		boxes:    map[control.ConnectionID]*boxConn{},
-		store:    s,
-		disk:     pond.NewPool(1),
-		links:    map[units.ReplicaID]*transport.Link{},
-		identity: s.Identity(),
-		halted:   make(chan error, 1),
-		syncs:    latency.NewHistogram(latency.Fine),
-		wake:     make(chan struct{}, 1),
-		done:     make(chan struct{}),
-		gate:     newStartGate(),
+		Common:         c,
+		changed:        make(chan struct{}),
+		pendingAnswers: map[control.RequestID]chan control.Answer{},
+		boxes:          map[control.ConnectionID]*boxConn{},
+		store:          s,
+		diskWorker:     pond.NewPool(1),
+		links:          map[units.ReplicaID]*transport.Link{},
+		identity:       s.Identity(),
+		halted:         make(chan error, 1),
+		writeLatency:   latency.NewHistogram(latency.Fine),
+		wake:           make(chan struct{}, 1),
+		done:           make(chan struct{}),
+		gate:           newStartupGate(),
 	}
 	r.core, err = control.NewReplica(r.coreSettings(), s.Durable(), c.Clock.Now())
 	if err != nil {
@@ -108,8 +108,9 @@
 	}
 }
 
-// growth returns how the cluster forms and grows by itself, or nil when the settings
-// name all replicas. A replica that is a seed has one peer fewer than there are seeds.
+// growth returns how the cluster forms and grows automatically, or nil if the settings
+// name all replicas. A replica that is itself a seed has one peer fewer than there are
+// seeds.
 func (r *Replica) growth(peers int) *replication.Growth {
 	if len(r.Settings.Seeds) == 0 {
 		return nil
@@ -120,31 +121,32 @@
 	}
 }
 
-// Start connects to the other replicas and lets the time run.
+// Start creates the links to the other replicas and starts the timer loop.
 func (r *Replica) Start() {
 	for _, p := range r.Settings.Replicas {
 		if p.Box != r.Settings.Box {
 			r.links[units.ReplicaID(p.Box)] = r.newLink(p.Address)
 		}
 	}
-	time.AfterFunc(gateLimit, r.gate.release)
-	r.waker.Add(1)
-	go r.runWaker()
+	time.AfterFunc(maxGateDelay, r.gate.release)
+	r.timerLoop.Add(1)
+	go r.runTimer()
 }
 
-// SetSeeds takes the seeds that changed settings name. In a cluster whose settings name
-// all replicas, a change of these takes a restart.
+// SetSeeds applies the seeds of changed settings. In a cluster whose settings name all
+// replicas, a change of these requires a restart.
 func (r *Replica) SetSeeds(s *config.Settings) {
 	if len(s.Seeds) > 0 {
 		r.handle(control.SeedsChanged{Seeds: s.ReplicaIDs()})
 	}
 }
 
-// Halted gives the reason when the replica had to stop by itself.
+// Halted returns a channel that receives the reason if the replica has to stop because of
+// an error.
 func (r *Replica) Halted() <-chan error { return r.halted }
 
-func (r *Replica) runWaker() {
-	defer r.waker.Done()
+func (r *Replica) runTimer() {
+	defer r.timerLoop.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -162,7 +164,7 @@
 	}
 }
 
-// handle gives the core an event from outside.
+// handle passes an event to the core and applies its effects.
 func (r *Replica) handle(event control.Event) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -174,13 +176,13 @@
 		return
 	}
 	r.core.Reduce(r.Clock.Now(), r.Clock.Wall(), event, &r.effects)
-	r.carryOut()
+	r.applyEffects()
 }
 
-func (r *Replica) carryOut() {
+func (r *Replica) applyEffects() {
 	e := &r.effects
-	r.pending = append(r.pending, e.Writes...)
-	r.startWriting()
+	r.pendingWrites = append(r.pendingWrites, e.Writes...)
+	r.startWrite()
 	for _, m := range e.PeerSends {
 		if link := r.linkTo(units.ReplicaID(m.To)); link != nil {
 			link.Send(m)
@@ -192,8 +194,8 @@
 		}
 	}
 	for _, a := range e.Answers {
-		if waiting := r.answers[a.Request]; waiting != nil {
-			waiting <- a
+		if pending := r.pendingAnswers[a.Request]; pending != nil {
+			pending <- a
 		}
 	}
 	for _, c := range e.Changes {
@@ -220,12 +222,12 @@
 	}
 }
 
-// ServeReplica takes another replica's messages until its connection ends.
+// ServeReplica handles another replica's messages until its connection ends.
 func (r *Replica) ServeReplica(hello *wire.Hello, c *transport.Conn) {
 	r.wakeLink(units.ReplicaID(hello.Replica))
 	for {
 		m, err := c.Receive()
-		// A replica speaks for itself only.
+		// A replica may send messages only in its own name.
 		if err != nil || m.From != hello.Replica {
 			return
 		}
@@ -233,79 +235,80 @@
 	}
 }
 
-func (r *Replica) forget(id control.RequestID) {
+func (r *Replica) removePendingAnswer(id control.RequestID) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	delete(r.answers, id)
+	delete(r.pendingAnswers, id)
 }
 
-// Table returns the present table.
+// Table returns the current table.
 func (r *Replica) Table() *table.Table {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.core.Table()
 }
 
-// Workspaces are what operators see of the workspaces.
+// Workspaces returns the workspaces as they are shown to operators.
 func (r *Replica) Workspaces() []table.WorkspaceView {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.core.WorkspaceViews(r.Clock.Now())
 }
 
-// Changed returns a channel that is closed with the next change of the table.
+// Changed returns a channel that is closed at the next change of the table.
 func (r *Replica) Changed() <-chan struct{} {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.changed
 }
 
-// Leader returns the replica that leads, or an empty id.
+// Leader returns the current leader's ID, or an empty one if it is unknown.
 func (r *Replica) Leader() units.ReplicaID {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.core.Leader()
 }
 
-// Status is a replica's state as the dump shows it.
+// Status is a replica's state for diagnostic dumps.
 type Status struct {
 	control.Status
 	StoreBytes int64 `json:"storeBytes"`
 	BoxConns   int   `json:"boxConnections"`
-	// Syncs is how long writes took until they were on the disk.
-	Syncs latency.Summary `json:"syncs"`
+	// WriteLatency is how long writes took until they were synced to disk.
+	WriteLatency latency.Summary `json:"syncs"`
 }
 
 // Status returns the replica's state.
 func (r *Replica) Status() Status {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return Status{Status: r.core.Status(r.Clock.Now()), StoreBytes: r.store.Size(), BoxConns: len(r.boxes), Syncs: r.syncs.Summary()}
+	return Status{Status: r.core.Status(r.Clock.Now()), StoreBytes: r.store.Size(), BoxConns: len(r.boxes), WriteLatency: r.writeLatency.Summary()}
 }
 
-// handOverLimit is how long a stopping leader waits for its successor.
-const handOverLimit = 2 * time.Second
+// handoverTimeout is how long a stopping leader waits for another replica to lead.
+const handoverTimeout = 2 * time.Second
 
-// Stop hands leadership over, if this replica has it, and closes the store.
+// Stop transfers leadership, if this replica leads, and closes the store. The context ends
+// the wait for a new leader early.
 func (r *Replica) Stop(ctx context.Context) {
 	r.handle(control.StopRequested{})
 	r.awaitSuccessor(ctx)
 	r.stopped.Store(true)
 	close(r.done)
-	r.waker.Wait()
+	r.timerLoop.Wait()
 	for _, l := range r.links {
 		l.Close()
 	}
-	r.disk.StopAndWait()
+	r.diskWorker.StopAndWait()
 	if err := r.store.Close(); err != nil {
-		r.Log.WithError(err).Warn("the data folder wasn't closed cleanly")
+		r.Log.WithError(err).Warn("closing the data folder failed")
 	}
 }
 
-// awaitSuccessor waits until another replica leads, so that edits under way are
-// taken over before this one goes.
+// awaitSuccessor waits until another replica leads, so that it can take over pending
+// edits before this replica stops.
 func (r *Replica) awaitSuccessor(ctx context.Context) {
-	limit := time.After(handOverLimit)
+	timeout := time.After(handoverTimeout)
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
 	for len(r.links) > 0 {
@@ -315,7 +318,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-limit:
+		case <-timeout:
 			return
 		case <-ticker.C:
 		}
--- a/pkg/transport/conn.go
+++ b/pkg/transport/conn.go
@@ -1,5 +1,5 @@
-// Package transport carries envelopes between madderpond's processes: protobuf
-// messages, each with its length before it, on a yamux stream over TCP.
+// Package transport sends envelopes between madderpond's processes: protobuf
+// messages, each prefixed with its length, on a yamux stream over TCP.
 package transport
 
 import (
@@ -18,16 +18,15 @@
 )
 
 const (
-	// protocolVersion is raised when messages change so that old processes can't
-	// read them.
+	// protocolVersion is incremented when messages change incompatibly.
 	protocolVersion = 4
-	// maxMessageBytes bounds one message; a snapshot is the largest.
+	// maxMessageBytes is the largest size of a message; snapshots are the largest messages.
 	maxMessageBytes = 64 << 20
-	// silenceLimit is how long a connection may be dead before it is given up;
-	// a cut connection raises no error of its own.
-	silenceLimit = 2 * time.Second
-	// helloLimit is how long a new connection may take to say who it is.
-	helloLimit = 2 * time.Second
+	// peerTimeout is how long the peer may be unresponsive before the connection is closed;
+	// a broken network path alone causes no error.
+	peerTimeout = 2 * time.Second
+	// helloTimeout is how long an accepted connection may take to send its hello.
+	helloTimeout = 2 * time.Second
 )
 
 // Conn is a connection to another process. Send may be called from several
@@ -38,21 +37,20 @@
 	reader  *bufio.Reader
 	lock    sync.Mutex
 	writer  *bufio.Writer
-	// crossing says where the other side is.
-	crossing Crossing
+	// locality is where the peer is; UnknownDomain on the dialing side.
+	locality Locality
 }
 
 func yamuxSettings() *yamux.Config {
 	c := yamux.DefaultConfig()
-	c.KeepAliveInterval = silenceLimit / 2
-	c.ConnectionWriteTimeout = silenceLimit
-	c.StreamOpenTimeout = silenceLimit
+	c.KeepAliveInterval = peerTimeout / 2
+	c.ConnectionWriteTimeout = peerTimeout
+	c.StreamOpenTimeout = peerTimeout
 	c.LogOutput = discard{}
 	return c
 }
 
-// discard drops yamux's own log lines; what matters in them comes back as
-// errors.
+// discard drops yamux's log output; relevant failures are returned as errors.
 type discard struct{}
 
 func (discard) Write(p []byte) (int, error) { return len(p), nil }
@@ -64,64 +62,65 @@
 		reader:  bufio.NewReader(stream),
 		writer:  bufio.NewWriter(stream),
 
-		crossing: Dialled,
+		locality: UnknownDomain,
 	}
 }
 
-// Dial connects to another process and says who is calling. Errors are of kind
-// Unavailable.
+// Dial connects to another process and sends it a hello, whose protocol version it
+// sets. Errors are of kind Unavailable.
 func Dial(address string, security *Security, hello *wire.Hello) (*Conn, error) {
 	return DialContext(context.Background(), address, security, hello)
 }
 
-// DialContext is Dial for as long as the context lasts.
+// DialContext is Dial with a context that cancels the attempt to connect.
 func DialContext(ctx context.Context, address string, security *Security, hello *wire.Hello) (*Conn, error) {
-	dialer := net.Dialer{Timeout: silenceLimit}
+	dialer := net.Dialer{Timeout: peerTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, unreachable(err, address)
+		return nil, connectError(err, address)
 	}
-	below := &carrier{Conn: security.client(raw)}
-	session, err := yamux.Client(below, yamuxSettings())
+	underlying := &sessionConn{Conn: security.wrapClient(raw)}
+	session, err := yamux.Client(underlying, yamuxSettings())
 	if err != nil {
 		raw.Close()
-		return nil, unreachable(err, address)
+		return nil, connectError(err, address)
 	}
 	stream, err := session.OpenStream()
 	if err != nil {
 		session.Close()
-		return nil, unreachable(err, address)
+		return nil, connectError(err, address)
 	}
-	below.carry(stream)
+	underlying.setStream(stream)
 	c := newConn(session, stream)
 	hello.Protocol = protocolVersion
 	if err := c.Send(&wire.Envelope{Body: &wire.Envelope_Hello{Hello: hello}}); err != nil {
 		c.Close()
-		return nil, unreachable(err, address)
+		return nil, connectError(err, address)
 	}
 	return c, nil
 }
 
-func unreachable(err error, address string) error {
+func connectError(err error, address string) error {
 	return fault.Wrap(err, fault.Unavailable, "check that the process runs there and that the network lets it through", "can't connect to %s", address)
 }
 
-// accept takes the other side of Dial.
+// accept is the accepting side of Dial: it receives the peer's hello. Errors are of
+// kind Protocol or Unauthorized.
 func accept(raw net.Conn, security *Security) (*Conn, *wire.Hello, error) {
-	raw.SetDeadline(time.Now().Add(helloLimit))
-	wrapped := security.server(raw)
-	below := &carrier{Conn: wrapped}
-	session, err := yamux.Server(below, yamuxSettings())
+	raw.SetDeadline(time.Now().Add(helloTimeout))
+	wrapped := security.wrapServer(raw)
+	underlying := &sessionConn{Conn: wrapped}
+	session, err := yamux.Server(underlying, yamuxSettings())
 	if err != nil {
 		raw.Close()
-		return nil, nil, junk(err)
+		return nil, nil, handshakeError(err)
 	}
 	stream, err := session.AcceptStream()
 	if err != nil {
 		session.Close()
-		return nil, nil, junk(err)
+		return nil, nil, handshakeError(err)
 	}
-	below.carry(stream)
+	underlying.setStream(stream)
 	c := newConn(session, stream)
 	m, err := c.Receive()
 	if err != nil {
@@ -132,45 +131,47 @@
 	hello := m.GetHello()
 	if hello == nil || hello.Protocol != protocolVersion {
 		c.Close()
-		return nil, nil, fault.New(fault.Protocol, "run the same version of madderpond on both sides", "the first message is no hello of protocol %d", protocolVersion)
+		return nil, nil, fault.New(fault.Protocol, "run the same version of madderpond on both sides", "the first message is not a hello of protocol version %d", protocolVersion)
 	}
-	if err := security.checkName(wrapped, hello); err != nil {
+	if err := security.verifyName(wrapped, hello); err != nil {
 		c.Close()
 		return nil, nil, err
 	}
 	return c, hello, nil
 }
 
-func junk(err error) error {
-	return fault.Wrap(err, fault.Protocol, "let only madderpond's own processes connect to this port", "a connection didn't begin as madderpond's do")
+func handshakeError(err error) error {
+	return fault.Wrap(err, fault.Protocol, "let only madderpond's own processes connect to this port", "the session can't be established")
 }
 
-// Send writes one message; it fails when the other side takes too long.
+// Send writes one message. The error is an Unavailable fault, also when the peer doesn't
+// read the message in time.
 func (c *Conn) Send(m *wire.Envelope) error {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.stream.SetWriteDeadline(time.Now().Add(silenceLimit))
+	c.stream.SetWriteDeadline(time.Now().Add(peerTimeout))
 	n, err := protodelim.MarshalTo(c.writer, m)
 	if err != nil {
-		return fault.Wrap(err, fault.Unavailable, "wait for the connection to be made anew", "a message can't be sent")
+		return fault.Wrap(err, fault.Unavailable, "wait for the connection to be re-established", "a message can't be sent")
 	}
 	if err := c.writer.Flush(); err != nil {
-		return fault.Wrap(err, fault.Unavailable, "wait for the connection to be made anew", "a message can't be sent")
+		return fault.Wrap(err, fault.Unavailable, "wait for the connection to be re-established", "a message can't be sent")
 	}
-	traffic.note(trafficKey{kind: wire.KindOf(m), crossing: c.crossing, sent: true}, n)
+	traffic.add(trafficKey{kind: wire.KindOf(m), locality: c.locality, sent: true}, n)
 	return nil
 }
 
-// Receive reads one message. Bytes that aren't one give a Protocol fault.
+// Receive reads one message. The error is a Protocol fault.
 func (c *Conn) Receive() (*wire.Envelope, error) {
 	m, err := ReadEnvelope(c.reader)
-	if err == nil && c.crossing != Dialled {
-		traffic.note(trafficKey{kind: wire.KindOf(m), crossing: c.crossing}, proto.Size(m))
+	if err == nil && c.locality != UnknownDomain {
+		traffic.add(trafficKey{kind: wire.KindOf(m), locality: c.locality}, proto.Size(m))
 	}
 	return m, err
 }
 
-// ReadEnvelope reads one message with its length before it.
+// ReadEnvelope reads one message, prefixed with its length. The error is a Protocol
+// fault.
 func ReadEnvelope(r protodelim.Reader) (*wire.Envelope, error) {
 	m := &wire.Envelope{}
 	options := protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}
@@ -180,8 +181,8 @@
 	return m, nil
 }
 
-// closed tells whether the connection has ended, as far as that is known.
+// closed returns whether the connection is known to have ended.
 func (c *Conn) closed() bool { return c.session.IsClosed() }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() error { return c.session.Close() }
--- a/pkg/transport/dial_first.go
+++ b/pkg/transport/dial_first.go
@@ -10,22 +10,22 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// dialStagger is how long an address has to answer before the next one is dialled as
-// well: several times the way there and back within a region, so that as a rule only one
-// connection is made.
+// dialStagger is how long an address has to answer before the next one is dialed as
+// well: several round trips within a region, so that usually only one connection is
+// made.
 const dialStagger = 10 * time.Millisecond
 
-// dialResult is how one of several attempts to connect has ended.
+// dialResult is the result of one of several attempts to connect.
 type dialResult struct {
 	conn  *Conn
 	index int
 	err   error
 }
 
-// DialFirst connects to one of several processes, the first addresses preferred, and
-// returns the connection with the index of its address. An address that fails or takes
-// long doesn't hold up the next one; all attempts go on until one succeeds, and the others
-// are ended then. Errors are of kind Unavailable.
+// DialFirst connects to one of several processes, preferring earlier addresses, and
+// returns the connection and the index of its address. The next address is dialed when
+// one fails or doesn't answer within dialStagger. All attempts continue until one
+// succeeds, which cancels the others. Errors are of kind Unavailable.
 func DialFirst(ctx context.Context, addresses []string, security *Security, hello *wire.Hello) (*Conn, int, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -35,7 +35,7 @@
 	for ended := 0; ended < len(addresses); {
 		var next <-chan time.Time
 		if started < len(addresses) {
-			go dialOne(ctx, started, addresses[started], security, hello, results)
+			go dialAddress(ctx, started, addresses[started], security, hello, results)
 			started++
 			next = time.After(dialStagger)
 		}
@@ -43,7 +43,7 @@
 		case d := <-results:
 			ended++
 			if d.err == nil {
-				go closeLate(results, started-ended)
+				go closeUnused(results, started-ended)
 				return d.conn, d.index, nil
 			}
 			lastError = d.err
@@ -53,15 +53,15 @@
 	return nil, 0, lastError
 }
 
-func dialOne(ctx context.Context, index int, address string, security *Security, hello *wire.Hello, results chan<- dialResult) {
-	// The message is written to while it is sent, so each attempt has its own.
-	own := proto.Clone(hello).(*wire.Hello)
-	conn, err := DialContext(ctx, address, security, own)
+func dialAddress(ctx context.Context, index int, address string, security *Security, hello *wire.Hello, results chan<- dialResult) {
+	// DialContext sets the protocol version in the hello, so each attempt needs its own copy.
+	helloCopy := proto.Clone(hello).(*wire.Hello)
+	conn, err := DialContext(ctx, address, security, helloCopy)
 	results <- dialResult{conn: conn, index: index, err: err}
 }
 
-// closeLate ends connections that are made after another one was chosen.
-func closeLate(results <-chan dialResult, pending int) {
+// closeUnused closes connections that were established after another one was chosen.
+func closeUnused(results <-chan dialResult, pending int) {
 	for range pending {
 		if d := <-results; d.conn != nil {
 			d.conn.Close()
--- a/pkg/transport/link.go
+++ b/pkg/transport/link.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// linkQueue bounds the messages that wait for a connection; when it is full
-	// the oldest kind of loss applies: the message is dropped, as a network may.
-	linkQueue = 256
-	// firstRedial doubles with each failure up to maxRedial.
-	firstRedial = 20 * time.Millisecond
-	maxRedial   = 500 * time.Millisecond
+	// linkQueueLength is the number of messages that may wait to be sent. Further
+	// messages are dropped; callers tolerate loss, as on any network.
+	linkQueueLength = 256
+	// minRedialDelay is the delay after the first failed dial; it doubles with each
+	// further failure, up to maxRedialDelay.
+	minRedialDelay = 20 * time.Millisecond
+	maxRedialDelay = 500 * time.Millisecond
 )
 
-// Link sends messages to one process and makes its connection anew whenever it
-// is lost. Messages may be lost, as on any network; their order is kept on each
-// connection.
+// Link sends messages to one process and reconnects when the connection is lost.
+// Messages may be lost, as on any network; each connection preserves their order.
 type Link struct {
 	address  string
 	security *Security
@@ -27,41 +27,42 @@
 	queue    chan *wire.Envelope
 	done     chan struct{}
 	once     sync.Once
-	// woken brings the news that the other side is there.
-	woken chan struct{}
-	// firstRedial is the wait after the first failure.
-	firstRedial time.Duration
+	// wakeups signals that the peer is reachable.
+	wakeups chan struct{}
+	// minRedialDelay is the delay after the first failed dial.
+	minRedialDelay time.Duration
 }
 
-// NewLink returns a link that starts to connect with its first message.
+// NewLink returns a link that connects when the first message is sent.
 func NewLink(address string, security *Security, hello func() *wire.Hello) *Link {
-	return newLink(address, security, hello, firstRedial)
+	return newLink(address, security, hello, minRedialDelay)
 }
 
-func newLink(address string, security *Security, hello func() *wire.Hello, redial time.Duration) *Link {
+func newLink(address string, security *Security, hello func() *wire.Hello, redialDelay time.Duration) *Link {
 	l := &Link{
 		address: address, security: security,
-		hello: hello,
-		queue: make(chan *wire.Envelope, linkQueue),
-		done:  make(chan struct{}),
-		woken: make(chan struct{}, 1),
+		hello:   hello,
+		queue:   make(chan *wire.Envelope, linkQueueLength),
+		done:    make(chan struct{}),
+		wakeups: make(chan struct{}, 1),
 
-		firstRedial: redial,
+		minRedialDelay: redialDelay,
 	}
 	go l.run()
 	return l
 }
 
-// Wake says that the other side has just been heard: what is left of the wait after a
-// failure, or of an attempt to connect that began before it was there, is in vain.
+// Wake signals that the peer is reachable. It ends the delay after a failed dial, and
+// restarts an attempt to connect that may have begun before the peer listened.
 func (l *Link) Wake() {
 	select {
-	case l.woken <- struct{}{}:
+	case l.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// Send queues a message; it never blocks, and tells whether there was room.
+// Send queues a message without blocking. It returns false if the queue is full and the
+// message is dropped.
 func (l *Link) Send(m *wire.Envelope) bool {
 	select {
 	case l.queue <- m:
@@ -71,12 +72,12 @@
 	}
 }
 
-// Close ends the link and its connection.
+// Close stops the link and closes its connection; queued messages are dropped.
 func (l *Link) Close() { l.once.Do(func() { close(l.done) }) }
 
 func (l *Link) run() {
 	var conn *Conn
-	redial := l.firstRedial
+	redialDelay := l.minRedialDelay
 	defer func() {
 		if conn != nil {
 			conn.Close()
@@ -91,7 +92,7 @@
 				conn = nil
 			}
 			if conn == nil {
-				conn = l.connect(&redial)
+				conn = l.connect(&redialDelay)
 			}
 			if conn == nil {
 				continue
@@ -104,27 +105,28 @@
 	}
 }
 
-// connect dials once; after a failure it waits a little longer each time.
-func (l *Link) connect(redial *time.Duration) *Conn {
+// connect dials once. After a failure it waits for the redial delay, doubles the delay and
+// drops the queued messages.
+func (l *Link) connect(redialDelay *time.Duration) *Conn {
 	conn, err := l.dial()
 	if err == nil {
-		*redial = l.firstRedial
-		go l.watch(conn)
+		*redialDelay = l.minRedialDelay
+		go l.closeOnEnd(conn)
 		return conn
 	}
 	select {
 	case <-l.done:
-	case <-l.woken:
-		*redial = l.firstRedial
-	case <-time.After(*redial):
-		*redial = min(2**redial, maxRedial)
+	case <-l.wakeups:
+		*redialDelay = l.minRedialDelay
+	case <-time.After(*redialDelay):
+		*redialDelay = min(2**redialDelay, maxRedialDelay)
 	}
 	l.drain()
 	return nil
 }
 
-// dial connects, and begins anew once when the other side is heard meanwhile: packets
-// that it lost before it was there are sent again only after a second.
+// dial connects, and restarts the attempt once if Wake is called meanwhile: TCP would
+// retransmit a packet that was lost before the peer listened only after a second.
 func (l *Link) dial() (*Conn, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -132,7 +134,7 @@
 	defer close(ended)
 	go func() {
 		select {
-		case <-l.woken:
+		case <-l.wakeups:
 			cancel()
 		case <-l.done:
 			cancel()
@@ -146,7 +148,7 @@
 	return Dial(l.address, l.security, l.hello())
 }
 
-// drain drops what has become old while there was no connection.
+// drain drops the messages that were queued while there was no connection, as outdated.
 func (l *Link) drain() {
 	for {
 		select {
@@ -157,9 +159,9 @@
 	}
 }
 
-// watch reads what the other side sends on this connection, which is nothing
-// but its end.
-func (l *Link) watch(conn *Conn) {
+// closeOnEnd closes the connection when the peer ends it. The peer sends no messages on
+// this connection.
+func (l *Link) closeOnEnd(conn *Conn) {
 	for {
 		if _, err := conn.Receive(); err != nil {
 			conn.Close()
--- a/pkg/wire/compress.go
+++ b/pkg/wire/compress.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// compressFrom is the encoded size from which a message is worth compressing.
-	compressFrom = 1 << 10
-	// decompressedBytes bounds what compressed data may come to.
-	decompressedBytes = 64 << 20
+	// compressThresholdBytes is the encoded size from which messages and commands are compressed.
+	compressThresholdBytes = 1 << 10
+	// maxDecompressedBytes is the largest size that data may decompress to.
+	maxDecompressedBytes = 64 << 20
 )
 
-// compressors are used again, since each holds several hundred KB.
-var compressors = sync.Pool{New: func() any {
-	// The level is one that the library knows, so there is no error.
+// flateWriters pools the writers, since each holds several hundred KB.
+var flateWriters = sync.Pool{New: func() any {
+	// NewWriter fails only for an invalid level.
 	w, _ := flate.NewWriter(nil, flate.DefaultCompression)
 	return w
 }}
 
 func compress(data []byte) ([]byte, error) {
 	var compressed bytes.Buffer
-	w := compressors.Get().(*flate.Writer)
-	defer compressors.Put(w)
+	w := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(w)
 	w.Reset(&compressed)
 	if _, err := w.Write(data); err != nil {
 		return nil, err
@@ -38,12 +38,12 @@
 }
 
 func decompress(data []byte) ([]byte, error) {
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), decompressedBytes+1))
+	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxDecompressedBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(plain) > decompressedBytes {
-		return nil, fmt.Errorf("compressed data comes to more than %d bytes", decompressedBytes)
+	if len(plain) > maxDecompressedBytes {
+		return nil, fmt.Errorf("decompressed data exceeds %d bytes", maxDecompressedBytes)
 	}
 	return plain, nil
 }
--- a/pkg/wire/convert_evidence.go
+++ b/pkg/wire/convert_evidence.go
@@ -7,18 +7,18 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// FromEvidence returns the messages for what a box has seen of versions.
+// FromEvidence converts a box's statistics of software versions to messages.
 func FromEvidence(list []rollout.Evidence) []*VersionEvidence {
-	return mapSlice(list, fromOneEvidence)
+	return mapSlice(list, fromVersionEvidence)
 }
 
-// ToEvidence is the inverse of FromEvidence. Buckets beyond the known ones are dropped.
+// ToEvidence is the inverse of FromEvidence. Histogram buckets beyond the known ones are dropped.
 func ToEvidence(list []*VersionEvidence) []rollout.Evidence {
-	return mapSlice(list, toOneEvidence)
+	return mapSlice(list, toVersionEvidence)
 }
 
-// fromOneEvidence leaves out the empty buckets at the end.
-func fromOneEvidence(x rollout.Evidence) *VersionEvidence {
+// fromVersionEvidence leaves out trailing empty buckets of the histogram.
+func fromVersionEvidence(x rollout.Evidence) *VersionEvidence {
 	used := len(x.Times)
 	for used > 0 && x.Times[used-1] == 0 {
 		used--
@@ -30,7 +30,7 @@
 	}
 }
 
-func toOneEvidence(x *VersionEvidence) rollout.Evidence {
+func toVersionEvidence(x *VersionEvidence) rollout.Evidence {
 	out := rollout.Evidence{
 		Service: units.ServiceName(x.Service), Order: units.Revision(x.Order), Software: units.SoftwareVersion(x.Software),
 		Route: rollout.RouteID(x.Route), Good: x.Good, Bad: x.Bad, UnderWay: x.UnderWay,
@@ -39,13 +39,13 @@
 	return out
 }
 
-// ToExposures returns the exposures of a grant whose request was sent at an instant of the
-// box's clock.
-func ToExposures(list []*Exposure, asked units.Instant) []rollout.Exposure {
+// ToExposures converts the exposures of a grant. They end a duration after the box sent the
+// request, by the box's clock.
+func ToExposures(list []*Exposure, requestedAt units.Instant) []rollout.Exposure {
 	return mapSlice(list, func(x *Exposure) rollout.Exposure {
 		return rollout.Exposure{
 			Service: units.ServiceName(x.Service), Order: units.Revision(x.Order), Since: units.Revision(x.Since),
-			Share: units.Percent(x.Share), Asked: asked, Until: asked.Add(time.Duration(x.Duration)),
+			Share: units.Percent(x.Share), Asked: requestedAt, Until: requestedAt.Add(time.Duration(x.Duration)),
 		}
 	})
 }
