--- a/pkg/core/control/crash_test.go
+++ b/pkg/core/control/crash_test.go
@@ -26,7 +26,7 @@
 	term         units.Term
 	acknowledged uint64
 	// watched is what the last grant said, trials are those that the box was given.
-	watched []crash.Watched
+	watched []crash.WatchedCall
 	trials  map[int]bool
 }
 
@@ -93,7 +93,7 @@
 func (w *world) crashTarget(b *fakeBox, target units.TargetID, calls ...crash.Fingerprint) {
 	n := crash.Note{At: w.now, Service: "s", Target: target}
 	for _, f := range calls {
-		n.Suspects = append(n.Suspects, crash.Suspect{Fingerprint: f, Sent: 20 * time.Millisecond})
+		n.Suspects = append(n.Suspects, crash.Suspect{Fingerprint: f, SentBefore: 20 * time.Millisecond})
 	}
 	w.crashReporters.add(b, n)
 }
@@ -192,7 +192,7 @@
 	w.wantQuarantined(false)
 	for _, b := range w.boxes {
 		list := w.crashReporters.reporterOf(b).watched
-		if len(list) != 1 || list[0] != (crash.Watched{Call: badCall, Quarantined: true}) {
+		if len(list) != 1 || list[0] != (crash.WatchedCall{Call: badCall, Quarantined: true}) {
 			t.Errorf("box %s was told %+v", b.id, list)
 		}
 	}
--- a/pkg/core/control/quarantines.go
+++ b/pkg/core/control/quarantines.go
@@ -46,7 +46,7 @@
 
 // quarantineTracker is what a leader knows of crashes and quarantines in addition to the table.
 type quarantineTracker struct {
-	ledger *crash.Ledger
+	ledger *crash.Tracker
 	// verdicts are those that aren't in the table yet.
 	verdicts []pendingVerdict
 	// observations are what boxes have reported of each quarantined call.
@@ -54,7 +54,7 @@
 	// trials are those in progress.
 	trials []activeTrial
 	// watched are the calls that every grant lists.
-	watched []crash.Watched
+	watched []crash.WatchedCall
 	// changed is set when there are new notes or quarantines to evaluate, undecided while the
 	// passing of time alone may lead to a verdict.
 	changed, undecided bool
@@ -91,7 +91,7 @@
 }
 
 func newQuarantineTracker() quarantineTracker {
-	return quarantineTracker{ledger: crash.NewLedger(crash.Enough), observations: map[crash.Fingerprint]*callObservation{}, changed: true}
+	return quarantineTracker{ledger: crash.NewTracker(crash.CrashesToBlame), observations: map[crash.Fingerprint]*callObservation{}, changed: true}
 }
 
 // busy reports whether the leader may have something to decide soon.
@@ -115,7 +115,7 @@
 	r.tickAt = r.now
 	r.quarantines.changed = r.quarantines.changed || len(request.CrashNotes) > 0
 	for _, n := range wire.ToCrashNotes(request, r.now) {
-		r.quarantines.ledger.Take(n)
+		r.quarantines.ledger.Record(n)
 		if n.IsAnswer() {
 			r.recordAnswered(n)
 		}
@@ -149,7 +149,7 @@
 	if b.changed || b.busy() {
 		b.changed = false
 		r.proposeQuarantines(log)
-		b.undecided = b.ledger.Undecided()
+		b.undecided = b.ledger.HasPendingVerdict()
 		b.watched = b.watchedCalls()
 	}
 	list := r.state.Table().Quarantines
@@ -166,13 +166,13 @@
 	b := &r.quarantines
 	t := r.state.Table()
 	for i := range t.Quarantines {
-		b.ledger.Explain(t.Quarantines[i].Call)
+		b.ledger.Attribute(t.Quarantines[i].Call)
 	}
 	b.verdicts = slices.DeleteFunc(b.verdicts, func(v pendingVerdict) bool { return t.Quarantine(v.Fingerprint) != nil })
 	for i := range b.verdicts {
-		b.ledger.Explain(b.verdicts[i].Fingerprint)
+		b.ledger.Attribute(b.verdicts[i].Fingerprint)
 	}
-	for _, v := range b.ledger.Judge(r.now) {
+	for _, v := range b.ledger.Evaluate(r.now) {
 		b.verdicts = append(b.verdicts, pendingVerdict{Verdict: v})
 	}
 	for i := range b.verdicts {
@@ -224,13 +224,13 @@
 
 // watchedCalls returns the calls that every grant lists. Verdicts are included, so that a stalled
 // disk doesn't delay them.
-func (b *quarantineTracker) watchedCalls() []crash.Watched {
-	var list []crash.Watched
+func (b *quarantineTracker) watchedCalls() []crash.WatchedCall {
+	var list []crash.WatchedCall
 	for i := range b.verdicts {
-		list = append(list, crash.Watched{Call: b.verdicts[i].Fingerprint, Quarantined: true})
+		list = append(list, crash.WatchedCall{Call: b.verdicts[i].Fingerprint, Quarantined: true})
 	}
 	for _, f := range b.ledger.Suspects(maxWatchedSuspects) {
-		list = append(list, crash.Watched{Call: f})
+		list = append(list, crash.WatchedCall{Call: f})
 	}
 	return list
 }
@@ -241,7 +241,7 @@
 	for _, x := range r.quarantines.trials {
 		q := r.state.Table().Quarantine(x.call)
 		if x.box == box && r.now < x.until && q != nil && q.Trials == x.number {
-			list = append(slices.Clip(list), crash.Watched{Call: x.call, Quarantined: true, Trial: x.number})
+			list = append(slices.Clip(list), crash.WatchedCall{Call: x.call, Quarantined: true, Trial: x.number})
 		}
 	}
 	return wire.FromWatched(list)
--- a/pkg/core/crash/bench_test.go
+++ b/pkg/core/crash/bench_test.go
@@ -11,25 +11,25 @@
 // BenchmarkNote is what a leader does with a note of a crash: take it, judge, and list the suspects,
 // with as many crashes as are kept, six suspects each.
 func BenchmarkNote(b *testing.B) {
-	l := NewLedger(Enough)
+	l := NewTracker(CrashesToBlame)
 	at := units.Instant(time.Second)
-	note := func(n uint64) Note {
+	nextNote := func(n uint64) Note {
 		at = at.Add(2 * time.Second)
 		x := Note{Box: "b1", Number: n, Service: "s", Target: units.TargetID(fmt.Sprintf("t%d", n%100)), At: at}
 		for i := range uint64(6) {
-			x.Suspects = append(x.Suspects, Suspect{Fingerprint: Fingerprint{Head: n*7 + i, Body: 1, Caller: 1}, Sent: time.Millisecond})
+			x.Suspects = append(x.Suspects, Suspect{Fingerprint: Fingerprint{Head: n*7 + i, Body: 1, Caller: 1}, SentBefore: time.Millisecond})
 		}
 		return x
 	}
 	for n := range uint64(maxEvents) {
-		l.Take(note(n))
+		l.Record(nextNote(n))
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for n := range uint64(b.N) {
-		l.Take(note(maxEvents + n))
-		l.Judge(at)
-		l.Undecided()
+		l.Record(nextNote(maxEvents + n))
+		l.Evaluate(at)
+		l.HasPendingVerdict()
 		l.Suspects(16)
 	}
 }
--- a/pkg/core/crash/note.go
+++ b/pkg/core/crash/note.go
@@ -9,8 +9,8 @@
 // Suspect is a call that was under way at a target when the target crashed.
 type Suspect struct {
 	Fingerprint Fingerprint
-	// Sent is how long before the crash the call was sent to the target.
-	Sent time.Duration
+	// SentBefore is how long before the crash the call was sent to the target.
+	SentBefore time.Duration
 }
 
 // Note is something that a box has seen: a crash of a target, or an answer to a call that is a
@@ -45,8 +45,8 @@
 	Doubtful bool
 }
 
-// Watched is a call that the leader has boxes watch.
-type Watched struct {
+// WatchedCall is a call that the leader has boxes watch.
+type WatchedCall struct {
 	Call Fingerprint
 	// Quarantined is set where boxes must send it nowhere.
 	Quarantined bool
--- a/pkg/core/crash/ledger_test.go
+++ b/pkg/core/crash/tracker_test.go
@@ -14,9 +14,9 @@
 // script drives a ledger that blames a call after three crashes in a row.
 type script struct {
 	t       *testing.T
-	ledger  *Ledger
-	words   map[Fingerprint]string
-	numbers uint64
+	ledger  *Tracker
+	texts   map[Fingerprint]string
+	lastNumber uint64
 }
 
 var commands = map[string]func(s *script, d *datadriven.TestData) string{
@@ -31,7 +31,7 @@
 
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
-		s := &script{t: t, ledger: NewLedger(3), words: map[Fingerprint]string{}}
+		s := &script{t: t, ledger: NewTracker(3), texts: map[Fingerprint]string{}}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			f := commands[d.Cmd]
 			if f == nil {
@@ -53,9 +53,9 @@
 		if err != nil {
 			d.Fatalf(s.t, "%v", err)
 		}
-		n.Suspects = append(n.Suspects, Suspect{Fingerprint: s.fingerprint(words[0]), Sent: before})
+		n.Suspects = append(n.Suspects, Suspect{Fingerprint: s.fingerprint(words[0]), SentBefore: before})
 	}
-	s.ledger.Take(n)
+	s.ledger.Record(n)
 	return "taken"
 }
 
@@ -63,15 +63,15 @@
 func (s *script) answer(d *datadriven.TestData) string {
 	n := s.note(d)
 	n.Suspects = []Suspect{{Fingerprint: s.fingerprint(d.CmdArgs[0].Key)}}
-	s.ledger.Take(n)
+	s.ledger.Record(n)
 	return "taken"
 }
 
 func (s *script) note(d *datadriven.TestData) Note {
-	s.numbers++
+	s.lastNumber++
 	box := 1
 	d.MaybeScanArgs(s.t, "box", &box)
-	n := Note{Box: units.BoxID(fmt.Sprint(box)), Number: s.numbers, At: s.at(d)}
+	n := Note{Box: units.BoxID(fmt.Sprint(box)), Number: s.lastNumber, At: s.at(d)}
 	d.MaybeScanArgs(s.t, "note", &n.Number)
 	return n
 }
@@ -89,23 +89,23 @@
 func (s *script) fingerprint(word string) Fingerprint {
 	content, caller, _ := strings.Cut(word, "/")
 	f := Fingerprint{Head: Digest([]byte(content)), Body: 1, Caller: Digest([]byte(caller))}
-	s.words[f] = word
-	s.words[f.AnyCaller()] = content + " of any caller"
+	s.texts[f] = word
+	s.texts[f.AnyCaller()] = content + " of any caller"
 	return f
 }
 
 // judge at=TIME
 func (s *script) judge(d *datadriven.TestData) string {
 	var lines []string
-	for _, v := range s.ledger.Judge(s.at(d)) {
+	for _, v := range s.ledger.Evaluate(s.at(d)) {
 		doubt := ""
 		if v.Doubtful {
 			doubt = ", in doubt"
 		}
-		lines = append(lines, fmt.Sprintf("%s is to blame for %v%s", s.words[v.Fingerprint], v.Targets, doubt))
+		lines = append(lines, fmt.Sprintf("%s is to blame for %v%s", s.texts[v.Fingerprint], v.Targets, doubt))
 	}
 	if len(lines) == 0 {
-		return fmt.Sprintf("nobody, undecided: %v", s.ledger.Undecided())
+		return fmt.Sprintf("nobody, undecided: %v", s.ledger.HasPendingVerdict())
 	}
 	return strings.Join(lines, "\n")
 }
@@ -113,14 +113,14 @@
 func (s *script) suspects(*datadriven.TestData) string {
 	var words []string
 	for _, f := range s.ledger.Suspects(2) {
-		words = append(words, s.words[f])
+		words = append(words, s.texts[f])
 	}
 	return strings.Join(words, ", ")
 }
 
 // blamed CALL[/CALLER] tells the ledger that a call is known to be to blame.
 func (s *script) blamed(d *datadriven.TestData) string {
-	s.ledger.Explain(s.fingerprint(d.CmdArgs[0].Key))
+	s.ledger.Attribute(s.fingerprint(d.CmdArgs[0].Key))
 	return "known"
 }
 
@@ -162,16 +162,16 @@
 
 // What it costs the leader to judge after each of 64 crashes with three suspects each.
 func BenchmarkJudge(b *testing.B) {
-	l := NewLedger(3)
+	l := NewTracker(3)
 	for i := range uint64(64) {
 		at := units.Instant(i) * units.Instant(time.Second)
-		l.Take(Note{Box: "b", Number: i, At: at, Target: units.TargetID(fmt.Sprint(i)), Suspects: []Suspect{
+		l.Record(Note{Box: "b", Number: i, At: at, Target: units.TargetID(fmt.Sprint(i)), Suspects: []Suspect{
 			{Fingerprint: Fingerprint{Head: i, Caller: 1}}, {Fingerprint: Fingerprint{Head: i / 2, Caller: 2}}, {Fingerprint: Fingerprint{Head: 1 << 32, Caller: i}},
 		}})
 	}
 	now := units.Instant(64 * time.Second)
-	l.enough = 1 << 20
+	l.threshold = 1 << 20
 	for b.Loop() {
-		l.Judge(now)
+		l.Evaluate(now)
 	}
 }
--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -19,7 +19,7 @@
 	routers []*Router
 	boxes   []table.Box
 	targets map[units.TargetID]*canaryTarget
-	ledger  *crash.Ledger
+	ledger  *crash.Tracker
 	blamed  []crash.Fingerprint
 	// lost counts the targets that ended under the request.
 	lost int
@@ -84,7 +84,7 @@
 	t.Helper()
 	f := &canaryFleet{
 		timeline: newTimeline(units.Instant(time.Minute)), random: rand.New(rand.NewPCG(seed, 7)), targets: map[units.TargetID]*canaryTarget{},
-		ledger: crash.NewLedger(crash.Enough), well: map[string]*canaryCount{deadly: {}, popular: {}, other: {}},
+		ledger: crash.NewTracker(crash.CrashesToBlame), well: map[string]*canaryCount{deadly: {}, popular: {}, other: {}},
 	}
 	x := f.newTable()
 	for i := range f.boxes {
@@ -149,7 +149,7 @@
 func (f *canaryFleet) takeNotes(r *Router, notes []crash.Note) {
 	for _, n := range notes {
 		n.Box, n.Start = r.settings.Box, 1
-		f.ledger.Take(n)
+		f.ledger.Record(n)
 	}
 	f.judge()
 	if len(notes) > 0 {
@@ -160,7 +160,7 @@
 
 // judge has the leader look for who is to blame; verdicts go to all boxes.
 func (f *canaryFleet) judge() {
-	verdicts := f.ledger.Judge(f.now)
+	verdicts := f.ledger.Evaluate(f.now)
 	for _, v := range verdicts {
 		f.blamed = append(f.blamed, v.Fingerprint)
 	}
@@ -177,10 +177,10 @@
 func (f *canaryFleet) granted(noted uint64) *WatchedChanged {
 	v := &WatchedChanged{Term: 1, Noted: noted}
 	for _, x := range f.blamed {
-		v.Calls = append(v.Calls, crash.Watched{Call: x, Quarantined: true})
+		v.Calls = append(v.Calls, crash.WatchedCall{Call: x, Quarantined: true})
 	}
 	for _, x := range f.ledger.Suspects(8) {
-		v.Calls = append(v.Calls, crash.Watched{Call: x})
+		v.Calls = append(v.Calls, crash.WatchedCall{Call: x})
 	}
 	return v
 }
--- a/pkg/core/routing/crash.go
+++ b/pkg/core/routing/crash.go
@@ -140,10 +140,10 @@
 	}
 	n := crash.Note{Service: t.row.Service, Target: t.row.Target, At: broken[0].at}
 	for _, b := range broken {
-		n.Suspects = append(n.Suspects, crash.Suspect{Fingerprint: b.fingerprint, Sent: n.At.Sub(b.sent)})
+		n.Suspects = append(n.Suspects, crash.Suspect{Fingerprint: b.fingerprint, SentBefore: n.At.Sub(b.sent)})
 	}
 	n = r.crashes.notes.add(n)
-	r.crashes.ledger.Take(n)
+	r.crashes.ledger.Record(n)
 	t.service.crashes++
 	e.add(Effect{Kind: TargetCrashed, Endpoint: t.endpoint, Crash: &n})
 	r.judgeAlone(e)
--- a/pkg/core/routing/quarantine.go
+++ b/pkg/core/routing/quarantine.go
@@ -36,7 +36,7 @@
 	// Term is the leader's, Noted the last of the box's notes that it has.
 	Term  units.Term
 	Noted uint64
-	Calls []crash.Watched
+	Calls []crash.WatchedCall
 }
 
 func (*WatchedChanged) routingEvent() {}
@@ -59,9 +59,9 @@
 	notes    crashNotes
 	canaries canaryBook
 	// ledger holds the box's own notes.
-	ledger *crash.Ledger
+	ledger *crash.Tracker
 	// granted is what the last grant said, own the box's own verdicts.
-	granted []crash.Watched
+	granted []crash.WatchedCall
 	own     []ownVerdict
 	// quarantined are the calls that go nowhere, suspects those that may be to blame, watched
 	// those whose answers are noted, whoever sends them.
@@ -79,7 +79,7 @@
 
 func newCrashBook() crashBook {
 	return crashBook{
-		ledger: crash.NewLedger(crash.Enough), spent: map[crash.Fingerprint]int{}, answered: map[crash.Fingerprint]bool{},
+		ledger: crash.NewTracker(crash.CrashesToBlame), spent: map[crash.Fingerprint]int{}, answered: map[crash.Fingerprint]bool{},
 	}
 }
 
@@ -185,7 +185,7 @@
 	}
 	for i := range r.table.Quarantines {
 		f := r.table.Quarantines[i].Call
-		b.ledger.Explain(f)
+		b.ledger.Attribute(f)
 		b.quarantined.add(f)
 		b.watched.add(f.AnyCaller())
 	}
@@ -247,7 +247,7 @@
 	if b.answered[f] || len(b.answered) >= maxAnswered {
 		return
 	}
-	b.ledger.Take(b.notes.add(crash.Note{At: r.now, Suspects: []crash.Suspect{{Fingerprint: f}}}))
+	b.ledger.Record(b.notes.add(crash.Note{At: r.now, Suspects: []crash.Suspect{{Fingerprint: f}}}))
 	r.sendNotesSoon()
 	b.own = slices.DeleteFunc(b.own, func(v ownVerdict) bool { return v.call.Covers(f) })
 	r.applyQuarantines(e)
@@ -257,10 +257,10 @@
 // judgeAlone has the box judge by its own notes while no leader can.
 func (r *Router) judgeAlone(e *Effects) {
 	b := &r.crashes
-	if r.now < r.leaseUntil || !b.ledger.Undecided() {
+	if r.now < r.leaseUntil || !b.ledger.HasPendingVerdict() {
 		return
 	}
-	for _, v := range b.ledger.Judge(r.now) {
+	for _, v := range b.ledger.Evaluate(r.now) {
 		b.own = append(b.own, ownVerdict{call: v.Fingerprint, until: r.now.Add(ownQuarantine)})
 		e.add(Effect{Kind: CallBlamed, Verdict: &v})
 	}
--- a/pkg/core/routing/script_crash_test.go
+++ b/pkg/core/routing/script_crash_test.go
@@ -23,7 +23,7 @@
 func describeSuspects(x *crash.Note) string {
 	var text []string
 	for _, u := range x.Suspects {
-		text = append(text, fmt.Sprintf("%.8s sent %s before", u.Fingerprint, u.Sent))
+		text = append(text, fmt.Sprintf("%.8s sent %s before", u.Fingerprint, u.SentBefore))
 	}
 	return strings.Join(text, ", ")
 }
@@ -49,7 +49,7 @@
 		case "noted":
 			v.Noted = uint64(number)
 		default:
-			v.Calls = append(v.Calls, crash.Watched{
+			v.Calls = append(v.Calls, crash.WatchedCall{
 				Call: crash.FingerprintOf(likeness(a.Key)), Quarantined: how != "suspect", Trial: number,
 			})
 		}
--- a/pkg/core/subscription/watched.go
+++ b/pkg/core/subscription/watched.go
@@ -11,7 +11,7 @@
 	// Term is the leader's, Noted the last of the box's notes that it has.
 	Term  units.Term
 	Noted uint64
-	Calls []crash.Watched
+	Calls []crash.WatchedCall
 }
 
 // takeWatched passes on what a grant says of calls, unless a later request was answered before.
--- a/pkg/wire/convert_crash.go
+++ b/pkg/wire/convert_crash.go
@@ -66,7 +66,7 @@
 		return &CrashNote{
 			Number: n.Number, Age: int64(now.Sub(n.At)), Service: string(n.Service), Target: string(n.Target),
 			Suspects: mapSlice(n.Suspects, func(s crash.Suspect) *CrashSuspect {
-				return &CrashSuspect{Call: FromFingerprint(s.Fingerprint), Sent: int64(s.Sent)}
+				return &CrashSuspect{Call: FromFingerprint(s.Fingerprint), Sent: int64(s.SentBefore)}
 			}),
 		}
 	})
@@ -80,23 +80,23 @@
 			Box: units.BoxID(r.Box.GetId()), Start: r.Start, Number: n.Number, At: now.Add(-time.Duration(n.Age)), Service: units.ServiceName(n.Service),
 			Target: units.TargetID(n.Target),
 			Suspects: mapSlice(n.Suspects, func(s *CrashSuspect) crash.Suspect {
-				return crash.Suspect{Fingerprint: ToFingerprint(s.Call), Sent: time.Duration(s.Sent)}
+				return crash.Suspect{Fingerprint: ToFingerprint(s.Call), SentBefore: time.Duration(s.Sent)}
 			}),
 		}
 	})
 }
 
 // FromWatched converts the calls that boxes watch.
-func FromWatched(list []crash.Watched) []*WatchedCall {
-	return mapSlice(list, func(x crash.Watched) *WatchedCall {
+func FromWatched(list []crash.WatchedCall) []*WatchedCall {
+	return mapSlice(list, func(x crash.WatchedCall) *WatchedCall {
 		return &WatchedCall{Call: FromFingerprint(x.Call), Quarantined: x.Quarantined, Trial: int32(x.Trial)}
 	})
 }
 
 // ToWatched converts the calls that boxes watch back.
-func ToWatched(list []*WatchedCall) []crash.Watched {
-	return mapSlice(list, func(x *WatchedCall) crash.Watched {
-		return crash.Watched{Call: ToFingerprint(x.Call), Quarantined: x.Quarantined, Trial: int(x.Trial)}
+func ToWatched(list []*WatchedCall) []crash.WatchedCall {
+	return mapSlice(list, func(x *WatchedCall) crash.WatchedCall {
+		return crash.WatchedCall{Call: ToFingerprint(x.Call), Quarantined: x.Quarantined, Trial: int(x.Trial)}
 	})
 }
 
