--- a/pkg/core/box/fleet_test.go
+++ b/pkg/core/box/fleet_test.go
@@ -324,7 +324,7 @@
 	request := x.GetRenewRequest()
 	for _, v := range wire.ToEvidence(request.Evidence) {
 		if v.Software == newSoftware {
-			l.seen[fmt.Sprintf("%d/%d", m.index, request.Start)] = v.Bad
+			l.seen[fmt.Sprintf("%d/%d", m.index, request.Start)] = v.Failures
 		}
 	}
 	l.noteDrained(m, request)
--- a/pkg/core/control/rollouts.go
+++ b/pkg/core/control/rollouts.go
@@ -62,7 +62,7 @@
 // rolloutWatch is a leader's watch of a rollout: it collects the boxes' evidence and decides the
 // next step.
 type rolloutWatch struct {
-	*rollout.Watch
+	*rollout.Monitor
 	// proposedAt is when the last step was proposed, persistAt is when the elapsed time is next
 	// replicated.
 	proposedAt, persistAt units.Instant
@@ -116,7 +116,7 @@
 func (r *Replica) watchOf(x *table.Rollout) *rolloutWatch {
 	w := r.rollouts.watches[x.Service]
 	if w == nil || w.Order() != x.Order {
-		w = &rolloutWatch{Watch: rollout.NewWatch(*x, r.settings.Rollouts.Limits), persistAt: r.now.Add(persistPeriod)}
+		w = &rolloutWatch{Monitor: rollout.NewMonitor(*x, r.settings.Rollouts.Limits), persistAt: r.now.Add(persistPeriod)}
 		r.rollouts.watches[x.Service] = w
 	}
 	return w
@@ -141,7 +141,7 @@
 		Box: units.BoxID(request.Box.Id), Start: request.Start, Revision: units.Revision(request.Revision),
 		Evidence: wire.ToEvidence(request.Evidence),
 	}
-	r.eachActive(func(x *table.Rollout, w *rolloutWatch) { w.Take(r.elapsed(x), report) })
+	r.eachActive(func(x *table.Rollout, w *rolloutWatch) { w.RecordReport(r.elapsed(x), report) })
 }
 
 // exposures returns the exposures that a grant carries: one for each rollout in progress whose new
@@ -177,8 +177,8 @@
 
 // advanceRollout proposes a rollout's next step if one is due, or else replicates its elapsed time.
 func (r *Replica) advanceRollout(x *table.Rollout, w *rolloutWatch, log *replication.Effects) {
-	facts := &rollout.Facts{
-		Elapsed: r.elapsed(x), InOffice: r.now.Sub(r.leaderSince), Plan: r.rolloutPlan(x), Boxes: boxIDs(r.liveBoxes()),
+	facts := &rollout.DecisionInput{
+		Elapsed: r.elapsed(x), LeaderFor: r.now.Sub(r.leaderSince), Plan: r.rolloutPlan(x), Boxes: boxIDs(r.liveBoxes()),
 		Old: r.side(x.Service, x.From), New: r.side(x.Service, x.To),
 	}
 	step := w.Decide(facts)
@@ -210,8 +210,8 @@
 }
 
 // side returns the targets of a version that are available now.
-func (r *Replica) side(service units.ServiceName, software units.SoftwareVersion) rollout.Side {
-	var side rollout.Side
+func (r *Replica) side(service units.ServiceName, software units.SoftwareVersion) rollout.Candidates {
+	var side rollout.Candidates
 	r.state.EachRegistration(func(t *table.Registration) {
 		if t.Service != service || t.Software != software || t.State != table.Active || t.Silent || r.state.Table().Evacuated(t.Domain) {
 			return
@@ -314,8 +314,8 @@
 		}
 		if w := r.rollouts.watches[x.Service]; w != nil && w.Order() == x.Order {
 			total := w.Total()
-			s.New = AnswerCounts{Good: total.New.Good, Bad: total.New.Bad}
-			s.Old = AnswerCounts{Good: total.Old.Good, Bad: total.Old.Bad}
+			s.New = AnswerCounts{Good: total.New.Successes, Bad: total.New.Failures}
+			s.Old = AnswerCounts{Good: total.Old.Successes, Bad: total.Old.Failures}
 		}
 		list = append(list, s)
 	}
--- a/pkg/core/control/traffic_test.go
+++ b/pkg/core/control/traffic_test.go
@@ -90,10 +90,10 @@
 		c.counts[to] = e
 	}
 	if w.random.Float64() < x.bad(to) {
-		e.Bad++
+		e.Failures++
 		return
 	}
-	e.Good++
+	e.Successes++
 	e.Times.Add(time.Duration(20+w.random.IntN(40)) * time.Millisecond)
 }
 
@@ -105,7 +105,7 @@
 		return t.SoftwareInForce(x.service)
 	}
 	g := c.granted[r.Order]
-	fresh := x.world.now < g.Until
+	fresh := x.world.now < g.ExpiresAt
 	switch {
 	case r.Stage == table.RolloutShifted && fresh:
 		return r.To
@@ -131,7 +131,7 @@
 	for _, software := range slices.Sorted(maps.Keys(c.counts)) {
 		e := *c.counts[software]
 		e.Order = r.Order
-		e.UnderWay = uint32(len(c.inFlight[software]))
+		e.InFlight = uint32(len(c.inFlight[software]))
 		request.Evidence = append(request.Evidence, wire.FromEvidence([]rollout.Evidence{e})...)
 	}
 }
--- a/pkg/core/crash/bench_test.go
+++ b/pkg/core/crash/bench_test.go
@@ -11,7 +11,7 @@
 // BenchmarkNote is what a leader does with a note of a crash: take it, judge, and list the suspects,
 // with as many crashes as are kept, six suspects each.
 func BenchmarkNote(b *testing.B) {
-	l := NewTracker(CrashesToBlame)
+	t := NewTracker(CrashesToBlame)
 	at := units.Instant(time.Second)
 	nextNote := func(n uint64) Note {
 		at = at.Add(2 * time.Second)
@@ -22,14 +22,14 @@
 		return x
 	}
 	for n := range uint64(maxEvents) {
-		l.Record(nextNote(n))
+		t.Record(nextNote(n))
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for n := range uint64(b.N) {
-		l.Record(nextNote(maxEvents + n))
-		l.Evaluate(at)
-		l.HasPendingVerdict()
-		l.Suspects(16)
+		t.Record(nextNote(maxEvents + n))
+		t.Evaluate(at)
+		t.HasPendingVerdict()
+		t.Suspects(16)
 	}
 }
--- a/pkg/core/crash/tracker.go
+++ b/pkg/core/crash/tracker.go
@@ -50,7 +50,7 @@
 // suspect is a call that was under way at a crash.
 type suspect struct {
 	fingerprint Fingerprint
-	sentAt        units.Instant
+	sentAt      units.Instant
 }
 
 // noteID tells notes apart.
@@ -74,7 +74,7 @@
 	// cachedHistories are the records as they were last worked out; stale is set when that no longer holds.
 	// A leader asks for them three times for each note, and each time takes 256 crashes together.
 	cachedHistories []callHistory
-	stale bool
+	stale           bool
 }
 
 // NewTracker returns a ledger that blames a call after so many crashes in a row; zero never does.
@@ -83,17 +83,17 @@
 }
 
 // Record takes a note. One that was taken before changes nothing.
-func (l *Tracker) Record(n Note) {
+func (t *Tracker) Record(n Note) {
 	if n.IsAnswer() {
-		l.recordAnswer(n)
+		t.recordAnswer(n)
 		return
 	}
 	name := noteID{box: n.Box, start: n.Start, number: n.Number}
-	e := l.eventFor(n, name)
+	e := t.eventFor(n, name)
 	if e == nil {
 		return
 	}
-	l.stale = true
+	t.stale = true
 	e.noteIDs = append(e.noteIDs, name)
 	for _, s := range n.Suspects {
 		e.addSuspect(suspect{fingerprint: s.Fingerprint, sentAt: n.At.Add(-s.SentBefore)})
@@ -102,21 +102,21 @@
 
 // eventFor returns the crash that a note tells of, a new one where it is the first; nil where
 // the note is known.
-func (l *Tracker) eventFor(n Note, name noteID) *event {
-	if slices.ContainsFunc(l.events, func(e event) bool { return slices.Contains(e.noteIDs, name) }) {
+func (t *Tracker) eventFor(n Note, name noteID) *event {
+	if slices.ContainsFunc(t.events, func(e event) bool { return slices.Contains(e.noteIDs, name) }) {
 		return nil
 	}
-	for i := range l.events {
-		if e := &l.events[i]; e.target == n.Target && max(e.at.Sub(n.At), n.At.Sub(e.at)) < mergeWindow {
+	for i := range t.events {
+		if e := &t.events[i]; e.target == n.Target && max(e.at.Sub(n.At), n.At.Sub(e.at)) < mergeWindow {
 			return e
 		}
 	}
-	if len(l.events) >= maxEvents {
-		l.events = slices.Delete(l.events, 0, 1)
+	if len(t.events) >= maxEvents {
+		t.events = slices.Delete(t.events, 0, 1)
 	}
-	i, _ := slices.BinarySearchFunc(l.events, n.At, func(e event, at units.Instant) int { return cmp.Compare(e.at, at) })
-	l.events = slices.Insert(l.events, i, event{service: n.Service, target: n.Target, at: n.At})
-	return &l.events[i]
+	i, _ := slices.BinarySearchFunc(t.events, n.At, func(e event, at units.Instant) int { return cmp.Compare(e.at, at) })
+	t.events = slices.Insert(t.events, i, event{service: n.Service, target: n.Target, at: n.At})
+	return &t.events[i]
 }
 
 func (e *event) addSuspect(s suspect) {
@@ -133,12 +133,12 @@
 
 // recordAnswer clears a call of the crashes before an answer to it. The same call of other callers may
 // still crash targets, but not by its content alone.
-func (l *Tracker) recordAnswer(n Note) {
-	l.stale = true
+func (t *Tracker) recordAnswer(n Note) {
+	t.stale = true
 	for _, s := range n.Suspects {
-		l.recordAnswerTime(s.Fingerprint.AnyCaller(), n.At)
-		for i := range l.events {
-			if e := &l.events[i]; e.at <= n.At {
+		t.recordAnswerTime(s.Fingerprint.AnyCaller(), n.At)
+		for i := range t.events {
+			if e := &t.events[i]; e.at <= n.At {
 				e.suspects = slices.DeleteFunc(e.suspects, func(x suspect) bool { return x.fingerprint == s.Fingerprint })
 			}
 		}
@@ -146,18 +146,18 @@
 }
 
 // recordAnswerTime keeps when a call was answered, whoever sent it, if crashes count against it.
-func (l *Tracker) recordAnswerTime(f Fingerprint, at units.Instant) {
-	if slices.ContainsFunc(l.events, func(e event) bool { return e.hasSuspect(f) }) {
-		l.answeredAt[f] = max(l.answeredAt[f], at)
+func (t *Tracker) recordAnswerTime(f Fingerprint, at units.Instant) {
+	if slices.ContainsFunc(t.events, func(e event) bool { return e.hasSuspect(f) }) {
+		t.answeredAt[f] = max(t.answeredAt[f], at)
 	}
 }
 
 // Attribute puts crashes down to a call that is known to be to blame and was under way there; they
 // no longer count against others. Those of one caller's call go on counting against the same call of all callers: if
 // it is its content that crashes targets, one more crash under another caller's shows it.
-func (l *Tracker) Attribute(f Fingerprint) {
-	for i := range l.events {
-		e := &l.events[i]
+func (t *Tracker) Attribute(f Fingerprint) {
+	for i := range t.events {
+		e := &t.events[i]
 		if !e.hasSuspect(f) || e.attributed && !f.isAnyCaller() {
 			continue
 		}
@@ -165,17 +165,17 @@
 		e.suspects = slices.DeleteFunc(e.suspects, func(s suspect) bool {
 			return f.isAnyCaller() || !f.AnyCaller().Covers(s.fingerprint)
 		})
-		l.stale = true
+		t.stale = true
 	}
 }
 
 // Release drops what counts against the same call of all callers by crashes that were put down to one caller's: whoever
 // releases that doesn't hold it responsible any more.
-func (l *Tracker) Release(f Fingerprint) {
-	for i := range l.events {
-		if e := &l.events[i]; e.attributed && e.hasSuspect(f) {
+func (t *Tracker) Release(f Fingerprint) {
+	for i := range t.events {
+		if e := &t.events[i]; e.attributed && e.hasSuspect(f) {
 			e.suspects = nil
-			l.stale = true
+			t.stale = true
 		}
 	}
 }
@@ -204,13 +204,13 @@
 }
 
 // historyOf collects what stands against a call.
-func (l *Tracker) historyOf(f Fingerprint) callHistory {
+func (t *Tracker) historyOf(f Fingerprint) callHistory {
 	r := callHistory{fingerprint: f}
 	last := neverSent
-	for i := range l.events {
-		e := &l.events[i]
+	for i := range t.events {
+		e := &t.events[i]
 		sent := e.lastSent(f)
-		if sent == neverSent || e.at <= l.answeredAt[f] || e.attributed && !f.isAnyCaller() {
+		if sent == neverSent || e.at <= t.answeredAt[f] || e.attributed && !f.isAnyCaller() {
 			continue
 		}
 		r.events = append(r.events, e)
@@ -225,25 +225,25 @@
 // histories collects what stands against each call under which more than one target crashed:
 // most crashes first, and of equals one caller's calls before the same calls of all callers. The
 // list is the ledger's own.
-func (l *Tracker) histories() []callHistory {
-	if l.stale {
-		l.cachedHistories = l.buildHistories()
-		l.stale = false
+func (t *Tracker) histories() []callHistory {
+	if t.stale {
+		t.cachedHistories = t.buildHistories()
+		t.stale = false
 	}
-	return l.cachedHistories
+	return t.cachedHistories
 }
 
-func (l *Tracker) buildHistories() []callHistory {
+func (t *Tracker) buildHistories() []callHistory {
 	crashes := map[Fingerprint]int{}
-	for i := range l.events {
-		for f := range l.events[i].fingerprints() {
+	for i := range t.events {
+		for f := range t.events[i].fingerprints() {
 			crashes[f]++
 		}
 	}
 	var list []callHistory
 	for f, n := range crashes {
 		if n > 1 {
-			list = append(list, l.historyOf(f))
+			list = append(list, t.historyOf(f))
 		}
 	}
 	slices.SortFunc(list, func(a, b callHistory) int {
@@ -280,39 +280,39 @@
 
 // Evaluate returns the calls that are to blame by now, and drops what they explain. Where nothing
 // tells several calls apart all of them are blamed, in doubt.
-func (l *Tracker) Evaluate(now units.Instant) []Verdict {
-	l.expire(now)
+func (t *Tracker) Evaluate(now units.Instant) []Verdict {
+	t.expire(now)
 	var verdicts []Verdict
-	for l.threshold > 0 {
-		blamed := l.findBlamed(now)
+	for t.threshold > 0 {
+		blamed := t.findBlamed(now)
 		if len(blamed) == 0 {
 			break
 		}
 		for _, r := range blamed {
 			v := r.verdict()
-			v.Doubtful = len(blamed) > 1 || l.mayBeCoincidence(r)
+			v.Doubtful = len(blamed) > 1 || t.mayBeCoincidence(r)
 			verdicts = append(verdicts, v)
 		}
 		for _, v := range verdicts {
-			l.Attribute(v.Fingerprint)
+			t.Attribute(v.Fingerprint)
 		}
 	}
 	return verdicts
 }
 
 // expire drops what is too old to count.
-func (l *Tracker) expire(now units.Instant) {
-	events, answers := len(l.events), len(l.answeredAt)
-	l.events = slices.DeleteFunc(l.events, func(e event) bool { return now.Sub(e.at) > retention })
-	maps.DeleteFunc(l.answeredAt, func(_ Fingerprint, at units.Instant) bool { return now.Sub(at) > retention })
-	l.stale = l.stale || len(l.events) < events || len(l.answeredAt) < answers
+func (t *Tracker) expire(now units.Instant) {
+	events, answers := len(t.events), len(t.answeredAt)
+	t.events = slices.DeleteFunc(t.events, func(e event) bool { return now.Sub(e.at) > retention })
+	maps.DeleteFunc(t.answeredAt, func(_ Fingerprint, at units.Instant) bool { return now.Sub(at) > retention })
+	t.stale = t.stale || len(t.events) < events || len(t.answeredAt) < answers
 }
 
 // findBlamed returns a call that is to findBlamed, or several that nothing tells apart; none where
 // nobody is to findBlamed yet.
-func (l *Tracker) findBlamed(now units.Instant) []callHistory {
-	all := l.histories()
-	due := slices.DeleteFunc(slices.Clone(all), func(r callHistory) bool { return !l.isDue(&r) || !r.isSettled(now) })
+func (t *Tracker) findBlamed(now units.Instant) []callHistory {
+	all := t.histories()
+	due := slices.DeleteFunc(slices.Clone(all), func(r callHistory) bool { return !t.isDue(&r) || !r.isSettled(now) })
 	for _, r := range due {
 		if !slices.ContainsFunc(all, r.isMatchedBy) {
 			return []callHistory{r}
@@ -326,22 +326,22 @@
 }
 
 // isDue tells whether crashes enough stand against a call, not all of which are put down to one caller's.
-func (l *Tracker) isDue(r *callHistory) bool {
-	return len(r.chain) >= l.threshold && r.hasUnattributed()
+func (t *Tracker) isDue(r *callHistory) bool {
+	return len(r.chain) >= t.threshold && r.hasUnattributed()
 }
 
 // hasUnattributed tells whether nobody is blamed yet for one of the crashes.
-func (r *callHistory) hasUnattributed() bool {
-	return slices.ContainsFunc(r.chain, func(e *event) bool { return !e.attributed })
+func (h *callHistory) hasUnattributed() bool {
+	return slices.ContainsFunc(h.chain, func(e *event) bool { return !e.attributed })
 }
 
 // mayBeCoincidence tells whether as many targets of the service crashed without the call meanwhile: a
 // service whose targets crash by themselves has calls under way at most of the crashes.
-func (l *Tracker) mayBeCoincidence(r callHistory) bool {
+func (t *Tracker) mayBeCoincidence(r callHistory) bool {
 	first, last := r.chain[0], r.chain[len(r.chain)-1]
 	without := 0
-	for i := range l.events {
-		e := &l.events[i]
+	for i := range t.events {
+		e := &t.events[i]
 		if e.service == first.service && e.at >= first.at && e.at <= last.at && !e.attributed && !e.hasSuspect(r.fingerprint) {
 			without++
 		}
@@ -351,23 +351,23 @@
 
 // isSettled tells whether all boxes have had time to tell of the crashes but for the last: a
 // call that is to blame as likely was there each time.
-func (r *callHistory) isSettled(now units.Instant) bool {
-	return len(r.chain) < 2 || now.Sub(r.chain[len(r.chain)-2].at) >= settleDelay
+func (h *callHistory) isSettled(now units.Instant) bool {
+	return len(h.chain) < 2 || now.Sub(h.chain[len(h.chain)-2].at) >= settleDelay
 }
 
 // isMatchedBy tells whether another call was under way at all the crashes that count against
 // this one, and at no fewer in all.
-func (r *callHistory) isMatchedBy(x callHistory) bool {
-	f, g := r.fingerprint, x.fingerprint
-	if f.Covers(g) || len(x.events) < len(r.events) {
+func (h *callHistory) isMatchedBy(x callHistory) bool {
+	f, g := h.fingerprint, x.fingerprint
+	if f.Covers(g) || len(x.events) < len(h.events) {
 		return false
 	}
-	return !slices.ContainsFunc(r.chain, func(e *event) bool { return !e.hasSuspect(g) })
+	return !slices.ContainsFunc(h.chain, func(e *event) bool { return !e.hasSuspect(g) })
 }
 
-func (r *callHistory) verdict() Verdict {
-	v := Verdict{Fingerprint: r.fingerprint, Service: r.chain[0].service}
-	for _, e := range r.chain {
+func (h *callHistory) verdict() Verdict {
+	v := Verdict{Fingerprint: h.fingerprint, Service: h.chain[0].service}
+	for _, e := range h.chain {
 		v.Targets = append(v.Targets, e.target)
 	}
 	return v
@@ -375,9 +375,9 @@
 
 // Suspects returns the calls under which targets have crashed more than once in a row, the most
 // likely first: answers to them are worth noting.
-func (l *Tracker) Suspects(limit int) []Fingerprint {
+func (t *Tracker) Suspects(limit int) []Fingerprint {
 	var list []Fingerprint
-	for _, r := range l.histories() {
+	for _, r := range t.histories() {
 		if len(r.chain) > 1 && r.hasUnattributed() && len(list) < limit {
 			list = append(list, r.fingerprint)
 		}
@@ -386,18 +386,18 @@
 }
 
 // HasPendingVerdict tells whether crashes under a call are enough that time alone may bring a verdict.
-func (l *Tracker) HasPendingVerdict() bool {
-	return l.threshold > 0 && slices.ContainsFunc(l.histories(), func(r callHistory) bool { return l.isDue(&r) })
+func (t *Tracker) HasPendingVerdict() bool {
+	return t.threshold > 0 && slices.ContainsFunc(t.histories(), func(r callHistory) bool { return t.isDue(&r) })
 }
 
 // SuspectsSince returns the calls under which targets have crashed since a time.
-func (l *Tracker) SuspectsSince(at units.Instant) []Fingerprint {
+func (t *Tracker) SuspectsSince(at units.Instant) []Fingerprint {
 	var list []Fingerprint
-	for i := range l.events {
-		if l.events[i].at < at {
+	for i := range t.events {
+		if t.events[i].at < at {
 			continue
 		}
-		for _, s := range l.events[i].suspects {
+		for _, s := range t.events[i].suspects {
 			list = append(list, s.fingerprint)
 		}
 	}
--- a/pkg/core/crash/tracker_test.go
+++ b/pkg/core/crash/tracker_test.go
@@ -13,9 +13,9 @@
 
 // script drives a ledger that blames a call after three crashes in a row.
 type script struct {
-	t       *testing.T
-	ledger  *Tracker
-	texts   map[Fingerprint]string
+	t          *testing.T
+	tracker    *Tracker
+	texts      map[Fingerprint]string
 	lastNumber uint64
 }
 
@@ -31,7 +31,7 @@
 
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
-		s := &script{t: t, ledger: NewTracker(3), texts: map[Fingerprint]string{}}
+		s := &script{t: t, tracker: NewTracker(3), texts: map[Fingerprint]string{}}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			f := commands[d.Cmd]
 			if f == nil {
@@ -55,7 +55,7 @@
 		}
 		n.Suspects = append(n.Suspects, Suspect{Fingerprint: s.fingerprint(words[0]), SentBefore: before})
 	}
-	s.ledger.Record(n)
+	s.tracker.Record(n)
 	return "taken"
 }
 
@@ -63,7 +63,7 @@
 func (s *script) answer(d *datadriven.TestData) string {
 	n := s.note(d)
 	n.Suspects = []Suspect{{Fingerprint: s.fingerprint(d.CmdArgs[0].Key)}}
-	s.ledger.Record(n)
+	s.tracker.Record(n)
 	return "taken"
 }
 
@@ -97,7 +97,7 @@
 // judge at=TIME
 func (s *script) judge(d *datadriven.TestData) string {
 	var lines []string
-	for _, v := range s.ledger.Evaluate(s.at(d)) {
+	for _, v := range s.tracker.Evaluate(s.at(d)) {
 		doubt := ""
 		if v.Doubtful {
 			doubt = ", in doubt"
@@ -105,14 +105,14 @@
 		lines = append(lines, fmt.Sprintf("%s is to blame for %v%s", s.texts[v.Fingerprint], v.Targets, doubt))
 	}
 	if len(lines) == 0 {
-		return fmt.Sprintf("nobody, undecided: %v", s.ledger.HasPendingVerdict())
+		return fmt.Sprintf("nobody, undecided: %v", s.tracker.HasPendingVerdict())
 	}
 	return strings.Join(lines, "\n")
 }
 
 func (s *script) suspects(*datadriven.TestData) string {
 	var words []string
-	for _, f := range s.ledger.Suspects(2) {
+	for _, f := range s.tracker.Suspects(2) {
 		words = append(words, s.texts[f])
 	}
 	return strings.Join(words, ", ")
@@ -120,18 +120,18 @@
 
 // blamed CALL[/CALLER] tells the ledger that a call is known to be to blame.
 func (s *script) blamed(d *datadriven.TestData) string {
-	s.ledger.Attribute(s.fingerprint(d.CmdArgs[0].Key))
+	s.tracker.Attribute(s.fingerprint(d.CmdArgs[0].Key))
 	return "known"
 }
 
 // released CALL[/CALLER] tells the ledger that a call that was to blame is no longer.
 func (s *script) released(d *datadriven.TestData) string {
-	s.ledger.Release(s.fingerprint(d.CmdArgs[0].Key))
+	s.tracker.Release(s.fingerprint(d.CmdArgs[0].Key))
 	return "known"
 }
 
 // kept counts the crashes that are kept.
-func (s *script) kept(*datadriven.TestData) string { return fmt.Sprint(len(s.ledger.events)) }
+func (s *script) kept(*datadriven.TestData) string { return fmt.Sprint(len(s.tracker.events)) }
 
 func TestFingerprintsAreReadAsTheyAreWritten(t *testing.T) {
 	f := Fingerprint{Head: 1, Body: Digest([]byte("body")), Caller: Digest()}
@@ -162,16 +162,16 @@
 
 // What it costs the leader to judge after each of 64 crashes with three suspects each.
 func BenchmarkJudge(b *testing.B) {
-	l := NewTracker(3)
+	t := NewTracker(3)
 	for i := range uint64(64) {
 		at := units.Instant(i) * units.Instant(time.Second)
-		l.Record(Note{Box: "b", Number: i, At: at, Target: units.TargetID(fmt.Sprint(i)), Suspects: []Suspect{
+		t.Record(Note{Box: "b", Number: i, At: at, Target: units.TargetID(fmt.Sprint(i)), Suspects: []Suspect{
 			{Fingerprint: Fingerprint{Head: i, Caller: 1}}, {Fingerprint: Fingerprint{Head: i / 2, Caller: 2}}, {Fingerprint: Fingerprint{Head: 1 << 32, Caller: i}},
 		}})
 	}
 	now := units.Instant(64 * time.Second)
-	l.threshold = 1 << 20
+	t.threshold = 1 << 20
 	for b.Loop() {
-		l.Evaluate(now)
+		t.Evaluate(now)
 	}
 }
--- a/pkg/core/rollout/candidates.go
+++ b/pkg/core/rollout/candidates.go
@@ -18,29 +18,29 @@
 	Cold bool
 }
 
-// Side is the targets of one version that can take calls now.
-type Side []Candidate
+// Candidates is the targets of one version that can take calls now.
+type Candidates []Candidate
 
-// trialTargets is how many targets take a share of the calls so that each has the load of
+// trialTargetCount is how many targets take a share of the calls so that each has the load of
 // an old target: a fault that shows only under load would otherwise stay hidden.
-func trialTargets(share float64, old, fresh Side) int {
-	return min(len(fresh), max(1, int(math.Round(share*float64(len(old))))))
+func trialTargetCount(share float64, old, newer Candidates) int {
+	return min(len(newer), max(1, int(math.Round(share*float64(len(old))))))
 }
 
-// pick chooses targets for the trial: the present ones that can still take calls before others,
+// selectForTrial chooses targets for the trial: the present ones that can still take calls before others,
 // warm before cold, and each failure domain in turn.
-func (s Side) pick(count int, present []units.TargetID) []units.TargetID {
-	rank := map[units.TargetID]int{}
-	inDomain := map[units.Domain]int{}
+func (s Candidates) selectForTrial(count int, current []units.TargetID) []units.TargetID {
+	rankInDomain := map[units.TargetID]int{}
+	countInDomain := map[units.Domain]int{}
 	byID := slices.SortedFunc(slices.Values(s), func(a, b Candidate) int { return strings.Compare(string(a.Target), string(b.Target)) })
 	for _, c := range byID {
-		rank[c.Target] = inDomain[c.Domain]
-		inDomain[c.Domain]++
+		rankInDomain[c.Target] = countInDomain[c.Domain]
+		countInDomain[c.Domain]++
 	}
 	slices.SortStableFunc(byID, func(a, b Candidate) int {
 		return cmp.Or(
-			falseFirst(!slices.Contains(present, a.Target), !slices.Contains(present, b.Target)),
-			falseFirst(a.Cold, b.Cold), cmp.Compare(rank[a.Target], rank[b.Target]))
+			falseFirst(!slices.Contains(current, a.Target), !slices.Contains(current, b.Target)),
+			falseFirst(a.Cold, b.Cold), cmp.Compare(rankInDomain[a.Target], rankInDomain[b.Target]))
 	})
 	var ids []units.TargetID
 	for _, c := range byID[:min(count, len(byID))] {
@@ -60,8 +60,8 @@
 	return 1
 }
 
-// slots is how many calls the targets can take at once; one that doesn't say has one.
-func (s Side) slots() int {
+// totalSlots is how many calls the targets can take at once; one that doesn't say has one.
+func (s Candidates) totalSlots() int {
 	total := 0
 	for _, c := range s {
 		total += max(1, c.Slots)
@@ -69,17 +69,17 @@
 	return total
 }
 
-// leastRoom is the part of the old version's slots that the new one must have to take all
+// minSlotFraction is the part of the old version's slots that the new one must have to take all
 // calls. Operators may move to fewer targets, but not to a handful that happen to be up.
-const leastRoom = 0.5
+const minSlotFraction = 0.5
 
-// hasRoomFor tells whether the targets can take the calls of others.
-func (s Side) hasRoomFor(old Side) bool {
-	return len(s) > 0 && float64(s.slots()) >= leastRoom*float64(old.slots())
+// hasCapacityFor tells whether the targets can take the calls of others.
+func (s Candidates) hasCapacityFor(old Candidates) bool {
+	return len(s) > 0 && float64(s.totalSlots()) >= minSlotFraction*float64(old.totalSlots())
 }
 
-// holdsAll tells whether all of these targets can take calls.
-func (s Side) holdsAll(ids []units.TargetID) bool {
+// containsAll tells whether all of these targets can take calls.
+func (s Candidates) containsAll(ids []units.TargetID) bool {
 	return !slices.ContainsFunc(ids, func(id units.TargetID) bool {
 		return !slices.ContainsFunc(s, func(c Candidate) bool { return c.Target == id })
 	})
--- a/pkg/core/rollout/counts.go
+++ b/pkg/core/rollout/counts.go
@@ -8,17 +8,17 @@
 
 // Counts are answers of one version on one route.
 type Counts struct {
-	Good, Bad uint64
-	Times     Histogram
+	Successes, Failures uint64
+	Times               Histogram
 }
 
 // Answers is how many answers were counted.
-func (c *Counts) Answers() uint64 { return c.Good + c.Bad }
+func (c *Counts) Answers() uint64 { return c.Successes + c.Failures }
 
 // Add adds other answers.
 func (c *Counts) Add(o *Counts) {
-	c.Good += o.Good
-	c.Bad += o.Bad
+	c.Successes += o.Successes
+	c.Failures += o.Failures
 	for i, n := range o.Times {
 		c.Times[i] += n
 	}
@@ -27,15 +27,15 @@
 // since returns what was counted after an earlier report. A count below the earlier one
 // comes from a report that was overtaken, and says nothing new.
 func (c *Counts) since(earlier *Counts) Counts {
-	d := Counts{Good: c.Good - min(c.Good, earlier.Good), Bad: c.Bad - min(c.Bad, earlier.Bad)}
+	d := Counts{Successes: c.Successes - min(c.Successes, earlier.Successes), Failures: c.Failures - min(c.Failures, earlier.Failures)}
 	for i, n := range c.Times {
 		d.Times[i] = n - min(n, earlier.Times[i])
 	}
 	return d
 }
 
-// above is how many answers took longer than a bucket's upper end.
-func (h *Histogram) above(bucket int) uint64 {
+// countAbove is how many answers took longer than a bucket's upper end.
+func (h *Histogram) countAbove(bucket int) uint64 {
 	total := uint64(0)
 	for _, n := range h[min(Buckets, bucket+1):] {
 		total += uint64(n)
@@ -45,11 +45,11 @@
 
 // quantile returns the bucket below whose upper end a share of the answers lie.
 func (h *Histogram) quantile(share float64) int {
-	want := share * float64(h.Total())
-	seen := 0.0
+	wanted := share * float64(h.Total())
+	counted := 0.0
 	for i, n := range h {
-		seen += float64(n)
-		if seen >= want {
+		counted += float64(n)
+		if counted >= wanted {
 			return i
 		}
 	}
--- a/pkg/core/rollout/detector.go
+++ b/pkg/core/rollout/detector.go
@@ -6,12 +6,12 @@
 // so that a long good time doesn't hide a late fault. While the new version is no worse
 // than allowed, the sum's mean after n windows is at most n.
 type detector struct {
-	odds []float64
-	sums []float64
+	oddsRatios []float64
+	sums       []float64
 }
 
 func newDetector(odds []float64) detector {
-	return detector{odds: odds, sums: make([]float64, len(odds))}
+	return detector{oddsRatios: odds, sums: make([]float64, len(odds))}
 }
 
 // maxSum keeps a sum finite, far above any threshold.
@@ -22,8 +22,8 @@
 	if s.newCalls == 0 || s.oldCalls == 0 {
 		return
 	}
-	for i, odds := range d.odds {
-		ratio := s.likelihood(allowed, allowed*odds)
+	for i, odds := range d.oddsRatios {
+		ratio := s.likelihoodRatio(allowed, allowed*odds)
 		d.sums[i] = min(maxSum, (1+d.sums[i])*ratio)
 	}
 }
--- a/pkg/core/rollout/evidence.go
+++ b/pkg/core/rollout/evidence.go
@@ -21,13 +21,13 @@
 	Order    units.Revision
 	Software units.SoftwareVersion
 	Route    RouteID
-	// Good counts answers that aren't failures; Bad counts failures of the target: server
+	// Successes counts answers that aren't failures; Failures counts failures of the target: server
 	// errors, broken and wrong answers, and calls that it never answered.
-	Good, Bad uint64
+	Successes, Failures uint64
 	// Times counts the good answers by how long they took.
 	Times Histogram
-	// UnderWay is how many calls of this version the box waits for.
-	UnderWay uint32
+	// InFlight is how many calls of this version the box waits for.
+	InFlight uint32
 }
 
 // Buckets is how many buckets a histogram has: from 1 ms to 4 s in steps of the square root
--- a/pkg/core/rollout/exposure.go
+++ b/pkg/core/rollout/exposure.go
@@ -8,7 +8,7 @@
 	// Order names the rollout, Since the stage that the exposure is for.
 	Order, Since units.Revision
 	Share        units.Percent
-	// Asked is when the box sent the request that the exposure answers, Until when it ends,
+	// RequestedAt is when the box sent the request that the exposure answers, ExpiresAt when it ends,
 	// both on the box's clock.
-	Asked, Until units.Instant
+	RequestedAt, ExpiresAt units.Instant
 }
--- a/pkg/core/routing/evidence.go
+++ b/pkg/core/routing/evidence.go
@@ -151,7 +151,7 @@
 		x := &list[i]
 		all = append(all, rollout.Evidence{
 			Service: v.record.Service, Order: v.record.Order, Software: software, Route: rollout.RouteID(x.host + x.prefix),
-			Good: x.successes, Bad: x.failures, Times: x.durations, UnderWay: x.inFlight,
+			Successes: x.successes, Failures: x.failures, Times: x.durations, InFlight: x.inFlight,
 		})
 	}
 	return all
--- a/pkg/core/routing/exposure.go
+++ b/pkg/core/routing/exposure.go
@@ -71,7 +71,7 @@
 // that it hasn't been rolled back for longer than exposures last.
 func (v *rolloutState) exposed(now units.Instant) bool {
 	x := &v.exposure
-	if x.Order != v.record.Order || now >= x.Until {
+	if x.Order != v.record.Order || now >= x.ExpiresAt {
 		return false
 	}
 	if v.stopped(now) {
@@ -86,9 +86,9 @@
 	case v.stop.at == 0:
 		return false
 	case v.record.Stage == table.RolloutShifted:
-		return v.exposure.Asked < v.stop.at || now < v.stop.at.Add(shiftPause)
+		return v.exposure.RequestedAt < v.stop.at || now < v.stop.at.Add(shiftPause)
 	}
-	return v.exposure.Asked < v.stop.at.Add(ownStopTime)
+	return v.exposure.RequestedAt < v.stop.at.Add(ownStopTime)
 }
 
 // draw decides by lot whether a new call goes to the new version.
--- a/pkg/core/routing/rollout.go
+++ b/pkg/core/routing/rollout.go
@@ -147,7 +147,7 @@
 	if v == nil || t.row.Software != v.record.To {
 		return r.notAfter()
 	}
-	return min(r.notAfter(), v.exposure.Until)
+	return min(r.notAfter(), v.exposure.ExpiresAt)
 }
 
 // hasOtherVersions tells whether targets of the service take no calls for their version alone.
--- a/pkg/core/routing/script_rollout_test.go
+++ b/pkg/core/routing/script_rollout_test.go
@@ -49,7 +49,7 @@
 		s.give(&ExposuresChanged{})
 		return
 	}
-	x := rollout.Exposure{Service: units.ServiceName(s.word(d, "service")), Asked: s.now, Until: s.now.Add(s.duration(d, "for"))}
+	x := rollout.Exposure{Service: units.ServiceName(s.word(d, "service")), RequestedAt: s.now, ExpiresAt: s.now.Add(s.duration(d, "for"))}
 	var share int
 	d.ScanArgs(s.t, "order", (*uint64)(&x.Order))
 	d.ScanArgs(s.t, "since", (*uint64)(&x.Since))
@@ -68,7 +68,7 @@
 	}
 	for _, x := range s.router.CollectEvidence() {
 		lines = append(lines, fmt.Sprintf("%s order %d %s %q: %d good, %d bad, %d timed, %d under way",
-			x.Service, x.Order, x.Software, x.Route, x.Good, x.Bad, x.Times.Total(), x.UnderWay))
+			x.Service, x.Order, x.Software, x.Route, x.Successes, x.Failures, x.Times.Total(), x.InFlight))
 	}
 	if len(lines) == 0 {
 		return "nothing\n"
--- a/pkg/core/subscription/exposures_test.go
+++ b/pkg/core/subscription/exposures_test.go
@@ -24,7 +24,7 @@
 	asked, nonce := b.now, b.nonce()
 	b.now = b.now.Add(200 * time.Millisecond)
 	b.receive(exposing(nonce, 5))
-	want := []rollout.Exposure{{Service: "s", Order: 3, Since: 5, Share: 10, Asked: asked, Until: asked.Add(testExposure)}}
+	want := []rollout.Exposure{{Service: "s", Order: 3, Since: 5, Share: 10, RequestedAt: asked, ExpiresAt: asked.Add(testExposure)}}
 	if difference := cmp.Diff(want, b.effects.Exposures); difference != "" || !b.effects.ExposuresChanged {
 		t.Fatal(difference)
 	}
--- a/pkg/wire/convert_evidence.go
+++ b/pkg/wire/convert_evidence.go
@@ -26,14 +26,14 @@
 	times := x.Times
 	return &VersionEvidence{
 		Service: string(x.Service), Order: uint64(x.Order), Software: string(x.Software), Route: string(x.Route),
-		Good: x.Good, Bad: x.Bad, Times: times[:used], UnderWay: x.UnderWay,
+		Good: x.Successes, Bad: x.Failures, Times: times[:used], UnderWay: x.InFlight,
 	}
 }
 
 func toOneEvidence(x *VersionEvidence) rollout.Evidence {
 	out := rollout.Evidence{
 		Service: units.ServiceName(x.Service), Order: units.Revision(x.Order), Software: units.SoftwareVersion(x.Software),
-		Route: rollout.RouteID(x.Route), Good: x.Good, Bad: x.Bad, UnderWay: x.UnderWay,
+		Route: rollout.RouteID(x.Route), Successes: x.Good, Failures: x.Bad, InFlight: x.UnderWay,
 	}
 	copy(out.Times[:], x.Times)
 	return out
@@ -45,7 +45,7 @@
 	return mapSlice(list, func(x *Exposure) rollout.Exposure {
 		return rollout.Exposure{
 			Service: units.ServiceName(x.Service), Order: units.Revision(x.Order), Since: units.Revision(x.Since),
-			Share: units.Percent(x.Share), Asked: asked, Until: asked.Add(time.Duration(x.Duration)),
+			Share: units.Percent(x.Share), RequestedAt: asked, ExpiresAt: asked.Add(time.Duration(x.Duration)),
 		}
 	})
 }
--- a/pkg/wire/convert_evidence_test.go
+++ b/pkg/wire/convert_evidence_test.go
@@ -11,8 +11,8 @@
 
 func TestEvidenceComesBackAsItWas(t *testing.T) {
 	want := []rollout.Evidence{
-		{Service: "s", Order: 7, Software: "v1", Route: "s/a", Good: 12, Bad: 3, UnderWay: 2},
-		{Service: "s", Order: 7, Software: "v2", Route: "", Good: 1},
+		{Service: "s", Order: 7, Software: "v1", Route: "s/a", Successes: 12, Failures: 3, InFlight: 2},
+		{Service: "s", Order: 7, Software: "v2", Route: "", Successes: 1},
 	}
 	want[0].Times[0], want[0].Times[9], want[1].Times[rollout.Buckets-1] = 2, 10, 1
 	message := &RenewRequest{Evidence: FromEvidence(want)}
