--- a/pkg/core/rollout/judge.go
+++ b/pkg/core/rollout/judge.go
@@ -121,13 +121,13 @@
 // that adds most and its place.
 func (j *Judge) evidence(counts func(*eventTally) bool) (sum float64, worst *comparison, where string) {
 	sum, worst = j.all.evidence(counts)/2, j.all
-	maxShare := sum
+	largest := sum
 	for _, id := range slices.Sorted(maps.Keys(j.routes)) {
 		c := j.routes[id]
 		e := c.evidence(counts) / 2 / float64(len(j.routes))
 		sum += e
-		if e > maxShare {
-			worst, where, maxShare = c, " on "+string(id), e
+		if e > largest {
+			worst, where, largest = c, " on "+string(id), e
 		}
 	}
 	return sum, worst, where
--- a/pkg/entry/answer.go
+++ b/pkg/entry/answer.go
@@ -13,9 +13,9 @@
 	"github.com/madderpond/madderpond/pkg/target"
 )
 
-// loggedWait is from which time on the log tells that an answer waited for the link: its
+// minLoggedWait is from which time on the log tells that an answer waited for the link: its
 // caller notices a tenth of a second.
-const loggedWait = 100 * time.Millisecond
+const minLoggedWait = 100 * time.Millisecond
 
 // writeAnswer passes a target's answer on, whole or as it comes.
 func (e *Entry) writeAnswer(ctx *fasthttp.RequestCtx, a answer) {
@@ -61,13 +61,13 @@
 		From:  body,
 		Aim:   a.attempt.Aim,
 		Gone:  func() bool { return !target.IsOpen(conn) },
-		Ended: func(s pacing.Summary) { e.logPaced(id, a.endpoint, s) },
+		Ended: func(s pacing.Summary) { e.logPacedAnswer(id, a.endpoint, s) },
 	})
 }
 
-// logPaced tells how the writing of a large answer went that was delayed or cut short.
-func (e *Entry) logPaced(id string, x *routing.Endpoint, s pacing.Summary) {
-	if s.Whole && s.Waited < loggedWait {
+// logPacedAnswer tells how the writing of a large answer went that was delayed or cut short.
+func (e *Entry) logPacedAnswer(id string, x *routing.Endpoint, s pacing.Summary) {
+	if s.Whole && s.Waited < minLoggedWait {
 		return
 	}
 	e.Log.WithFields(logrus.Fields{
--- a/pkg/entry/call.go
+++ b/pkg/entry/call.go
@@ -17,22 +17,22 @@
 // call is a caller's call while it is in this box. Its fields change under the
 // entry's lock only, until the answer is handed to the caller's goroutine.
 type call struct {
-	id      routing.CallID
-	request *fasthttp.Request
-	conn    net.Conn
-	arrived units.Instant
+	id        routing.CallID
+	request   *fasthttp.Request
+	conn      net.Conn
+	arrivedAt units.Instant
 	// inline is set while the caller's goroutine is giving the core the arrival;
 	// a send that follows at once is left in first, for that goroutine to run.
-	inline bool
-	first  send
+	inline     bool
+	inlineSend send
 	// answer brings the one final answer.
 	answer   chan answer
 	answered bool
-	// delivered is the attempt whose answer the caller gets, kept one whose failed answer
-	// may yet be delivered.
-	delivered *target.Attempt
-	kept      *target.Attempt
-	sends     []send
+	// deliveredAttempt is the attempt whose answer the caller gets, kept one whose failed answer
+	// may yet be deliveredAttempt.
+	deliveredAttempt *target.Attempt
+	keptAttempt      *target.Attempt
+	sends            []send
 	// steps are the decisions on the call so far, for the log.
 	steps    []step
 	identity identity
@@ -54,10 +54,10 @@
 }
 
 func newCall(ctx *fasthttp.RequestCtx, now units.Instant) *call {
-	return &call{request: &ctx.Request, conn: ctx.Conn(), arrived: now, answer: make(chan answer, 1)}
+	return &call{request: &ctx.Request, conn: ctx.Conn(), arrivedAt: now, answer: make(chan answer, 1)}
 }
 
-func (c *call) find(n routing.AttemptNumber) *target.Attempt {
+func (c *call) findAttempt(n routing.AttemptNumber) *target.Attempt {
 	for _, s := range c.sends {
 		if s.number == n {
 			return s.attempt
@@ -66,7 +66,7 @@
 	return nil
 }
 
-func (c *call) give(a answer) {
+func (c *call) setAnswer(a answer) {
 	if c.answered {
 		return
 	}
@@ -75,29 +75,29 @@
 }
 
 func (c *call) refuse(x routing.Effect) {
-	c.give(answer{refusal: x.Refusal})
+	c.setAnswer(answer{refusal: x.Refusal})
 }
 
 func (c *call) deliver(x routing.Effect) {
 	if c.answered {
 		return
 	}
-	c.delivered = c.find(x.Attempt)
-	c.give(answer{id: x.Call, attempt: c.delivered, number: x.Attempt, endpoint: x.Endpoint})
+	c.deliveredAttempt = c.findAttempt(x.Attempt)
+	c.setAnswer(answer{id: x.Call, attempt: c.deliveredAttempt, number: x.Attempt, endpoint: x.Endpoint})
 }
 
-func (c *call) keep(x routing.Effect) { c.kept = c.find(x.Attempt) }
+func (c *call) keepAnswer(x routing.Effect) { c.keptAttempt = c.findAttempt(x.Attempt) }
 
-// dropKept gives back a kept answer that the caller doesn't get; it is called once, at the
+// releaseKeptAnswer gives back a kept answer that the caller doesn't get; it is called once, at the
 // end of the call.
-func (c *call) dropKept() {
-	if c.kept != nil && c.kept != c.delivered {
-		c.kept.Release()
+func (c *call) releaseKeptAnswer() {
+	if c.keptAttempt != nil && c.keptAttempt != c.deliveredAttempt {
+		c.keptAttempt.Release()
 	}
 }
 
-func (c *call) cancel(n routing.AttemptNumber) {
-	if a := c.find(n); a != nil {
+func (c *call) cancelAttempt(n routing.AttemptNumber) {
+	if a := c.findAttempt(n); a != nil {
 		a.Cancel()
 	}
 }
@@ -113,8 +113,8 @@
 	e.fillRequest(a.Request, c.request, x.Workspace)
 	s := send{number: x.Attempt, attempt: a}
 	c.sends = append(c.sends, s)
-	if c.inline && c.first.attempt == nil && e.running.Load() < int64(e.Settings.Entry.MaxCalls) {
-		c.first = s
+	if c.inline && c.inlineSend.attempt == nil && e.runningAttempts.Load() < int64(e.Settings.Entry.MaxCalls) {
+		c.inlineSend = s
 		return
 	}
 	id := x.Call
@@ -126,12 +126,12 @@
 
 // runAttempt carries out a send and tells the core how it ended.
 func (e *Entry) runAttempt(c *call, id routing.CallID, s send) {
-	e.running.Add(1)
+	e.runningAttempts.Add(1)
 	a, number := s.attempt, s.number
 	result, streaming := a.Run()
-	e.running.Add(-1)
+	e.runningAttempts.Add(-1)
 	e.lock.Lock()
-	c.note(c.endStep(e.Clock.Now(), s, result))
+	c.recordStep(c.endStep(e.Clock.Now(), s, result))
 	e.lock.Unlock()
 	if streaming {
 		e.reduce(&routing.AttemptStarted{Call: id, Attempt: number, Endpoint: a.Endpoint(), Reading: a.Reading, Coming: a.Coming()})
@@ -140,7 +140,7 @@
 			Call: id, Attempt: number, Endpoint: a.Endpoint(), Result: result, Reading: a.Reading, Refused: a.Refused,
 		})
 	}
-	if e.settle(c, number, a) {
+	if e.endSend(c, number, a) {
 		return
 	}
 	if streaming {
@@ -150,13 +150,13 @@
 	a.Release()
 }
 
-// settle forgets a send that has ended, and tells whether its answer now belongs
+// endSend forgets a send that has ended, and tells whether its answer now belongs
 // to the caller's goroutine. The core gives or keeps an answer only during the event that
 // brought it.
-func (e *Entry) settle(c *call, number routing.AttemptNumber, a *target.Attempt) (taken bool) {
+func (e *Entry) endSend(c *call, number routing.AttemptNumber, a *target.Attempt) (answerUsed bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	if c.delivered == a || c.kept == a {
+	if c.deliveredAttempt == a || c.keptAttempt == a {
 		return true
 	}
 	c.sends = slices.DeleteFunc(c.sends, func(s send) bool { return s.number == number })
@@ -167,7 +167,7 @@
 	err := e.workers.Go(func() {
 		ended := e.pools.Probe(&x)
 		e.metrics.probes.Add(1)
-		e.noteProbe(&x, &ended)
+		e.recordProbe(&x, &ended)
 		e.reduce(&ended)
 	})
 	if err != nil {
--- a/pkg/entry/control_client.go
+++ b/pkg/entry/control_client.go
@@ -28,17 +28,17 @@
 	done   chan struct{}
 }
 
-// attachmentQueue bounds the messages that wait to be sent.
-const attachmentQueue = 16
+// maxQueuedMessages bounds the messages that wait to be sent.
+const maxQueuedMessages = 16
 
 func newControlClient(e *Entry) *controlClient {
 	c := &controlClient{entry: e}
-	c.configure(e.Settings.Replicas)
+	c.setReplicas(e.Settings.Replicas)
 	return c
 }
 
-// configure takes the addresses that the settings name.
-func (c *controlClient) configure(replicas []config.Replica) {
+// setReplicas takes the addresses that the settings name.
+func (c *controlClient) setReplicas(replicas []config.Replica) {
 	c.addresses = make(map[units.ReplicaID]string, len(replicas))
 	for _, r := range replicas {
 		c.addresses[units.ReplicaID(r.Box)] = r.Address
@@ -47,15 +47,15 @@
 
 // attach dials all of the replicas at the same time and keeps the connection that is made
 // first: a replica that is down, or on its way up, costs no time where another works.
-func (c *controlClient) attach(to []units.ReplicaID, n subscription.Attachment, limit time.Duration) {
+func (c *controlClient) attach(to []units.ReplicaID, n subscription.Attachment, dialTimeout time.Duration) {
 	c.close()
-	a := &attachment{number: n, queue: make(chan *wire.Envelope, attachmentQueue), done: make(chan struct{})}
+	a := &attachment{number: n, queue: make(chan *wire.Envelope, maxQueuedMessages), done: make(chan struct{})}
 	c.current = a
 	addresses := make([]string, 0, len(to))
 	for _, id := range to {
 		addresses = append(addresses, c.addressOf(id))
 	}
-	go c.run(a, to, addresses, limit)
+	go c.run(a, to, addresses, dialTimeout)
 }
 
 // addressOf returns where a replica is reached. In a cluster that grows by itself a
@@ -84,8 +84,8 @@
 	}
 }
 
-func (c *controlClient) run(a *attachment, replicas []units.ReplicaID, addresses []string, limit time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+func (c *controlClient) run(a *attachment, replicas []units.ReplicaID, addresses []string, dialTimeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	go func() {
 		select {
 		case <-a.done:
@@ -96,7 +96,7 @@
 	conn, i, err := transport.DialFirst(ctx, addresses, c.entry.Security, c.entry.hello())
 	cancel()
 	if err != nil {
-		c.lost(a, err)
+		c.endAttachment(a, err)
 		return
 	}
 	defer conn.Close()
@@ -109,16 +109,16 @@
 			return
 		case m := <-a.queue:
 			if err := conn.Send(m); err != nil {
-				c.lost(a, err)
+				c.endAttachment(a, err)
 				return
 			}
 		}
 	}
 }
 
-// lost tells the core that an attachment has ended, and the log unless this box ended it
+// endAttachment tells the core that an attachment has ended, and the log unless this box ended it
 // itself.
-func (c *controlClient) lost(a *attachment, err error) {
+func (c *controlClient) endAttachment(a *attachment, err error) {
 	select {
 	case <-a.done:
 	default:
@@ -131,7 +131,7 @@
 	for {
 		m, err := conn.Receive()
 		if err != nil {
-			c.lost(a, err)
+			c.endAttachment(a, err)
 			return
 		}
 		c.entry.reduce(subscription.Received{Attachment: a.number, Envelope: m})
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -35,13 +35,13 @@
 	lock    sync.Mutex
 	core    *box.Box
 	effects box.Effects
-	// waker ticks the core by itself at wakeAt; nil before the start.
-	waker  *time.Timer
-	wakeAt units.Instant
-	// waiting holds the calls whose callers wait for an answer.
-	waiting map[*call]bool
-	// running counts the sends under way.
-	running atomic.Int64
+	// wakeTimer ticks the core by itself at wakeAt; nil before the start.
+	wakeTimer *time.Timer
+	wakeAt    units.Instant
+	// waitingCalls holds the calls whose callers wait for an answer.
+	waitingCalls map[*call]bool
+	// runningAttempts counts the sends under way.
+	runningAttempts atomic.Int64
 
 	pools *target.Pools
 	// pacer shares the box's link among answers; nil where it isn't limited.
@@ -53,20 +53,20 @@
 	server   *fasthttp.Server
 	listener net.Listener
 	leaving  atomic.Bool
-	// shown is the revision that was last traced of in the log.
-	shown units.Revision
-	// traced counts the ordinary calls, of which a sample is logged.
-	traced atomic.Uint64
-	// barred counts the calls whose regions have no target, for the log.
-	barred barredCalls
+	// loggedRevision is the revision that was last traced of in the log.
+	loggedRevision units.Revision
+	// ordinaryCalls counts the ordinary calls, of which a sample is logged.
+	ordinaryCalls atomic.Uint64
+	// regionRefusals counts the calls whose regions have no target, for the log.
+	regionRefusals refusalLogState
 	// listedLeaving is set while the platform's list has this box as leaving.
 	listedLeaving atomic.Bool
 	done          chan struct{}
 	stopped       sync.WaitGroup
 }
 
-// queuePart is the part of the workers' number that may wait for one.
-const queuePart = 4
+// queueDivisor is the part of the workers' number that may wait for one.
+const queueDivisor = 4
 
 // NewEntry returns an entry that doesn't listen yet. peerAddress is where other
 // boxes reach this one.
@@ -77,15 +77,15 @@
 		return nil, err
 	}
 	e := &Entry{
-		Common:  c,
-		core:    core,
-		wakeAt:  notSet,
-		waiting: map[*call]bool{},
-		pools:   target.NewPools(targetSettings(s), c.Clock),
-		workers: pond.NewPool(s.MaxCalls, pond.WithQueueSize(max(1, s.MaxCalls/queuePart)), pond.WithNonBlocking(true)),
-		pacer:   pacing.NewPacer(pacing.FromMegabits(s.LinkMbps), c.Clock),
-		metrics: newMetrics(),
-		done:    make(chan struct{}),
+		Common:       c,
+		core:         core,
+		wakeAt:       noWakeSet,
+		waitingCalls: map[*call]bool{},
+		pools:        target.NewPools(targetSettings(s), c.Clock),
+		workers:      pond.NewPool(s.MaxCalls, pond.WithQueueSize(max(1, s.MaxCalls/queueDivisor)), pond.WithNonBlocking(true)),
+		pacer:        pacing.NewPacer(pacing.FromMegabits(s.LinkMbps), c.Clock),
+		metrics:      newMetrics(),
+		done:         make(chan struct{}),
 	}
 	e.control = newControlClient(e)
 	e.peers = newPeerLinks(e)
@@ -130,9 +130,9 @@
 	}
 	e.listener = listener
 	e.stopped.Add(1)
-	go e.runJanitor()
+	go e.runPeriodicTasks()
 	e.lock.Lock()
-	e.waker = time.AfterFunc(0, e.tick)
+	e.wakeTimer = time.AfterFunc(0, e.tick)
 	e.lock.Unlock()
 	go func() {
 		if err := e.server.Serve(listener); err != nil {
@@ -156,20 +156,20 @@
 
 func (e *Entry) reduceLocked(event box.Event) {
 	e.core.Reduce(e.Clock.Now(), event, &e.effects)
-	e.carryOut()
+	e.applyEffects()
 	e.logTable()
-	e.armWaker()
+	e.resetWakeTimer()
 }
 
-// armWaker sets the waker to when the core next has something to do. One that comes a
+// resetWakeTimer sets the waker to when the core next has something to do. One that comes a
 // little early is left as it is.
-func (e *Entry) armWaker() {
+func (e *Entry) resetWakeTimer() {
 	next := e.core.NextWake()
-	if e.waker == nil || next >= e.wakeAt && next.Sub(e.wakeAt) < earlyWake {
+	if e.wakeTimer == nil || next >= e.wakeAt && next.Sub(e.wakeAt) < wakeTolerance {
 		return
 	}
 	e.wakeAt = next
-	e.waker.Reset(max(e.Clock.Until(next), minWait))
+	e.wakeTimer.Reset(max(e.Clock.Until(next), minWakeDelay))
 }
 
 // tick lets the core see that time has passed.
@@ -181,15 +181,15 @@
 		return
 	default:
 	}
-	e.wakeAt = notSet
+	e.wakeAt = noWakeSet
 	e.reduceLocked(box.Tick{})
 }
 
-// carryOut does what the effects say. Doing so may add more of them.
-func (e *Entry) carryOut() {
+// applyEffects does what the effects say. Doing so may add more of them.
+func (e *Entry) applyEffects() {
 	list := &e.effects.Routing
 	for i := 0; i < len(list.List); i++ {
-		e.carryOutRouting(list.List[i])
+		e.applyRoutingEffect(list.List[i])
 	}
 	s := &e.effects.Subscription
 	if s.Attach {
@@ -201,8 +201,8 @@
 	e.effects.Reset()
 }
 
-func (e *Entry) carryOutRouting(x routing.Effect) {
-	e.noteEffect(&x)
+func (e *Entry) applyRoutingEffect(x routing.Effect) {
+	e.recordEffect(&x)
 	switch x.Kind {
 	case routing.Send:
 		e.startAttempt(x)
@@ -210,28 +210,28 @@
 		x.Owner.(*call).id = x.Call
 		e.metrics.held.Add(1)
 	case routing.Refuse:
-		e.noteRefusal(&x)
+		e.logRegionRefusal(&x)
 		x.Owner.(*call).refuse(x)
 	case routing.Deliver:
 		x.Owner.(*call).deliver(x)
 	case routing.Keep:
-		x.Owner.(*call).keep(x)
+		x.Owner.(*call).keepAnswer(x)
 	case routing.Cancel:
-		x.Owner.(*call).cancel(x.Attempt)
+		x.Owner.(*call).cancelAttempt(x.Attempt)
 	case routing.Probe:
 		e.startProbe(x)
 	case routing.TargetTurned:
-		e.logTurn(&x)
+		e.logHealthChange(&x)
 	case routing.ExposureTurned:
 		e.logExposure(x.Turn)
 	case routing.ServiceHangs:
-		e.logHangs(&x)
+		e.logHangingService(&x)
 	case routing.TargetCrashed:
 		e.logCrash(&x)
 	case routing.CallBlamed:
-		e.logBlamed(&x)
+		e.logBlamedCall(&x)
 	case routing.TargetNotice:
-		e.takeNotice(&x)
+		e.applyNotice(&x)
 	case routing.SendPeer:
 		e.peers.send(x.Peer, &wire.Envelope{Body: &wire.Envelope_Loan{Loan: wire.FromLoan(x.Loan)}})
 	case routing.SendLimit:
@@ -245,22 +245,22 @@
 	}
 }
 
-// minWait keeps the waker from spinning.
-const minWait = 100 * time.Microsecond
+// minWakeDelay keeps the waker from spinning.
+const minWakeDelay = 100 * time.Microsecond
 
-// notSet is the time of a waker that has just gone off.
-const notSet = units.Instant(math.MaxInt64)
+// noWakeSet is the time of a waker that has just gone off.
+const noWakeSet = units.Instant(math.MaxInt64)
 
-// earlyWake is how much too early the waker may come: setting it anew with every call
+// wakeTolerance is how much too early the waker may come: setting it anew with every call
 // costs more.
-const earlyWake = 5 * time.Millisecond
+const wakeTolerance = 5 * time.Millisecond
 
-// runJanitor does what must be done now and then.
-func (e *Entry) runJanitor() {
+// runPeriodicTasks does what must be done now and then.
+func (e *Entry) runPeriodicTasks() {
 	defer e.stopped.Done()
-	idle, hangUps := time.NewTicker(time.Second), time.NewTicker(e.Settings.Entry.HangUpCheck.Std())
+	idle, hangUpChecks := time.NewTicker(time.Second), time.NewTicker(e.Settings.Entry.HangUpCheck.Std())
 	defer idle.Stop()
-	defer hangUps.Stop()
+	defer hangUpChecks.Stop()
 	for {
 		select {
 		case <-e.done:
@@ -268,25 +268,25 @@
 		case <-idle.C:
 			e.pools.CloseIdle()
 			e.peers.closeIdle()
-		case <-hangUps.C:
-			e.reportHangUps()
+		case <-hangUpChecks.C:
+			e.reportDisconnectedCallers()
 		}
 	}
 }
 
 // Leave says that this box is about to stop: it is no longer ready, and asks its
 // callers to go elsewhere, but serves whatever still comes and can end in time.
-func (e *Entry) Leave(stop time.Duration) {
+func (e *Entry) Leave(remaining time.Duration) {
 	e.leaving.Store(true)
 	e.reduce(subscription.Leaving{On: true})
-	e.reduce(&routing.StopPlanned{Until: e.Clock.Now().Add(stop)})
+	e.reduce(&routing.StopPlanned{Until: e.Clock.Now().Add(remaining)})
 }
 
 // SetReplicas takes the control replicas that changed settings name.
 func (e *Entry) SetReplicas(s *config.Settings) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.control.configure(s.Replicas)
+	e.control.setReplicas(s.Replicas)
 	e.reduceLocked(subscription.ReplicasChanged{Replicas: s.ReplicaIDs()})
 }
 
@@ -307,7 +307,7 @@
 	err := e.server.ShutdownWithContext(ctx)
 	close(e.done)
 	e.stopped.Wait()
-	e.waker.Stop()
+	e.wakeTimer.Stop()
 	e.control.close()
 	e.peers.close()
 	e.workers.Stop()
--- a/pkg/entry/headers.go
+++ b/pkg/entry/headers.go
@@ -12,18 +12,18 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// hopByHop are the headers that belong to one connection (RFC 9110, 7.6.1).
-var hopByHop = []string{
+// hopByHopHeaders are the headers that belong to one connection (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"TE", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// needed are the headers without which a request would mean something else; no
+// requiredHeaders are the headers without which a request would mean something else; no
 // Connection header may take them away.
-var needed = []string{"Host", "Content-Length"}
+var requiredHeaders = []string{"Host", "Content-Length"}
 
-func isNeeded(name string) bool {
-	return slices.ContainsFunc(needed, func(n string) bool { return strings.EqualFold(n, name) })
+func isRequiredHeader(name string) bool {
+	return slices.ContainsFunc(requiredHeaders, func(n string) bool { return strings.EqualFold(n, name) })
 }
 
 // headerSet is what requests' and responses' headers have in common here.
@@ -36,11 +36,11 @@
 // the Connection header names.
 func removeHopByHop(h headerSet) {
 	for _, name := range strings.Split(string(h.Peek("Connection")), ",") {
-		if name = strings.TrimSpace(name); name != "" && !isNeeded(name) {
+		if name = strings.TrimSpace(name); name != "" && !isRequiredHeader(name) {
 			h.Del(name)
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
--- a/pkg/entry/link_test.go
+++ b/pkg/entry/link_test.go
@@ -29,12 +29,12 @@
 const (
 	// linkMbps is the link of the boxes under test.
 	linkMbps = 7
-	// longest is the longest answer of a route with large ones.
-	longest = 540_000
+	// longestAnswer is the longestAnswer answer of a route with large ones.
+	longestAnswer = 540_000
 	// shortAnswer is what other routes answer with.
 	shortAnswer = 400
-	// patience is how long a test waits for what must come.
-	patience = 20 * time.Second
+	// awaitTimeout is how long a test waits for what must come.
+	awaitTimeout = 20 * time.Second
 )
 
 // linkTarget answers "/large?bytes=N" with so many bytes, "/large?cut=N" with a part of what
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &linkTarget{address: l.Addr().String(), body: bytes.Repeat([]byte("x"), longest)}
+	x := &linkTarget{address: l.Addr().String(), body: bytes.Repeat([]byte("x"), longestAnswer)}
 	server := &fasthttp.Server{Handler: x.answer, Logger: logrus.New()}
 	go server.Serve(l)
 	t.Cleanup(func() { l.Close() })
@@ -60,9 +60,9 @@
 func (x *linkTarget) answer(ctx *fasthttp.RequestCtx) {
 	x.calls.Add(1)
 	if cut := ctx.QueryArgs().GetUintOrZero("cut"); cut > 0 {
-		head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longest)
+		head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longestAnswer)
 		if ctx.QueryArgs().Has("chunked") {
-			head = fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", longest)
+			head = fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", longestAnswer)
 		}
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(c net.Conn) {
@@ -122,24 +122,24 @@
 // come, first served. Bytes reach their reader at once; the time that they would have
 // waited is worked out.
 type slowLink struct {
-	lock sync.Mutex
-	free time.Time
+	lock   sync.Mutex
+	freeAt time.Time
 }
 
-func (l *slowLink) write(n int) (waits time.Duration) {
+func (l *slowLink) write(n int) (wait time.Duration) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	waits = l.free.Sub(now)
-	l.free = l.free.Add(onLink(n))
-	return waits
+	wait = l.freeAt.Sub(now)
+	l.freeAt = l.freeAt.Add(transferTime(n))
+	return wait
 }
 
-// onLink is how long bytes take on the link.
-func onLink(n int) time.Duration { return time.Duration(n) * time.Second * 8 / (linkMbps * 1e6) }
+// transferTime is how long bytes take on the link.
+func transferTime(n int) time.Duration { return time.Duration(n) * time.Second * 8 / (linkMbps * 1e6) }
 
 // linkListener accepts connections that write to a slow link.
 type linkListener struct {
@@ -167,10 +167,10 @@
 func (c *linkConn) SyscallConn() (syscall.RawConn, error) { return c.raw.SyscallConn() }
 
 func (c *linkConn) Write(p []byte) (int, error) {
-	waits := c.listener.link.write(len(p))
+	wait := c.listener.link.write(len(p))
 	if bytes.Contains(p, []byte("Content-Length: "+strconv.Itoa(shortAnswer)+"\r\n")) {
 		c.listener.lock.Lock()
-		c.listener.shortWaits = append(c.listener.shortWaits, waits)
+		c.listener.shortWaits = append(c.listener.shortWaits, wait)
 		c.listener.lock.Unlock()
 	}
 	return c.Conn.Write(p)
@@ -198,7 +198,7 @@
 // whole answers: for one piece of each that its writer was about to write, and for what the
 // pacer makes up for.
 func TestShortAnswersAreNotHeldBehindLargeOnes(t *testing.T) {
-	const downloads, size, made = 4, 200_000, 2
+	const downloads, size, catchUpPieces = 4, 200_000, 2
 	e := startLinkBox(t, startLinkTarget(t), linkMbps)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -208,20 +208,20 @@
 	go e.server.Serve(l)
 	address := inner.Addr().String()
 	var large sync.WaitGroup
-	var left atomic.Int64
-	left.Store(downloads)
+	var remaining atomic.Int64
+	remaining.Store(downloads)
 	for range downloads {
 		large.Add(1)
 		go func() {
 			defer large.Done()
-			defer left.Add(-1)
+			defer remaining.Add(-1)
 			if n, err := get(address, "/large?bytes="+strconv.Itoa(size)); err != nil || n != size {
 				t.Errorf("%d of %d bytes came: %v", n, size, err)
 			}
 		}()
 	}
 	await(t, "a large answer", func() bool { return e.pacer.Counts().UnderWay > 0 })
-	for left.Load() > 0 {
+	for remaining.Load() > 0 {
 		if n, err := get(address, "/short"); err != nil || n != shortAnswer {
 			t.Fatalf("%d of %d bytes came: %v", n, shortAnswer, err)
 		}
@@ -230,13 +230,13 @@
 	large.Wait()
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	piece := onLink(4 << 10)
+	piece := transferTime(4 << 10)
 	if len(l.shortWaits) == 0 {
 		t.Fatal("no short answer was written")
 	}
 	for _, w := range l.shortWaits {
-		if w > (downloads+made)*piece {
-			t.Fatalf("a short answer waits for %s behind large ones, which is more than %d pieces", w, downloads+made)
+		if w > (downloads+catchUpPieces)*piece {
+			t.Fatalf("a short answer waits for %s behind large ones, which is more than %d pieces", w, downloads+catchUpPieces)
 		}
 	}
 }
@@ -261,20 +261,20 @@
 	}
 }
 
-// askForLongest opens a connection that reads little at a time and asks for the longest answer.
-func askForLongest(t *testing.T, address string) net.Conn {
+// requestLongestAnswer opens a connection that reads little at a time and asks for the longest answer.
+func requestLongestAnswer(t *testing.T, address string) net.Conn {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
-	fmt.Fprintf(c, "GET /large?bytes=%d HTTP/1.1\r\nHost: vault\r\n\r\n", longest)
+	fmt.Fprintf(c, "GET /large?bytes=%d HTTP/1.1\r\nHost: vault\r\n\r\n", longestAnswer)
 	return c
 }
 
-// download does that and returns once the answer has begun.
-func download(t *testing.T, address string) net.Conn {
-	c := askForLongest(t, address)
+// startDownload does that and returns once the answer has begun.
+func startDownload(t *testing.T, address string) net.Conn {
+	c := requestLongestAnswer(t, address)
 	if _, err := bufio.NewReader(c).Peek(1); err != nil {
 		t.Fatal(err)
 	}
@@ -285,9 +285,9 @@
 // target is let go.
 func TestACallerThatHangsUpFreesTheLink(t *testing.T) {
 	e := startLinkBox(t, startLinkTarget(t), linkMbps)
-	download(t, e.Address()).Close()
+	startDownload(t, e.Address()).Close()
 	await(t, "the end of the answer", func() bool { c := e.pacer.Counts(); return c.CutShort == 1 && c.UnderWay == 0 })
-	if c := e.pacer.Counts(); c.Bytes >= longest {
+	if c := e.pacer.Counts(); c.Bytes >= longestAnswer {
 		t.Errorf("%d bytes were written to a caller that had left", c.Bytes)
 	}
 	await(t, "the end of the call", func() bool { return e.Status().Routing.Calls == 0 })
@@ -296,11 +296,11 @@
 // A caller that doesn't read holds up nobody else.
 func TestACallerThatDoesNotReadHoldsNoTurn(t *testing.T) {
 	e := startLinkBox(t, startLinkTarget(t), 1000)
-	slow := download(t, e.Address())
+	slow := startDownload(t, e.Address())
 	defer slow.Close()
 	for range 3 {
-		if n, err := get(e.Address(), "/large?bytes="+strconv.Itoa(longest)); err != nil || n != longest {
-			t.Fatalf("%d of %d bytes came: %v", n, longest, err)
+		if n, err := get(e.Address(), "/large?bytes="+strconv.Itoa(longestAnswer)); err != nil || n != longestAnswer {
+			t.Fatalf("%d of %d bytes came: %v", n, longestAnswer, err)
 		}
 	}
 }
@@ -317,8 +317,8 @@
 		ended <- err
 	}()
 	await(t, "a large answer", func() bool { return e.pacer.Counts().Pieces > 0 })
-	e.Leave(patience)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	e.Leave(awaitTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
 	defer cancel()
 	if err := e.Stop(ctx); err != nil {
 		t.Error(err)
@@ -330,17 +330,17 @@
 
 // Many large answers at once take memory for pieces, not for whole answers.
 func TestLargeAnswersTakeBoundedMemory(t *testing.T) {
-	const downloads, bound = 200, 40 << 20
+	const downloads, maxHeapBytes = 200, 40 << 20
 	e := startLinkBox(t, startLinkTarget(t), linkMbps)
 	before := heapInUse()
 	for range downloads {
-		defer askForLongest(t, e.Address()).Close()
+		defer requestLongestAnswer(t, e.Address()).Close()
 	}
 	await(t, "all answers", func() bool { c := e.pacer.Counts(); return c.UnderWay == downloads && c.Pieces > 2*downloads })
-	took := heapInUse() - before
-	t.Logf("%d answers of %d bytes: %.1f MB of heap, callers and target in the same process included", downloads, longest, float64(took)/(1<<20))
-	if took > bound {
-		t.Errorf("%d answers of %d bytes take %d bytes of heap", downloads, longest, took)
+	heapGrowth := heapInUse() - before
+	t.Logf("%d answers of %d bytes: %.1f MB of heap, callers and target in the same process included", downloads, longestAnswer, float64(heapGrowth)/(1<<20))
+	if heapGrowth > maxHeapBytes {
+		t.Errorf("%d answers of %d bytes take %d bytes of heap", downloads, longestAnswer, heapGrowth)
 	}
 }
 
@@ -351,11 +351,11 @@
 	return int64(m.HeapAlloc)
 }
 
-func await(t *testing.T, what string, done func() bool) {
+func await(t *testing.T, event string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !done(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(awaitTimeout); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s didn't come", what)
+			t.Fatalf("%s didn't come", event)
 		}
 	}
 }
--- a/pkg/entry/metrics.go
+++ b/pkg/entry/metrics.go
@@ -18,16 +18,16 @@
 
 // metrics counts what an entry does; they are published by expvar.
 type metrics struct {
-	held        expvar.Int
-	probes      expvar.Int
-	unknown     expvar.Int
-	badRequests expvar.Int
-	refusals    expvar.Map
-	services    *latency.Book[units.ServiceName]
-	targets     *latency.Book[latencyKey]
+	held            expvar.Int
+	probes          expvar.Int
+	unknownOutcomes expvar.Int
+	badRequests     expvar.Int
+	refusals        expvar.Map
+	services        *latency.Book[units.ServiceName]
+	targets         *latency.Book[targetKey]
 }
 
-type latencyKey struct {
+type targetKey struct {
 	service units.ServiceName
 	target  units.TargetID
 }
@@ -35,7 +35,7 @@
 func newMetrics() *metrics {
 	m := &metrics{
 		services: latency.NewBook[units.ServiceName](latency.Fine, maxServiceLatencies),
-		targets:  latency.NewBook[latencyKey](latency.Coarse, maxTargetLatencies),
+		targets:  latency.NewBook[targetKey](latency.Coarse, maxTargetLatencies),
 	}
 	m.refusals.Init()
 	return m
@@ -44,7 +44,7 @@
 // observe notes how long a call took from its arrival to its answer.
 func (m *metrics) observe(e *routing.Endpoint, took time.Duration) {
 	m.services.Observe(e.Service, took)
-	m.targets.Observe(latencyKey{service: e.Service, target: e.Target}, took)
+	m.targets.Observe(targetKey{service: e.Service, target: e.Target}, took)
 }
 
 // Latency is how long the calls of a service took, or of a target where one is named.
@@ -59,7 +59,7 @@
 	m.services.Each(func(s units.ServiceName, x latency.Summary) {
 		all = append(all, Latency{Service: s, Summary: x})
 	})
-	m.targets.Each(func(k latencyKey, x latency.Summary) {
+	m.targets.Each(func(k targetKey, x latency.Summary) {
 		all = append(all, Latency{Service: k.service, Target: k.target, Summary: x})
 	})
 	return all
@@ -71,7 +71,7 @@
 	return map[string]any{
 		"held":        e.metrics.held.Value(),
 		"probes":      e.metrics.probes.Value(),
-		"unknown":     e.metrics.unknown.Value(),
+		"unknown":     e.metrics.unknownOutcomes.Value(),
 		"badRequests": e.metrics.badRequests.Value(),
 		"refusals":    s.Routing.Refusals,
 		"latency":     e.metrics.latencies(),
--- a/pkg/entry/peer_links.go
+++ b/pkg/entry/peer_links.go
@@ -20,12 +20,12 @@
 // peerLink is a connection to another box, with when it was last needed.
 type peerLink struct {
 	*transport.Link
-	usedAt units.Instant
+	lastUsedAt units.Instant
 }
 
-// idlePeer is after what time without a message the connection to a box is closed: each one costs
+// peerIdleTimeout is after what time without a message the connection to a box is closed: each one costs
 // memory and a sign of life a second at both boxes, and is needed for short times only.
-const idlePeer = 30 * time.Second
+const peerIdleTimeout = 30 * time.Second
 
 func newPeerLinks(e *Entry) *peerLinks {
 	return &peerLinks{entry: e, links: map[string]*peerLink{}}
@@ -41,7 +41,7 @@
 		link = &peerLink{Link: transport.NewLink(address, p.entry.Security, p.entry.hello)}
 		p.links[address] = link
 	}
-	link.usedAt = p.entry.Clock.Now()
+	link.lastUsedAt = p.entry.Clock.Now()
 	m.From, m.To = p.entry.Settings.Box, string(to)
 	link.Send(m)
 }
@@ -64,7 +64,7 @@
 	defer p.entry.lock.Unlock()
 	now := p.entry.Clock.Now()
 	maps.DeleteFunc(p.links, func(_ string, l *peerLink) bool {
-		idle := now.Sub(l.usedAt) > idlePeer
+		idle := now.Sub(l.lastUsedAt) > peerIdleTimeout
 		if idle {
 			l.Close()
 		}
@@ -84,7 +84,7 @@
 // boxes is meant for somebody else.
 func (e *Entry) ServePeer(hello *wire.Hello, first *wire.Envelope, c *transport.Conn) {
 	from := units.BoxID(hello.Box)
-	if !e.takePeerMessage(from, first) {
+	if !e.handlePeerMessage(from, first) {
 		return
 	}
 	for {
@@ -92,12 +92,12 @@
 		if err != nil {
 			return
 		}
-		e.takePeerMessage(from, m)
+		e.handlePeerMessage(from, m)
 	}
 }
 
-// takePeerMessage takes a message of another box, and tells whether it is one.
-func (e *Entry) takePeerMessage(from units.BoxID, m *wire.Envelope) bool {
+// handlePeerMessage takes a message of another box, and tells whether it is one.
+func (e *Entry) handlePeerMessage(from units.BoxID, m *wire.Envelope) bool {
 	switch {
 	case m.GetLoan() != nil:
 		e.reduce(&routing.PeerMessage{From: from, Message: wire.ToLoan(m.GetLoan())})
--- a/pkg/entry/residency.go
+++ b/pkg/entry/residency.go
@@ -9,34 +9,34 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// barredLogEvery is the least time between two lines on calls whose regions have no target: a
+// regionRefusalLogInterval is the least time between two lines on calls whose regions have no target: a
 // route that allows the wrong regions has all of its calls refused.
-const barredLogEvery = 10 * time.Second
+const regionRefusalLogInterval = 10 * time.Second
 
-// barredCalls counts refused calls between two lines of the log.
-type barredCalls struct {
-	count  int
-	nextAt units.Instant
+// refusalLogState counts refused calls between two lines of the log.
+type refusalLogState struct {
+	count     int
+	nextLogAt units.Instant
 }
 
-// noteRefusal logs, once in barredLogEvery at the most, the calls that no target in an allowed
+// logRegionRefusal logs, once in barredLogEvery at the most, the calls that no target in an allowed
 // region could take.
-func (e *Entry) noteRefusal(x *routing.Effect) {
+func (e *Entry) logRegionRefusal(x *routing.Effect) {
 	if x.Refusal.Reason != routing.RegionNotAllowed {
 		return
 	}
-	e.barred.count++
+	e.regionRefusals.count++
 	now := e.Clock.Now()
-	if now < e.barred.nextAt {
+	if now < e.regionRefusals.nextLogAt {
 		return
 	}
-	fields := logrus.Fields{"kind": "region-not-allowed", "refused": e.barred.count, "revision": e.core.Subscription().Table().Revision}
+	fields := logrus.Fields{"kind": "region-not-allowed", "refused": e.regionRefusals.count, "revision": e.core.Subscription().Table().Revision}
 	if c, ok := x.Owner.(*call); ok {
 		fields["call"] = string(c.request.Header.Peek(e.Settings.Entry.CallIDHeader))
 		fields["host"] = string(c.request.Host())
 	}
 	e.Log.WithFields(fields).Warn("region not allowed: no target is in a region that the route of this call allows")
-	e.barred = barredCalls{nextAt: now.Add(barredLogEvery)}
+	e.regionRefusals = refusalLogState{nextLogAt: now.Add(regionRefusalLogInterval)}
 }
 
 // logUnknownRegion tells that targets of a failure domain take no calls of restricted routes.
--- a/pkg/entry/server.go
+++ b/pkg/entry/server.go
@@ -14,10 +14,10 @@
 
 // The headers by which a box says what became of a call.
 const (
-	outcomeHeader    = "X-Madderpond-Outcome"
-	reasonHeader     = "X-Madderpond-Reason"
-	retryAfterMillis = "X-Madderpond-Retry-After-Ms"
-	targetHeader     = "X-Madderpond-Target"
+	outcomeHeader      = "X-Madderpond-Outcome"
+	reasonHeader       = "X-Madderpond-Reason"
+	retryAfterMsHeader = "X-Madderpond-Retry-After-Ms"
+	targetHeader       = "X-Madderpond-Target"
 )
 
 const problemType = "application/problem+json"
@@ -83,7 +83,7 @@
 		e.refuseFraming(ctx, reason)
 		return
 	}
-	a, c := e.decide(ctx)
+	a, c := e.submitCall(ctx)
 	if a.attempt == nil {
 		e.logTrace(c, false)
 		e.writeRefusal(ctx, a.refusal)
@@ -108,7 +108,7 @@
 	return host
 }
 
-func (e *Entry) askedDeadline(ctx *fasthttp.RequestCtx) time.Duration {
+func (e *Entry) requestedDeadline(ctx *fasthttp.RequestCtx) time.Duration {
 	ms, err := strconv.ParseInt(string(ctx.Request.Header.Peek(e.Settings.Entry.DeadlineHeader)), 10, 64)
 	if err != nil || ms <= 0 || ms > maxDeadlineMillis {
 		return 0
@@ -118,54 +118,54 @@
 
 const maxDeadlineMillis = int64(math.MaxInt64 / int64(time.Millisecond))
 
-// decide gives the core the call and waits for its one answer.
-func (e *Entry) decide(ctx *fasthttp.RequestCtx) (answer, *call) {
+// submitCall gives the core the call and waits for its one answer.
+func (e *Entry) submitCall(ctx *fasthttp.RequestCtx) (answer, *call) {
 	c := newCall(ctx, e.Clock.Now())
 	c.identity = identity{ctx: ctx, callerHeader: e.Settings.Entry.CallerHeader}
 	e.lock.Lock()
-	e.waiting[c] = true
+	e.waitingCalls[c] = true
 	c.inline = true
 	e.reduceLocked(&routing.CallArrived{
-		Owner: c, Host: hostOf(ctx), Path: ctx.Path(), Credential: e.credentialOf(ctx), Deadline: e.askedDeadline(ctx),
+		Owner: c, Host: hostOf(ctx), Path: ctx.Path(), Credential: e.credentialOf(ctx), Deadline: e.requestedDeadline(ctx),
 		Identity: &c.identity,
 	})
 	c.inline = false
-	first, id := c.first, c.id
+	inlineSend, id := c.inlineSend, c.id
 	e.lock.Unlock()
-	if first.attempt != nil {
-		e.runAttempt(c, id, first)
+	if inlineSend.attempt != nil {
+		e.runAttempt(c, id, inlineSend)
 	}
 	a := <-c.answer
 	e.lock.Lock()
-	delete(e.waiting, c)
-	c.dropKept()
+	delete(e.waitingCalls, c)
+	c.releaseKeptAnswer()
 	e.lock.Unlock()
 	return a, c
 }
 
-// reportHangUps lets the core know of calls whose callers have hung up.
-func (e *Entry) reportHangUps() {
-	for _, c := range e.oldCalls() {
+// reportDisconnectedCallers lets the core know of calls whose callers have hung up.
+func (e *Entry) reportDisconnectedCallers() {
+	for _, c := range e.longWaitingCalls() {
 		if target.IsOpen(c.conn) {
 			continue
 		}
 		e.lock.Lock()
 		// The connection may serve another call by now.
-		if e.waiting[c] {
+		if e.waitingCalls[c] {
 			e.reduceLocked(&routing.CallerGone{Call: c.id})
 		}
 		e.lock.Unlock()
 	}
 }
 
-// oldCalls are the calls that have waited for a while.
-func (e *Entry) oldCalls() []*call {
+// longWaitingCalls are the calls that have waited for a while.
+func (e *Entry) longWaitingCalls() []*call {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	oldest := e.Clock.Now().Add(-e.Settings.Entry.HangUpCheck.Std())
+	latestArrival := e.Clock.Now().Add(-e.Settings.Entry.HangUpCheck.Std())
 	var old []*call
-	for c := range e.waiting {
-		if c.arrived < oldest {
+	for c := range e.waitingCalls {
+		if c.arrivedAt < latestArrival {
 			old = append(old, c)
 		}
 	}
@@ -175,13 +175,13 @@
 func (e *Entry) writeRefusal(ctx *fasthttp.RequestCtx, r routing.Refusal) {
 	e.metrics.refusals.Add(r.Reason.String(), 1)
 	if r.Reason == routing.AttemptBroken && r.Outcome == routing.Unknown {
-		e.metrics.unknown.Add(1)
+		e.metrics.unknownOutcomes.Add(1)
 	}
 	ctx.Response.Header.Set(outcomeHeader, r.Outcome.String())
 	ctx.Response.Header.Set(reasonHeader, r.Reason.String())
 	if r.RetryAfter > 0 {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, e.retryAfterText(r.RetryAfter))
-		ctx.Response.Header.Set(retryAfterMillis, strconv.FormatInt(r.RetryAfter.Milliseconds(), 10))
+		ctx.Response.Header.Set(retryAfterMsHeader, strconv.FormatInt(r.RetryAfter.Milliseconds(), 10))
 	}
 	writeProblem(ctx, &problem{
 		Type: "madderpond:" + r.Reason.String(), Title: r.Reason.String(), Status: r.Status(),
--- a/pkg/entry/trace.go
+++ b/pkg/entry/trace.go
@@ -19,16 +19,16 @@
 const (
 	// maxSteps bounds the decisions kept of one call.
 	maxSteps = 32
-	// usualSteps is how many an ordinary call has: two probes, a send, its end.
-	usualSteps = 7
-	// sampleEvery is one in how many ordinary calls is written.
-	sampleEvery = 64
+	// typicalSteps is how many an ordinary call has: two probes, a send, its end.
+	typicalSteps = 7
+	// traceSampleInterval is one in how many ordinary calls is written.
+	traceSampleInterval = 64
 )
 
 // step is one decision on a call, or what came of one.
 type step struct {
 	at       units.Instant
-	what     string
+	kind     string
 	attempt  routing.AttemptNumber
 	endpoint *routing.Endpoint
 	purpose  routing.Purpose
@@ -37,10 +37,10 @@
 	workspace units.WorkspaceName
 	result    routing.AttemptResult
 	refusal   routing.Refusal
-	probed    routing.ProbeEnded
-	// said is what a target said of itself in an answer, unreadRest and unreadLimit what it wrote in place of
+	probe     routing.ProbeEnded
+	// reading is what a target reading of itself in an answer, unreadRest and unreadLimit what it wrote in place of
 	// a time to rest and of a limit.
-	said                    routing.Reading
+	reading                 routing.Reading
 	unreadRest, unreadLimit string
 	// fingerprint is set for an attempt that broke off and for a call in quarantine; request and
 	// caller, which operators need to find whoever sends it, for the latter only.
@@ -59,9 +59,9 @@
 	stepRefused   = "call-refused"
 )
 
-func (c *call) note(s step) {
+func (c *call) recordStep(s step) {
 	if c.steps == nil {
-		c.steps = make([]step, 0, usualSteps)
+		c.steps = make([]step, 0, typicalSteps)
 	}
 	if len(c.steps) < maxSteps {
 		c.steps = append(c.steps, s)
@@ -70,11 +70,11 @@
 
 // endStep is the step of an attempt's end. It is called under the entry's lock: until the call is
 // answered its request is there.
-func (c *call) endStep(now units.Instant, ended send, result routing.AttemptResult) step {
-	a := ended.attempt
+func (c *call) endStep(now units.Instant, finished send, result routing.AttemptResult) step {
+	a := finished.attempt
 	s := step{
-		at: now, what: stepEnded, attempt: ended.number, result: result,
-		said: a.Reading, unreadRest: a.UnreadRest, unreadLimit: a.UnreadLimit,
+		at: now, kind: stepEnded, attempt: finished.number, result: result,
+		reading: a.Reading, unreadRest: a.UnreadRest, unreadLimit: a.UnreadLimit,
 	}
 	if result == routing.Broken && !c.answered {
 		s.fingerprint = crash.FingerprintOf(&c.identity).String()
@@ -82,8 +82,8 @@
 	return s
 }
 
-// noteEffect keeps what an effect decides about its call.
-func (e *Entry) noteEffect(x *routing.Effect) {
+// recordEffect keeps what an effect decides about its call.
+func (e *Entry) recordEffect(x *routing.Effect) {
 	c, ok := x.Owner.(*call)
 	if !ok {
 		return
@@ -91,26 +91,26 @@
 	s := step{at: e.Clock.Now(), attempt: x.Attempt, endpoint: x.Endpoint}
 	switch x.Kind {
 	case routing.Send:
-		s.what, s.purpose, s.evidence, s.workspace = stepSent, x.Purpose, x.Evidence, x.Workspace
+		s.kind, s.purpose, s.evidence, s.workspace = stepSent, x.Purpose, x.Evidence, x.Workspace
 	case routing.Refuse:
-		s.what, s.refusal, s.workspace = stepRefused, x.Refusal, x.Workspace
+		s.kind, s.refusal, s.workspace = stepRefused, x.Refusal, x.Workspace
 		if x.Refusal.Reason == routing.Quarantined && !c.answered {
-			c.identify(&s)
+			c.addRequestDetails(&s)
 		}
 	case routing.Deliver:
-		s.what = stepDelivered
+		s.kind = stepDelivered
 	case routing.Cancel:
-		s.what = stepCanceled
+		s.kind = stepCanceled
 	case routing.Probe:
-		s.what = stepProbing
+		s.kind = stepProbing
 	default:
 		return
 	}
-	c.note(s)
+	c.recordStep(s)
 }
 
-// identify has a step say which request the call is. It is called before the call is answered.
-func (c *call) identify(s *step) {
+// addRequestDetails has a step say which request the call is. It is called before the call is answered.
+func (c *call) addRequestDetails(s *step) {
 	i := &c.identity
 	s.fingerprint = crash.FingerprintOf(i).String()
 	s.request = fmt.Sprintf("%s %s%.*s", i.ctx.Method(), i.ctx.Host(), maxLoggedPath, i.ctx.RequestURI())
@@ -120,34 +120,34 @@
 // maxLoggedPath bounds the bytes of a path that a log line carries.
 const maxLoggedPath = 200
 
-// noteProbe keeps what a target said when a call asked for its load.
-func (e *Entry) noteProbe(x *routing.Effect, ended *routing.ProbeEnded) {
+// recordProbe keeps what a target said when a call asked for its load.
+func (e *Entry) recordProbe(x *routing.Effect, ended *routing.ProbeEnded) {
 	c, ok := x.Owner.(*call)
 	if !ok {
 		return
 	}
-	s := step{what: stepProbed, endpoint: x.Endpoint, attempt: x.Attempt, probed: *ended}
+	s := step{kind: stepProbed, endpoint: x.Endpoint, attempt: x.Attempt, probe: *ended}
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	s.at = e.Clock.Now()
-	c.note(s)
+	c.recordStep(s)
 }
 
 // logTable tells that another table is in force here.
 func (e *Entry) logTable() {
 	t := e.core.Subscription().Table()
-	if t.Revision == e.shown {
+	if t.Revision == e.loggedRevision {
 		return
 	}
-	e.shown = t.Revision
+	e.loggedRevision = t.Revision
 	e.Log.WithFields(logrus.Fields{
 		"kind": "table-in-force", "revision": t.Revision, "document": t.Document, "services": len(t.Services),
 		"routes": len(t.Routes), "boxes": len(t.Boxes), "evacuated": t.EvacuatedDomains(), "quarantines": len(t.Quarantines),
 	}).Info("another table is in force")
 }
 
-// logTurn tells that a target was taken out of the common path, or has come back.
-func (e *Entry) logTurn(x *routing.Effect) {
+// logHealthChange tells that a target was taken out of the common path, or has come back.
+func (e *Entry) logHealthChange(x *routing.Effect) {
 	kind := "target-back"
 	if x.Ejected {
 		kind = "target-ejected"
@@ -168,15 +168,15 @@
 	}).Warning("a target's process has ended under calls of this box")
 }
 
-// takeNotice has sends that haven't begun kept from a target, and tells that it wants them to be.
-func (e *Entry) takeNotice(x *routing.Effect) {
+// applyNotice has sends that haven't begun kept from a target, and tells that it wants them to be.
+func (e *Entry) applyNotice(x *routing.Effect) {
 	n := x.Notice
-	calls := n.RestUntil
+	withholdCallsUntil := n.RestUntil
 	if n.Leaving {
 		// No call that has been chosen by now is sent later than this.
-		calls = max(calls, e.Clock.Now().Add(e.Settings.Entry.MaxDeadline.Std()))
+		withholdCallsUntil = max(withholdCallsUntil, e.Clock.Now().Add(e.Settings.Entry.MaxDeadline.Std()))
 	}
-	e.pools.Withhold(x.Endpoint, target.Withholding{Calls: calls, Probes: n.RestUntil, Limited: n.Limited})
+	e.pools.Withhold(x.Endpoint, target.Withholding{Calls: withholdCallsUntil, Probes: n.RestUntil, Limited: n.Limited})
 	f := logrus.Fields{"service": x.Endpoint.Service, "target": x.Endpoint.Target}
 	if n.LeaveBegins {
 		f["kind"] = "target-leaves"
@@ -187,7 +187,7 @@
 		e.Log.WithFields(f).Info("a target has asked for rest, and gets nothing from this box until its end")
 	}
 	if n.LimitBegins {
-		f["kind"], f["limit"] = "target-limited", round(float64(n.Rate))
+		f["kind"], f["limit"] = "target-limited", roundToHundredths(float64(n.Rate))
 		e.Log.WithFields(f).Info("a target names a limit for all boxes together, and gets nothing from this box without a permit")
 	}
 	if n.LimitEnds {
@@ -196,9 +196,9 @@
 	}
 }
 
-// logBlamed tells that this box keeps a call from targets by its own notes, since it is out of
+// logBlamedCall tells that this box keeps a call from targets by its own notes, since it is out of
 // touch with the leader.
-func (e *Entry) logBlamed(x *routing.Effect) {
+func (e *Entry) logBlamedCall(x *routing.Effect) {
 	e.Log.WithFields(logrus.Fields{
 		"kind": "call-blamed", "service": x.Verdict.Service, "call": x.Verdict.Fingerprint.String(), "targets": x.Verdict.Targets,
 	}).Warning("this box keeps a call from targets by itself, because targets crashed under it")
@@ -218,18 +218,18 @@
 	}).Info(text)
 }
 
-// logHangs tells that a service's targets don't answer what they can't queue, and by what
+// logHangingService tells that a service's targets don't answer what they can't queue, and by what
 // call that was found.
-func (e *Entry) logHangs(x *routing.Effect) {
+func (e *Entry) logHangingService(x *routing.Effect) {
 	e.Log.WithFields(logrus.Fields{
 		"kind": "service-hangs", "service": x.Endpoint.Service, "target": x.Endpoint.Target, "unanswered": x.Failures,
-		"ahead": round(x.Evidence.Load), "overPatience": round(x.Evidence.Slowdown), "revision": x.Evidence.Revision,
+		"ahead": roundToHundredths(x.Evidence.Load), "overPatience": roundToHundredths(x.Evidence.Slowdown), "revision": x.Evidence.Revision,
 	}).Warning("targets of a service don't answer some calls although they serve others; they may hang when full")
 }
 
 // logTrace writes a call's steps to the log.
 func (e *Entry) logTrace(c *call, ordinary bool) {
-	if ordinary && e.traced.Add(1)%sampleEvery != 0 {
+	if ordinary && e.ordinaryCalls.Add(1)%traceSampleInterval != 0 {
 		return
 	}
 	id := string(c.request.Header.Peek(e.Settings.Entry.CallIDHeader))
@@ -238,13 +238,13 @@
 	e.lock.Unlock()
 	for i := range steps {
 		s := &steps[i]
-		e.Log.WithFields(s.fields(id, c.arrived)).Info("call")
+		e.Log.WithFields(s.fields(id, c.arrivedAt)).Info("call")
 	}
 }
 
 // fields are what a step's line says.
 func (s *step) fields(id string, arrived units.Instant) logrus.Fields {
-	f := logrus.Fields{"kind": s.what, "call": id, "afterMs": millis(s.at.Sub(arrived))}
+	f := logrus.Fields{"kind": s.kind, "call": id, "afterMs": millis(s.at.Sub(arrived))}
 	if s.endpoint != nil {
 		f["service"], f["target"] = s.endpoint.Service, s.endpoint.Target
 	}
@@ -254,19 +254,19 @@
 	if s.workspace != "" {
 		f["workspace"] = s.workspace
 	}
-	switch s.what {
+	switch s.kind {
 	case stepSent:
 		f["purpose"] = s.purpose.String()
-		f["load"], f["pace"], f["slowdown"] = round(s.evidence.Load), round(s.evidence.Pace), round(s.evidence.Slowdown)
+		f["load"], f["pace"], f["slowdown"] = roundToHundredths(s.evidence.Load), roundToHundredths(s.evidence.Pace), roundToHundredths(s.evidence.Slowdown)
 		f["readingAgeMs"], f["revision"] = millis(s.evidence.ReadingAge), s.evidence.Revision
 	case stepProbed:
-		f["known"], f["healthy"], f["unreachable"] = s.probed.Reading.Known, s.probed.Healthy, s.probed.Unreachable
-		f["misdirected"], f["load"], f["pace"] = s.probed.Misdirected, s.probed.Reading.InFlight, round(s.probed.Reading.Pace)
-		f["coldMs"] = millis(s.probed.Reading.Cold)
-		addNotice(f, &s.probed.Reading)
+		f["known"], f["healthy"], f["unreachable"] = s.probe.Reading.Known, s.probe.Healthy, s.probe.Unreachable
+		f["misdirected"], f["load"], f["pace"] = s.probe.Misdirected, s.probe.Reading.InFlight, roundToHundredths(s.probe.Reading.Pace)
+		f["coldMs"] = millis(s.probe.Reading.Cold)
+		addReadingFields(f, &s.probe.Reading)
 	case stepEnded:
 		f["result"] = s.result.String()
-		addNotice(f, &s.said)
+		addReadingFields(f, &s.reading)
 		if s.unreadRest != "" {
 			f["unreadRest"] = s.unreadRest
 		}
@@ -285,20 +285,22 @@
 	return f
 }
 
-// addNotice adds what a target said of itself to a line, where it said anything.
-func addNotice(f logrus.Fields, said *routing.Reading) {
-	if said.Rest > 0 {
-		f["restMs"] = millis(said.Rest)
+// addReadingFields adds what a target said of itself to a line, where it said anything.
+func addReadingFields(f logrus.Fields, reading *routing.Reading) {
+	if reading.Rest > 0 {
+		f["restMs"] = millis(reading.Rest)
 	}
-	if said.Leaving {
+	if reading.Leaving {
 		f["leaving"] = true
 	}
-	if said.Limit.Named {
-		f["limit"] = round(float64(said.Limit.Rate))
+	if reading.Limit.Named {
+		f["limit"] = roundToHundredths(float64(reading.Limit.Rate))
 	}
 }
 
-func millis(d time.Duration) float64 { return round(float64(d) / float64(time.Millisecond)) }
+func millis(d time.Duration) float64 {
+	return roundToHundredths(float64(d) / float64(time.Millisecond))
+}
 
-// round keeps lines short: two digits behind the point say enough.
-func round(x float64) float64 { return float64(int64(x*100)) / 100 }
+// roundToHundredths keeps lines short: two digits behind the point say enough.
+func roundToHundredths(x float64) float64 { return float64(int64(x*100)) / 100 }
--- a/pkg/entry/trace_bench_test.go
+++ b/pkg/entry/trace_bench_test.go
@@ -23,9 +23,9 @@
 	e := &Entry{Common: &common.Common{Log: logrus.NewEntry(logger), Settings: config.Defaults()}}
 	endpoint := &routing.Endpoint{Service: "balance", Target: "balance-1"}
 	steps := []step{
-		{what: stepProbing, attempt: 1, endpoint: endpoint}, {what: stepProbed, attempt: 1, endpoint: endpoint},
-		{what: stepSent, attempt: 1, endpoint: endpoint}, {what: stepEnded, attempt: 1, result: routing.Answered},
-		{what: stepDelivered, attempt: 1, endpoint: endpoint},
+		{kind: stepProbing, attempt: 1, endpoint: endpoint}, {kind: stepProbed, attempt: 1, endpoint: endpoint},
+		{kind: stepSent, attempt: 1, endpoint: endpoint}, {kind: stepEnded, attempt: 1, result: routing.Answered},
+		{kind: stepDelivered, attempt: 1, endpoint: endpoint},
 	}
 	scenarios := []struct {
 		testName string
@@ -40,7 +40,7 @@
 			b.ReportAllocs()
 			request := &fasthttp.Request{}
 			for range b.N {
-				s.run(&call{request: request, arrived: units.Instant(time.Second)})
+				s.run(&call{request: request, arrivedAt: units.Instant(time.Second)})
 			}
 		})
 	}
@@ -48,7 +48,7 @@
 
 func (e *Entry) traceAll(c *call, steps []step, ordinary bool) {
 	for _, s := range steps {
-		c.note(s)
+		c.recordStep(s)
 	}
 	e.logTrace(c, ordinary)
 }
