--- a/pkg/core/crash/fingerprint.go
+++ b/pkg/core/crash/fingerprint.go
@@ -1,5 +1,5 @@
-// Package crash finds the calls that crash the targets which run them. It is pure: boxes'
-// notes of crashes and answers come in with their times, verdicts go out.
+// Package crash finds the calls that crash the targets which run them. It does no I/O and reads
+// no clock: its inputs are boxes' notes of crashes and answers with their times, its outputs are verdicts.
 package crash
 
 import (
@@ -9,34 +9,34 @@
 	"fmt"
 )
 
-// Fingerprint tells calls apart by their content: two calls of one fingerprint are the same
+// Fingerprint identifies a call by its content: two calls with the same fingerprint are the same
 // request, sent again. Its parts are compared one after the other, so that a body is
-// read only where all else is alike.
+// read only if all other parts are equal.
 type Fingerprint struct {
 	// Head is a digest of the method, the host and the path with its query.
 	Head uint64
 	// Body is a digest of the body.
 	Body uint64
-	// Caller is a digest of who calls; zero stands for any caller.
+	// Caller is a digest of the caller's identity; zero matches any caller.
 	Caller uint64
 }
 
-// AnyCaller returns the fingerprint of the same content, whoever calls.
+// AnyCaller returns the fingerprint that matches the same content from any caller.
 func (f Fingerprint) AnyCaller() Fingerprint { return Fingerprint{Head: f.Head, Body: f.Body} }
 
 func (f Fingerprint) isAnyCaller() bool { return f.Caller == 0 }
 
-// Covers tells whether a call of fingerprint x is one that f stands for.
+// Covers reports whether f matches every call with fingerprint x.
 func (f Fingerprint) Covers(x Fingerprint) bool {
 	return f.Head == x.Head && f.Body == x.Body && (f.Caller == 0 || f.Caller == x.Caller)
 }
 
-// Compare orders fingerprints.
+// Compare returns -1, 0 or +1 as f sorts before, equal to or after x.
 func (f Fingerprint) Compare(x Fingerprint) int {
 	return cmp.Or(cmp.Compare(f.Head, x.Head), cmp.Compare(f.Body, x.Body), cmp.Compare(f.Caller, x.Caller))
 }
 
-// String returns the fingerprint as logs and operators see it.
+// String returns the fingerprint in the form that logs and the admin API use.
 func (f Fingerprint) String() string {
 	return fmt.Sprintf("%016x-%016x-%016x", f.Head, f.Body, f.Caller)
 }
@@ -47,7 +47,7 @@
 	return f, err == nil && n == 3 && f.String() == text
 }
 
-// Identity works out the parts of a call's fingerprint when they are asked for: few calls
+// Identity computes the parts of a call's fingerprint on demand, since few calls
 // ever need theirs. Caller is never zero.
 type Identity interface {
 	Head() uint64
@@ -55,20 +55,21 @@
 	Caller() uint64
 }
 
-// FingerprintOf returns the whole fingerprint of a call.
+// FingerprintOf returns the fingerprint of a call with all of its parts.
 func FingerprintOf(i Identity) Fingerprint {
 	return Fingerprint{Head: i.Head(), Body: i.Body(), Caller: i.Caller()}
 }
 
-// Matches tells whether a fingerprint stands for a call. It reads no more of the call than it
-// has to.
+// Matches reports whether a fingerprint matches a call. It computes no more parts of the call's
+// fingerprint than it has to.
 func (f Fingerprint) Matches(i Identity) bool {
 	return f.Head == i.Head() && f.Body == i.Body() && (f.Caller == 0 || f.Caller == i.Caller())
 }
 
-// Digest sums up parts, none of which can pass for a piece of another; it is never zero.
-// Callers choose what is digested, so it is a sum for which nobody can find two inputs alike:
-// with a weaker one a caller could have the calls of others taken for its own.
+// Digest returns a 64-bit digest of the parts; it is never zero. Each part is prefixed with its length, so
+// that moving bytes from one part to the next changes the digest. It uses a cryptographic hash
+// because callers choose the input: with a hash for which collisions are easy to find, a caller could have the
+// calls of others mistaken for its own.
 func Digest(parts ...[]byte) uint64 {
 	h := sha256.New()
 	var length [8]byte
--- a/pkg/core/crash/tracker.go
+++ b/pkg/core/crash/tracker.go
@@ -9,101 +9,101 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// CrashesToBlame is after how many crashes in a row a call is to blame. A target may end once or twice
-// while a call is under way there by chance.
+// CrashesToBlame is the number of consecutive crashes after which a call is to blame. Once or twice
+// a target may end by chance while a given call is in flight there.
 const CrashesToBlame = 3
 
 const (
-	// mergeWindow is how far apart boxes may place the same crash: their notes travel for
-	// some milliseconds, and a target that starts again takes longer.
+	// mergeWindow is the time within which notes of one target are about the same crash. Notes
+	// travel for some milliseconds; a target takes longer than this to restart and crash again.
 	mergeWindow = time.Second
-	// settleDelay is how long after a crash notes of other boxes may still come. Until then it
-	// isn't known which calls were under way there.
+	// settleDelay is how long after a crash notes of other boxes may still arrive. Until then the
+	// list of calls that were in flight is incomplete.
 	settleDelay = 150 * time.Millisecond
-	// chainTolerance is how far notes of different boxes may place two moments apart that follow
-	// one another: a call is sent again at once when it breaks off. Crashes that are less apart
+	// chainTolerance is the error allowed when times from notes of different boxes are put in order:
+	// a call is retried immediately after it breaks off. Crashes no further apart than this
 	// count as one.
 	chainTolerance = 15 * time.Millisecond
-	// retention is for how long a crash counts. A call that comes once in some minutes is found
-	// as well as one that comes ten times a second.
+	// retention is how long a crash is kept. It is long enough to find a call that arrives once in
+	// some minutes as well as one that arrives ten times a second.
 	retention = time.Hour
-	// maxEvents bounds the crashes that are kept: with the suspects of each, 256 KB.
+	// maxEvents bounds the crashes that are kept; with their suspects they take 256 KB.
 	maxEvents = 256
-	// maxSuspects bounds the calls that one crash is put down to, over all boxes.
+	// maxSuspects bounds the suspects of one crash, over the notes of all boxes.
 	maxSuspects = 32
 )
 
-// event is one crash of a target, as far as boxes have told of it.
+// event is one crash of a target, merged from the notes of all boxes that reported it.
 type event struct {
 	service  units.ServiceName
 	target   units.TargetID
 	at       units.Instant
 	suspects []suspect
-	// attributed is set once a call that was there is known to be to blame. Where that is one caller's,
-	// the crash still counts against the same call of all callers, and against no other.
+	// attributed is set once a call that was in flight at the crash is known to be to blame. If that is
+	// one caller's call, the crash still counts against the same call of any caller, but against no other call.
 	attributed bool
-	// noteIDs are those that it was put together from. Crashes without suspects are kept too, so
-	// that a note which comes again changes nothing.
+	// noteIDs identify the notes that were merged into the event. Crashes without suspects are kept too, so
+	// that a repeated note changes nothing.
 	noteIDs []noteID
 }
 
-// suspect is a call that was under way at a crash.
+// suspect is a call that was in flight at a crash.
 type suspect struct {
 	fingerprint Fingerprint
 	sentAt      units.Instant
 }
 
-// noteID tells notes apart.
+// noteID identifies a note.
 type noteID struct {
 	box           units.BoxID
 	start, number uint64
 }
 
-// Tracker holds the crashes that nobody is blamed for yet, and finds the calls that are to
-// blame. A call is, if targets crashed under it several times in a row: it was sent,
-// the target crashed, it was sent again. Targets that crash together under the same call say
-// no more than one. An answer to it clears it of all earlier crashes, and so does
-// another call that is to blame and was there too.
+// Tracker holds the crashes that aren't yet attributed to a call, and finds the calls that are to
+// blame. A call is to blame if targets crashed several times in a row while it was in flight: it was sent,
+// the target crashed, it was sent again. Targets that crash together with the same call in flight
+// count as one crash. An answer to a call clears it of all earlier crashes. A crash that is attributed
+// to one call no longer counts against the others that were in flight.
 type Tracker struct {
-	// threshold is how many crashes in a row it takes.
+	// threshold is the number of consecutive crashes after which a call is to blame; zero blames none.
 	threshold int
-	// events are in the order of their times.
+	// events are sorted by time.
 	events []event
-	// answeredAt is when a call was last answeredAt, whoever sent it.
+	// answeredAt is when a call was last answered, by its content for any caller.
 	answeredAt map[Fingerprint]units.Instant
-	// cachedHistories are the records as they were last worked out; stale is set when that no longer holds.
-	// A leader asks for them three times for each note, and each time takes 256 crashes together.
+	// cachedHistories is the last result of buildHistories; stale is set once it is out of date.
+	// A leader uses it three times for each note, and each computation covers up to 256 crashes.
 	cachedHistories []callHistory
 	stale           bool
 }
 
-// NewTracker returns a ledger that blames a call after so many crashes in a row; zero never does.
-func NewTracker(enough int) *Tracker {
-	return &Tracker{threshold: enough, answeredAt: map[Fingerprint]units.Instant{}}
+// NewTracker returns a tracker that blames a call after threshold consecutive crashes; zero never blames one.
+func NewTracker(threshold int) *Tracker {
+	return &Tracker{threshold: threshold, answeredAt: map[Fingerprint]units.Instant{}}
 }
 
-// Record takes a note. One that was taken before changes nothing.
+// Record adds a note. A note that was recorded before changes nothing.
 func (t *Tracker) Record(n Note) {
 	if n.IsAnswer() {
 		t.recordAnswer(n)
 		return
 	}
-	name := noteID{box: n.Box, start: n.Start, number: n.Number}
-	e := t.eventFor(n, name)
+	id := noteID{box: n.Box, start: n.Start, number: n.Number}
+	e := t.eventFor(n, id)
 	if e == nil {
 		return
 	}
 	t.stale = true
-	e.noteIDs = append(e.noteIDs, name)
+	e.noteIDs = append(e.noteIDs, id)
 	for _, s := range n.Suspects {
 		e.addSuspect(suspect{fingerprint: s.Fingerprint, sentAt: n.At.Add(-s.SentBefore)})
 	}
 }
 
-// eventFor returns the crash that a note tells of, a new one where it is the first; nil where
-// the note is known.
-func (t *Tracker) eventFor(n Note, name noteID) *event {
-	if slices.ContainsFunc(t.events, func(e event) bool { return slices.Contains(e.noteIDs, name) }) {
+// eventFor returns the event of the crash that a note reports, and creates it for the first such note.
+// It returns nil if the note was recorded before.
+func (t *Tracker) eventFor(n Note, id noteID) *event {
+	if slices.ContainsFunc(t.events, func(e event) bool { return slices.Contains(e.noteIDs, id) }) {
 		return nil
 	}
 	for i := range t.events {
@@ -124,15 +124,15 @@
 	switch {
 	case e.attributed:
 	case i >= 0:
-		// Of several sends the last one tells whether the call came after an earlier crash.
+		// Of several sends the last one decides whether the call was sent after an earlier crash.
 		e.suspects[i].sentAt = max(e.suspects[i].sentAt, s.sentAt)
 	case len(e.suspects) < maxSuspects:
 		e.suspects = append(e.suspects, s)
 	}
 }
 
-// recordAnswer clears a call of the crashes before an answer to it. The same call of other callers may
-// still crash targets, but not by its content alone.
+// recordAnswer clears a call of the crashes before an answer to it. The same call of another caller may
+// still crash targets, but then its content alone isn't the cause.
 func (t *Tracker) recordAnswer(n Note) {
 	t.stale = true
 	for _, s := range n.Suspects {
@@ -145,16 +145,16 @@
 	}
 }
 
-// recordAnswerTime keeps when a call was answered, whoever sent it, if crashes count against it.
+// recordAnswerTime keeps the time of an answer to f, if f is a suspect of any crash.
 func (t *Tracker) recordAnswerTime(f Fingerprint, at units.Instant) {
 	if slices.ContainsFunc(t.events, func(e event) bool { return e.hasSuspect(f) }) {
 		t.answeredAt[f] = max(t.answeredAt[f], at)
 	}
 }
 
-// Attribute puts crashes down to a call that is known to be to blame and was under way there; they
-// no longer count against others. Those of one caller's call go on counting against the same call of all callers: if
-// it is its content that crashes targets, one more crash under another caller's shows it.
+// Attribute attributes the crashes at which f was in flight to f, which is known to be to blame. They
+// no longer count against other calls. Crashes attributed to one caller's call still count against the same
+// call of any caller: if its content is the cause, one more crash with another caller's call shows it.
 func (t *Tracker) Attribute(f Fingerprint) {
 	for i := range t.events {
 		e := &t.events[i]
@@ -169,8 +169,8 @@
 	}
 }
 
-// Release drops what counts against the same call of all callers by crashes that were put down to one caller's: whoever
-// releases that doesn't hold it responsible any more.
+// Release clears the suspects of the crashes that were attributed to f. Whoever releases a call no longer holds
+// it responsible, so these crashes must not count against the same call of any caller either.
 func (t *Tracker) Release(f Fingerprint) {
 	for i := range t.events {
 		if e := &t.events[i]; e.attributed && e.hasSuspect(f) {
@@ -182,10 +182,10 @@
 
 func (e *event) hasSuspect(f Fingerprint) bool { return e.lastSent(f) != neverSent }
 
-// neverSent is when a call was sent that wasn't.
+// neverSent is the send time of a call that wasn't sent to the target.
 const neverSent units.Instant = -1 << 62
 
-// lastSent is when a call was last sent to the target that crashed.
+// lastSent returns when a call was last sent to the target that crashed, or neverSent.
 func (e *event) lastSent(f Fingerprint) units.Instant {
 	last := neverSent
 	for _, s := range e.suspects {
@@ -196,16 +196,17 @@
 	return last
 }
 
-// callHistory is what stands against a call.
+// callHistory lists the crashes that count against a call.
 type callHistory struct {
 	fingerprint Fingerprint
-	// events are the crashes under it, chain those of them that came one after the other.
+	// events are the crashes at which it was in flight. chain holds those of them that follow one another:
+	// the call was sent again after each one and before the next.
 	events, chain []*event
 }
 
-// historyOf collects what stands against a call.
+// historyOf collects the crashes that count against a call.
 func (t *Tracker) historyOf(f Fingerprint) callHistory {
-	r := callHistory{fingerprint: f}
+	h := callHistory{fingerprint: f}
 	last := neverSent
 	for i := range t.events {
 		e := &t.events[i]
@@ -213,18 +214,18 @@
 		if sent == neverSent || e.at <= t.answeredAt[f] || e.attributed && !f.isAnyCaller() {
 			continue
 		}
-		r.events = append(r.events, e)
+		h.events = append(h.events, e)
 		if sent.Add(chainTolerance) >= last && e.at.Sub(last) > chainTolerance {
-			r.chain = append(r.chain, e)
+			h.chain = append(h.chain, e)
 			last = e.at
 		}
 	}
-	return r
+	return h
 }
 
-// histories collects what stands against each call under which more than one target crashed:
-// most crashes first, and of equals one caller's calls before the same calls of all callers. The
-// list is the ledger's own.
+// histories returns the history of each call that was in flight at more than one crash,
+// most crashes first; with equal numbers, a call of one caller sorts before the same call of any caller. The
+// list belongs to the tracker and must not be changed.
 func (t *Tracker) histories() []callHistory {
 	if t.stale {
 		t.cachedHistories = t.buildHistories()
@@ -252,21 +253,21 @@
 	return dropRedundant(list)
 }
 
-// dropRedundant drops the records of any caller that say no more than those of one.
+// dropRedundant drops the histories for any caller that have no more crashes than the same call of one caller.
 func dropRedundant(list []callHistory) []callHistory {
 	var kept []callHistory
-	for _, r := range list {
+	for _, h := range list {
 		isCoveredBy := func(x callHistory) bool {
-			return r.fingerprint.Covers(x.fingerprint) && len(x.events) == len(r.events)
+			return h.fingerprint.Covers(x.fingerprint) && len(x.events) == len(h.events)
 		}
 		if !slices.ContainsFunc(kept, isCoveredBy) {
-			kept = append(kept, r)
+			kept = append(kept, h)
 		}
 	}
 	return kept
 }
 
-// fingerprints are those of the suspects, by themselves and for any caller.
+// fingerprints returns the fingerprints of the suspects, each as it is and for any caller.
 func (e *event) fingerprints() map[Fingerprint]bool {
 	set := map[Fingerprint]bool{}
 	for _, s := range e.suspects {
@@ -278,8 +279,8 @@
 	return set
 }
 
-// Evaluate returns the calls that are to blame by now, and drops what they explain. Where nothing
-// tells several calls apart all of them are blamed, in doubt.
+// Evaluate returns the calls that are to blame by now, and attributes their crashes to them. If several calls
+// can't be distinguished, it blames all of them and marks the verdicts as doubtful.
 func (t *Tracker) Evaluate(now units.Instant) []Verdict {
 	t.expire(now)
 	var verdicts []Verdict
@@ -288,9 +289,9 @@
 		if len(blamed) == 0 {
 			break
 		}
-		for _, r := range blamed {
-			v := r.verdict()
-			v.Doubtful = len(blamed) > 1 || t.mayBeCoincidence(r)
+		for _, h := range blamed {
+			v := h.verdict()
+			v.Doubtful = len(blamed) > 1 || t.mayBeCoincidence(h)
 			verdicts = append(verdicts, v)
 		}
 		for _, v := range verdicts {
@@ -300,7 +301,7 @@
 	return verdicts
 }
 
-// expire drops what is too old to count.
+// expire drops crashes and answers that are older than retention.
 func (t *Tracker) expire(now units.Instant) {
 	events, answers := len(t.events), len(t.answeredAt)
 	t.events = slices.DeleteFunc(t.events, func(e event) bool { return now.Sub(e.at) > retention })
@@ -308,55 +309,57 @@
 	t.stale = t.stale || len(t.events) < events || len(t.answeredAt) < answers
 }
 
-// findBlamed returns a call that is to findBlamed, or several that nothing tells apart; none where
-// nobody is to findBlamed yet.
+// findBlamed returns a call that is to blame, or several that can't be distinguished, or none if
+// no call is to blame yet.
 func (t *Tracker) findBlamed(now units.Instant) []callHistory {
 	all := t.histories()
 	due := slices.DeleteFunc(slices.Clone(all), func(r callHistory) bool { return !t.isDue(&r) || !r.isSettled(now) })
-	for _, r := range due {
-		if !slices.ContainsFunc(all, r.isMatchedBy) {
-			return []callHistory{r}
+	for _, h := range due {
+		if !slices.ContainsFunc(all, h.isMatchedBy) {
+			return []callHistory{h}
 		}
 	}
 	if len(due) == 0 {
 		return nil
 	}
-	r := due[0]
-	return append([]callHistory{r}, slices.DeleteFunc(slices.Clone(all), func(x callHistory) bool { return !r.isMatchedBy(x) })...)
+	h := due[0]
+	return append([]callHistory{h}, slices.DeleteFunc(slices.Clone(all), func(x callHistory) bool { return !h.isMatchedBy(x) })...)
 }
 
-// isDue tells whether crashes enough stand against a call, not all of which are put down to one caller's.
-func (t *Tracker) isDue(r *callHistory) bool {
-	return len(r.chain) >= t.threshold && r.hasUnattributed()
+// isDue reports whether a call has reached the threshold, and at least one crash of its chain isn't
+// attributed yet.
+func (t *Tracker) isDue(h *callHistory) bool {
+	return len(h.chain) >= t.threshold && h.hasUnattributed()
 }
 
-// hasUnattributed tells whether nobody is blamed yet for one of the crashes.
+// hasUnattributed reports whether any crash of the chain isn't attributed to a call yet.
 func (h *callHistory) hasUnattributed() bool {
 	return slices.ContainsFunc(h.chain, func(e *event) bool { return !e.attributed })
 }
 
-// mayBeCoincidence tells whether as many targets of the service crashed without the call meanwhile: a
-// service whose targets crash by themselves has calls under way at most of the crashes.
-func (t *Tracker) mayBeCoincidence(r callHistory) bool {
-	first, last := r.chain[0], r.chain[len(r.chain)-1]
+// mayBeCoincidence reports whether in the time of the chain at least as many targets of the service crashed
+// without the call in flight. If targets crash for reasons of their own, frequent calls are in flight
+// at most of the crashes.
+func (t *Tracker) mayBeCoincidence(h callHistory) bool {
+	first, last := h.chain[0], h.chain[len(h.chain)-1]
 	without := 0
 	for i := range t.events {
 		e := &t.events[i]
-		if e.service == first.service && e.at >= first.at && e.at <= last.at && !e.attributed && !e.hasSuspect(r.fingerprint) {
+		if e.service == first.service && e.at >= first.at && e.at <= last.at && !e.attributed && !e.hasSuspect(h.fingerprint) {
 			without++
 		}
 	}
-	return without >= len(r.chain)
+	return without >= len(h.chain)
 }
 
-// isSettled tells whether all boxes have had time to tell of the crashes but for the last: a
-// call that is to blame as likely was there each time.
+// isSettled reports whether all boxes have had time to report every crash of the chain but the last. Another
+// call that may as well be to blame was in flight at the earlier crashes too, so it is known by then.
 func (h *callHistory) isSettled(now units.Instant) bool {
 	return len(h.chain) < 2 || now.Sub(h.chain[len(h.chain)-2].at) >= settleDelay
 }
 
-// isMatchedBy tells whether another call was under way at all the crashes that count against
-// this one, and at no fewer in all.
+// isMatchedBy reports whether another call was in flight at all crashes of this call's chain, and
+// at no fewer crashes in total, so that either may be to blame.
 func (h *callHistory) isMatchedBy(x callHistory) bool {
 	f, g := h.fingerprint, x.fingerprint
 	if f.Covers(g) || len(x.events) < len(h.events) {
@@ -373,24 +376,25 @@
 	return v
 }
 
-// Suspects returns the calls under which targets have crashed more than once in a row, the most
-// likely first: answers to them are worth noting.
+// Suspects returns up to limit calls with more than one crash in a row, the most
+// likely first. Boxes should note answers to them, since an answer clears a call.
 func (t *Tracker) Suspects(limit int) []Fingerprint {
 	var list []Fingerprint
-	for _, r := range t.histories() {
-		if len(r.chain) > 1 && r.hasUnattributed() && len(list) < limit {
-			list = append(list, r.fingerprint)
+	for _, h := range t.histories() {
+		if len(h.chain) > 1 && h.hasUnattributed() && len(list) < limit {
+			list = append(list, h.fingerprint)
 		}
 	}
 	return list
 }
 
-// HasPendingVerdict tells whether crashes under a call are enough that time alone may bring a verdict.
+// HasPendingVerdict reports whether a call has reached the threshold, so that Evaluate may return a verdict
+// later without a new note.
 func (t *Tracker) HasPendingVerdict() bool {
 	return t.threshold > 0 && slices.ContainsFunc(t.histories(), func(r callHistory) bool { return t.isDue(&r) })
 }
 
-// SuspectsSince returns the calls under which targets have crashed since a time.
+// SuspectsSince returns the calls that were in flight at crashes since a time.
 func (t *Tracker) SuspectsSince(at units.Instant) []Fingerprint {
 	var list []Fingerprint
 	for i := range t.events {
--- a/pkg/core/crash/tracker_test.go
+++ b/pkg/core/crash/tracker_test.go
@@ -11,7 +11,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// script drives a ledger that blames a call after three crashes in a row.
+// script drives a tracker that blames a call after three crashes in a row.
 type script struct {
 	t          *testing.T
 	tracker    *Tracker
@@ -42,8 +42,8 @@
 	})
 }
 
-// crash TARGET at=TIME [box=N] [note=N] with lines "CALL[/CALLER] SENT-BEFORE": a box tells of a
-// crash. A note of a number that came before is the same note again.
+// crash TARGET at=TIME [box=N] [note=N] with lines "CALL[/CALLER] SENT-BEFORE": a box reports a
+// crash. A note with a number that was used before is a repeated note.
 func (s *script) crash(d *datadriven.TestData) string {
 	n := s.note(d)
 	n.Service, n.Target = "s", units.TargetID(d.CmdArgs[0].Key)
@@ -59,7 +59,7 @@
 	return "taken"
 }
 
-// answer CALL[/CALLER] at=TIME
+// answer CALL[/CALLER] at=TIME: a box reports an answer to a call.
 func (s *script) answer(d *datadriven.TestData) string {
 	n := s.note(d)
 	n.Suspects = []Suspect{{Fingerprint: s.fingerprint(d.CmdArgs[0].Key)}}
@@ -94,7 +94,7 @@
 	return f
 }
 
-// judge at=TIME
+// judge at=TIME lists the verdicts of Evaluate.
 func (s *script) judge(d *datadriven.TestData) string {
 	var lines []string
 	for _, v := range s.tracker.Evaluate(s.at(d)) {
@@ -118,19 +118,19 @@
 	return strings.Join(words, ", ")
 }
 
-// blamed CALL[/CALLER] tells the ledger that a call is known to be to blame.
+// blamed CALL[/CALLER] attributes crashes to a call that is known to be to blame.
 func (s *script) blamed(d *datadriven.TestData) string {
 	s.tracker.Attribute(s.fingerprint(d.CmdArgs[0].Key))
 	return "known"
 }
 
-// released CALL[/CALLER] tells the ledger that a call that was to blame is no longer.
+// released CALL[/CALLER] releases a call that was to blame.
 func (s *script) released(d *datadriven.TestData) string {
 	s.tracker.Release(s.fingerprint(d.CmdArgs[0].Key))
 	return "known"
 }
 
-// kept counts the crashes that are kept.
+// kept prints the number of crashes that the tracker keeps.
 func (s *script) kept(*datadriven.TestData) string { return fmt.Sprint(len(s.tracker.events)) }
 
 func TestFingerprintsAreReadAsTheyAreWritten(t *testing.T) {
@@ -145,14 +145,14 @@
 	}
 }
 
-// A part that ends elsewhere is another call, even if the bytes are the same.
+// Moving bytes from one part to the next gives another digest, although the concatenation is the same.
 func TestPartsOfADigestDontRunTogether(t *testing.T) {
 	if Digest([]byte("ab"), []byte("c")) == Digest([]byte("a"), []byte("bc")) {
 		t.Error("two calls have one digest")
 	}
 }
 
-// What a call costs whose head is compared with calls that are kept from targets.
+// Measures the digest of a call's head, which is computed for each call while any call is quarantined.
 func BenchmarkDigest(b *testing.B) {
 	method, host, path := []byte("GET"), []byte("shop.example"), []byte("/orders/2026/10045?page=3&sort=new")
 	for b.Loop() {
@@ -160,7 +160,7 @@
 	}
 }
 
-// What it costs the leader to judge after each of 64 crashes with three suspects each.
+// Measures Evaluate with 64 crashes of three suspects each.
 func BenchmarkJudge(b *testing.B) {
 	t := NewTracker(3)
 	for i := range uint64(64) {
