--- a/pkg/core/rollout/candidates.go
+++ b/pkg/core/rollout/candidates.go
@@ -9,26 +9,26 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Candidate is a target that can take calls now.
+// Candidate is a target that is available for calls now.
 type Candidate struct {
 	Target units.TargetID
 	Domain units.Domain
 	Slots  int
-	// Cold is set while the target can take few calls only.
+	// Cold is set while the target has just started and may get few calls only.
 	Cold bool
 }
 
-// Candidates is the targets of one version that can take calls now.
+// Candidates are the targets of one version that are available for calls now.
 type Candidates []Candidate
 
-// trialTargetCount is how many targets take a share of the calls so that each has the load of
+// trialTargetCount returns how many targets should serve a share of the calls so that each has the load of
 // an old target: a fault that shows only under load would otherwise stay hidden.
 func trialTargetCount(share float64, old, newer Candidates) int {
 	return min(len(newer), max(1, int(math.Round(share*float64(len(old))))))
 }
 
-// selectForTrial chooses targets for the trial: the present ones that can still take calls before others,
-// warm before cold, and each failure domain in turn.
+// selectForTrial selects up to count targets for the trial: current ones that are still available before others,
+// warm before cold, and evenly over the failure domains.
 func (s Candidates) selectForTrial(count int, current []units.TargetID) []units.TargetID {
 	rankInDomain := map[units.TargetID]int{}
 	countInDomain := map[units.Domain]int{}
@@ -60,7 +60,7 @@
 	return 1
 }
 
-// totalSlots is how many calls the targets can take at once; one that doesn't say has one.
+// totalSlots returns how many calls the targets can run at the same time; a target that reports no slots counts as one.
 func (s Candidates) totalSlots() int {
 	total := 0
 	for _, c := range s {
@@ -69,16 +69,16 @@
 	return total
 }
 
-// minSlotFraction is the part of the old version's slots that the new one must have to take all
-// calls. Operators may move to fewer targets, but not to a handful that happen to be up.
+// minSlotFraction is the fraction of the old version's slots that the new version must have before it
+// gets all calls. Operators may move to fewer targets, but not to the few that happen to be up.
 const minSlotFraction = 0.5
 
-// hasCapacityFor tells whether the targets can take the calls of others.
+// hasCapacityFor reports whether the targets have enough slots to take over the calls of the old ones.
 func (s Candidates) hasCapacityFor(old Candidates) bool {
 	return len(s) > 0 && float64(s.totalSlots()) >= minSlotFraction*float64(old.totalSlots())
 }
 
-// containsAll tells whether all of these targets can take calls.
+// containsAll reports whether all of these targets are available.
 func (s Candidates) containsAll(ids []units.TargetID) bool {
 	return !slices.ContainsFunc(ids, func(id units.TargetID) bool {
 		return !slices.ContainsFunc(s, func(c Candidate) bool { return c.Target == id })
--- a/pkg/core/rollout/counts.go
+++ b/pkg/core/rollout/counts.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Counts are answers of one version on one route.
+// Counts counts the answers of one version on one route.
 type Counts struct {
 	Successes, Failures uint64
 	Times               Histogram
 }
 
-// Answers is how many answers were counted.
+// Answers returns how many answers were counted.
 func (c *Counts) Answers() uint64 { return c.Successes + c.Failures }
 
-// Add adds other answers.
+// Add adds the answers of other counts.
 func (c *Counts) Add(o *Counts) {
 	c.Successes += o.Successes
 	c.Failures += o.Failures
@@ -25,7 +25,7 @@
 }
 
 // since returns what was counted after an earlier report. A count below the earlier one
-// comes from a report that was overtaken, and says nothing new.
+// comes from a report that was overtaken by a later one, and yields zero.
 func (c *Counts) since(earlier *Counts) Counts {
 	d := Counts{Successes: c.Successes - min(c.Successes, earlier.Successes), Failures: c.Failures - min(c.Failures, earlier.Failures)}
 	for i, n := range c.Times {
@@ -34,7 +34,7 @@
 	return d
 }
 
-// countAbove is how many answers took longer than a bucket's upper end.
+// countAbove returns how many answers took longer than a bucket's upper end.
 func (h *Histogram) countAbove(bucket int) uint64 {
 	total := uint64(0)
 	for _, n := range h[min(Buckets, bucket+1):] {
@@ -43,7 +43,7 @@
 	return total
 }
 
-// quantile returns the bucket below whose upper end a share of the answers lie.
+// quantile returns the first bucket at whose upper end the share of answers counted so far reaches share.
 func (h *Histogram) quantile(share float64) int {
 	wanted := share * float64(h.Total())
 	counted := 0.0
@@ -56,10 +56,10 @@
 	return Buckets - 1
 }
 
-// Sample is what both versions did on one route in the same time.
+// Sample holds the answers of both versions on one route in the same time.
 type Sample struct{ New, Old Counts }
 
-// Window holds the samples of a short time by route.
+// Window holds the samples of one window of time, by route.
 type Window map[RouteID]*Sample
 
 func (w Window) sample(route RouteID) *Sample {
--- a/pkg/core/rollout/decide_test.go
+++ b/pkg/core/rollout/decide_test.go
@@ -13,7 +13,7 @@
 
 var testBoxes = []units.BoxID{"b1", "b2"}
 
-// fixture is a rollout of which the trial went well, before its next step.
+// fixture is a rollout after a successful trial, before its next step.
 type fixture struct {
 	monitor *Monitor
 	input   DecisionInput
@@ -37,7 +37,7 @@
 	return x
 }
 
-// report has a box tell what it has seen so far; all answers were good.
+// report records a box's report with its counts so far; all answers were successes.
 func (x *fixture) report(id units.BoxID, revision units.Revision, newAnswers uint64, inFlight uint32) {
 	evidenceOf := func(software units.SoftwareVersion, good uint64) Evidence {
 		e := Evidence{Service: "s", Order: 5, Software: software, Route: "h/", Successes: good}
@@ -51,7 +51,7 @@
 
 func (x *fixture) decide() *table.RolloutStep { return x.monitor.Decide(&x.input) }
 
-// reportAll has both boxes report that nothing is under way.
+// reportAll has both boxes report that they have no calls in flight.
 func (x *fixture) reportAll() {
 	for _, id := range testBoxes {
 		x.report(id, 7, 100, 0)
@@ -79,7 +79,7 @@
 		{"too few answers", table.RolloutTrial, func(x *fixture) {
 			x.monitor.judge.total.New, x.input.Elapsed = Counts{Successes: 19}, x.input.Plan.LatestShift
 		}, table.RolloutRolledBack, "too few"},
-		{"all is drained", table.RolloutShifted, func(x *fixture) { x.reportAll() }, table.RolloutCompleted, "no calls are under way"},
+		{"all is drained", table.RolloutShifted, func(x *fixture) { x.reportAll() }, table.RolloutCompleted, "no calls are in flight"},
 		{"a call is under way", table.RolloutShifted, func(x *fixture) { x.reportAll(); x.report("b2", 7, 100, 1) }, 0, ""},
 		{"a box doesn't know of the shift", table.RolloutShifted, func(x *fixture) { x.reportAll(); x.report("b2", 6, 100, 0) }, 0, ""},
 		{"a report is old", table.RolloutShifted, func(x *fixture) { x.reportAll(); x.input.Elapsed += maxReportAge + 1 }, 0, ""},
@@ -88,7 +88,7 @@
 			x.reportAll()
 			x.report("b2", 7, 100, 1)
 			x.monitor.RecordReport(x.input.Elapsed, Report{Box: "b2", Start: 2, Revision: 7})
-		}, table.RolloutCompleted, "no calls are under way"},
+		}, table.RolloutCompleted, "no calls are in flight"},
 		{"time is over", table.RolloutShifted, func(x *fixture) { x.input.Elapsed = x.input.Plan.RollBackAt }, table.RolloutRolledBack, "box b1 may still"},
 	}
 	for _, s := range scenarios {
@@ -106,8 +106,8 @@
 	}
 }
 
-// The share of the calls goes to as few targets as have the load of old ones with it, in all
-// failure domains by turns, and warm ones first.
+// The share of the calls goes to so few targets that each has the load of an old target. They are
+// selected evenly over the failure domains, and warm ones first.
 func TestTargetsOnTrial(t *testing.T) {
 	newer := Candidates{
 		{Target: "a1", Domain: "a"}, {Target: "a2", Domain: "a"}, {Target: "a3", Domain: "a", Cold: true},
@@ -115,7 +115,7 @@
 	}
 	old := make(Candidates, 79)
 	if n := trialTargetCount(0.05, old, newer); n != 4 {
-		t.Errorf("%d targets are tried", n)
+		t.Errorf("%d targets are on trial", n)
 	}
 	got := newer.selectForTrial(3, nil)
 	if len(got) != 3 || got[0] != "a1" || got[1] != "a2" || got[2] != "b1" {
@@ -126,7 +126,7 @@
 	}
 }
 
-// A share of few calls shows nothing, so a service with few uses half of the slack.
+// A share of few calls isn't enough to judge a version, so half of the slack is added to it.
 func TestTrialShares(t *testing.T) {
 	l := Limits{Share: 0.1, Slack: 50}
 	for rate, want := range map[float64]float64{0: 0.05, 500: 0.055, 50: 0.1, 1: 0.3} {
@@ -136,7 +136,8 @@
 	}
 }
 
-// A new leader has heard of a part of the boxes only, whose calls aren't all of the service's.
+// A new leader has reports of some boxes only. It must not take their calls for all of the service's calls,
+// and raise the share on trial as for a service with few calls.
 func TestANewLeaderTakesNoServiceForOneWithFewCalls(t *testing.T) {
 	x := newFixture(table.RolloutTrial)
 	x.monitor.judge.total = Sample{Old: Counts{Successes: 40}}
@@ -148,8 +149,8 @@
 	}
 }
 
-// A leader that takes over in the shift has all that boxes have seen with the reports that show
-// it to be over, and completes nothing before that is judged.
+// A leader that takes over during the shift gets the boxes' counts with the same reports that show the
+// old version to be drained. It must judge them before it completes the rollout.
 func TestNothingIsCompletedOnUnjudgedAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		bad  uint64
--- a/pkg/core/rollout/detector.go
+++ b/pkg/core/rollout/detector.go
@@ -1,10 +1,10 @@
 package rollout
 
-// detector looks for the moment from which an event, a bad or a slow answer, is more frequent
-// among calls of the new version than it should be. It is a Shiryaev-Roberts sum: each window multiplies the sum by the
-// likelihood of its events under an assumed odds ratio against that under the allowed one,
-// so that a long good time doesn't hide a late fault. While the new version is no worse
-// than allowed, the sum's mean after n windows is at most n.
+// detector detects that from some moment on an event, a failure or a slow answer, is more frequent
+// among calls of the new version than is allowed. It keeps a Shiryaev-Roberts statistic per assumed odds
+// ratio: each window adds one to the sum and multiplies it by the likelihood ratio of the window's events, under the
+// assumed odds ratio against the allowed one, so that a long good time doesn't hide a late fault. While the
+// new version is no worse than allowed, the expected value of the sum after n windows is at most n.
 type detector struct {
 	oddsRatios []float64
 	sums       []float64
@@ -14,10 +14,10 @@
 	return detector{oddsRatios: odds, sums: make([]float64, len(odds))}
 }
 
-// maxSum keeps a sum finite, far above any threshold.
+// maxSum keeps a sum finite; it is far above any threshold.
 const maxSum = 1e30
 
-// observe takes a window.
+// observe updates the sums with a window, in which an odds ratio up to allowed is no fault.
 func (d *detector) observe(allowed float64, s split) {
 	if s.newCalls == 0 || s.oldCalls == 0 {
 		return
--- a/pkg/core/rollout/evidence.go
+++ b/pkg/core/rollout/evidence.go
@@ -1,6 +1,6 @@
-// Package rollout decides whether a new version of a service's software is good, from the
-// answers that callers get, and when a rollout goes on, completes or is rolled back. It is
-// pure: boxes' counts and time come in, steps go out.
+// Package rollout decides from the answers that callers get whether a new version of a service's
+// software is good, and when a rollout shifts all calls to it, completes or is rolled back. It does no
+// I/O and reads no clock: its inputs are boxes' counts and times, its outputs are steps.
 package rollout
 
 import (
@@ -10,41 +10,41 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// RouteID names a route in evidence: its host and path prefix.
+// RouteID identifies a route in evidence: its host and path prefix.
 type RouteID string
 
-// Evidence is what one box has seen of one version of a service's software on one route,
-// since the rollout was ordered or the box started. Counts only grow within one start of a
-// box, so that a lost or repeated report changes nothing.
+// Evidence counts the answers that one box got from one version of a service's software on one route,
+// since the rollout was ordered or the box started. Counts only grow until the box
+// restarts, so that lost and repeated reports do no harm.
 type Evidence struct {
 	Service  units.ServiceName
 	Order    units.Revision
 	Software units.SoftwareVersion
 	Route    RouteID
-	// Successes counts answers that aren't failures; Failures counts failures of the target: server
+	// Successes counts answers that aren't failures. Failures counts failures of the target: server
 	// errors, broken and wrong answers, and calls that it never answered.
 	Successes, Failures uint64
-	// Times counts the good answers by how long they took.
+	// Times counts the successes by how long they took.
 	Times Histogram
-	// InFlight is how many calls of this version the box waits for.
+	// InFlight is how many calls the box has in flight at this version, on this route.
 	InFlight uint32
 }
 
-// Buckets is how many buckets a histogram has: from 1 ms to 4 s in steps of the square root
-// of two, which tells calls that take twice as long apart from others.
+// Buckets is how many buckets a histogram has. Their upper ends go from 1 ms to about 4 s in steps of the
+// square root of two, fine enough to detect calls that take twice as long; the last bucket has no upper end.
 const Buckets = 26
 
-// firstBucket is the upper end of the first bucket: answers that take less than that
-// aren't told apart, since a caller doesn't notice.
+// firstBucket is the upper end of the first bucket. Faster answers
+// aren't distinguished, since a caller doesn't notice.
 const firstBucket = time.Millisecond
 
-// Histogram counts answers by how long they took.
+// Histogram counts answers by how long they took, in buckets of logarithmic size.
 type Histogram [Buckets]uint32
 
-// Add counts an answer.
+// Add counts an answer that took so long.
 func (h *Histogram) Add(took time.Duration) { h[bucketOf(took)]++ }
 
-// Total is how many answers were counted.
+// Total returns how many answers were counted.
 func (h *Histogram) Total() uint64 {
 	total := uint64(0)
 	for _, n := range h {
--- a/pkg/core/rollout/judge.go
+++ b/pkg/core/rollout/judge.go
@@ -6,73 +6,74 @@
 	"slices"
 )
 
-// What the judge allows, assumes and asks for.
+// Error bounds, tolerances and minimum sample sizes of the judge.
 const (
-	// maxFalseAlarmProbability bounds the probability that a good version is found bad in one rollout:
-	// each one is a rollout that an operator must order again.
+	// maxFalseAlarmProbability bounds the probability that a good version is found bad in one rollout.
+	// Each false alarm is a rollout that an operator must order again.
 	maxFalseAlarmProbability = 0.02
-	// suspectBound is the weaker bound at which a version isn't given all calls, since taking
-	// back a bad one then costs callers far more than ordering a good one again. It bounds
-	// the sums' mean only; the replays of TestErrorRates allow 2 in 100 good versions to be
-	// stopped in all.
+	// suspectBound is the weaker bound at which a version is suspect and isn't given all calls, since rolling
+	// back a bad one after that costs callers far more than ordering a good one again. It bounds
+	// only the expected value of the detectors' sums, not a probability; the simulations of TestErrorRates
+	// allow at most 2 in 100 good versions to be stopped for either reason.
 	suspectBound = 1
-	// allowedOddsRatio is how much worse a version may look beside the other, since targets of
-	// one version differ among themselves; allowedSlowOdds is that for times, where the
-	// thresholds leave room already.
+	// allowedOddsRatio is how much higher the odds of a failure may be at the new version than at the old, since
+	// targets of one version differ among themselves. allowedSlowOddsRatio is the same for slow answers, where
+	// slowMarginBuckets already allows a difference.
 	allowedOddsRatio     = 1.3
 	allowedSlowOddsRatio = 1.1
-	// allowedCarriedOddsRatio is how much worse it may look than the other was before, when nothing
-	// is sent to that one any more, so that a common fault can't be told apart.
+	// allowedCarriedOddsRatio replaces both when the comparison is with earlier windows of the old version,
+	// because it gets hardly any calls now: a fault that would affect both versions then looks like one of the new.
 	allowedCarriedOddsRatio = 3
-	// slowMarginBuckets is how much longer answers of the new version may take: the square root
-	// of two, since targets are at different distances; roomLater is that against earlier
-	// times.
+	// slowMarginBuckets is how many buckets longer answers of the new version may take: one bucket is a factor
+	// of the square root of two, since targets are at different distances. carriedSlowMarginBuckets is the same
+	// for a comparison with earlier windows.
 	slowMarginBuckets        = 1
 	carriedSlowMarginBuckets = 2
-	// minEvents is how many bad or slow answers it takes to find a version bad: a target that
+	// minEvents is how many failures or slow answers it takes to find a version bad: a target that
 	// crashes breaks as many calls at once as it has slots.
 	minEvents = 6
-	// minSuspectEvents is how many bad or slow answers make a version suspect at the end of the trial.
-	// Fewer than leastEvents do, since a version that is suspect only isn't shifted.
+	// minSuspectEvents is how many failures or slow answers it takes to find a version suspect. It is below
+	// minEvents, since a suspect version isn't rolled back at once, but only doesn't get all calls at the end of the trial.
 	minSuspectEvents = 3
-	// minWindows is in how many windows they must have come, for the same reason as leastEvents.
+	// minWindows is the number of windows over which minEvents must be spread, for the same reason.
 	minWindows = 2
-	// minEventsInOneWindow is how many do in a single window: more calls than a crashing target breaks,
-	// so that a version of which every answer is bad is found out at once.
+	// minEventsInOneWindow is how many events are enough even within a single window: more calls than a crashing
+	// target breaks, so that a version of which every answer fails is found bad at once.
 	minEventsInOneWindow = 25
-	// minOldAnswerFraction is the part of the new version's answers below which a window's answers of
-	// the old one are too few to compare with, so that those of the windows before serve.
+	// minOldAnswerFraction is the fraction of the new version's answers below which the old version's answers of
+	// the same window are too few to compare with, so that those of earlier windows are used.
 	minOldAnswerFraction = 0.1
-	// carryDecay is the part of the old version's past counts that stays for the next window, so
-	// that about ten windows count: older ones tell little of the present load.
+	// carryDecay is the factor by which the old version's carried counts decay per window, so
+	// that they cover about ten windows: older ones don't represent the current load.
 	carryDecay = 0.9
 )
 
 var (
-	// failureOddsRatios and slowOdds are the odds ratios that faults of a version may have.
+	// failureOddsRatios and slowOddsRatios are the odds ratios, relative to the allowed one, that the detectors
+	// assume for a faulty version.
 	failureOddsRatios = []float64{2, 4, 12, 50}
 	slowOddsRatios    = []float64{2, 5, 20}
-	// slowQuantiles are the parts of the old version's answers that are faster than what
-	// counts as slow.
+	// slowQuantiles are the quantiles of the old version's times above which an answer counts as slow, one
+	// detector each.
 	slowQuantiles = []float64{0.5, 0.75, 0.9}
 )
 
 // Judge compares a new version with the old one, window by window.
 type Judge struct {
-	// maxWindows is how many maxWindows the rollout has at most, which sets the threshold.
+	// maxWindows is how many windows the rollout has at most. The thresholds are proportional to it.
 	maxWindows int
 	all        *comparison
 	routes     map[RouteID]*comparison
-	// total is what was counted altogether.
+	// total counts the answers of all windows and routes.
 	total Sample
 }
 
-// NewJudge returns a judge for a rollout of so many windows.
+// NewJudge returns a judge for a rollout of up to maxWindows windows.
 func NewJudge(maxWindows int) *Judge {
 	return &Judge{maxWindows: max(1, maxWindows), all: newComparison(), routes: map[RouteID]*comparison{}}
 }
 
-// Observe takes what was seen in a window.
+// Observe updates the judge with the answers of a window.
 func (j *Judge) Observe(w Window) {
 	sum := Sample{}
 	for _, id := range w.routes() {
@@ -91,18 +92,18 @@
 	j.all.observe(&sum)
 }
 
-// Total returns what was counted altogether.
+// Total returns the counts of all windows and routes.
 func (j *Judge) Total() Sample { return j.total }
 
-// Verdict is what the evidence says.
+// Verdict is a finding on the new version.
 type Verdict struct {
-	// Bad is set when the version is worse than the old one beyond doubt, Suspect when
-	// the evidence is too strong to give the version all calls.
+	// Bad is set if the new version is worse than the old one with little risk of a false alarm, Suspect if
+	// the evidence against it is too strong to give it all calls.
 	Bad, Suspect bool
 	Reason       string
 }
 
-// Verdict returns what the evidence says now.
+// Verdict returns the finding on all windows observed so far.
 func (j *Judge) Verdict() Verdict {
 	strong, worst, where := j.evidence((*eventTally).isSufficient)
 	v := Verdict{Bad: strong*maxFalseAlarmProbability >= float64(j.maxWindows)}
@@ -117,8 +118,8 @@
 	return v
 }
 
-// evidence is the weighted sum of all detectors that have seen enough, with the comparison
-// that adds most and its place.
+// evidence returns the weighted sum of the detectors whose events pass counts, the comparison that
+// adds most to it, and the route of that comparison as a suffix for a message; the suffix is empty for all routes together.
 func (j *Judge) evidence(counts func(*eventTally) bool) (sum float64, worst *comparison, where string) {
 	sum, worst = j.all.evidence(counts)/2, j.all
 	largest := sum
@@ -133,7 +134,7 @@
 	return sum, worst, where
 }
 
-// eventTally counts events of the new version, bad or slow answers, and the windows with any.
+// eventTally counts events of the new version, either failures or slow answers, and the windows with any.
 type eventTally struct{ events, windows uint64 }
 
 func (s *eventTally) add(events uint64) {
@@ -143,21 +144,22 @@
 	}
 }
 
-// isSufficient tells whether the events suffice to find a version bad.
+// isSufficient reports whether the events are enough to find a version bad.
 func (s *eventTally) isSufficient() bool {
 	return s.events >= minEventsInOneWindow || s.events >= minEvents && s.windows >= minWindows
 }
 
-// isSuspicious tells whether they suffice to suspect it.
+// isSuspicious reports whether the events are enough to find a version suspect.
 func (s *eventTally) isSuspicious() bool { return s.events >= minSuspectEvents }
 
-// comparison compares the versions on one route, or on all.
+// comparison compares the versions on one route, or on all routes together.
 type comparison struct {
 	failures     detector
 	slowness     []detector
 	failedEvents eventTally
 	slowEvents   []eventTally
-	// carried is what the old version did in the last windows, total all of both.
+	// carried are the old version's counts of the last windows, which decay by carryDecay per window; total are the
+	// counts of both versions in all windows.
 	carried Counts
 	total   Sample
 }
@@ -170,7 +172,7 @@
 	return c
 }
 
-// evidence is the weighted sum of the detectors that have seen enough.
+// evidence returns the weighted sum of the detectors whose events pass counts.
 func (c *comparison) evidence(counts func(*eventTally) bool) float64 {
 	total := 0.0
 	if counts(&c.failedEvents) {
@@ -197,8 +199,8 @@
 	c.carry(&s.Old)
 }
 
-// observeTimes compares how many answers were slow. The thresholds come from the windows
-// before, so that a window's own times don't choose them.
+// observeTimes compares how many answers were slow. The thresholds are quantiles of earlier windows,
+// so that they don't depend on the window's own times.
 func (c *comparison) observeTimes(newer, old *Counts, oddsRatio float64, margin int) {
 	if c.carried.Successes == 0 {
 		return
@@ -211,7 +213,7 @@
 	}
 }
 
-// carry keeps the old version's last windows.
+// carry adds a window of the old version to its carried counts.
 func (c *comparison) carry(old *Counts) {
 	if old.Answers() == 0 {
 		return
@@ -224,9 +226,9 @@
 	c.carried.Add(old)
 }
 
-// describe tells what was seen, for the record of a step.
+// describe returns the counts as text, for the reason of a step.
 func (c *comparison) describe() string {
 	n, o := &c.total.New, &c.total.Old
-	return fmt.Sprintf("%d of %d answers bad against %d of %d, half within %s against %s",
+	return fmt.Sprintf("%d of %d answers failed, against %d of %d at the old version; median time %s against %s",
 		n.Failures, n.Answers(), o.Failures, o.Answers(), n.Times.median(), o.Times.median())
 }
--- a/pkg/core/rollout/judge_test.go
+++ b/pkg/core/rollout/judge_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// fault is what is wrong with a new version, from a window on.
+// fault is a fault of a new version that begins in some window.
 type fault struct {
 	name string
-	// failing is the share of its answers that fail, slowdown by what its answers take longer.
+	// failing is the fraction of answers that fail, slowdown the factor by which answers take longer.
 	failing, slowdown float64
-	// oneRoute confines it to one of the routes.
+	// oneRoute limits the fault to one of the routes.
 	oneRoute bool
 }
 
-// background is what both versions suffer alike.
+// background is the rate of failures and the slowdown that affect both versions.
 type background struct {
 	name string
-	// failing is the share of answers that fail, in stormy windows stormFailing; stormSlowdown is by how
-	// much answers take longer then.
+	// failing is the fraction of answers that fail. In stormy windows it is stormFailing, and answers take
+	// longer by the factor stormSlowdown.
 	failing, stormFailing, stormSlowdown float64
 }
 
@@ -30,19 +30,19 @@
 	{name: "stormy", failing: 0.01, stormFailing: 0.2, stormSlowdown: 3},
 }
 
-// A replayed rollout: windows of half a second, of which the last are after the shift.
+// A simulated rollout has windows of half a second, of which the last are after the shift.
 const (
 	simulatedWindows = 20
 	simulatedShift   = 17
 	simulatedRoutes  = 4
-	// simulatedTrialShare is the trial's share of the calls.
+	// simulatedTrialShare is the fraction of calls on trial.
 	simulatedTrialShare = 0.05
 )
 
-// simulate plays one rollout of a service that takes so many calls a second and returns the
-// window in which it was condemned, counted from one, or zero; suspect tells whether it was
-// suspected before the shift. badAnswers is how many bad answers it had given by then.
-func simulate(random *rand.Rand, f fault, b background, rate float64, onset int) (condemned int, suspect bool, failures uint64) {
+// simulate simulates one rollout of a service with rate calls a second and a fault from the window onset on.
+// It returns the window in which the version was found bad, counted from one, or zero; whether it was
+// suspect before the shift; and how many answers of the new version had failed by then.
+func simulate(random *rand.Rand, f fault, b background, rate float64, onset int) (badWindow int, suspect bool, failures uint64) {
 	j := NewJudge(simulatedWindows)
 	for n := range simulatedWindows {
 		w := Window{}
@@ -94,29 +94,29 @@
 
 const simulationsPerCase = 100
 
-// stopRates replays rollouts and returns the share condemned or suspected before the shift, the
-// share that doesn't complete, and the mean of bad answers.
-func stopRates(random *rand.Rand, c errorCase) (before, stopped, failures float64) {
+// stopRates simulates rollouts and returns the fraction found bad or suspect before the shift, the
+// fraction that doesn't complete, and the mean number of failed answers.
+func stopRates(random *rand.Rand, c errorCase) (stoppedBeforeShift, stopped, failures float64) {
 	for range simulationsPerCase {
 		onset := 0
 		if c.randomOnset {
 			onset = random.IntN(simulatedShift - 4)
 		}
-		at, suspect, answers := simulate(random, c.fault, c.background, c.rate, onset)
-		if at > 0 && at <= simulatedShift || suspect {
-			before++
+		badWindow, suspect, failed := simulate(random, c.fault, c.background, c.rate, onset)
+		if badWindow > 0 && badWindow <= simulatedShift || suspect {
+			stoppedBeforeShift++
 		}
-		if at > 0 || suspect {
+		if badWindow > 0 || suspect {
 			stopped++
 		}
-		failures += float64(answers)
+		failures += float64(failed)
 	}
-	return before / simulationsPerCase, stopped / simulationsPerCase, failures / simulationsPerCase
+	return stoppedBeforeShift / simulationsPerCase, stopped / simulationsPerCase, failures / simulationsPerCase
 }
 
-// errorCase is a fault that begins at once or anytime in the trial, the background that it
-// has, the service's calls a second, and within what bounds the rollouts that don't
-// complete have to be.
+// errorCase is a fault that begins at once, or at a random time in the trial if randomOnset is set; its
+// background; the service's calls a second; and the bounds on the fraction of rollouts that don't
+// complete.
 type errorCase struct {
 	fault       fault
 	background  background
@@ -128,7 +128,8 @@
 
 var versionFaults = []struct {
 	fault fault
-	// minStopped are the shares to be stopped at 160 and 450 calls a second, quiet, then stormy.
+	// minStopped are the least fractions to be stopped: at 160 and 450 calls a second with the quiet
+	// background, then at the same rates with the stormy one.
 	minStopped [4]float64
 }{
 	{fault{name: "bad 0.02", failing: 0.02, slowdown: 1}, [4]float64{0.1, 0.9, 0, 0}},
@@ -161,41 +162,41 @@
 	return cases
 }
 
-// TestErrorRates measures both rates of error of the judge over faults of versions, and
-// holds them to what the design note states.
+// TestErrorRates measures how often the judge stops good versions and how often it misses faulty ones, and
+// checks both against the bounds that the design promises.
 func TestErrorRates(t *testing.T) {
 	for i, c := range errorCases() {
-		before, stopped, bad := stopRates(rand.New(rand.NewPCG(20261202, uint64(i))), c)
-		t.Logf("%3.0f/s %-6s %-18s anytime=%-5t stopped before the shift %.2f, at all %.2f, bad answers %.0f",
-			c.rate, c.background.name, c.fault.name, c.randomOnset, before, stopped, bad)
+		stoppedBeforeShift, stopped, failures := stopRates(rand.New(rand.NewPCG(20261202, uint64(i))), c)
+		t.Logf("%3.0f/s %-6s %-18s anytime=%-5t stopped before the shift %.2f, in total %.2f, failed answers %.0f",
+			c.rate, c.background.name, c.fault.name, c.randomOnset, stoppedBeforeShift, stopped, failures)
 		if stopped < c.minStopped || stopped > c.maxStopped {
 			t.Errorf("%s, %s, %.0f calls a second: %.2f were stopped, want %.2f to %.2f", c.fault.name, c.background.name, c.rate, stopped, c.minStopped, c.maxStopped)
 		}
 	}
 }
 
-// A version of which every answer is bad is known within some tens of them, also where a
-// storm of the same kind went before.
+// A version of which every answer fails is found bad within some tens of answers, also after a storm of
+// failures that affected both versions.
 func TestAVersionThatAlwaysFailsIsKnownSoon(t *testing.T) {
 	for seed := range uint64(50) {
 		for _, b := range backgrounds {
 			random := rand.New(rand.NewPCG(seed, 3))
-			at, _, bad := simulate(random, fault{failing: 1, slowdown: 1}, b, 450, int(seed)%10)
-			if at == 0 || bad > 60 {
-				t.Fatalf("%s, seed %d: condemned in window %d after %d bad answers", b.name, seed, at, bad)
+			badWindow, _, failures := simulate(random, fault{failing: 1, slowdown: 1}, b, 450, int(seed)%10)
+			if badWindow == 0 || failures > 60 {
+				t.Fatalf("%s, seed %d: found bad in window %d after %d failed answers", b.name, seed, badWindow, failures)
 			}
 		}
 	}
 }
 
-// A fault that shows only after the shift, when nothing is sent to the old version any more,
-// is told from the time before.
+// A fault that begins only after the shift, when the old version gets no more calls, is detected by
+// comparison with the old version's earlier windows.
 func TestALateFaultIsKnownAfterTheShift(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 4))
-		at, _, _ := simulate(random, fault{failing: 0.25, slowdown: 1}, backgrounds[0], 450, simulatedShift)
-		if at < simulatedShift || at > simulatedShift+2 {
-			t.Fatalf("seed %d: condemned in window %d", seed, at)
+		badWindow, _, _ := simulate(random, fault{failing: 0.25, slowdown: 1}, backgrounds[0], 450, simulatedShift)
+		if badWindow < simulatedShift || badWindow > simulatedShift+2 {
+			t.Fatalf("seed %d: found bad in window %d", seed, badWindow)
 		}
 	}
 }
--- a/pkg/core/rollout/monitor.go
+++ b/pkg/core/rollout/monitor.go
@@ -7,26 +7,26 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Monitor is what a leader knows of one rollout under way. A new leader begins with an empty
-// one and has all of the boxes' counts with their next reports.
+// Monitor collects the boxes' reports on one rollout for the leader and decides its steps. A new
+// leader begins with an empty one and gets the boxes' complete counts with their next reports.
 type Monitor struct {
 	limits Limits
 	record table.Rollout
 	judge  *Judge
-	// reports are the last ones of each box.
+	// reports holds the last report of each box.
 	reports map[units.BoxID]*boxReport
-	// window collects answers until windowEnds.
+	// window collects answers until windowEnds, a time since the order.
 	window     Window
 	windowEnds time.Duration
 }
 
-// boxReport is what a box has said last.
+// boxReport is the last report of a box.
 type boxReport struct {
 	start      uint64
 	receivedAt time.Duration
-	// revision is that of the table that the box had in force.
+	// revision is that of the table that was in force at the box.
 	revision units.Revision
-	// inFlight is how many calls of the old version it waited for.
+	// inFlight is how many calls the box had in flight at the old version.
 	inFlight uint32
 	counts   map[reportKey]Counts
 }
@@ -36,7 +36,7 @@
 	route    RouteID
 }
 
-// NewMonitor returns a watch of a rollout. Its record is kept up to date with Update.
+// NewMonitor returns a monitor of a rollout. Update must be called whenever the record changes.
 func NewMonitor(record table.Rollout, l Limits) *Monitor {
 	return &Monitor{
 		limits: l, record: record, judge: NewJudge(windowCount(record.Duration)),
@@ -44,22 +44,22 @@
 	}
 }
 
-// Update takes the record after a change.
+// Update replaces the record of the rollout after a change.
 func (m *Monitor) Update(record table.Rollout) { m.record = record }
 
-// Order names the rollout.
+// Order returns the revision that ordered the rollout and identifies it.
 func (m *Monitor) Order() units.Revision { return m.record.Order }
 
-// Report is a box's request for a lease, as far as it concerns rollouts.
+// Report is the part of a box's lease request that concerns rollouts.
 type Report struct {
 	Box units.BoxID
-	// Start names the box's start; counts begin anew with each.
+	// Start identifies the box's process start; counts restart from zero with each.
 	Start    uint64
 	Revision units.Revision
 	Evidence []Evidence
 }
 
-// RecordReport takes a box's report at a time since the order.
+// RecordReport adds a box's report; elapsed is the time since the order.
 func (m *Monitor) RecordReport(elapsed time.Duration, r Report) {
 	last := m.reports[r.Box]
 	if last == nil || last.start != r.Start {
@@ -94,21 +94,21 @@
 	}
 }
 
-// closeDueWindow has the judge see a window that is over.
+// closeDueWindow closes the current window if its time is over.
 func (m *Monitor) closeDueWindow(elapsed time.Duration) {
 	if elapsed >= m.windowEnds {
 		m.closeWindow(elapsed)
 	}
 }
 
-// closeWindow has the judge see the present window and begins the next.
+// closeWindow gives the current window to the judge and begins the next one.
 func (m *Monitor) closeWindow(elapsed time.Duration) {
 	m.windowEnds = elapsed + WindowLength
 	m.judge.Observe(m.window)
 	m.window = Window{}
 }
 
-// reportedAnswers is how many answers of the new version boxes have reported, judged or not.
+// reportedAnswers returns how many answers of the new version boxes have reported, judged or not.
 func (m *Monitor) reportedAnswers() uint64 {
 	total := m.Total()
 	answers := total.New.Answers()
@@ -118,19 +118,19 @@
 	return answers
 }
 
-// Total returns the answers that were judged.
+// Total returns the counts of the answers that were judged.
 func (m *Monitor) Total() Sample { return m.judge.Total() }
 
-// Share is the share of the service's calls that the new version is to get now, by a leader
-// that has led for a time.
+// Share returns the percentage of the service's calls that the new version is to get now; leaderFor is
+// how long this process has been the leader.
 func (m *Monitor) Share(elapsed, leaderFor time.Duration, p Plan) units.Percent {
 	if m.record.Stage == table.RolloutShifted {
 		return fullShare
 	}
 	total := m.Total()
 	rate := 0.0
-	// A new leader hasn't heard of all calls yet. A service with many would look like one with
-	// few, and have up to 30 in 100 of its calls on trial.
+	// A new leader hasn't got the reports of all boxes yet. A service with many calls would look like one
+	// with few, and up to 30 % of its calls would be on trial.
 	if elapsed > 0 && leaderFor >= newLeaderReportWait {
 		rate = float64(total.New.Answers()+total.Old.Answers()) / elapsed.Seconds()
 	}
@@ -138,9 +138,9 @@
 }
 
 const (
-	// percent is how many hundredths a whole has: limits are parts of one, the table's shares
-	// percentages.
+	// percent converts fractions to percentages: limits are fractions of one, the table's shares
+	// are percentages.
 	percent = 100
-	// fullShare is the share of a version that takes all calls.
+	// fullShare is the share of a version that gets all calls.
 	fullShare = units.Percent(percent)
 )
--- a/pkg/core/rollout/plan.go
+++ b/pkg/core/rollout/plan.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// The plan of a rollout's time. All calls go to the new version as late as possible: if it
-// is bad after all, callers meet it for the least time before somebody looks.
+// The schedule of a rollout. The shift of all calls to the new version is as late as possible: if the
+// version is bad after all, callers are exposed to it for the shortest time before an operator looks.
 const (
-	// WindowLength is for how long answers are counted together. It is a small part of the time
-	// in which a bad version must get its last call.
+	// WindowLength is the length of the windows in which answers are counted. It is a small part of the time
+	// within which a bad version must have got its last call.
 	WindowLength = 500 * time.Millisecond
-	// shiftOverhead is how long it takes beside the calls under way until the shift is
-	// known to be over: two rounds of boxes' requests, and two steps on a quorum's disks.
-	// More would cost callers of a version that turns bad just then.
+	// shiftOverhead is how long the shift takes until it is known to be complete, besides the time that calls in
+	// flight take to end: two rounds of boxes' requests, and two steps on the disks of a quorum.
+	// A longer time would expose more callers to a version that turns bad during the shift.
 	shiftOverhead = time.Second
-	// minShiftTime is how long before the deadline a shift may begin at the latest.
+	// minShiftTime is how long before the deadline a shift has to begin at the latest.
 	minShiftTime = time.Second
-	// commitMargin is how long before the deadline the last step is taken, so that it is on
-	// enough disks in time.
+	// commitMargin is how long before the deadline the rollout is rolled back if it isn't complete, so that
+	// this step is on the disks of a quorum in time.
 	commitMargin = 250 * time.Millisecond
-	// minTrialFraction is the part of the time that a trial gets however long calls may take.
+	// minTrialFraction is the fraction of the rollout's duration that the trial gets at least, however long
+	// calls may take to end.
 	minTrialFraction = 0.4
-	// MinDuration is the shortest rollout: a second of trial tells a version of which every
-	// answer is bad, and the shift takes another one.
+	// MinDuration is the shortest rollout: one second of trial is enough to detect a version of which every
+	// answer fails, and the shift takes another second.
 	MinDuration = 3 * time.Second
-	// MaxDuration bounds a rollout to a week; a longer one holds up the next.
+	// MaxDuration bounds a rollout to a week; a longer one would delay the next.
 	MaxDuration = 7 * 24 * time.Hour
 )
 
-// Plan says when the steps of a rollout are due, counted from its order.
+// Plan holds the times at which the steps of a rollout are due, measured from its order.
 type Plan struct {
-	// ShiftAt is when the trial is over, LatestShift when it's too late for that.
+	// ShiftAt is when the trial ends and the shift may begin, LatestShift when it is too late to begin it.
 	ShiftAt, LatestShift time.Duration
 	// RollBackAt is when the rollout is rolled back if it isn't completed.
 	RollBackAt time.Duration
 }
 
-// NewPlan plans a rollout. Calls of the old version take up to drain to end. A box that falls
-// out of reach during the shift may hold it up until it is too late; then the rollout is
-// rolled back, which costs an order and no callers.
+// NewPlan returns the plan of a rollout; calls of the old version take up to drain to end. A box that
+// becomes unreachable during the shift may delay it until it is too late. The rollout is then
+// rolled back, which costs the operator another order but harms no callers.
 func NewPlan(duration, drain time.Duration) Plan {
 	minTrial := time.Duration(minTrialFraction * float64(duration))
 	return Plan{
@@ -49,29 +50,29 @@
 	}
 }
 
-// windowCount is how many windowCount a rollout has.
+// windowCount returns how many windows a rollout has.
 func windowCount(duration time.Duration) int {
 	return int(math.Ceil(float64(duration) / float64(WindowLength)))
 }
 
-// Limits bound what callers meet of a version that may be bad.
+// Limits bound how many calls a version gets that may be bad.
 type Limits struct {
-	// Share is the part of a service's calls that a bad version may take from the order to
-	// the deadline, and Slack a number of calls beside it.
+	// Share is the fraction of a service's calls that a bad version may get from the order to
+	// the deadline; Slack is a number of calls that it may get in addition.
 	Share float64
 	Slack int
 }
 
 const (
-	// trialFraction is the part of the allowed share that the trial takes. The rest is for the
-	// shift, in which a fault shows only after all calls went to the new version.
+	// trialFraction is the fraction of the allowed share and slack that the trial may use. The rest is for the
+	// shift, in which a fault is detected only after all calls go to the new version.
 	trialFraction = 0.5
-	// maxTrialShare keeps the old version's calls enough for a comparison.
+	// maxTrialShare caps the share on trial, so that the old version gets enough calls for a comparison.
 	maxTrialShare = 0.3
 )
 
-// TrialShare is the share of calls for the new version in the trial. A service with few
-// calls uses half of the slack for it, since a share of few calls shows nothing.
+// TrialShare returns the fraction of calls that the new version gets in a trial of that length. The
+// trialFraction of the slack is added, since a share of few calls wouldn't be enough to judge the version.
 func (l Limits) TrialShare(callsPerSecond float64, trial time.Duration) float64 {
 	share := trialFraction * l.Share
 	if callsPerSecond <= 0 || trial <= 0 {
