--- a/pkg/entry/answer.go
+++ b/pkg/entry/answer.go
@@ -13,11 +13,11 @@
 	"github.com/madderpond/madderpond/pkg/target"
 )
 
-// minLoggedWait is from which time on the log tells that an answer waited for the link: its
+// minLoggedWait is the least time that an answer has waited for the link before that is logged; a
 // caller notices a tenth of a second.
 const minLoggedWait = 100 * time.Millisecond
 
-// writeAnswer passes a target's answer on, whole or as it comes.
+// writeAnswer forwards a target's answer to the caller, whole or as a stream.
 func (e *Entry) writeAnswer(ctx *fasthttp.RequestCtx, a answer) {
 	from := a.attempt.Response
 	out := &ctx.Response
@@ -39,7 +39,7 @@
 	})), size)
 }
 
-// writeWhole writes an answer that is whole, at once if it is small.
+// writeWhole writes an answer whose body is in memory; a small one isn't paced.
 func (e *Entry) writeWhole(ctx *fasthttp.RequestCtx, a answer) {
 	body := a.attempt.Body()
 	if e.pacer.WriteSmall(len(body)) {
@@ -50,7 +50,7 @@
 	a.attempt.Release()
 }
 
-// pace has the body of a large answer take turns on the box's link.
+// pace returns a reader of a large answer's body that shares the box's link in turns with other large answers.
 func (e *Entry) pace(ctx *fasthttp.RequestCtx, a answer, body io.ReadCloser) io.ReadCloser {
 	if e.pacer == nil {
 		return body
@@ -65,7 +65,7 @@
 	})
 }
 
-// logPacedAnswer tells how the writing of a large answer went that was delayed or cut short.
+// logPacedAnswer logs a large answer that was delayed by pacing or cut short.
 func (e *Entry) logPacedAnswer(id string, x *routing.Endpoint, s pacing.Summary) {
 	if s.Whole && s.Waited < minLoggedWait {
 		return
@@ -73,5 +73,5 @@
 	e.Log.WithFields(logrus.Fields{
 		"kind": "answer-paced", "call": id, "service": x.Service, "target": x.Target, "bytes": s.Bytes,
 		"pieces": s.Pieces, "waitedMs": millis(s.Waited), "whole": s.Whole,
-	}).Info("a large answer shared the box's link")
+	}).Info("a large answer was paced on the box's link")
 }
--- a/pkg/entry/call.go
+++ b/pkg/entry/call.go
@@ -14,26 +14,26 @@
 
 type entrySettings = config.Entry
 
-// call is a caller's call while it is in this box. Its fields change under the
-// entry's lock only, until the answer is handed to the caller's goroutine.
+// call is the state of a caller's call in this box. Its fields change only under the
+// entry's lock, until the answer is handed to the caller's goroutine.
 type call struct {
 	id        routing.CallID
 	request   *fasthttp.Request
 	conn      net.Conn
 	arrivedAt units.Instant
-	// inline is set while the caller's goroutine is giving the core the arrival;
-	// a send that follows at once is left in first, for that goroutine to run.
+	// inline is set while the caller's goroutine passes the arrival to the core; a
+	// send that results from it is stored in inlineSend, and that goroutine runs it.
 	inline     bool
 	inlineSend send
-	// answer brings the one final answer.
+	// answer receives the final answer, exactly once.
 	answer   chan answer
 	answered bool
-	// deliveredAttempt is the attempt whose answer the caller gets, kept one whose failed answer
-	// may yet be deliveredAttempt.
+	// deliveredAttempt is the attempt whose answer the caller gets, keptAttempt one whose failed answer
+	// may still be delivered later.
 	deliveredAttempt *target.Attempt
 	keptAttempt      *target.Attempt
 	sends            []send
-	// steps are the decisions on the call so far, for the log.
+	// steps are the decisions on the call so far, for the trace in the log.
 	steps    []step
 	identity identity
 }
@@ -44,7 +44,7 @@
 	attempt *target.Attempt
 }
 
-// answer is a target's answer, or a refusal when attempt is nil.
+// answer is a target's answer, or a refusal if attempt is nil.
 type answer struct {
 	id       routing.CallID
 	attempt  *target.Attempt
@@ -88,7 +88,7 @@
 
 func (c *call) keepAnswer(x routing.Effect) { c.keptAttempt = c.findAttempt(x.Attempt) }
 
-// releaseKeptAnswer gives back a kept answer that the caller doesn't get; it is called once, at the
+// releaseKeptAnswer releases a kept answer that isn't delivered; it is called once, at the
 // end of the call.
 func (c *call) releaseKeptAnswer() {
 	if c.keptAttempt != nil && c.keptAttempt != c.deliveredAttempt {
@@ -102,10 +102,10 @@
 	}
 }
 
-// startAttempt has a send carried out: the first one by the caller's own goroutine,
-// which has nothing else to do and saves two changes of goroutine, all others by
-// the workers. When those are all busy the call hasn't been sent, and the core
-// hears so at once.
+// startAttempt starts a send. The first one runs on the caller's own goroutine, which would
+// only wait otherwise; that saves two goroutine switches. All others run on
+// the workers. If the workers and their queue are full, the core is informed at once that the
+// call wasn't sent.
 func (e *Entry) startAttempt(x routing.Effect) {
 	c := x.Owner.(*call)
 	c.id = x.Call
@@ -124,7 +124,7 @@
 	}
 }
 
-// runAttempt carries out a send and tells the core how it ended.
+// runAttempt runs a send and reports its result to the core.
 func (e *Entry) runAttempt(c *call, id routing.CallID, s send) {
 	e.runningAttempts.Add(1)
 	a, number := s.attempt, s.number
@@ -150,9 +150,9 @@
 	a.Release()
 }
 
-// endSend forgets a send that has ended, and tells whether its answer now belongs
-// to the caller's goroutine. The core gives or keeps an answer only during the event that
-// brought it.
+// endSend removes a send that has ended, unless its answer was delivered or kept; then it returns true, and the
+// caller's goroutine releases the answer. It must be called after the core has processed the result, since
+// the core delivers or keeps an answer only while it processes the event that reports it.
 func (e *Entry) endSend(c *call, number routing.AttemptNumber, a *target.Attempt) (answerUsed bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/pkg/entry/control_client.go
+++ b/pkg/entry/control_client.go
@@ -13,22 +13,22 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// controlClient is the connection to the control replica that the core has
-// chosen. Its methods are called under the entry's lock and never wait.
+// controlClient holds the connection to the control replica that the core has
+// chosen. Its methods are called under the entry's lock and don't block.
 type controlClient struct {
 	entry     *Entry
 	addresses map[units.ReplicaID]string
 	current   *attachment
 }
 
-// attachment is one attempt to be connected to a replica.
+// attachment is one connection to a replica, or an attempt to make one.
 type attachment struct {
 	number subscription.Attachment
 	queue  chan *wire.Envelope
 	done   chan struct{}
 }
 
-// maxQueuedMessages bounds the messages that wait to be sent.
+// maxQueuedMessages bounds the messages that are queued to be sent; further ones are dropped.
 const maxQueuedMessages = 16
 
 func newControlClient(e *Entry) *controlClient {
@@ -37,7 +37,7 @@
 	return c
 }
 
-// setReplicas takes the addresses that the settings name.
+// setReplicas replaces the addresses of the replicas with those in the settings.
 func (c *controlClient) setReplicas(replicas []config.Replica) {
 	c.addresses = make(map[units.ReplicaID]string, len(replicas))
 	for _, r := range replicas {
@@ -45,8 +45,8 @@
 	}
 }
 
-// attach dials all of the replicas at the same time and keeps the connection that is made
-// first: a replica that is down, or on its way up, costs no time where another works.
+// attach dials all of the replicas at the same time and keeps the first connection that is
+// made: a replica that is down or starting causes no delay as long as another is up.
 func (c *controlClient) attach(to []units.ReplicaID, n subscription.Attachment, dialTimeout time.Duration) {
 	c.close()
 	a := &attachment{number: n, queue: make(chan *wire.Envelope, maxQueuedMessages), done: make(chan struct{})}
@@ -58,8 +58,8 @@
 	go c.run(a, to, addresses, dialTimeout)
 }
 
-// addressOf returns where a replica is reached. In a cluster that grows by itself a
-// replica goes by its address.
+// addressOf returns the address of a replica. In a cluster that forms itself, a replica's id
+// is its address.
 func (c *controlClient) addressOf(id units.ReplicaID) string {
 	if address := c.addresses[id]; address != "" {
 		return address
@@ -116,13 +116,13 @@
 	}
 }
 
-// endAttachment tells the core that an attachment has ended, and the log unless this box ended it
+// endAttachment reports to the core that an attachment has ended, and logs it unless this box ended it
 // itself.
 func (c *controlClient) endAttachment(a *attachment, err error) {
 	select {
 	case <-a.done:
 	default:
-		c.entry.Log.WithError(err).WithField("kind", "control-lost").Warn("the connection to a control replica has ended")
+		c.entry.Log.WithError(err).WithField("kind", "control-lost").Warn("the connection to a control replica was lost")
 	}
 	c.entry.reduce(subscription.Detached{Attachment: a.number})
 }
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the shell of an entry box: callers' HTTP on one side, the
-// core in the middle, targets, control replicas and other boxes on the other
-// sides.
+// Package entry runs an entry box. It does the I/O around the core, which makes all
+// decisions: HTTP with callers, and connections to targets, control replicas and other
+// boxes.
 package entry
 
 import (
@@ -28,23 +28,23 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Entry is an entry box at work.
+// Entry is a running entry box.
 type Entry struct {
 	*common.Common
-	// lock guards the core and everything below it.
+	// lock guards the core, the calls, and all fields below it that change after the start, except the atomic ones.
 	lock    sync.Mutex
 	core    *box.Box
 	effects box.Effects
-	// wakeTimer ticks the core by itself at wakeAt; nil before the start.
+	// wakeTimer sends the core a tick at wakeAt; nil before the start.
 	wakeTimer *time.Timer
 	wakeAt    units.Instant
-	// waitingCalls holds the calls whose callers wait for an answer.
+	// waitingCalls is the set of calls whose callers wait for an answer.
 	waitingCalls map[*call]bool
-	// runningAttempts counts the sends under way.
+	// runningAttempts counts the sends in flight.
 	runningAttempts atomic.Int64
 
 	pools *target.Pools
-	// pacer shares the box's link among answers; nil where it isn't limited.
+	// pacer shares the box's link among large answers; nil if the link's rate isn't set.
 	pacer    *pacing.Pacer
 	workers  pond.Pool
 	control  *controlClient
@@ -53,22 +53,22 @@
 	server   *fasthttp.Server
 	listener net.Listener
 	leaving  atomic.Bool
-	// loggedRevision is the revision that was last traced of in the log.
+	// loggedRevision is the revision of the table that was logged last.
 	loggedRevision units.Revision
-	// ordinaryCalls counts the ordinary calls, of which a sample is logged.
+	// ordinaryCalls counts the calls that were answered at the first attempt, of which a sample is logged.
 	ordinaryCalls atomic.Uint64
-	// regionRefusals counts the calls whose regions have no target, for the log.
+	// regionRefusals counts the refused calls for which no allowed region has a target, for the log.
 	regionRefusals refusalLogState
-	// listedLeaving is set while the platform's list has this box as leaving.
+	// listedLeaving is set while the platform's list of boxes shows this box as leaving.
 	listedLeaving atomic.Bool
 	done          chan struct{}
 	stopped       sync.WaitGroup
 }
 
-// queueDivisor is the part of the workers' number that may wait for one.
+// queueDivisor is the number of workers per send that may be queued for one.
 const queueDivisor = 4
 
-// NewEntry returns an entry that doesn't listen yet. peerAddress is where other
+// NewEntry returns an entry that doesn't listen yet. peerAddress is the address at which other
 // boxes reach this one.
 func NewEntry(c *common.Common, peerAddress string) (*Entry, error) {
 	s := &c.Settings.Entry
@@ -122,7 +122,7 @@
 	}, c.Clock.Now())
 }
 
-// Start begins to listen and to follow the control state.
+// Start begins to listen for callers and to follow the control state.
 func (e *Entry) Start() error {
 	listener, err := net.Listen("tcp", e.Settings.Entry.Listen)
 	if err != nil {
@@ -136,18 +136,18 @@
 	e.lock.Unlock()
 	go func() {
 		if err := e.server.Serve(listener); err != nil {
-			e.Log.WithError(err).Error("the entry for callers has stopped")
+			e.Log.WithError(err).Error("the HTTP server for callers stopped")
 		}
 	}()
 	return nil
 }
 
-// Address returns where callers reach this box.
+// Address returns the address on which this box listens for callers.
 func (e *Entry) Address() string { return e.listener.Addr().String() }
 
-// reduce gives the core an event and carries out what follows from it. Effects
-// are carried out under the lock, so that they happen in the core's order; none
-// of them waits for anything.
+// reduce passes an event to the core and applies the resulting effects. Effects
+// are applied under the lock, so that they happen in the core's order; none
+// of them blocks.
 func (e *Entry) reduce(event box.Event) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -161,8 +161,8 @@
 	e.resetWakeTimer()
 }
 
-// resetWakeTimer sets the waker to when the core next has something to do. One that comes a
-// little early is left as it is.
+// resetWakeTimer sets the wake timer to the time at which the core next has something to do. A timer
+// that would fire slightly early is left unchanged.
 func (e *Entry) resetWakeTimer() {
 	next := e.core.NextWake()
 	if e.wakeTimer == nil || next >= e.wakeAt && next.Sub(e.wakeAt) < wakeTolerance {
@@ -172,7 +172,7 @@
 	e.wakeTimer.Reset(max(e.Clock.Until(next), minWakeDelay))
 }
 
-// tick lets the core see that time has passed.
+// tick informs the core that time has passed.
 func (e *Entry) tick() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -185,7 +185,7 @@
 	e.reduceLocked(box.Tick{})
 }
 
-// applyEffects does what the effects say. Doing so may add more of them.
+// applyEffects applies the effects, including those that are added meanwhile.
 func (e *Entry) applyEffects() {
 	list := &e.effects.Routing
 	for i := 0; i < len(list.List); i++ {
@@ -245,17 +245,17 @@
 	}
 }
 
-// minWakeDelay keeps the waker from spinning.
+// minWakeDelay keeps the wake timer from firing in a busy loop.
 const minWakeDelay = 100 * time.Microsecond
 
-// noWakeSet is the time of a waker that has just gone off.
+// noWakeSet is the value of wakeAt while the wake timer isn't set.
 const noWakeSet = units.Instant(math.MaxInt64)
 
-// wakeTolerance is how much too early the waker may come: setting it anew with every call
-// costs more.
+// wakeTolerance is how much too early the wake timer may fire: an early tick costs less than resetting the
+// timer with every call.
 const wakeTolerance = 5 * time.Millisecond
 
-// runPeriodicTasks does what must be done now and then.
+// runPeriodicTasks closes idle connections and checks for disconnected callers until the entry stops.
 func (e *Entry) runPeriodicTasks() {
 	defer e.stopped.Done()
 	idle, hangUpChecks := time.NewTicker(time.Second), time.NewTicker(e.Settings.Entry.HangUpCheck.Std())
@@ -274,15 +274,15 @@
 	}
 }
 
-// Leave says that this box is about to stop: it is no longer ready, and asks its
-// callers to go elsewhere, but serves whatever still comes and can end in time.
+// Leave announces that this box stops after the remaining time. It is no longer ready, and asks its
+// callers to use another box, but still serves calls that can end in time.
 func (e *Entry) Leave(remaining time.Duration) {
 	e.leaving.Store(true)
 	e.reduce(subscription.Leaving{On: true})
 	e.reduce(&routing.StopPlanned{Until: e.Clock.Now().Add(remaining)})
 }
 
-// SetReplicas takes the control replicas that changed settings name.
+// SetReplicas updates the control replicas to those in changed settings.
 func (e *Entry) SetReplicas(s *config.Settings) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -290,19 +290,19 @@
 	e.reduceLocked(subscription.ReplicasChanged{Replicas: s.ReplicaIDs()})
 }
 
-// SetRegions takes the regions of the failure domains that changed settings name.
+// SetRegions updates the regions of the failure domains to those in changed settings.
 func (e *Entry) SetRegions(s *config.Settings) {
 	e.reduce(&routing.RegionsChanged{Regions: s.Regions})
 }
 
-// SetListedLeaving says whether the platform's list has this box as leaving. Such
-// a box isn't ready, but it doesn't turn its callers away: the list may be wrong.
+// SetListedLeaving sets whether the platform's list of boxes shows this box as leaving. Such
+// a box isn't ready, but it still serves callers without asking them to use another box: the list may be wrong.
 func (e *Entry) SetListedLeaving(on bool) {
 	e.listedLeaving.Store(on)
 	e.reduce(subscription.Leaving{On: on || e.leaving.Load()})
 }
 
-// Stop ends the entry once every call has its answer, or the context ends.
+// Stop stops the entry once every call is answered, or the context ends.
 func (e *Entry) Stop(ctx context.Context) error {
 	err := e.server.ShutdownWithContext(ctx)
 	close(e.done)
@@ -314,17 +314,17 @@
 	return err
 }
 
-// Ready tells whether the platform's balancer should send calls here.
+// Ready reports whether the platform's load balancer should send calls here.
 func (e *Entry) Ready() bool {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	return !e.leaving.Load() && !e.listedLeaving.Load() && e.core.Ready(e.Clock.Now())
 }
 
-// Leaving tells whether a planned stop is under way.
+// Leaving reports whether a planned stop has begun.
 func (e *Entry) Leaving() bool { return e.leaving.Load() }
 
-// Status is an entry's state as the dump shows it.
+// Status is an entry's state as the admin API's dump shows it.
 type Status struct {
 	box.Status
 	Leaving     bool            `json:"leaving"`
--- a/pkg/entry/headers.go
+++ b/pkg/entry/headers.go
@@ -12,28 +12,28 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// hopByHopHeaders are the headers that belong to one connection (RFC 9110, 7.6.1).
+// hopByHopHeaders are the headers that apply to one connection only (RFC 9110, 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"TE", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// requiredHeaders are the headers without which a request would mean something else; no
-// Connection header may take them away.
+// requiredHeaders are the headers without which a request would have another meaning; they are
+// kept even if the Connection header lists them.
 var requiredHeaders = []string{"Host", "Content-Length"}
 
 func isRequiredHeader(name string) bool {
 	return slices.ContainsFunc(requiredHeaders, func(n string) bool { return strings.EqualFold(n, name) })
 }
 
-// headerSet is what requests' and responses' headers have in common here.
+// headerSet is implemented by the headers of requests and of responses.
 type headerSet interface {
 	Peek(key string) []byte
 	Del(key string)
 }
 
-// removeHopByHop drops the headers that must not be passed on, and those that
-// the Connection header names.
+// removeHopByHop removes the headers that must not be forwarded, and those that
+// the Connection header lists.
 func removeHopByHop(h headerSet) {
 	for _, name := range strings.Split(string(h.Peek("Connection")), ",") {
 		if name = strings.TrimSpace(name); name != "" && !isRequiredHeader(name) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// fillRequest makes an attempt's own copy of a caller's request, for the workspace whose key let it
-// in. The key stays here, and nobody else says which workspace calls.
+// fillRequest copies a caller's request into an attempt's own request. The caller's key is removed, and the
+// workspace header is set to the workspace that the key belongs to, whatever the caller sent in it.
 func (e *Entry) fillRequest(out, from *fasthttp.Request, w units.WorkspaceName) {
 	from.Header.CopyTo(&out.Header)
 	removeHopByHop(&out.Header)
@@ -60,13 +60,13 @@
 	out.Header.SetNoDefaultContentType(true)
 }
 
-// credentialOf returns the key that a request presents.
+// credentialOf returns the API key in a request's header.
 func (e *Entry) credentialOf(ctx *fasthttp.RequestCtx) apikey.Credential {
 	return apikey.CredentialFromHeader(ctx.Request.Header.PeekAll(e.Settings.Entry.KeyHeader))
 }
 
-// findUnsafeFraming names what makes a request's length ambiguous; such a
-// request could mean one thing here and another at a target.
+// findUnsafeFraming returns the reason why a request's length is ambiguous, or an empty text. Such a
+// request could be read in one way here and in another at a target.
 func findUnsafeFraming(h *fasthttp.RequestHeader) string {
 	raw := h.RawHeaders()
 	lengths, codings := 0, 0
--- a/pkg/entry/link_test.go
+++ b/pkg/entry/link_test.go
@@ -27,18 +27,18 @@
 )
 
 const (
-	// linkMbps is the link of the boxes under test.
+	// linkMbps is the link rate of the boxes under test, in Mbit/s.
 	linkMbps = 7
-	// longestAnswer is the longestAnswer answer of a route with large ones.
+	// longestAnswer is the size in bytes of the longest answer of the route with large answers.
 	longestAnswer = 540_000
-	// shortAnswer is what other routes answer with.
+	// shortAnswer is the size in bytes of the answers of other routes.
 	shortAnswer = 400
-	// awaitTimeout is how long a test waits for what must come.
+	// awaitTimeout is how long a test waits for an expected event.
 	awaitTimeout = 20 * time.Second
 )
 
-// linkTarget answers "/large?bytes=N" with so many bytes, "/large?cut=N" with a part of what
-// its head promises, and everything else with a short body.
+// linkTarget answers "/large?bytes=N" with N bytes, "/large?cut=N" with only N of the bytes that
+// the response header announces, and everything else with a short body.
 type linkTarget struct {
 	address string
 	body    []byte
@@ -79,7 +79,7 @@
 	ctx.SetBodyStream(bytes.NewReader(x.body[:n]), n)
 }
 
-// startLinkBox returns a box with a link of that rate, one target, a route with large answers
+// startLinkBox starts a box with a link of mbps Mbit/s, one target, a route with large answers
 // at /large and one with short ones at /.
 func startLinkBox(t *testing.T, x *linkTarget, mbps float64) *Entry {
 	settings := config.Defaults()
@@ -118,9 +118,8 @@
 	return v
 }
 
-// slowLink is a link's account of what is written to it: all connections share it, first
-// come, first served. Bytes reach their reader at once; the time that they would have
-// waited is worked out.
+// slowLink simulates a link that all connections share, first come, first served. Bytes reach their
+// reader at once; only the time that they would have waited on the link is computed.
 type slowLink struct {
 	lock   sync.Mutex
 	freeAt time.Time
@@ -138,14 +137,14 @@
 	return wait
 }
 
-// transferTime is how long bytes take on the link.
+// transferTime returns how long n bytes take on the link.
 func transferTime(n int) time.Duration { return time.Duration(n) * time.Second * 8 / (linkMbps * 1e6) }
 
-// linkListener accepts connections that write to a slow link.
+// linkListener accepts connections whose writes pass a slowLink.
 type linkListener struct {
 	net.Listener
 	link *slowLink
-	// shortWaits are the waits of short answers.
+	// shortWaits are the times that short answers waited on the link.
 	lock       sync.Mutex
 	shortWaits []time.Duration
 }
@@ -194,9 +193,9 @@
 	return int(n), err
 }
 
-// A short answer waits on the link for a few pieces of large ones at the most, not for
-// whole answers: for one piece of each that its writer was about to write, and for what the
-// pacer makes up for.
+// A short answer waits on the link for at most a few pieces of large answers, not for
+// whole answers: for one piece of each large answer that was just being written, and for the pieces that the
+// pacer writes early to catch up.
 func TestShortAnswersAreNotHeldBehindLargeOnes(t *testing.T) {
 	const downloads, size, catchUpPieces = 4, 200_000, 2
 	e := startLinkBox(t, startLinkTarget(t), linkMbps)
@@ -241,8 +240,9 @@
 	}
 }
 
-// An answer that its target cuts short behind its first bytes never looks whole, however it
-// is framed; one that is cut before can still be tried elsewhere, and is refused here.
+// An answer that its target cuts short after part of it was forwarded must not look complete to the caller, with
+// either framing. One that is cut short before that can still be retried at another target; here there is
+// none, so the call is refused.
 func TestAnAnswerCutShortBehindThePacerNeverLooksWhole(t *testing.T) {
 	x := startLinkTarget(t)
 	e := startLinkBox(t, x, linkMbps)
@@ -261,7 +261,7 @@
 	}
 }
 
-// requestLongestAnswer opens a connection that reads little at a time and asks for the longest answer.
+// requestLongestAnswer opens a connection with a small read buffer and requests the longest answer.
 func requestLongestAnswer(t *testing.T, address string) net.Conn {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -272,7 +272,7 @@
 	return c
 }
 
-// startDownload does that and returns once the answer has begun.
+// startDownload requests the longest answer and returns once its first byte has arrived.
 func startDownload(t *testing.T, address string) net.Conn {
 	c := requestLongestAnswer(t, address)
 	if _, err := bufio.NewReader(c).Peek(1); err != nil {
@@ -281,8 +281,8 @@
 	return c
 }
 
-// A caller that hangs up in the middle ends its answer: its turns go to others, and its
-// target is let go.
+// A caller that disconnects during its answer ends it: the link is free for others, and the
+// connection to the target is released.
 func TestACallerThatHangsUpFreesTheLink(t *testing.T) {
 	e := startLinkBox(t, startLinkTarget(t), linkMbps)
 	startDownload(t, e.Address()).Close()
@@ -293,7 +293,7 @@
 	await(t, "the end of the call", func() bool { return e.Status().Routing.Calls == 0 })
 }
 
-// A caller that doesn't read holds up nobody else.
+// A caller that doesn't read its answer must not delay other callers' answers.
 func TestACallerThatDoesNotReadHoldsNoTurn(t *testing.T) {
 	e := startLinkBox(t, startLinkTarget(t), 1000)
 	slow := startDownload(t, e.Address())
@@ -305,7 +305,7 @@
 	}
 }
 
-// A planned stop lets an answer end that takes turns.
+// A planned stop waits until a paced answer is complete.
 func TestAPlannedStopLetsAPacedAnswerEnd(t *testing.T) {
 	e := startLinkBox(t, startLinkTarget(t), linkMbps)
 	ended := make(chan error, 1)
@@ -328,7 +328,7 @@
 	}
 }
 
-// Many large answers at once take memory for pieces, not for whole answers.
+// Many concurrent large answers are buffered in pieces, not whole, so that memory stays bounded.
 func TestLargeAnswersTakeBoundedMemory(t *testing.T) {
 	const downloads, maxHeapBytes = 200, 40 << 20
 	e := startLinkBox(t, startLinkTarget(t), linkMbps)
--- a/pkg/entry/metrics.go
+++ b/pkg/entry/metrics.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// maxServiceLatencies and maxTargetLatencies bound how many services and targets a box
-	// keeps histograms of: about 1 MB together.
+	// maxServiceLatencies and maxTargetLatencies bound for how many services and targets a box
+	// keeps histograms; together they take about 1 MB.
 	maxServiceLatencies = 32
 	maxTargetLatencies  = 256
 )
 
-// metrics counts what an entry does; they are published by expvar.
+// metrics are the counters and latency histograms of an entry; they are published by expvar.
 type metrics struct {
 	held            expvar.Int
 	probes          expvar.Int
@@ -41,13 +41,13 @@
 	return m
 }
 
-// observe notes how long a call took from its arrival to its answer.
+// observe records how long a call took from its arrival to its answer.
 func (m *metrics) observe(e *routing.Endpoint, took time.Duration) {
 	m.services.Observe(e.Service, took)
 	m.targets.Observe(targetKey{service: e.Service, target: e.Target}, took)
 }
 
-// Latency is how long the calls of a service took, or of a target where one is named.
+// Latency summarizes how long the calls of a service took, or those of one target if Target is set.
 type Latency struct {
 	Service units.ServiceName `json:"service"`
 	Target  units.TargetID    `json:"target,omitempty"`
@@ -65,7 +65,7 @@
 	return all
 }
 
-// Metrics returns what expvar publishes for this entry.
+// Metrics returns the values that expvar publishes for this entry.
 func (e *Entry) Metrics() map[string]any {
 	s := e.Status()
 	return map[string]any{
--- a/pkg/entry/peer_links.go
+++ b/pkg/entry/peer_links.go
@@ -10,21 +10,21 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// peerLinks are the connections to other boxes, made when first needed. send is
-// called under the entry's lock and never waits.
+// peerLinks are the connections to other boxes by address, opened on first use. send is
+// called under the entry's lock and doesn't block.
 type peerLinks struct {
 	entry *Entry
 	links map[string]*peerLink
 }
 
-// peerLink is a connection to another box, with when it was last needed.
+// peerLink is a connection to another box, with the time of the last message sent on it.
 type peerLink struct {
 	*transport.Link
 	lastUsedAt units.Instant
 }
 
-// peerIdleTimeout is after what time without a message the connection to a box is closed: each one costs
-// memory and a sign of life a second at both boxes, and is needed for short times only.
+// peerIdleTimeout is the time without a message after which the connection to a box is closed: each one costs
+// memory and a heartbeat a second at both boxes, and is needed for short times only.
 const peerIdleTimeout = 30 * time.Second
 
 func newPeerLinks(e *Entry) *peerLinks {
@@ -53,12 +53,12 @@
 	return ""
 }
 
-// hello is how the box begins a connection to another process.
+// hello returns the first message that the box sends on a connection to another process.
 func (e *Entry) hello() *wire.Hello {
 	return &wire.Hello{Box: e.Settings.Box, Domain: e.Settings.Domain}
 }
 
-// closeIdle closes the connections that weren't needed for a while.
+// closeIdle closes the connections that were idle for longer than peerIdleTimeout.
 func (p *peerLinks) closeIdle() {
 	p.entry.lock.Lock()
 	defer p.entry.lock.Unlock()
@@ -80,8 +80,8 @@
 	}
 }
 
-// ServePeer takes the messages of another box until its connection ends. One whose first message isn't between
-// boxes is meant for somebody else.
+// ServePeer handles the messages of another box until its connection ends. It returns at once if
+// the first message isn't one that boxes send each other.
 func (e *Entry) ServePeer(hello *wire.Hello, first *wire.Envelope, c *transport.Conn) {
 	from := units.BoxID(hello.Box)
 	if !e.handlePeerMessage(from, first) {
@@ -96,7 +96,8 @@
 	}
 }
 
-// handlePeerMessage takes a message of another box, and tells whether it is one.
+// handlePeerMessage handles a message of another box; it returns false if the message isn't one that boxes
+// send each other.
 func (e *Entry) handlePeerMessage(from units.BoxID, m *wire.Envelope) bool {
 	switch {
 	case m.GetLoan() != nil:
--- a/pkg/entry/residency.go
+++ b/pkg/entry/residency.go
@@ -9,18 +9,18 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// regionRefusalLogInterval is the least time between two lines on calls whose regions have no target: a
-// route that allows the wrong regions has all of its calls refused.
+// regionRefusalLogInterval is the least time between two log lines on calls for which no allowed region
+// has a target: if a route allows the wrong regions, all of its calls are refused.
 const regionRefusalLogInterval = 10 * time.Second
 
-// refusalLogState counts refused calls between two lines of the log.
+// refusalLogState counts the calls refused since the last log line about them.
 type refusalLogState struct {
 	count     int
 	nextLogAt units.Instant
 }
 
-// logRegionRefusal logs, once in barredLogEvery at the most, the calls that no target in an allowed
-// region could take.
+// logRegionRefusal logs the calls for which no allowed region has a target, at most once in
+// regionRefusalLogInterval.
 func (e *Entry) logRegionRefusal(x *routing.Effect) {
 	if x.Refusal.Reason != routing.RegionNotAllowed {
 		return
@@ -39,9 +39,10 @@
 	e.regionRefusals = refusalLogState{nextLogAt: now.Add(regionRefusalLogInterval)}
 }
 
-// logUnknownRegion tells that targets of a failure domain take no calls of restricted routes.
+// logUnknownRegion logs that the targets of a failure domain of unknown region get no calls of routes that
+// allow some regions only.
 func (e *Entry) logUnknownRegion(x *routing.Effect) {
 	e.Log.WithFields(logrus.Fields{
 		"kind": "region-unknown", "domain": x.Endpoint.Domain, "service": x.Endpoint.Service, "target": x.Endpoint.Target,
-	}).Warn("the region of a failure domain isn't known; routes that allow some regions only don't use its targets")
+	}).Warn("the region of a failure domain is unknown; routes that allow only some regions don't use its targets")
 }
--- a/pkg/entry/server.go
+++ b/pkg/entry/server.go
@@ -12,7 +12,7 @@
 	"github.com/madderpond/madderpond/pkg/target"
 )
 
-// The headers by which a box says what became of a call.
+// The headers in which a box reports the outcome of a call.
 const (
 	outcomeHeader      = "X-Madderpond-Outcome"
 	reasonHeader       = "X-Madderpond-Reason"
@@ -22,7 +22,7 @@
 
 const problemType = "application/problem+json"
 
-// problem is the body of a refusal.
+// problem is the body of a refusal, as problem+json.
 type problem struct {
 	Type       string `json:"type"`
 	Title      string `json:"title"`
@@ -48,14 +48,14 @@
 		NoDefaultContentType:          true,
 		ReduceMemoryUsage:             true,
 		CloseOnShutdown:               true,
-		// A request that can't be read may carry a key.
+		// A malformed request may contain an API key, which must not be logged.
 		SecureErrorLogMessage: true,
 		ErrorHandler:          e.handleBadRequest,
 		Logger:                e.Log,
 	}
 }
 
-// handleBadRequest answers what couldn't be read as a request; no target sees it.
+// handleBadRequest answers a request that couldn't be parsed; it isn't sent to any target.
 func (e *Entry) handleBadRequest(ctx *fasthttp.RequestCtx, err error) {
 	e.metrics.badRequests.Add(1)
 	status, title := fasthttp.StatusBadRequest, "malformed-request"
@@ -76,7 +76,7 @@
 func (e *Entry) handle(ctx *fasthttp.RequestCtx) {
 	started := time.Now()
 	if e.leaving.Load() {
-		// The caller's next call should go to another box.
+		// Closing the connection makes the caller's next call go to another box.
 		ctx.SetConnectionClose()
 	}
 	if reason := findUnsafeFraming(&ctx.Request.Header); reason != "" {
@@ -118,7 +118,7 @@
 
 const maxDeadlineMillis = int64(math.MaxInt64 / int64(time.Millisecond))
 
-// submitCall gives the core the call and waits for its one answer.
+// submitCall passes the call to the core and waits for its answer.
 func (e *Entry) submitCall(ctx *fasthttp.RequestCtx) (answer, *call) {
 	c := newCall(ctx, e.Clock.Now())
 	c.identity = identity{ctx: ctx, callerHeader: e.Settings.Entry.CallerHeader}
@@ -143,14 +143,14 @@
 	return a, c
 }
 
-// reportDisconnectedCallers lets the core know of calls whose callers have hung up.
+// reportDisconnectedCallers reports the calls to the core whose callers have disconnected.
 func (e *Entry) reportDisconnectedCallers() {
 	for _, c := range e.longWaitingCalls() {
 		if target.IsOpen(c.conn) {
 			continue
 		}
 		e.lock.Lock()
-		// The connection may serve another call by now.
+		// Meanwhile the call may have ended, and its connection may carry another one.
 		if e.waitingCalls[c] {
 			e.reduceLocked(&routing.CallerGone{Call: c.id})
 		}
@@ -158,7 +158,7 @@
 	}
 }
 
-// longWaitingCalls are the calls that have waited for a while.
+// longWaitingCalls returns the calls that have waited longer than the interval of the disconnect check.
 func (e *Entry) longWaitingCalls() []*call {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/pkg/entry/trace.go
+++ b/pkg/entry/trace.go
@@ -13,19 +13,21 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A call's decisions are kept while it is in this box, and written as log lines once it
-// has ended: all of them for a call that didn't go as most do, and a sample of the rest.
+// The decisions on a call are kept while it is in this box, and logged once it
+// has ended. Calls that were refused, or answered by a later attempt than the first, are always logged;
+// of the others, the ordinary ones, one in traceSampleInterval.
 
 const (
-	// maxSteps bounds the decisions kept of one call.
+	// maxSteps bounds the steps kept per call.
 	maxSteps = 32
-	// typicalSteps is how many an ordinary call has: two probes, a send, its end.
+	// typicalSteps is the initial capacity for a call's steps: two probes with their answers, a send, its
+	// end and the delivery.
 	typicalSteps = 7
-	// traceSampleInterval is one in how many ordinary calls is written.
+	// traceSampleInterval is the number of ordinary calls per one that is logged.
 	traceSampleInterval = 64
 )
 
-// step is one decision on a call, or what came of one.
+// step is one decision on a call, or its result.
 type step struct {
 	at       units.Instant
 	kind     string
@@ -33,21 +35,21 @@
 	endpoint *routing.Endpoint
 	purpose  routing.Purpose
 	evidence routing.Evidence
-	// workspace is the one that a send goes out for, or a call is refused to; empty for none.
+	// workspace is the workspace that the call belongs to, for a send or a refusal; empty for none.
 	workspace units.WorkspaceName
 	result    routing.AttemptResult
 	refusal   routing.Refusal
 	probe     routing.ProbeEnded
-	// reading is what a target reading of itself in an answer, unreadRest and unreadLimit what it wrote in place of
-	// a time to rest and of a limit.
+	// reading is the load report in a target's answer. unreadRest and unreadLimit are the values it sent for
+	// its rest and its limit if they couldn't be parsed.
 	reading                 routing.Reading
 	unreadRest, unreadLimit string
-	// fingerprint is set for an attempt that broke off and for a call in quarantine; request and
-	// caller, which operators need to find whoever sends it, for the latter only.
+	// fingerprint is set for an attempt that broke off and for a call in quarantine. request and
+	// caller are set for the latter only; operators need them to find out who sends the call.
 	fingerprint, request, caller string
 }
 
-// The words for the steps of a call.
+// The kinds of steps, as they are logged.
 const (
 	stepArrived   = "call-arrived"
 	stepProbing   = "probe-sent"
@@ -68,8 +70,8 @@
 	}
 }
 
-// endStep is the step of an attempt's end. It is called under the entry's lock: until the call is
-// answered its request is there.
+// endStep returns the step for the end of an attempt. It must be called under the entry's lock, because it reads the
+// request, which is valid only until the call is answered.
 func (c *call) endStep(now units.Instant, finished send, result routing.AttemptResult) step {
 	a := finished.attempt
 	s := step{
@@ -82,7 +84,7 @@
 	return s
 }
 
-// recordEffect keeps what an effect decides about its call.
+// recordEffect adds a step for an effect to its call, if it belongs to one.
 func (e *Entry) recordEffect(x *routing.Effect) {
 	c, ok := x.Owner.(*call)
 	if !ok {
@@ -109,7 +111,7 @@
 	c.recordStep(s)
 }
 
-// addRequestDetails has a step say which request the call is. It is called before the call is answered.
+// addRequestDetails sets the step's fingerprint, request and caller. It must be called before the call is answered.
 func (c *call) addRequestDetails(s *step) {
 	i := &c.identity
 	s.fingerprint = crash.FingerprintOf(i).String()
@@ -117,10 +119,10 @@
 	s.caller = i.ctx.RemoteIP().String()
 }
 
-// maxLoggedPath bounds the bytes of a path that a log line carries.
+// maxLoggedPath bounds the bytes of a path in a log line.
 const maxLoggedPath = 200
 
-// recordProbe keeps what a target said when a call asked for its load.
+// recordProbe adds a step for the answer to a probe that was sent for a call.
 func (e *Entry) recordProbe(x *routing.Effect, ended *routing.ProbeEnded) {
 	c, ok := x.Owner.(*call)
 	if !ok {
@@ -133,7 +135,7 @@
 	c.recordStep(s)
 }
 
-// logTable tells that another table is in force here.
+// logTable logs the table that is in force here, once for each revision.
 func (e *Entry) logTable() {
 	t := e.core.Subscription().Table()
 	if t.Revision == e.loggedRevision {
@@ -143,10 +145,10 @@
 	e.Log.WithFields(logrus.Fields{
 		"kind": "table-in-force", "revision": t.Revision, "document": t.Document, "services": len(t.Services),
 		"routes": len(t.Routes), "boxes": len(t.Boxes), "evacuated": t.EvacuatedDomains(), "quarantines": len(t.Quarantines),
-	}).Info("another table is in force")
+	}).Info("a new table is in force")
 }
 
-// logHealthChange tells that a target was taken out of the common path, or has come back.
+// logHealthChange logs that a target was ejected, or is back in use.
 func (e *Entry) logHealthChange(x *routing.Effect) {
 	kind := "target-back"
 	if x.Ejected {
@@ -154,10 +156,10 @@
 	}
 	e.Log.WithFields(logrus.Fields{
 		"kind": kind, "service": x.Endpoint.Service, "target": x.Endpoint.Target, "failures": x.Failures,
-	}).Info("a target's health has turned")
+	}).Info("a target's health has changed")
 }
 
-// logCrash tells that a target has ended under calls of this box, and under which.
+// logCrash logs that a target crashed while calls of this box were in flight there, with the fingerprints of these calls.
 func (e *Entry) logCrash(x *routing.Effect) {
 	suspects := make([]string, 0, len(x.Crash.Suspects))
 	for _, s := range x.Crash.Suspects {
@@ -165,69 +167,70 @@
 	}
 	e.Log.WithFields(logrus.Fields{
 		"kind": "target-crashed", "service": x.Endpoint.Service, "target": x.Endpoint.Target, "suspects": suspects,
-	}).Warning("a target's process has ended under calls of this box")
+	}).Warning("a target's process ended while calls of this box were in flight there")
 }
 
-// applyNotice has sends that haven't begun kept from a target, and tells that it wants them to be.
+// applyNotice withholds sends that haven't started yet from a target that leaves, rests or is limited, and
+// logs the change.
 func (e *Entry) applyNotice(x *routing.Effect) {
 	n := x.Notice
 	withholdCallsUntil := n.RestUntil
 	if n.Leaving {
-		// No call that has been chosen by now is sent later than this.
+		// No call that was assigned to the target before this moment is sent later than this.
 		withholdCallsUntil = max(withholdCallsUntil, e.Clock.Now().Add(e.Settings.Entry.MaxDeadline.Std()))
 	}
 	e.pools.Withhold(x.Endpoint, target.Withholding{Calls: withholdCallsUntil, Probes: n.RestUntil, Limited: n.Limited})
 	f := logrus.Fields{"service": x.Endpoint.Service, "target": x.Endpoint.Target}
 	if n.LeaveBegins {
 		f["kind"] = "target-leaves"
-		e.Log.WithFields(f).Info("a target says that it is about to end, and gets no more calls from this box")
+		e.Log.WithFields(f).Info("a target announced that it is about to stop; this box sends it no more calls")
 	}
 	if n.RestBegins {
 		f["kind"], f["restMs"] = "target-rests", millis(e.Clock.Until(n.RestUntil))
-		e.Log.WithFields(f).Info("a target has asked for rest, and gets nothing from this box until its end")
+		e.Log.WithFields(f).Info("a target asked for rest; this box sends it nothing until the rest ends")
 	}
 	if n.LimitBegins {
 		f["kind"], f["limit"] = "target-limited", roundToHundredths(float64(n.Rate))
-		e.Log.WithFields(f).Info("a target names a limit for all boxes together, and gets nothing from this box without a permit")
+		e.Log.WithFields(f).Info("a target announced a limit for all boxes together; this box sends it nothing without a permit")
 	}
 	if n.LimitEnds {
 		f["kind"] = "target-unlimited"
-		e.Log.WithFields(f).Info("a target no longer names a limit")
+		e.Log.WithFields(f).Info("the limit of a target has ended")
 	}
 }
 
-// logBlamedCall tells that this box keeps a call from targets by its own notes, since it is out of
-// touch with the leader.
+// logBlamedCall logs that this box quarantines a call on its own evidence, since it has lost contact
+// with the leader.
 func (e *Entry) logBlamedCall(x *routing.Effect) {
 	e.Log.WithFields(logrus.Fields{
 		"kind": "call-blamed", "service": x.Verdict.Service, "call": x.Verdict.Fingerprint.String(), "targets": x.Verdict.Targets,
-	}).Warning("this box keeps a call from targets by itself, because targets crashed under it")
+	}).Warning("this box quarantined a call on its own evidence, because targets crashed while it was in flight")
 }
 
-// logExposure logs that this box begins to send calls to a new version, or ends it.
+// logExposure logs that this box begins or stops sending calls to a new version.
 func (e *Entry) logExposure(x *routing.ExposureTurn) {
 	kind, text := "exposure-ended", "calls may no longer be sent to the new version"
 	switch {
 	case x.On:
 		kind, text = "exposure-began", "calls may be sent to the new version"
 	case x.Stopped:
-		kind, text = "exposure-stopped", "this box sends the new version nothing after its bad answers"
+		kind, text = "exposure-stopped", "this box stopped sending calls to the new version after bad answers"
 	}
 	e.Log.WithFields(logrus.Fields{
 		"kind": kind, "service": x.Service, "software": x.Software, "order": x.Order, "share": x.Share, "good": x.Good, "bad": x.Bad,
 	}).Info(text)
 }
 
-// logHangingService tells that a service's targets don't answer what they can't queue, and by what
-// call that was found.
+// logHangingService logs that a service's targets seem not to answer calls that exceed their capacity, with the
+// evidence for it.
 func (e *Entry) logHangingService(x *routing.Effect) {
 	e.Log.WithFields(logrus.Fields{
 		"kind": "service-hangs", "service": x.Endpoint.Service, "target": x.Endpoint.Target, "unanswered": x.Failures,
 		"ahead": roundToHundredths(x.Evidence.Load), "overPatience": roundToHundredths(x.Evidence.Slowdown), "revision": x.Evidence.Revision,
-	}).Warning("targets of a service don't answer some calls although they serve others; they may hang when full")
+	}).Warning("targets of a service don't answer some calls although they serve others; they may hang when at capacity")
 }
 
-// logTrace writes a call's steps to the log.
+// logTrace logs a call's steps; of ordinary calls only a sample.
 func (e *Entry) logTrace(c *call, ordinary bool) {
 	if ordinary && e.ordinaryCalls.Add(1)%traceSampleInterval != 0 {
 		return
@@ -242,7 +245,7 @@
 	}
 }
 
-// fields are what a step's line says.
+// fields returns the fields of a step's log line.
 func (s *step) fields(id string, arrived units.Instant) logrus.Fields {
 	f := logrus.Fields{"kind": s.kind, "call": id, "afterMs": millis(s.at.Sub(arrived))}
 	if s.endpoint != nil {
@@ -285,7 +288,7 @@
 	return f
 }
 
-// addReadingFields adds what a target said of itself to a line, where it said anything.
+// addReadingFields adds the rest, the leaving and the limit that a target reported, if any, to a log line.
 func addReadingFields(f logrus.Fields, reading *routing.Reading) {
 	if reading.Rest > 0 {
 		f["restMs"] = millis(reading.Rest)
@@ -302,5 +305,5 @@
 	return roundToHundredths(float64(d) / float64(time.Millisecond))
 }
 
-// roundToHundredths keeps lines short: two digits behind the point say enough.
+// roundToHundredths truncates to two decimal places, to keep log lines short.
 func roundToHundredths(x float64) float64 { return float64(int64(x*100)) / 100 }
--- a/pkg/entry/trace_bench_test.go
+++ b/pkg/entry/trace_bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// BenchmarkTrace measures what the log costs a call: keeping its decisions, and writing
-// them for one call in sampleEvery; "refused" writes them all.
+// BenchmarkTrace measures the cost of the trace per call: recording its steps, and logging
+// them for one call in traceSampleInterval; "refused" logs all calls.
 func BenchmarkTrace(b *testing.B) {
 	logger := logrus.New()
 	logger.SetFormatter(&logrus.JSONFormatter{})
