--- a/pkg/core/crash/bench_test.go
+++ b/pkg/core/crash/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// BenchmarkNote measures how a leader handles a note of a crash: record it, evaluate, and list the suspects,
-// with maxEvents crashes of six suspects each.
+// BenchmarkNote measures how a leader handles a note of a crash: record it, evaluate, and list the
+// suspects, with maxEvents crashes of six suspects each.
 func BenchmarkNote(b *testing.B) {
 	t := NewTracker(CrashesToBlame)
 	at := units.Instant(time.Second)
--- a/pkg/core/crash/fingerprint.go
+++ b/pkg/core/crash/fingerprint.go
@@ -1,5 +1,6 @@
-// Package crash finds the calls that crash the targets which run them. It does no I/O and reads
-// no clock: its inputs are boxes' notes of crashes and answers with their times, its outputs are verdicts.
+// Package crash finds the calls that crash the targets which run them. It does no I/O and reads no
+// clock: its inputs are boxes' notes of crashes and answers with their times, its outputs are
+// verdicts.
 package crash
 
 import (
@@ -66,10 +67,10 @@
 	return f.Head == i.Head() && f.Body == i.Body() && (f.Caller == 0 || f.Caller == i.Caller())
 }
 
-// Digest returns a 64-bit digest of the parts; it is never zero. Each part is prefixed with its length, so
-// that moving bytes from one part to the next changes the digest. It uses a cryptographic hash
-// because callers choose the input: with a hash for which collisions are easy to find, a caller could have the
-// calls of others mistaken for its own.
+// Digest returns a 64-bit digest of the parts; it is never zero. Each part is prefixed with its
+// length, so that moving bytes from one part to the next changes the digest. It uses a
+// cryptographic hash because callers choose the input: with a hash for which collisions are easy to
+// find, a caller could have the calls of others mistaken for its own.
 func Digest(parts ...[]byte) uint64 {
 	h := sha256.New()
 	var length [8]byte
--- a/pkg/core/crash/tracker.go
+++ b/pkg/core/crash/tracker.go
@@ -39,11 +39,12 @@
 	target   units.TargetID
 	at       units.Instant
 	suspects []suspect
-	// attributed is set once a call that was in flight at the crash is known to be to blame. If that is
-	// one caller's call, the crash still counts against the same call of any caller, but against no other call.
+	// attributed is set once a call that was in flight at the crash is known to be to blame. If
+	// that is one caller's call, the crash still counts against the same call of any caller, but
+	// against no other call.
 	attributed bool
-	// noteIDs identify the notes that were merged into the event. Crashes without suspects are kept too, so
-	// that a repeated note changes nothing.
+	// noteIDs identify the notes that were merged into the event. Crashes without suspects are kept
+	// too, so that a repeated note changes nothing.
 	noteIDs []noteID
 }
 
@@ -60,10 +61,10 @@
 }
 
 // Tracker holds the crashes that aren't yet attributed to a call, and finds the calls that are to
-// blame. A call is to blame if targets crashed several times in a row while it was in flight: it was sent,
-// the target crashed, it was sent again. Targets that crash together with the same call in flight
-// count as one crash. An answer to a call clears it of all earlier crashes. A crash that is attributed
-// to one call no longer counts against the others that were in flight.
+// blame. A call is to blame if targets crashed several times in a row while it was in flight: it
+// was sent, the target crashed, it was sent again. Targets that crash together with the same call
+// in flight count as one crash. An answer to a call clears it of all earlier crashes. A crash that
+// is attributed to one call no longer counts against the others that were in flight.
 type Tracker struct {
 	// threshold is the number of consecutive crashes after which a call is to blame; zero blames none.
 	threshold int
@@ -77,7 +78,8 @@
 	stale           bool
 }
 
-// NewTracker returns a tracker that blames a call after threshold consecutive crashes; zero never blames one.
+// NewTracker returns a tracker that blames a call after threshold consecutive crashes; zero never
+// blames one.
 func NewTracker(threshold int) *Tracker {
 	return &Tracker{threshold: threshold, answeredAt: map[Fingerprint]units.Instant{}}
 }
@@ -152,9 +154,10 @@
 	}
 }
 
-// Attribute attributes the crashes at which f was in flight to f, which is known to be to blame. They
-// no longer count against other calls. Crashes attributed to one caller's call still count against the same
-// call of any caller: if its content is the cause, one more crash with another caller's call shows it.
+// Attribute attributes the crashes at which f was in flight to f, which is known to be to blame.
+// They no longer count against other calls. Crashes attributed to one caller's call still count
+// against the same call of any caller: if its content is the cause, one more crash with another
+// caller's call shows it.
 func (t *Tracker) Attribute(f Fingerprint) {
 	for i := range t.events {
 		e := &t.events[i]
@@ -169,8 +172,9 @@
 	}
 }
 
-// Release clears the suspects of the crashes that were attributed to f. Whoever releases a call no longer holds
-// it responsible, so these crashes must not count against the same call of any caller either.
+// Release clears the suspects of the crashes that were attributed to f. Whoever releases a call no
+// longer holds it responsible, so these crashes must not count against the same call of any caller
+// either.
 func (t *Tracker) Release(f Fingerprint) {
 	for i := range t.events {
 		if e := &t.events[i]; e.attributed && e.hasSuspect(f) {
@@ -199,8 +203,8 @@
 // callHistory lists the crashes that count against a call.
 type callHistory struct {
 	fingerprint Fingerprint
-	// events are the crashes at which it was in flight. chain holds those of them that follow one another:
-	// the call was sent again after each one and before the next.
+	// events are the crashes at which it was in flight. chain holds those of them that follow one
+	// another: the call was sent again after each one and before the next.
 	events, chain []*event
 }
 
@@ -223,9 +227,9 @@
 	return h
 }
 
-// histories returns the history of each call that was in flight at more than one crash,
-// most crashes first; with equal numbers, a call of one caller sorts before the same call of any caller. The
-// list belongs to the tracker and must not be changed.
+// histories returns the history of each call that was in flight at more than one crash, most
+// crashes first; with equal numbers, a call of one caller sorts before the same call of any caller.
+// The list belongs to the tracker and must not be changed.
 func (t *Tracker) histories() []callHistory {
 	if t.stale {
 		t.cachedHistories = t.buildHistories()
@@ -253,7 +257,8 @@
 	return dropRedundant(list)
 }
 
-// dropRedundant drops the histories for any caller that have no more crashes than the same call of one caller.
+// dropRedundant drops the histories for any caller that have no more crashes than the same call of
+// one caller.
 func dropRedundant(list []callHistory) []callHistory {
 	var kept []callHistory
 	for _, h := range list {
@@ -279,8 +284,8 @@
 	return set
 }
 
-// Evaluate returns the calls that are to blame by now, and attributes their crashes to them. If several calls
-// can't be distinguished, it blames all of them and marks the verdicts as doubtful.
+// Evaluate returns the calls that are to blame by now, and attributes their crashes to them. If
+// several calls can't be distinguished, it blames all of them and marks the verdicts as doubtful.
 func (t *Tracker) Evaluate(now units.Instant) []Verdict {
 	t.expire(now)
 	var verdicts []Verdict
@@ -337,9 +342,9 @@
 	return slices.ContainsFunc(h.chain, func(e *event) bool { return !e.attributed })
 }
 
-// mayBeCoincidence reports whether in the time of the chain at least as many targets of the service crashed
-// without the call in flight. If targets crash for reasons of their own, frequent calls are in flight
-// at most of the crashes.
+// mayBeCoincidence reports whether between the chain's first and last crash at least as many
+// crashes of the service happened without the call in flight. If targets crash for reasons of their own, frequent calls are
+// in flight at most of the crashes.
 func (t *Tracker) mayBeCoincidence(h callHistory) bool {
 	first, last := h.chain[0], h.chain[len(h.chain)-1]
 	without := 0
@@ -352,8 +357,9 @@
 	return without >= len(h.chain)
 }
 
-// isSettled reports whether all boxes have had time to report every crash of the chain but the last. Another
-// call that may as well be to blame was in flight at the earlier crashes too, so it is known by then.
+// isSettled reports whether all boxes have had time to report every crash of the chain but the
+// last. Another call that may as well be to blame was in flight at the earlier crashes too, so it
+// is known by then.
 func (h *callHistory) isSettled(now units.Instant) bool {
 	return len(h.chain) < 2 || now.Sub(h.chain[len(h.chain)-2].at) >= settleDelay
 }
@@ -388,8 +394,8 @@
 	return list
 }
 
-// HasPendingVerdict reports whether a call has reached the threshold, so that Evaluate may return a verdict
-// later without a new note.
+// HasPendingVerdict reports whether a call has reached the threshold, so that Evaluate may return a
+// verdict later without a new note.
 func (t *Tracker) HasPendingVerdict() bool {
 	return t.threshold > 0 && slices.ContainsFunc(t.histories(), func(r callHistory) bool { return t.isDue(&r) })
 }
--- a/pkg/core/rollout/candidates.go
+++ b/pkg/core/rollout/candidates.go
@@ -21,18 +21,18 @@
 // Candidates are the targets of one version that are available for calls now.
 type Candidates []Candidate
 
-// trialTargetCount returns how many targets should serve a share of the calls so that each has the load of
-// an old target: a fault that shows only under load would otherwise stay hidden.
+// trialTargetCount returns how many targets should serve a share of the calls so that each has the
+// load of an old target: a fault that shows only under load would otherwise stay hidden.
 func trialTargetCount(share float64, old, newer Candidates) int {
 	return min(len(newer), max(1, int(math.Round(share*float64(len(old))))))
 }
 
-// selectForTrial selects up to count targets for the trial: current ones that are still available before others,
-// warm before cold, and evenly over the failure domains.
-func (s Candidates) selectForTrial(count int, current []units.TargetID) []units.TargetID {
+// selectForTrial selects up to count targets for the trial: current ones that are still available
+// before others, warm before cold, and evenly over the failure domains.
+func (cs Candidates) selectForTrial(count int, current []units.TargetID) []units.TargetID {
 	rankInDomain := map[units.TargetID]int{}
 	countInDomain := map[units.Domain]int{}
-	byID := slices.SortedFunc(slices.Values(s), func(a, b Candidate) int { return strings.Compare(string(a.Target), string(b.Target)) })
+	byID := slices.SortedFunc(slices.Values(cs), func(a, b Candidate) int { return strings.Compare(string(a.Target), string(b.Target)) })
 	for _, c := range byID {
 		rankInDomain[c.Target] = countInDomain[c.Domain]
 		countInDomain[c.Domain]++
@@ -60,10 +60,11 @@
 	return 1
 }
 
-// totalSlots returns how many calls the targets can run at the same time; a target that reports no slots counts as one.
-func (s Candidates) totalSlots() int {
+// totalSlots returns how many calls the targets can run at the same time; a target that reports no
+// slots counts as one.
+func (cs Candidates) totalSlots() int {
 	total := 0
-	for _, c := range s {
+	for _, c := range cs {
 		total += max(1, c.Slots)
 	}
 	return total
@@ -74,13 +75,13 @@
 const minSlotFraction = 0.5
 
 // hasCapacityFor reports whether the targets have enough slots to take over the calls of the old ones.
-func (s Candidates) hasCapacityFor(old Candidates) bool {
-	return len(s) > 0 && float64(s.totalSlots()) >= minSlotFraction*float64(old.totalSlots())
+func (cs Candidates) hasCapacityFor(old Candidates) bool {
+	return len(cs) > 0 && float64(cs.totalSlots()) >= minSlotFraction*float64(old.totalSlots())
 }
 
 // containsAll reports whether all of these targets are available.
-func (s Candidates) containsAll(ids []units.TargetID) bool {
+func (cs Candidates) containsAll(ids []units.TargetID) bool {
 	return !slices.ContainsFunc(ids, func(id units.TargetID) bool {
-		return !slices.ContainsFunc(s, func(c Candidate) bool { return c.Target == id })
+		return !slices.ContainsFunc(cs, func(c Candidate) bool { return c.Target == id })
 	})
 }
--- a/pkg/core/rollout/counts.go
+++ b/pkg/core/rollout/counts.go
@@ -43,7 +43,7 @@
 	return total
 }
 
-// quantile returns the first bucket at whose upper end the share of answers counted so far reaches share.
+// quantile returns the first bucket up to whose upper end at least that share of the answers lies.
 func (h *Histogram) quantile(share float64) int {
 	wanted := share * float64(h.Total())
 	counted := 0.0
--- a/pkg/core/rollout/decide.go
+++ b/pkg/core/rollout/decide.go
@@ -11,7 +11,8 @@
 
 // DecisionInput is what a decision needs besides the evidence.
 type DecisionInput struct {
-	// Elapsed is the time since the rollout was ordered; LeaderFor is how much of it this process has been the leader.
+	// Elapsed is the time since the rollout was ordered; LeaderFor is how much of it this process
+	// has been the leader.
 	Elapsed, LeaderFor time.Duration
 	Plan               Plan
 	// Boxes are those that may still send calls, also by an outdated table.
@@ -24,15 +25,16 @@
 	// maxReportAge is how old a box's report may be when the old version is declared free of
 	// calls: a box whose exposure has expired since then would send calls there again.
 	maxReportAge = 700 * time.Millisecond
-	// newLeaderReportWait is how long a new leader waits for the reports of all boxes. A box sends 2 to 3 a
-	// second, so one that sent none in that time has stopped or is cut off, and would delay the
-	// rollout until its deadline.
+	// newLeaderReportWait is how long a new leader waits for the reports of all boxes. A box sends
+	// 2 to 3 a second, so one that sent none in that time has stopped or is cut off, and would
+	// delay the rollout until its deadline.
 	newLeaderReportWait = 1500 * time.Millisecond
 	// minAnswers is how many answers a version must have given before it gets all calls. If a
 	// tenth of its answers fail, 20 answers contain two failures on average.
 	minAnswers = 20
 	// minAnswersLowTraffic is enough for a service with fewer calls than lowTrafficSlacks times the
-	// slack: such a service doesn't give more answers in time, and few of its calls reach a bad version.
+	// slack: such a service doesn't give more answers in time, and few of its calls reach a bad
+	// version.
 	lowTrafficSlacks     = 5
 	minAnswersLowTraffic = 5
 )
@@ -77,8 +79,9 @@
 	return s
 }
 
-// shift gives the new version all calls if the evidence supports it. In doubt it rolls back: a
-// good version that isn't completed can be ordered again, a bad one that is completed harms every caller.
+// shift gives the new version all calls if the evidence supports it. In doubt it rolls back: a good
+// version that isn't completed can be ordered again, a bad one that is completed harms every
+// caller.
 func (m *Monitor) shift(in *DecisionInput, v Verdict) *table.RolloutStep {
 	if v.Suspect {
 		return m.rollBack(in, "the new version is suspect: "+v.Reason)
--- a/pkg/core/rollout/decide_test.go
+++ b/pkg/core/rollout/decide_test.go
@@ -122,7 +122,7 @@
 		t.Errorf("picked %v", got)
 	}
 	if got = newer.selectForTrial(2, []units.TargetID{"a3"}); len(got) != 2 || got[0] != "a1" || got[1] != "a3" {
-		t.Errorf("beside a present one: %v", got)
+		t.Errorf("with a current one: %v", got)
 	}
 }
 
@@ -136,8 +136,8 @@
 	}
 }
 
-// A new leader has reports of some boxes only. It must not take their calls for all of the service's calls,
-// and raise the share on trial as for a service with few calls.
+// A new leader has reports of some boxes only. It must not take their calls for all of the
+// service's calls, and raise the share on trial as for a service with few calls.
 func TestANewLeaderTakesNoServiceForOneWithFewCalls(t *testing.T) {
 	x := newFixture(table.RolloutTrial)
 	x.monitor.judge.total = Sample{Old: Counts{Successes: 40}}
--- a/pkg/core/rollout/detector.go
+++ b/pkg/core/rollout/detector.go
@@ -1,10 +1,11 @@
 package rollout
 
 // detector detects that from some moment on an event, a failure or a slow answer, is more frequent
-// among calls of the new version than is allowed. It keeps a Shiryaev-Roberts statistic per assumed odds
-// ratio: each window adds one to the sum and multiplies it by the likelihood ratio of the window's events, under the
-// assumed odds ratio against the allowed one, so that a long good time doesn't hide a late fault. While the
-// new version is no worse than allowed, the expected value of the sum after n windows is at most n.
+// among calls of the new version than is allowed. It keeps a Shiryaev-Roberts statistic per assumed
+// odds ratio: each window adds one to the sum and multiplies it by the likelihood ratio of the
+// window's events, under the assumed odds ratio against the allowed one, so that a long good time
+// doesn't hide a late fault. While the new version is no worse than allowed, the expected value of
+// the sum after n windows is at most n.
 type detector struct {
 	oddsRatios []float64
 	sums       []float64
--- a/pkg/core/rollout/evidence.go
+++ b/pkg/core/rollout/evidence.go
@@ -30,8 +30,9 @@
 	InFlight uint32
 }
 
-// Buckets is how many buckets a histogram has. Their upper ends go from 1 ms to about 4 s in steps of the
-// square root of two, fine enough to detect calls that take twice as long; the last bucket has no upper end.
+// Buckets is how many buckets a histogram has. Their upper ends go from 1 ms to about 4 s in steps
+// of the square root of two, fine enough to detect calls that take twice as long; the last bucket
+// has no upper end.
 const Buckets = 26
 
 // firstBucket is the upper end of the first bucket. Faster answers
--- a/pkg/core/rollout/exposure.go
+++ b/pkg/core/rollout/exposure.go
@@ -9,7 +9,7 @@
 	// that the exposure is for.
 	Order, Since units.Revision
 	Share        units.Percent
-	// RequestedAt is when the box sent the request that was answered with the exposure, ExpiresAt when the
-	// exposure ends, both on the box's clock.
+	// RequestedAt is when the box sent the request that was answered with the exposure, ExpiresAt
+	// when the exposure ends, both on the box's clock.
 	RequestedAt, ExpiresAt units.Instant
 }
--- a/pkg/core/rollout/judge.go
+++ b/pkg/core/rollout/judge.go
@@ -11,37 +11,42 @@
 	// maxFalseAlarmProbability bounds the probability that a good version is found bad in one rollout.
 	// Each false alarm is a rollout that an operator must order again.
 	maxFalseAlarmProbability = 0.02
-	// suspectBound is the weaker bound at which a version is suspect and isn't given all calls, since rolling
-	// back a bad one after that costs callers far more than ordering a good one again. It bounds
-	// only the expected value of the detectors' sums, not a probability; the simulations of TestErrorRates
-	// allow at most 2 in 100 good versions to be stopped for either reason.
+	// suspectBound is the weaker bound at which a version is suspect and isn't given all calls,
+	// since rolling back a bad one after that costs callers far more than ordering a good one
+	// again. It bounds only the expected value of the detectors' sums, not a probability; the
+	// simulations of TestErrorRates allow at most 2 in 100 good versions to be stopped for either
+	// reason.
 	suspectBound = 1
-	// allowedOddsRatio is how much higher the odds of a failure may be at the new version than at the old, since
-	// targets of one version differ among themselves. allowedSlowOddsRatio is the same for slow answers, where
-	// slowMarginBuckets already allows a difference.
+	// allowedOddsRatio is how much higher the odds of a failure may be at the new version than at
+	// the old, since targets of one version differ among themselves. allowedSlowOddsRatio is the
+	// same for slow answers, where slowMarginBuckets already allows a difference.
 	allowedOddsRatio     = 1.3
 	allowedSlowOddsRatio = 1.1
-	// allowedCarriedOddsRatio replaces both when the comparison is with earlier windows of the old version,
-	// because it gets hardly any calls now: a fault that would affect both versions then looks like one of the new.
+	// allowedCarriedOddsRatio replaces both when the comparison is with earlier windows of the old
+	// version, because it gets hardly any calls now: a fault that would affect both versions then
+	// looks like one of the new.
 	allowedCarriedOddsRatio = 3
-	// slowMarginBuckets is how many buckets longer answers of the new version may take: one bucket is a factor
-	// of the square root of two, since targets are at different distances. carriedSlowMarginBuckets is the same
-	// for a comparison with earlier windows.
+	// slowMarginBuckets is how many buckets longer answers of the new version may take: one bucket
+	// is a factor of the square root of two, since targets are at different distances.
+	// carriedSlowMarginBuckets is the same for a comparison with earlier windows.
 	slowMarginBuckets        = 1
 	carriedSlowMarginBuckets = 2
 	// minEvents is how many failures or slow answers it takes to find a version bad: a target that
 	// crashes breaks as many calls at once as it has slots.
 	minEvents = 6
-	// minSuspectEvents is how many failures or slow answers it takes to find a version suspect. It is below
-	// minEvents, since a suspect version isn't rolled back at once, but only doesn't get all calls at the end of the trial.
+	// minSuspectEvents is how many failures or slow answers it takes to find a version suspect. It
+	// is below minEvents, since a suspect version isn't rolled back at once, but only doesn't get
+	// all calls at the end of the trial.
 	minSuspectEvents = 3
 	// minWindows is the number of windows over which minEvents must be spread, for the same reason.
 	minWindows = 2
-	// minEventsInOneWindow is how many events are enough even within a single window: more calls than a crashing
-	// target breaks, so that a version of which every answer fails is found bad at once.
+	// minEventsInOneWindow is how many events are enough even within a single window: more calls
+	// than a crashing target breaks, so that a version of which every answer fails is found bad at
+	// once.
 	minEventsInOneWindow = 25
-	// minOldAnswerFraction is the fraction of the new version's answers below which the old version's answers of
-	// the same window are too few to compare with, so that those of earlier windows are used.
+	// minOldAnswerFraction is the fraction of the new version's answers below which the old
+	// version's answers of the same window are too few to compare with, so that those of earlier
+	// windows are used.
 	minOldAnswerFraction = 0.1
 	// carryDecay is the factor by which the old version's carried counts decay per window, so
 	// that they cover about ten windows: older ones don't represent the current load.
@@ -49,12 +54,12 @@
 )
 
 var (
-	// failureOddsRatios and slowOddsRatios are the odds ratios, relative to the allowed one, that the detectors
-	// assume for a faulty version.
+	// failureOddsRatios and slowOddsRatios are the odds ratios, relative to the allowed one, that
+	// the detectors assume for a faulty version.
 	failureOddsRatios = []float64{2, 4, 12, 50}
 	slowOddsRatios    = []float64{2, 5, 20}
-	// slowQuantiles are the quantiles of the old version's times above which an answer counts as slow, one
-	// detector each.
+	// slowQuantiles are the quantiles of the old version's times above which an answer counts as
+	// slow, one detector each.
 	slowQuantiles = []float64{0.5, 0.75, 0.9}
 )
 
@@ -97,8 +102,8 @@
 
 // Verdict is a finding on the new version.
 type Verdict struct {
-	// Bad is set if the new version is worse than the old one with little risk of a false alarm, Suspect if
-	// the evidence against it is too strong to give it all calls.
+	// Bad is set if the new version is worse than the old one with little risk of a false alarm,
+	// Suspect if the evidence against it is too strong to give it all calls.
 	Bad, Suspect bool
 	Reason       string
 }
@@ -118,14 +123,15 @@
 	return v
 }
 
-// evidence returns the weighted sum of the detectors whose events pass counts, the comparison that
-// adds most to it, and the route of that comparison as a suffix for a message; the suffix is empty for all routes together.
-func (j *Judge) evidence(counts func(*eventTally) bool) (sum float64, worst *comparison, where string) {
-	sum, worst = j.all.evidence(counts)/2, j.all
+// evidence returns the weighted sum of the detectors for which hasEnough holds, the comparison that
+// adds most to it, and the route of that comparison as a suffix for a message; the suffix is empty
+// for all routes together.
+func (j *Judge) evidence(hasEnough func(*eventTally) bool) (sum float64, worst *comparison, where string) {
+	sum, worst = j.all.evidence(hasEnough)/2, j.all
 	largest := sum
 	for _, id := range slices.Sorted(maps.Keys(j.routes)) {
 		c := j.routes[id]
-		e := c.evidence(counts) / 2 / float64(len(j.routes))
+		e := c.evidence(hasEnough) / 2 / float64(len(j.routes))
 		sum += e
 		if e > largest {
 			worst, where, largest = c, " on "+string(id), e
@@ -134,23 +140,24 @@
 	return sum, worst, where
 }
 
-// eventTally counts events of the new version, either failures or slow answers, and the windows with any.
+// eventTally counts events of the new version, either failures or slow answers, and the windows
+// with any.
 type eventTally struct{ events, windows uint64 }
 
-func (s *eventTally) add(events uint64) {
+func (t *eventTally) add(events uint64) {
 	if events > 0 {
-		s.events += events
-		s.windows++
+		t.events += events
+		t.windows++
 	}
 }
 
 // isSufficient reports whether the events are enough to find a version bad.
-func (s *eventTally) isSufficient() bool {
-	return s.events >= minEventsInOneWindow || s.events >= minEvents && s.windows >= minWindows
+func (t *eventTally) isSufficient() bool {
+	return t.events >= minEventsInOneWindow || t.events >= minEvents && t.windows >= minWindows
 }
 
 // isSuspicious reports whether the events are enough to find a version suspect.
-func (s *eventTally) isSuspicious() bool { return s.events >= minSuspectEvents }
+func (t *eventTally) isSuspicious() bool { return t.events >= minSuspectEvents }
 
 // comparison compares the versions on one route, or on all routes together.
 type comparison struct {
@@ -158,8 +165,8 @@
 	slowness     []detector
 	failedEvents eventTally
 	slowEvents   []eventTally
-	// carried are the old version's counts of the last windows, which decay by carryDecay per window; total are the
-	// counts of both versions in all windows.
+	// carried are the old version's counts of the last windows, which decay by carryDecay per
+	// window; total are the counts of both versions in all windows.
 	carried Counts
 	total   Sample
 }
@@ -172,14 +179,14 @@
 	return c
 }
 
-// evidence returns the weighted sum of the detectors whose events pass counts.
-func (c *comparison) evidence(counts func(*eventTally) bool) float64 {
+// evidence returns the weighted sum of the detectors for which hasEnough holds.
+func (c *comparison) evidence(hasEnough func(*eventTally) bool) float64 {
 	total := 0.0
-	if counts(&c.failedEvents) {
+	if hasEnough(&c.failedEvents) {
 		total += c.failures.mean() / 2
 	}
 	for i := range c.slowness {
-		if counts(&c.slowEvents[i]) {
+		if hasEnough(&c.slowEvents[i]) {
 			total += c.slowness[i].mean() / 2 / float64(len(c.slowness))
 		}
 	}
@@ -205,11 +212,11 @@
 	if c.carried.Successes == 0 {
 		return
 	}
-	for i, share := range slowQuantiles {
-		bucket := c.carried.Times.quantile(share)
-		slow := newer.Times.countAbove(bucket + margin)
-		c.slowness[i].observe(oddsRatio, split{newCalls: newer.Times.Total(), oldCalls: old.Times.Total(), newEvents: slow, oldEvents: old.Times.countAbove(bucket)})
-		c.slowEvents[i].add(slow)
+	for i, q := range slowQuantiles {
+		bucket := c.carried.Times.quantile(q)
+		slowAnswers := newer.Times.countAbove(bucket + margin)
+		c.slowness[i].observe(oddsRatio, split{newCalls: newer.Times.Total(), oldCalls: old.Times.Total(), newEvents: slowAnswers, oldEvents: old.Times.countAbove(bucket)})
+		c.slowEvents[i].add(slowAnswers)
 	}
 }
 
--- a/pkg/core/rollout/judge_test.go
+++ b/pkg/core/rollout/judge_test.go
@@ -20,8 +20,8 @@
 // background is the rate of failures and the slowdown that affect both versions.
 type background struct {
 	name string
-	// failing is the fraction of answers that fail. In stormy windows it is stormFailing, and answers take
-	// longer by the factor stormSlowdown.
+	// failing is the fraction of answers that fail. In stormy windows it is stormFailing, and
+	// answers take longer by the factor stormSlowdown.
 	failing, stormFailing, stormSlowdown float64
 }
 
@@ -39,9 +39,10 @@
 	simulatedTrialShare = 0.05
 )
 
-// simulate simulates one rollout of a service with rate calls a second and a fault from the window onset on.
-// It returns the window in which the version was found bad, counted from one, or zero; whether it was
-// suspect before the shift; and how many answers of the new version had failed by then.
+// simulate simulates one rollout of a service with rate calls a second and a fault from the window
+// onset on. It returns the window in which the version was found bad, counted from one, or zero;
+// whether it was suspect before the shift; and how many answers of the new version had failed by
+// then.
 func simulate(random *rand.Rand, f fault, b background, rate float64, onset int) (badWindow int, suspect bool, failures uint64) {
 	j := NewJudge(simulatedWindows)
 	for n := range simulatedWindows {
@@ -162,8 +163,8 @@
 	return cases
 }
 
-// TestErrorRates measures how often the judge stops good versions and how often it misses faulty ones, and
-// checks both against the bounds that the design promises.
+// TestErrorRates measures how often the judge stops good versions and how often it misses faulty
+// ones, and checks both against the bounds that the design promises.
 func TestErrorRates(t *testing.T) {
 	for i, c := range errorCases() {
 		stoppedBeforeShift, stopped, failures := stopRates(rand.New(rand.NewPCG(20261202, uint64(i))), c)
--- a/pkg/core/rollout/likelihood.go
+++ b/pkg/core/rollout/likelihood.go
@@ -2,16 +2,17 @@
 
 import "math"
 
-// split is how the events of a window are distributed over the calls of the two versions. Given the total
-// number of events, their number among the new version's calls follows Fisher's noncentral
+// split is how the events of a window are distributed over the calls of the two versions. Given the
+// total number of events, their number among the new version's calls follows Fisher's noncentral
 // hypergeometric distribution, whatever made events more frequent at both versions.
 type split struct {
 	newCalls, oldCalls   uint64
 	newEvents, oldEvents uint64
 }
 
-// likelihoodRatio returns the likelihood of the split if the odds of an event at the new version are assumed
-// times those at the old version, divided by its likelihood if they are allowed times those.
+// likelihoodRatio returns the likelihood of the split if the odds of an event at the new version
+// are assumed times those at the old version, divided by its likelihood if they are allowed times
+// those.
 func (s split) likelihoodRatio(allowed, assumed float64) float64 {
 	log := float64(s.newEvents)*math.Log(assumed/allowed) + s.logNorm(allowed) - s.logNorm(assumed)
 	return math.Exp(min(log, maxLogRatio))
--- a/pkg/core/rollout/monitor.go
+++ b/pkg/core/rollout/monitor.go
@@ -129,8 +129,8 @@
 	}
 	total := m.Total()
 	rate := 0.0
-	// A new leader hasn't got the reports of all boxes yet. A service with many calls would look like one
-	// with few, and up to 30 % of its calls would be on trial.
+	// A new leader hasn't got the reports of all boxes yet. A service with many calls would look
+	// like one with few, and up to 30 % of its calls would be on trial.
 	if elapsed > 0 && leaderFor >= newLeaderReportWait {
 		rate = float64(total.New.Answers()+total.Old.Answers()) / elapsed.Seconds()
 	}
--- a/pkg/entry/answer.go
+++ b/pkg/entry/answer.go
@@ -50,7 +50,8 @@
 	a.attempt.Release()
 }
 
-// pace returns a reader of a large answer's body that shares the box's link in turns with other large answers.
+// pace returns a reader of a large answer's body that shares the box's link in turns with other
+// large answers.
 func (e *Entry) pace(ctx *fasthttp.RequestCtx, a answer, body io.ReadCloser) io.ReadCloser {
 	if e.pacer == nil {
 		return body
--- a/pkg/entry/call.go
+++ b/pkg/entry/call.go
@@ -150,9 +150,10 @@
 	a.Release()
 }
 
-// endSend removes a send that has ended, unless its answer was delivered or kept; then it returns true, and the
-// caller's goroutine releases the answer. It must be called after the core has processed the result, since
-// the core delivers or keeps an answer only while it processes the event that reports it.
+// endSend removes a send that has ended, unless its answer was delivered or kept; then it returns
+// true, and the caller's goroutine releases the answer. It must be called after the core has
+// processed the result, since the core delivers or keeps an answer only while it processes the
+// event that reports it.
 func (e *Entry) endSend(c *call, number routing.AttemptNumber, a *target.Attempt) (answerUsed bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -31,7 +31,8 @@
 // Entry is a running entry box.
 type Entry struct {
 	*common.Common
-	// lock guards the core, the calls, and all fields below it that change after the start, except the atomic ones.
+	// lock guards the core, the calls, and all fields below it that change after the start, except
+	// the atomic ones.
 	lock    sync.Mutex
 	core    *box.Box
 	effects box.Effects
@@ -55,7 +56,8 @@
 	leaving  atomic.Bool
 	// loggedRevision is the revision of the table that was logged last.
 	loggedRevision units.Revision
-	// ordinaryCalls counts the calls that were answered at the first attempt, of which a sample is logged.
+	// ordinaryCalls counts the calls that were answered at the first attempt, of which a sample is
+	// logged.
 	ordinaryCalls atomic.Uint64
 	// regionRefusals counts the refused calls for which no allowed region has a target, for the log.
 	regionRefusals refusalLogState
@@ -251,8 +253,8 @@
 // noWakeSet is the value of wakeAt while the wake timer isn't set.
 const noWakeSet = units.Instant(math.MaxInt64)
 
-// wakeTolerance is how much too early the wake timer may fire: an early tick costs less than resetting the
-// timer with every call.
+// wakeTolerance is how much too early the wake timer may fire: an early tick costs less than
+// resetting the timer with every call.
 const wakeTolerance = 5 * time.Millisecond
 
 // runPeriodicTasks closes idle connections and checks for disconnected callers until the entry stops.
@@ -295,8 +297,9 @@
 	e.reduce(&routing.RegionsChanged{Regions: s.Regions})
 }
 
-// SetListedLeaving sets whether the platform's list of boxes shows this box as leaving. Such
-// a box isn't ready, but it still serves callers without asking them to use another box: the list may be wrong.
+// SetListedLeaving sets whether the platform's list of boxes shows this box as leaving. Such a box
+// isn't ready, but it still serves callers without asking them to use another box: the list may be
+// wrong.
 func (e *Entry) SetListedLeaving(on bool) {
 	e.listedLeaving.Store(on)
 	e.reduce(subscription.Leaving{On: on || e.leaving.Load()})
--- a/pkg/entry/headers.go
+++ b/pkg/entry/headers.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// fillRequest copies a caller's request into an attempt's own request. The caller's key is removed, and the
-// workspace header is set to the workspace that the key belongs to, whatever the caller sent in it.
+// fillRequest copies a caller's request into an attempt's own request. The caller's key is removed,
+// and the workspace header is set to the workspace that the key belongs to, whatever the caller
+// sent in it.
 func (e *Entry) fillRequest(out, from *fasthttp.Request, w units.WorkspaceName) {
 	from.Header.CopyTo(&out.Header)
 	removeHopByHop(&out.Header)
--- a/pkg/entry/link_test.go
+++ b/pkg/entry/link_test.go
@@ -193,9 +193,9 @@
 	return int(n), err
 }
 
-// A short answer waits on the link for at most a few pieces of large answers, not for
-// whole answers: for one piece of each large answer that was just being written, and for the pieces that the
-// pacer writes early to catch up.
+// A short answer waits on the link for at most a few pieces of large answers, not for whole
+// answers: for one piece of each large answer that was just being written, and for the pieces that
+// the pacer writes early to catch up.
 func TestShortAnswersAreNotHeldBehindLargeOnes(t *testing.T) {
 	const downloads, size, catchUpPieces = 4, 200_000, 2
 	e := startLinkBox(t, startLinkTarget(t), linkMbps)
@@ -240,9 +240,9 @@
 	}
 }
 
-// An answer that its target cuts short after part of it was forwarded must not look complete to the caller, with
-// either framing. One that is cut short before that can still be retried at another target; here there is
-// none, so the call is refused.
+// An answer that its target cuts short after part of it was forwarded must not look complete to the
+// caller, with either framing. One that is cut short before that can still be retried at another
+// target; here there is none, so the call is refused.
 func TestAnAnswerCutShortBehindThePacerNeverLooksWhole(t *testing.T) {
 	x := startLinkTarget(t)
 	e := startLinkBox(t, x, linkMbps)
--- a/pkg/entry/peer_links.go
+++ b/pkg/entry/peer_links.go
@@ -23,16 +23,16 @@
 	lastUsedAt units.Instant
 }
 
-// peerIdleTimeout is the time without a message after which the connection to a box is closed: each one costs
-// memory and a heartbeat a second at both boxes, and is needed for short times only.
+// peerIdleTimeout is the time without a message after which the connection to a box is closed: each
+// one costs memory and a heartbeat a second at both boxes, and is needed for short times only.
 const peerIdleTimeout = 30 * time.Second
 
 func newPeerLinks(e *Entry) *peerLinks {
 	return &peerLinks{entry: e, links: map[string]*peerLink{}}
 }
 
-func (p *peerLinks) send(to units.BoxID, m *wire.Envelope) {
-	address := p.addressOf(to)
+func (p *peerLinks) send(id units.BoxID, m *wire.Envelope) {
+	address := p.addressOf(id)
 	if address == "" {
 		return
 	}
@@ -42,7 +42,7 @@
 		p.links[address] = link
 	}
 	link.lastUsedAt = p.entry.Clock.Now()
-	m.From, m.To = p.entry.Settings.Box, string(to)
+	m.From, m.To = p.entry.Settings.Box, string(id)
 	link.Send(m)
 }
 
@@ -96,8 +96,8 @@
 	}
 }
 
-// handlePeerMessage handles a message of another box; it returns false if the message isn't one that boxes
-// send each other.
+// handlePeerMessage handles a message of another box; it returns false if the message isn't one
+// that boxes send each other.
 func (e *Entry) handlePeerMessage(from units.BoxID, m *wire.Envelope) bool {
 	switch {
 	case m.GetLoan() != nil:
--- a/pkg/entry/residency.go
+++ b/pkg/entry/residency.go
@@ -39,8 +39,8 @@
 	e.regionRefusals = refusalLogState{nextLogAt: now.Add(regionRefusalLogInterval)}
 }
 
-// logUnknownRegion logs that the targets of a failure domain of unknown region get no calls of routes that
-// allow some regions only.
+// logUnknownRegion logs that the targets of a failure domain of unknown region get no calls of
+// routes that allow some regions only.
 func (e *Entry) logUnknownRegion(x *routing.Effect) {
 	e.Log.WithFields(logrus.Fields{
 		"kind": "region-unknown", "domain": x.Endpoint.Domain, "service": x.Endpoint.Service, "target": x.Endpoint.Target,
--- a/pkg/entry/server.go
+++ b/pkg/entry/server.go
@@ -163,13 +163,13 @@
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	latestArrival := e.Clock.Now().Add(-e.Settings.Entry.HangUpCheck.Std())
-	var old []*call
+	var waiting []*call
 	for c := range e.waitingCalls {
 		if c.arrivedAt < latestArrival {
-			old = append(old, c)
+			waiting = append(waiting, c)
 		}
 	}
-	return old
+	return waiting
 }
 
 func (e *Entry) writeRefusal(ctx *fasthttp.RequestCtx, r routing.Refusal) {
--- a/pkg/entry/trace.go
+++ b/pkg/entry/trace.go
@@ -20,8 +20,8 @@
 const (
 	// maxSteps bounds the steps kept per call.
 	maxSteps = 32
-	// typicalSteps is the initial capacity for a call's steps: two probes with their answers, a send, its
-	// end and the delivery.
+	// typicalSteps is the initial capacity for a call's steps: two probes with their answers, a
+	// send, its end and the delivery.
 	typicalSteps = 7
 	// traceSampleInterval is the number of ordinary calls per one that is logged.
 	traceSampleInterval = 64
@@ -40,8 +40,8 @@
 	result    routing.AttemptResult
 	refusal   routing.Refusal
 	probe     routing.ProbeEnded
-	// reading is the load report in a target's answer. unreadRest and unreadLimit are the values it sent for
-	// its rest and its limit if they couldn't be parsed.
+	// reading is the load report in a target's answer. unreadRest and unreadLimit are the values it
+	// sent for its rest and its limit if they couldn't be parsed.
 	reading                 routing.Reading
 	unreadRest, unreadLimit string
 	// fingerprint is set for an attempt that broke off and for a call in quarantine. request and
@@ -51,14 +51,14 @@
 
 // The kinds of steps, as they are logged.
 const (
-	stepArrived   = "call-arrived"
-	stepProbing   = "probe-sent"
-	stepProbed    = "probe-answered"
-	stepSent      = "call-sent"
-	stepEnded     = "attempt-ended"
-	stepCanceled  = "attempt-canceled"
-	stepDelivered = "call-delivered"
-	stepRefused   = "call-refused"
+	stepArrived       = "call-arrived"
+	stepProbeSent     = "probe-sent"
+	stepProbeAnswered = "probe-answered"
+	stepSent          = "call-sent"
+	stepEnded         = "attempt-ended"
+	stepCanceled      = "attempt-canceled"
+	stepDelivered     = "call-delivered"
+	stepRefused       = "call-refused"
 )
 
 func (c *call) recordStep(s step) {
@@ -70,8 +70,8 @@
 	}
 }
 
-// endStep returns the step for the end of an attempt. It must be called under the entry's lock, because it reads the
-// request, which is valid only until the call is answered.
+// endStep returns the step for the end of an attempt. It must be called under the entry's lock,
+// because it reads the request, which is valid only until the call is answered.
 func (c *call) endStep(now units.Instant, finished send, result routing.AttemptResult) step {
 	a := finished.attempt
 	s := step{
@@ -104,14 +104,15 @@
 	case routing.Cancel:
 		s.kind = stepCanceled
 	case routing.Probe:
-		s.kind = stepProbing
+		s.kind = stepProbeSent
 	default:
 		return
 	}
 	c.recordStep(s)
 }
 
-// addRequestDetails sets the step's fingerprint, request and caller. It must be called before the call is answered.
+// addRequestDetails sets the step's fingerprint, request and caller. It must be called before the
+// call is answered.
 func (c *call) addRequestDetails(s *step) {
 	i := &c.identity
 	s.fingerprint = crash.FingerprintOf(i).String()
@@ -128,7 +129,7 @@
 	if !ok {
 		return
 	}
-	s := step{kind: stepProbed, endpoint: x.Endpoint, attempt: x.Attempt, probe: *ended}
+	s := step{kind: stepProbeAnswered, endpoint: x.Endpoint, attempt: x.Attempt, probe: *ended}
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	s.at = e.Clock.Now()
@@ -159,7 +160,8 @@
 	}).Info("a target's health has changed")
 }
 
-// logCrash logs that a target crashed while calls of this box were in flight there, with the fingerprints of these calls.
+// logCrash logs that a target crashed while calls of this box were in flight there, with the
+// fingerprints of these calls.
 func (e *Entry) logCrash(x *routing.Effect) {
 	suspects := make([]string, 0, len(x.Crash.Suspects))
 	for _, s := range x.Crash.Suspects {
@@ -170,8 +172,8 @@
 	}).Warning("a target's process ended while calls of this box were in flight there")
 }
 
-// applyNotice withholds sends that haven't started yet from a target that leaves, rests or is limited, and
-// logs the change.
+// applyNotice withholds sends that haven't started yet from a target that leaves, rests or is
+// limited, and logs the change.
 func (e *Entry) applyNotice(x *routing.Effect) {
 	n := x.Notice
 	withholdCallsUntil := n.RestUntil
@@ -221,8 +223,8 @@
 	}).Info(text)
 }
 
-// logHangingService logs that a service's targets seem not to answer calls that exceed their capacity, with the
-// evidence for it.
+// logHangingService logs that a service's targets seem not to answer calls that exceed their
+// capacity, with the evidence for it.
 func (e *Entry) logHangingService(x *routing.Effect) {
 	e.Log.WithFields(logrus.Fields{
 		"kind": "service-hangs", "service": x.Endpoint.Service, "target": x.Endpoint.Target, "unanswered": x.Failures,
@@ -262,7 +264,7 @@
 		f["purpose"] = s.purpose.String()
 		f["load"], f["pace"], f["slowdown"] = roundToHundredths(s.evidence.Load), roundToHundredths(s.evidence.Pace), roundToHundredths(s.evidence.Slowdown)
 		f["readingAgeMs"], f["revision"] = millis(s.evidence.ReadingAge), s.evidence.Revision
-	case stepProbed:
+	case stepProbeAnswered:
 		f["known"], f["healthy"], f["unreachable"] = s.probe.Reading.Known, s.probe.Healthy, s.probe.Unreachable
 		f["misdirected"], f["load"], f["pace"] = s.probe.Misdirected, s.probe.Reading.InFlight, roundToHundredths(s.probe.Reading.Pace)
 		f["coldMs"] = millis(s.probe.Reading.Cold)
@@ -288,7 +290,8 @@
 	return f
 }
 
-// addReadingFields adds the rest, the leaving and the limit that a target reported, if any, to a log line.
+// addReadingFields adds the rest, the leaving and the limit that a target reported, if any, to a
+// log line.
 func addReadingFields(f logrus.Fields, reading *routing.Reading) {
 	if reading.Rest > 0 {
 		f["restMs"] = millis(reading.Rest)
--- a/pkg/entry/trace_bench_test.go
+++ b/pkg/entry/trace_bench_test.go
@@ -23,7 +23,7 @@
 	e := &Entry{Common: &common.Common{Log: logrus.NewEntry(logger), Settings: config.Defaults()}}
 	endpoint := &routing.Endpoint{Service: "balance", Target: "balance-1"}
 	steps := []step{
-		{kind: stepProbing, attempt: 1, endpoint: endpoint}, {kind: stepProbed, attempt: 1, endpoint: endpoint},
+		{kind: stepProbeSent, attempt: 1, endpoint: endpoint}, {kind: stepProbeAnswered, attempt: 1, endpoint: endpoint},
 		{kind: stepSent, attempt: 1, endpoint: endpoint}, {kind: stepEnded, attempt: 1, result: routing.Answered},
 		{kind: stepDelivered, attempt: 1, endpoint: endpoint},
 	}
