--- a/pkg/core/box/fleet_test.go
+++ b/pkg/core/box/fleet_test.go
@@ -329,7 +329,7 @@
 	request := x.GetRenewRequest()
 	for _, v := range wire.ToEvidence(request.Evidence) {
 		if v.Software == newSoftware {
-			l.failuresByRun[fmt.Sprintf("%d/%d", m.index, request.Start)] = v.Bad
+			l.failuresByRun[fmt.Sprintf("%d/%d", m.index, request.Start)] = v.Failures
 		}
 	}
 	l.recordDrained(m, request)
--- a/pkg/core/rollout/candidates.go
+++ b/pkg/core/rollout/candidates.go
@@ -9,38 +9,38 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Candidate is a target that can take calls now.
+// Candidate is a target that is available for calls now.
 type Candidate struct {
 	Target units.TargetID
 	Domain units.Domain
 	Slots  int
-	// Cold is set while the target can take few calls only.
+	// Cold is set while the target has just started and may get few calls only.
 	Cold bool
 }
 
-// Side is the targets of one version that can take calls now.
-type Side []Candidate
+// Candidates are the targets of one version that are available for calls now.
+type Candidates []Candidate
 
-// trialTargets is how many targets take a share of the calls so that each has the load of
-// an old target: a fault that shows only under load would otherwise stay hidden.
-func trialTargets(share float64, old, fresh Side) int {
-	return min(len(fresh), max(1, int(math.Round(share*float64(len(old))))))
+// trialTargetCount returns how many targets should serve a share of the calls so that each has the
+// load of an old target: a fault that shows only under load would otherwise stay hidden.
+func trialTargetCount(share float64, old, newer Candidates) int {
+	return min(len(newer), max(1, int(math.Round(share*float64(len(old))))))
 }
 
-// pick chooses targets for the trial: the present ones that can still take calls before others,
-// warm before cold, and each failure domain in turn.
-func (s Side) pick(count int, present []units.TargetID) []units.TargetID {
-	rank := map[units.TargetID]int{}
-	inDomain := map[units.Domain]int{}
-	byID := slices.SortedFunc(slices.Values(s), func(a, b Candidate) int { return strings.Compare(string(a.Target), string(b.Target)) })
+// selectForTrial selects up to count targets for the trial: current ones that are still available
+// before others, warm before cold, and evenly over the failure domains.
+func (cs Candidates) selectForTrial(count int, current []units.TargetID) []units.TargetID {
+	rankInDomain := map[units.TargetID]int{}
+	countInDomain := map[units.Domain]int{}
+	byID := slices.SortedFunc(slices.Values(cs), func(a, b Candidate) int { return strings.Compare(string(a.Target), string(b.Target)) })
 	for _, c := range byID {
-		rank[c.Target] = inDomain[c.Domain]
-		inDomain[c.Domain]++
+		rankInDomain[c.Target] = countInDomain[c.Domain]
+		countInDomain[c.Domain]++
 	}
 	slices.SortStableFunc(byID, func(a, b Candidate) int {
 		return cmp.Or(
-			falseFirst(!slices.Contains(present, a.Target), !slices.Contains(present, b.Target)),
-			falseFirst(a.Cold, b.Cold), cmp.Compare(rank[a.Target], rank[b.Target]))
+			falseFirst(!slices.Contains(current, a.Target), !slices.Contains(current, b.Target)),
+			falseFirst(a.Cold, b.Cold), cmp.Compare(rankInDomain[a.Target], rankInDomain[b.Target]))
 	})
 	var ids []units.TargetID
 	for _, c := range byID[:min(count, len(byID))] {
@@ -60,27 +60,28 @@
 	return 1
 }
 
-// slots is how many calls the targets can take at once; one that doesn't say has one.
-func (s Side) slots() int {
+// totalSlots returns how many calls the targets can run at the same time; a target that reports no
+// slots counts as one.
+func (cs Candidates) totalSlots() int {
 	total := 0
-	for _, c := range s {
+	for _, c := range cs {
 		total += max(1, c.Slots)
 	}
 	return total
 }
 
-// leastRoom is the part of the old version's slots that the new one must have to take all
-// calls. Operators may move to fewer targets, but not to a handful that happen to be up.
-const leastRoom = 0.5
+// minSlotFraction is the fraction of the old version's slots that the new version must have before it
+// gets all calls. Operators may move to fewer targets, but not to the few that happen to be up.
+const minSlotFraction = 0.5
 
-// hasRoomFor tells whether the targets can take the calls of others.
-func (s Side) hasRoomFor(old Side) bool {
-	return len(s) > 0 && float64(s.slots()) >= leastRoom*float64(old.slots())
+// hasCapacityFor reports whether the targets have enough slots to take over the calls of the old ones.
+func (cs Candidates) hasCapacityFor(old Candidates) bool {
+	return len(cs) > 0 && float64(cs.totalSlots()) >= minSlotFraction*float64(old.totalSlots())
 }
 
-// holdsAll tells whether all of these targets can take calls.
-func (s Side) holdsAll(ids []units.TargetID) bool {
+// containsAll reports whether all of these targets are available.
+func (cs Candidates) containsAll(ids []units.TargetID) bool {
 	return !slices.ContainsFunc(ids, func(id units.TargetID) bool {
-		return !slices.ContainsFunc(s, func(c Candidate) bool { return c.Target == id })
+		return !slices.ContainsFunc(cs, func(c Candidate) bool { return c.Target == id })
 	})
 }
--- a/pkg/core/routing/quarantine.go
+++ b/pkg/core/routing/quarantine.go
@@ -41,7 +41,7 @@
 	// it has.
 	Term         units.Term
 	Acknowledged uint64
-	Calls        []crash.Watched
+	Calls        []crash.WatchedCall
 }
 
 func (*WatchedCallsChanged) routingEvent() {}
@@ -64,9 +64,9 @@
 	notes    crashNotes
 	canaries canaryState
 	// ledger holds the box's own notes.
-	ledger *crash.Ledger
+	ledger *crash.Tracker
 	// watchedByLeader are the calls of the last grant, localVerdicts the box's own quarantines.
-	watchedByLeader []crash.Watched
+	watchedByLeader []crash.WatchedCall
 	localVerdicts   []localVerdict
 	// quarantined are the calls that are sent to no target, suspects those that may have caused
 	// crashes, watched those whose answers are recorded, regardless of the caller.
@@ -85,7 +85,7 @@
 
 func newCrashState() crashState {
 	return crashState{
-		ledger: crash.NewLedger(crash.Enough), lastTrial: map[crash.Fingerprint]int{}, recordedAnswers: map[crash.Fingerprint]bool{},
+		ledger: crash.NewTracker(crash.CrashesToBlame), lastTrial: map[crash.Fingerprint]int{}, recordedAnswers: map[crash.Fingerprint]bool{},
 	}
 }
 
@@ -192,7 +192,7 @@
 	}
 	for i := range r.table.Quarantines {
 		f := r.table.Quarantines[i].Call
-		b.ledger.Explain(f)
+		b.ledger.Attribute(f)
 		b.quarantined.add(f)
 		b.watched.add(f.AnyCaller())
 	}
@@ -255,7 +255,7 @@
 	if b.recordedAnswers[f] || len(b.recordedAnswers) >= maxRecordedAnswers {
 		return
 	}
-	b.ledger.Take(b.notes.add(crash.Note{At: r.now, Suspects: []crash.Suspect{{Fingerprint: f}}}))
+	b.ledger.Record(b.notes.add(crash.Note{At: r.now, Suspects: []crash.Suspect{{Fingerprint: f}}}))
 	r.requestNotesSend()
 	b.localVerdicts = slices.DeleteFunc(b.localVerdicts, func(v localVerdict) bool { return v.call.Covers(f) })
 	r.enforceQuarantines(e)
@@ -265,10 +265,10 @@
 // judgeLocally quarantines calls by the box's own notes while no leader can.
 func (r *Router) judgeLocally(e *Effects) {
 	b := &r.crashes
-	if r.now < r.leaseUntil || !b.ledger.Undecided() {
+	if r.now < r.leaseUntil || !b.ledger.HasPendingVerdict() {
 		return
 	}
-	for _, v := range b.ledger.Judge(r.now) {
+	for _, v := range b.ledger.Evaluate(r.now) {
 		b.localVerdicts = append(b.localVerdicts, localVerdict{call: v.Fingerprint, until: r.now.Add(localQuarantineDuration)})
 		e.add(Effect{Kind: CallQuarantined, Verdict: &v})
 	}
--- a/pkg/core/routing/rollout.go
+++ b/pkg/core/routing/rollout.go
@@ -149,7 +149,7 @@
 	if v == nil || t.row.Software != v.record.To {
 		return r.selectionExpiry()
 	}
-	return min(r.selectionExpiry(), v.exposure.Until)
+	return min(r.selectionExpiry(), v.exposure.ExpiresAt)
 }
 
 // hasOtherVersions reports whether targets of the service receive no calls only because of their
--- a/pkg/core/routing/script_crash_test.go
+++ b/pkg/core/routing/script_crash_test.go
@@ -23,7 +23,7 @@
 func describeSuspects(x *crash.Note) string {
 	var text []string
 	for _, u := range x.Suspects {
-		text = append(text, fmt.Sprintf("%.8s sent %s before", u.Fingerprint, u.Sent))
+		text = append(text, fmt.Sprintf("%.8s sent %s before", u.Fingerprint, u.SentBefore))
 	}
 	return strings.Join(text, ", ")
 }
@@ -50,7 +50,7 @@
 		case "noted":
 			v.Acknowledged = uint64(number)
 		default:
-			v.Calls = append(v.Calls, crash.Watched{
+			v.Calls = append(v.Calls, crash.WatchedCall{
 				Call: crash.FingerprintOf(wordIdentity(a.Key)), Quarantined: how != "suspect", Trial: number,
 			})
 		}
--- a/pkg/core/subscription/exposures_test.go
+++ b/pkg/core/subscription/exposures_test.go
@@ -24,7 +24,7 @@
 	requestedAt, nonce := b.now, b.nonce()
 	b.now = b.now.Add(200 * time.Millisecond)
 	b.receive(grantWithExposure(nonce, 5))
-	want := []rollout.Exposure{{Service: "s", Order: 3, Since: 5, Share: 10, Asked: requestedAt, Until: requestedAt.Add(testExposure)}}
+	want := []rollout.Exposure{{Service: "s", Order: 3, Since: 5, Share: 10, RequestedAt: requestedAt, ExpiresAt: requestedAt.Add(testExposure)}}
 	if difference := cmp.Diff(want, b.effects.Exposures); difference != "" || !b.effects.ExposuresChanged {
 		t.Fatal(difference)
 	}
--- a/pkg/core/subscription/watched.go
+++ b/pkg/core/subscription/watched.go
@@ -12,7 +12,7 @@
 	// and Calls are the calls to watch.
 	Term  units.Term
 	Noted uint64
-	Calls []crash.Watched
+	Calls []crash.WatchedCall
 }
 
 // applyWatched reports a grant's watched calls in e, unless a later request has already been
--- a/pkg/entry/peer_links.go
+++ b/pkg/entry/peer_links.go
@@ -10,29 +10,29 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// peerLinks are the connections to other boxes, made when first needed. send is
-// called under the entry's lock and never waits.
+// peerLinks are the connections to other boxes by address, opened on first use. send is
+// called under the entry's lock and doesn't block.
 type peerLinks struct {
 	entry *Entry
 	links map[string]*peerLink
 }
 
-// peerLink is a connection to another box, with when it was last needed.
+// peerLink is a connection to another box, with the time of the last message sent on it.
 type peerLink struct {
 	*transport.Link
-	usedAt units.Instant
+	lastUsedAt units.Instant
 }
 
-// idlePeer is after what time without a message the connection to a box is closed: each one costs
-// memory and a sign of life a second at both boxes, and is needed for short times only.
-const idlePeer = 30 * time.Second
+// peerIdleTimeout is the time without a message after which the connection to a box is closed: each
+// one costs memory and a heartbeat a second at both boxes, and is needed for short times only.
+const peerIdleTimeout = 30 * time.Second
 
 func newPeerLinks(e *Entry) *peerLinks {
 	return &peerLinks{entry: e, links: map[string]*peerLink{}}
 }
 
-func (p *peerLinks) send(to units.BoxID, m *wire.Envelope) {
-	address := p.addressOf(to)
+func (p *peerLinks) send(id units.BoxID, m *wire.Envelope) {
+	address := p.addressOf(id)
 	if address == "" {
 		return
 	}
@@ -41,8 +41,8 @@
 		link = &peerLink{Link: transport.NewLink(address, p.entry.Security, p.entry.hello)}
 		p.links[address] = link
 	}
-	link.usedAt = p.entry.Clock.Now()
-	m.From, m.To = p.entry.Settings.Box, string(to)
+	link.lastUsedAt = p.entry.Clock.Now()
+	m.From, m.To = p.entry.Settings.Box, string(id)
 	link.Send(m)
 }
 
@@ -53,18 +53,18 @@
 	return ""
 }
 
-// hello is how the box begins a connection to another process.
+// hello returns the first message that the box sends on a connection to another process.
 func (e *Entry) hello() *wire.Hello {
 	return &wire.Hello{Box: e.Settings.Box, Domain: e.Settings.Domain}
 }
 
-// closeIdle closes the connections that weren't needed for a while.
+// closeIdle closes the connections that were idle for longer than peerIdleTimeout.
 func (p *peerLinks) closeIdle() {
 	p.entry.lock.Lock()
 	defer p.entry.lock.Unlock()
 	now := p.entry.Clock.Now()
 	maps.DeleteFunc(p.links, func(_ string, l *peerLink) bool {
-		idle := now.Sub(l.usedAt) > idlePeer
+		idle := now.Sub(l.lastUsedAt) > peerIdleTimeout
 		if idle {
 			l.Close()
 		}
@@ -80,11 +80,11 @@
 	}
 }
 
-// ServePeer takes the messages of another box until its connection ends. One whose first message isn't between
-// boxes is meant for somebody else.
+// ServePeer handles the messages of another box until its connection ends. It returns at once if
+// the first message isn't one that boxes send each other.
 func (e *Entry) ServePeer(hello *wire.Hello, first *wire.Envelope, c *transport.Conn) {
 	from := units.BoxID(hello.Box)
-	if !e.takePeerMessage(from, first) {
+	if !e.handlePeerMessage(from, first) {
 		return
 	}
 	for {
@@ -92,12 +92,13 @@
 		if err != nil {
 			return
 		}
-		e.takePeerMessage(from, m)
+		e.handlePeerMessage(from, m)
 	}
 }
 
-// takePeerMessage takes a message of another box, and tells whether it is one.
-func (e *Entry) takePeerMessage(from units.BoxID, m *wire.Envelope) bool {
+// handlePeerMessage handles a message of another box; it returns false if the message isn't one
+// that boxes send each other.
+func (e *Entry) handlePeerMessage(from units.BoxID, m *wire.Envelope) bool {
 	switch {
 	case m.GetLoan() != nil:
 		e.reduce(&routing.PeerLoan{From: from, Message: wire.ToLoan(m.GetLoan())})
--- a/pkg/entry/server.go
+++ b/pkg/entry/server.go
@@ -12,17 +12,17 @@
 	"github.com/madderpond/madderpond/pkg/target"
 )
 
-// The headers by which a box says what became of a call.
+// The headers in which a box reports the outcome of a call.
 const (
-	outcomeHeader    = "X-Madderpond-Outcome"
-	reasonHeader     = "X-Madderpond-Reason"
-	retryAfterMillis = "X-Madderpond-Retry-After-Ms"
-	targetHeader     = "X-Madderpond-Target"
+	outcomeHeader      = "X-Madderpond-Outcome"
+	reasonHeader       = "X-Madderpond-Reason"
+	retryAfterMsHeader = "X-Madderpond-Retry-After-Ms"
+	targetHeader       = "X-Madderpond-Target"
 )
 
 const problemType = "application/problem+json"
 
-// problem is the body of a refusal.
+// problem is the body of a refusal, as problem+json.
 type problem struct {
 	Type       string `json:"type"`
 	Title      string `json:"title"`
@@ -48,14 +48,14 @@
 		NoDefaultContentType:          true,
 		ReduceMemoryUsage:             true,
 		CloseOnShutdown:               true,
-		// A request that can't be read may carry a key.
+		// A malformed request may contain an API key, which must not be logged.
 		SecureErrorLogMessage: true,
 		ErrorHandler:          e.handleBadRequest,
 		Logger:                e.Log,
 	}
 }
 
-// handleBadRequest answers what couldn't be read as a request; no target sees it.
+// handleBadRequest answers a request that couldn't be parsed; it isn't sent to any target.
 func (e *Entry) handleBadRequest(ctx *fasthttp.RequestCtx, err error) {
 	e.metrics.badRequests.Add(1)
 	status, title := fasthttp.StatusBadRequest, "malformed-request"
@@ -76,14 +76,14 @@
 func (e *Entry) handle(ctx *fasthttp.RequestCtx) {
 	started := time.Now()
 	if e.leaving.Load() {
-		// The caller's next call should go to another box.
+		// Closing the connection makes the caller's next call go to another box.
 		ctx.SetConnectionClose()
 	}
 	if reason := findUnsafeFraming(&ctx.Request.Header); reason != "" {
 		e.refuseFraming(ctx, reason)
 		return
 	}
-	a, c := e.decide(ctx)
+	a, c := e.submitCall(ctx)
 	if a.attempt == nil {
 		e.logTrace(c, false)
 		e.writeRefusal(ctx, a.refusal)
@@ -108,7 +108,7 @@
 	return host
 }
 
-func (e *Entry) askedDeadline(ctx *fasthttp.RequestCtx) time.Duration {
+func (e *Entry) requestedDeadline(ctx *fasthttp.RequestCtx) time.Duration {
 	ms, err := strconv.ParseInt(string(ctx.Request.Header.Peek(e.Settings.Entry.DeadlineHeader)), 10, 64)
 	if err != nil || ms <= 0 || ms > maxDeadlineMillis {
 		return 0
@@ -118,70 +118,70 @@
 
 const maxDeadlineMillis = int64(math.MaxInt64 / int64(time.Millisecond))
 
-// decide gives the core the call and waits for its one answer.
-func (e *Entry) decide(ctx *fasthttp.RequestCtx) (answer, *call) {
+// submitCall passes the call to the core and waits for its answer.
+func (e *Entry) submitCall(ctx *fasthttp.RequestCtx) (answer, *call) {
 	c := newCall(ctx, e.Clock.Now())
 	c.identity = identity{ctx: ctx, callerHeader: e.Settings.Entry.CallerHeader}
 	e.lock.Lock()
-	e.waiting[c] = true
+	e.waitingCalls[c] = true
 	c.inline = true
 	e.reduceLocked(&routing.CallArrived{
-		Owner: c, Host: hostOf(ctx), Path: ctx.Path(), Credential: e.credentialOf(ctx), Deadline: e.askedDeadline(ctx),
+		Owner: c, Host: hostOf(ctx), Path: ctx.Path(), Credential: e.credentialOf(ctx), Deadline: e.requestedDeadline(ctx),
 		Identity: &c.identity,
 	})
 	c.inline = false
-	first, id := c.first, c.id
+	inlineSend, id := c.inlineSend, c.id
 	e.lock.Unlock()
-	if first.attempt != nil {
-		e.runAttempt(c, id, first)
+	if inlineSend.attempt != nil {
+		e.runAttempt(c, id, inlineSend)
 	}
 	a := <-c.answer
 	e.lock.Lock()
-	delete(e.waiting, c)
-	c.dropKept()
+	delete(e.waitingCalls, c)
+	c.releaseKeptAnswer()
 	e.lock.Unlock()
 	return a, c
 }
 
-// reportHangUps lets the core know of calls whose callers have hung up.
-func (e *Entry) reportHangUps() {
-	for _, c := range e.oldCalls() {
+// reportDisconnectedCallers reports the calls to the core whose callers have disconnected.
+func (e *Entry) reportDisconnectedCallers() {
+	for _, c := range e.longWaitingCalls() {
 		if target.IsOpen(c.conn) {
 			continue
 		}
 		e.lock.Lock()
-		// The connection may serve another call by now.
-		if e.waiting[c] {
+		// Meanwhile the call may have ended, and its connection may carry another one.
+		if e.waitingCalls[c] {
 			e.reduceLocked(&routing.CallerGone{Call: c.id})
 		}
 		e.lock.Unlock()
 	}
 }
 
-// oldCalls are the calls that have waited for a while.
-func (e *Entry) oldCalls() []*call {
+// longWaitingCalls returns the calls that have waited longer than the interval of the disconnect check.
+func (e *Entry) longWaitingCalls() []*call {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	oldest := e.Clock.Now().Add(-e.Settings.Entry.HangUpCheck.Std())
-	var old []*call
-	for c := range e.waiting {
-		if c.arrived < oldest {
-			old = append(old, c)
+	latestArrival := e.Clock.Now().Add(-e.Settings.Entry.HangUpCheck.Std())
+	var waiting []*call
+	for c := range e.waitingCalls {
+		if c.arrivedAt < latestArrival {
+			waiting = append(waiting, c)
 		}
 	}
-	return old
+	return waiting
 }
 
 func (e *Entry) writeRefusal(ctx *fasthttp.RequestCtx, r routing.Refusal) {
 	e.metrics.refusals.Add(r.Reason.String(), 1)
 	if r.Reason == routing.AttemptBroken && r.Outcome == routing.Unknown {
-		e.metrics.unknown.Add(1)
+		e.metrics.unknownOutcomes.Add(1)
 	}
 	ctx.Response.Header.Set(outcomeHeader, r.Outcome.String())
 	ctx.Response.Header.Set(reasonHeader, r.Reason.String())
 	if r.RetryAfter > 0 {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, e.retryAfterText(r.RetryAfter))
-		ctx.Response.Header.Set(retryAfterMillis, strconv.FormatInt(r.RetryAfter.Milliseconds(), 10))
+		ctx.Response.Header.Set(retryAfterMsHeader, strconv.FormatInt(r.RetryAfter.Milliseconds(), 10))
 	}
 	writeProblem(ctx, &problem{
 		Type: "madderpond:" + r.Reason.String(), Title: r.Reason.String(), Status: r.Status(),
