--- a/pkg/core/rollout/decide.go
+++ b/pkg/core/rollout/decide.go
@@ -46,7 +46,7 @@
 	case v.Bad:
 		return m.rollBack(in, "the new version is bad: "+v.Reason)
 	case in.Elapsed >= in.Plan.RollBackAt:
-		return m.rollBack(in, "the rollout ran out of time: "+m.timeoutReason(in))
+		return m.rollBack(in, "the time is over: "+m.timeoutReason(in))
 	case m.record.Stage == table.RolloutShifted:
 		return m.complete(in)
 	case in.Elapsed >= in.Plan.ShiftAt:
@@ -74,7 +74,7 @@
 	if len(selected) == 0 || len(selected) <= len(m.record.Targets) && in.New.containsAll(m.record.Targets) {
 		return nil
 	}
-	s := m.newStep(in, table.RolloutTrial, fmt.Sprintf("%d of %d targets of the new version are on trial", len(selected), len(in.New)))
+	s := m.newStep(in, table.RolloutTrial, fmt.Sprintf("%d of %d targets of the new version are tried", len(selected), len(in.New)))
 	s.Targets, s.Share = selected, units.Percent(percent*share)
 	return s
 }
@@ -103,7 +103,7 @@
 	answers := total.New.Answers()
 	switch {
 	case !m.allReported(in):
-		return "not all boxes have reported their answers"
+		return "not all boxes have reported what they saw"
 	case !in.New.hasCapacityFor(in.Old):
 		return fmt.Sprintf("the %d targets of the new version can't take the calls of %d", len(in.New), len(in.Old))
 	case answers < m.requiredAnswers():
@@ -143,7 +143,7 @@
 	if v := m.judge.Verdict(); v.Bad {
 		return m.rollBack(in, "the new version is bad: "+v.Reason)
 	}
-	return m.newStep(in, table.RolloutCompleted, "no calls are in flight at the old version: "+m.judge.all.describe())
+	return m.newStep(in, table.RolloutCompleted, "no calls are under way at the old version: "+m.judge.all.describe())
 }
 
 func (m *Monitor) drained(in *DecisionInput) bool { return m.undrainedBox(in) == "" }
@@ -163,12 +163,12 @@
 func (m *Monitor) timeoutReason(in *DecisionInput) string {
 	if m.record.Stage == table.RolloutShifted {
 		if box := m.undrainedBox(in); box != "" {
-			return fmt.Sprintf("box %s may still have calls in flight at the old version", box)
+			return fmt.Sprintf("box %s may still have calls under way at the old version", box)
 		}
 		return fmt.Sprintf("%d answers of the new version are too few to judge it", m.reportedAnswers())
 	}
 	if why := m.shiftBlockedReason(in); why != "" {
 		return why
 	}
-	return "no quorum of control replicas was available in time"
+	return "no quorum of control replicas was there in time"
 }
--- a/pkg/core/rollout/judge.go
+++ b/pkg/core/rollout/judge.go
@@ -236,6 +236,6 @@
 // describe returns the counts as text, for the reason of a step.
 func (c *comparison) describe() string {
 	n, o := &c.total.New, &c.total.Old
-	return fmt.Sprintf("%d of %d answers failed, against %d of %d at the old version; median time %s against %s",
+	return fmt.Sprintf("%d of %d answers bad against %d of %d, half within %s against %s",
 		n.Failures, n.Answers(), o.Failures, o.Answers(), n.Times.median(), o.Times.median())
 }
