--- a/pkg/entry/answer.go
+++ b/pkg/entry/answer.go
@@ -42,7 +42,7 @@
 // writeWhole writes an answer that is whole, at once if it is small.
 func (e *Entry) writeWhole(ctx *fasthttp.RequestCtx, a answer) {
 	body := a.attempt.Body()
-	if e.pacer.WriteSmall(len(body)) {
+	if e.pacer.AdmitSmall(len(body)) {
 		ctx.Response.SetBody(body)
 	} else {
 		ctx.Response.SetBodyStream(e.pace(ctx, a, io.NopCloser(bytes.NewReader(body))), len(body))
@@ -57,21 +57,21 @@
 	}
 	conn := ctx.Conn()
 	id := string(ctx.Request.Header.Peek(e.Settings.Entry.CallIDHeader))
-	return e.pacer.Pace(pacing.Answer{
-		From:  body,
-		Aim:   a.attempt.Aim,
-		Gone:  func() bool { return !target.IsOpen(conn) },
-		Ended: func(s pacing.Summary) { e.logPaced(id, a.endpoint, s) },
+	return e.pacer.Pace(pacing.Response{
+		Body:               body,
+		LatencyObjective:   a.attempt.Aim,
+		CallerDisconnected: func() bool { return !target.IsOpen(conn) },
+		OnEnd:              func(s pacing.Summary) { e.logPaced(id, a.endpoint, s) },
 	})
 }
 
 // logPaced tells how the writing of a large answer went that was delayed or cut short.
 func (e *Entry) logPaced(id string, x *routing.Endpoint, s pacing.Summary) {
-	if s.Whole && s.Waited < loggedWait {
+	if s.Complete && s.WaitTime < loggedWait {
 		return
 	}
 	e.Log.WithFields(logrus.Fields{
 		"kind": "answer-paced", "call": id, "service": x.Service, "target": x.Target, "bytes": s.Bytes,
-		"pieces": s.Pieces, "waitedMs": millis(s.Waited), "whole": s.Whole,
+		"pieces": s.Pieces, "waitedMs": millis(s.WaitTime), "whole": s.Complete,
 	}).Info("a large answer shared the box's link")
 }
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -83,7 +83,7 @@
 		waiting: map[*call]bool{},
 		pools:   target.NewPools(targetSettings(s), c.Clock),
 		workers: pond.NewPool(s.MaxCalls, pond.WithQueueSize(max(1, s.MaxCalls/queuePart)), pond.WithNonBlocking(true)),
-		pacer:   pacing.NewPacer(pacing.FromMegabits(s.LinkMbps), c.Clock),
+		pacer:   pacing.NewPacer(pacing.RateFromMegabits(s.LinkMbps), c.Clock),
 		metrics: newMetrics(),
 		done:    make(chan struct{}),
 	}
@@ -115,7 +115,7 @@
 		ProbeCost:   s.Entry.ProbeCost.Std(),
 		Loans:       s.Entry.Loans,
 		MaxDeadline: s.Entry.MaxDeadline.Std(),
-		LinkRate:    float64(pacing.FromMegabits(s.Entry.LinkMbps)),
+		LinkRate:    float64(pacing.RateFromMegabits(s.Entry.LinkMbps)),
 		KeyDoubt:    s.Entry.KeyDoubt.Std(),
 		QuotaSlack:  s.Entry.QuotaSlack,
 		Disable:     s.Entry.Disable,
--- a/pkg/entry/link_test.go
+++ b/pkg/entry/link_test.go
@@ -220,7 +220,7 @@
 			}
 		}()
 	}
-	await(t, "a large answer", func() bool { return e.pacer.Counts().UnderWay > 0 })
+	await(t, "a large answer", func() bool { return e.pacer.Counts().InFlight > 0 })
 	for left.Load() > 0 {
 		if n, err := get(address, "/short"); err != nil || n != shortAnswer {
 			t.Fatalf("%d of %d bytes came: %v", n, shortAnswer, err)
@@ -255,9 +255,9 @@
 	if n, err := get(e.Address(), "/large?cut=8000"); err == nil || err.Error() != "status 502" {
 		t.Errorf("an answer cut in its first bytes: %d bytes and %v, not a refusal", n, err)
 	}
-	await(t, "the end of all", func() bool { return e.pacer.Counts().UnderWay == 0 })
-	if c := e.pacer.Counts(); c.CutShort != 2 {
-		t.Errorf("%d answers count as cut short, not 2", c.CutShort)
+	await(t, "the end of all", func() bool { return e.pacer.Counts().InFlight == 0 })
+	if c := e.pacer.Counts(); c.Incomplete != 2 {
+		t.Errorf("%d answers count as cut short, not 2", c.Incomplete)
 	}
 }
 
@@ -286,7 +286,7 @@
 func TestACallerThatHangsUpFreesTheLink(t *testing.T) {
 	e := startLinkBox(t, startLinkTarget(t), linkMbps)
 	download(t, e.Address()).Close()
-	await(t, "the end of the answer", func() bool { c := e.pacer.Counts(); return c.CutShort == 1 && c.UnderWay == 0 })
+	await(t, "the end of the answer", func() bool { c := e.pacer.Counts(); return c.Incomplete == 1 && c.InFlight == 0 })
 	if c := e.pacer.Counts(); c.Bytes >= longest {
 		t.Errorf("%d bytes were written to a caller that had left", c.Bytes)
 	}
@@ -336,7 +336,7 @@
 	for range downloads {
 		defer askForLongest(t, e.Address()).Close()
 	}
-	await(t, "all answers", func() bool { c := e.pacer.Counts(); return c.UnderWay == downloads && c.Pieces > 2*downloads })
+	await(t, "all answers", func() bool { c := e.pacer.Counts(); return c.InFlight == downloads && c.Pieces > 2*downloads })
 	took := heapInUse() - before
 	t.Logf("%d answers of %d bytes: %.1f MB of heap, callers and target in the same process included", downloads, longest, float64(took)/(1<<20))
 	if took > bound {
--- a/pkg/entry/metrics.go
+++ b/pkg/entry/metrics.go
@@ -23,8 +23,8 @@
 	unknown     expvar.Int
 	badRequests expvar.Int
 	refusals    expvar.Map
-	services    *latency.Book[units.ServiceName]
-	targets     *latency.Book[latencyKey]
+	services    *latency.KeyedHistograms[units.ServiceName]
+	targets     *latency.KeyedHistograms[latencyKey]
 }
 
 type latencyKey struct {
@@ -34,8 +34,8 @@
 
 func newMetrics() *metrics {
 	m := &metrics{
-		services: latency.NewBook[units.ServiceName](latency.Fine, maxServiceLatencies),
-		targets:  latency.NewBook[latencyKey](latency.Coarse, maxTargetLatencies),
+		services: latency.NewKeyedHistograms[units.ServiceName](latency.Fine, maxServiceLatencies),
+		targets:  latency.NewKeyedHistograms[latencyKey](latency.Coarse, maxTargetLatencies),
 	}
 	m.refusals.Init()
 	return m
--- a/pkg/latency/histogram.go
+++ b/pkg/latency/histogram.go
@@ -10,8 +10,8 @@
 
 // Bounds of the histograms, in microseconds. A value beyond them counts as the bound.
 const (
-	shortestMicros = 50
-	longestMicros  = int64(10 * time.Minute / time.Microsecond)
+	minMicros = 50
+	maxMicros = int64(10 * time.Minute / time.Microsecond)
 )
 
 // Precision is how many digits of a value a histogram keeps.
@@ -31,7 +31,7 @@
 
 // NewHistogram returns an empty histogram.
 func NewHistogram(p Precision) *Histogram {
-	return &Histogram{counts: hdrhistogram.New(shortestMicros, longestMicros, int(p))}
+	return &Histogram{counts: hdrhistogram.New(minMicros, maxMicros, int(p))}
 }
 
 // Observe counts a duration.
@@ -39,7 +39,7 @@
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	// The value is within the bounds, so there is no error.
-	_ = h.counts.RecordValue(min(max(took.Microseconds(), shortestMicros), longestMicros))
+	_ = h.counts.RecordValue(min(max(took.Microseconds(), minMicros), maxMicros))
 }
 
 // Summary sums up a histogram; its times are in microseconds.
--- a/pkg/latency/latency_test.go
+++ b/pkg/latency/latency_test.go
@@ -15,14 +15,14 @@
 	if s.Count != 1001 || s.P50 < 490_000 || s.P50 > 510_000 || s.P99 < 980_000 || s.P99 > 1_000_000 {
 		t.Errorf("the summary is %+v", s)
 	}
-	if s.Max < longestMicros*99/100 {
+	if s.Max < maxMicros*99/100 {
 		t.Errorf("the longest is %d", s.Max)
 	}
 }
 
 // However many targets come and go, a box keeps account of a bounded number.
 func TestABookForgetsWhatWasUsedLeastRecently(t *testing.T) {
-	b := NewBook[int](Coarse, 3)
+	b := NewKeyedHistograms[int](Coarse, 3)
 	for _, key := range []int{1, 2, 3, 1, 4} {
 		b.Observe(key, time.Millisecond)
 	}
--- a/pkg/pacing/link_test.go
+++ b/pkg/pacing/link_test.go
@@ -14,25 +14,25 @@
 
 // arrival is an answer that is ready to be written at a time.
 type arrival struct {
-	name  string
-	bytes int
-	aim   time.Duration
-	at    time.Duration
-	// leaves is after how many pieces its caller hangs up; zero means never.
-	leaves int
-	// times is how often it comes, every how far apart.
-	times int
-	every time.Duration
+	name      string
+	bytes     int
+	objective time.Duration
+	at        time.Duration
+	// disconnectsAfter is after how many pieces its caller hangs up; zero means never.
+	disconnectsAfter int
+	// repeats is how often it comes, every how far apart.
+	repeats int
+	every   time.Duration
 }
 
 // script plays answers on a link: each large one asks for its next piece as soon as it has
 // got one.
 type script struct {
-	link    *Link
-	coming  []arrival
-	writing map[WriterID]*arrival
-	names   []string
-	out     strings.Builder
+	link     *Link
+	arrivals []arrival
+	writers  map[WriterID]*arrival
+	names    []string
+	out      strings.Builder
 }
 
 // TestLinkScripts drives a link by the files in testdata: "link mbps=N", then
@@ -46,8 +46,8 @@
 			case "link":
 				var mbps int
 				d.ScanArgs(t, "mbps", &mbps)
-				s = &script{link: NewLink(FromMegabits(float64(mbps))), writing: map[WriterID]*arrival{}}
-				return fmt.Sprintf("piece %d bytes\n", s.link.Piece())
+				s = &script{link: NewLink(RateFromMegabits(float64(mbps))), writers: map[WriterID]*arrival{}}
+				return fmt.Sprintf("piece %d bytes\n", s.link.PieceBytes())
 			case "answer":
 				s.addArrivals(readArrival(t, d))
 				return ""
@@ -61,11 +61,11 @@
 }
 
 func readArrival(t *testing.T, d *datadriven.TestData) arrival {
-	a := arrival{name: d.CmdArgs[0].Key, times: 1}
+	a := arrival{name: d.CmdArgs[0].Key, repeats: 1}
 	d.ScanArgs(t, "bytes", &a.bytes)
-	d.MaybeScanArgs(t, "leaves", &a.leaves)
-	d.MaybeScanArgs(t, "times", &a.times)
-	for key, into := range map[string]*time.Duration{"aim": &a.aim, "at": &a.at, "every": &a.every} {
+	d.MaybeScanArgs(t, "leaves", &a.disconnectsAfter)
+	d.MaybeScanArgs(t, "times", &a.repeats)
+	for key, into := range map[string]*time.Duration{"aim": &a.objective, "at": &a.at, "every": &a.every} {
 		if text := ""; d.MaybeScanArgs(t, key, &text) {
 			parsed, err := time.ParseDuration(text)
 			if err != nil {
@@ -78,8 +78,8 @@
 }
 
 func (s *script) addArrivals(a arrival) {
-	for range a.times {
-		s.coming = append(s.coming, a)
+	for range a.repeats {
+		s.arrivals = append(s.arrivals, a)
 		a.at += a.every
 	}
 }
@@ -88,12 +88,12 @@
 const start = units.Instant(time.Second)
 
 func (s *script) run() string {
-	slices.SortStableFunc(s.coming, func(a, b arrival) int { return int(a.at - b.at) })
+	slices.SortStableFunc(s.arrivals, func(a, b arrival) int { return int(a.at - b.at) })
 	now := start
 	for {
-		s.takeArrivals(now)
+		s.startArrivals(now)
 		s.grant(now)
-		next, ok := s.next()
+		next, ok := s.nextEventAt()
 		if !ok {
 			return s.out.String()
 		}
@@ -101,51 +101,51 @@
 	}
 }
 
-func (s *script) next() (units.Instant, bool) {
-	due, ok := s.link.Due()
-	if len(s.coming) == 0 {
+func (s *script) nextEventAt() (units.Instant, bool) {
+	due, ok := s.link.NextGrantAt()
+	if len(s.arrivals) == 0 {
 		return due, ok
 	}
-	first := start.Add(s.coming[0].at)
+	first := start.Add(s.arrivals[0].at)
 	if !ok {
 		return first, true
 	}
 	return min(first, due), true
 }
 
-func (s *script) takeArrivals(now units.Instant) {
-	for len(s.coming) > 0 && start.Add(s.coming[0].at) <= now {
-		a := s.coming[0]
-		s.coming = s.coming[1:]
+func (s *script) startArrivals(now units.Instant) {
+	for len(s.arrivals) > 0 && start.Add(s.arrivals[0].at) <= now {
+		a := s.arrivals[0]
+		s.arrivals = s.arrivals[1:]
 		if s.link.IsSmall(a.bytes) {
-			s.link.Wrote(now, a.bytes)
-			if a.times == 1 {
+			s.link.RecordSmall(now, a.bytes)
+			if a.repeats == 1 {
 				s.print(now, a.name, a.bytes, "at once")
 			}
 			continue
 		}
 		id := WriterID(len(s.names))
 		s.names = append(s.names, a.name)
-		s.writing[id] = &a
-		s.ask(now, id)
+		s.writers[id] = &a
+		s.enqueue(now, id)
 	}
 }
 
-func (s *script) ask(now units.Instant, id WriterID) {
-	a := s.writing[id]
-	s.link.Ask(now, id, min(a.bytes, s.link.Piece()), a.aim)
+func (s *script) enqueue(now units.Instant, id WriterID) {
+	a := s.writers[id]
+	s.link.Enqueue(now, id, min(a.bytes, s.link.PieceBytes()), a.objective)
 }
 
 func (s *script) grant(now units.Instant) {
 	for {
-		id, ok := s.link.Next(now)
+		id, ok := s.link.NextWriter(now)
 		if !ok {
 			return
 		}
-		a := s.writing[id]
-		n := min(a.bytes, s.link.Piece())
-		if a.leaves--; a.leaves == 0 {
-			s.link.Unused(n)
+		a := s.writers[id]
+		n := min(a.bytes, s.link.PieceBytes())
+		if a.disconnectsAfter--; a.disconnectsAfter == 0 {
+			s.link.Refund(n)
 			s.print(now, a.name, 0, "caller gone")
 			continue
 		}
@@ -155,7 +155,7 @@
 			continue
 		}
 		s.print(now, a.name, n, "")
-		s.ask(now, id)
+		s.enqueue(now, id)
 	}
 }
 
--- a/pkg/pacing/pacer.go
+++ b/pkg/pacing/pacer.go
@@ -17,26 +17,26 @@
 	link  *Link
 	// timer goes off when the next piece may be written.
 	timer *time.Timer
-	// last is the newest writer's id; turns holds those that wait.
-	last   WriterID
-	turns  map[WriterID]chan struct{}
-	counts Counts
-	waits  *latency.Histogram
+	// lastID is the newest writer's id; turns holds those that wait.
+	lastID    WriterID
+	grants    map[WriterID]chan struct{}
+	counts    Counts
+	waitTimes *latency.Histogram
 }
 
 // Counts says what a pacer has done since the start.
 type Counts struct {
-	// UnderWay is how many large answers are being written, Most the most at a time.
-	UnderWay int `json:"underWay"`
-	Most     int `json:"most"`
+	// InFlight is how many large answers are being written, Most the most at a time.
+	InFlight    int `json:"underWay"`
+	MaxInFlight int `json:"most"`
 	// Pieces and Bytes are what large answers wrote, SmallBytes what went at once.
 	Pieces     uint64 `json:"pieces"`
 	Bytes      uint64 `json:"bytes"`
 	SmallBytes uint64 `json:"smallBytes"`
-	// CutShort counts large answers that ended before their last byte.
-	CutShort uint64 `json:"cutShort"`
-	// Waits is how long pieces waited for their turn.
-	Waits latency.Summary `json:"waits"`
+	// Incomplete counts large answers that ended before their last byte.
+	Incomplete uint64 `json:"cutShort"`
+	// WaitTimes is how long pieces waited for their turn.
+	WaitTimes latency.Summary `json:"waits"`
 }
 
 // NewPacer returns a pacer for a link of that rate, or nil where it isn't limited.
@@ -44,8 +44,8 @@
 	if r <= 0 {
 		return nil
 	}
-	p := &Pacer{clock: c, link: NewLink(r), turns: map[WriterID]chan struct{}{}, waits: latency.NewHistogram(latency.Coarse)}
-	p.timer = time.AfterFunc(0, p.grant)
+	p := &Pacer{clock: c, link: NewLink(r), grants: map[WriterID]chan struct{}{}, waitTimes: latency.NewHistogram(latency.Coarse)}
+	p.timer = time.AfterFunc(0, p.grantDue)
 	return p
 }
 
@@ -57,13 +57,13 @@
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	counts := p.counts
-	counts.Waits = p.waits.Summary()
+	counts.WaitTimes = p.waitTimes.Summary()
 	return counts
 }
 
-// WriteSmall tells whether an answer of that length is small, and counts it if so: it goes
+// AdmitSmall tells whether an answer of that length is small, and counts it if so: it goes
 // at once, and large ones yield to it.
-func (p *Pacer) WriteSmall(bytes int) bool {
+func (p *Pacer) AdmitSmall(bytes int) bool {
 	if p == nil {
 		return true
 	}
@@ -72,7 +72,7 @@
 	if !p.link.IsSmall(bytes) {
 		return false
 	}
-	p.link.Wrote(p.clock.Now(), bytes)
+	p.link.RecordSmall(p.clock.Now(), bytes)
 	p.counts.SmallBytes += uint64(bytes)
 	return true
 }
@@ -80,72 +80,72 @@
 // wait returns when a piece may be written.
 func (p *Pacer) wait(bytes int, aim time.Duration) time.Duration {
 	asked := p.clock.Now()
-	<-p.ask(asked, bytes, aim)
+	<-p.enqueue(asked, bytes, aim)
 	waited := p.clock.Now().Sub(asked)
-	p.waits.Observe(waited)
+	p.waitTimes.Observe(waited)
 	return waited
 }
 
-func (p *Pacer) ask(now units.Instant, bytes int, aim time.Duration) chan struct{} {
+func (p *Pacer) enqueue(now units.Instant, bytes int, aim time.Duration) chan struct{} {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.last++
+	p.lastID++
 	turn := make(chan struct{})
-	p.turns[p.last] = turn
-	p.link.Ask(now, p.last, bytes, aim)
-	p.grantLocked()
+	p.grants[p.lastID] = turn
+	p.link.Enqueue(now, p.lastID, bytes, aim)
+	p.grantDueLocked()
 	return turn
 }
 
-// grant lets the pieces go whose turn has come.
-func (p *Pacer) grant() {
+// grantDue lets the pieces go whose turn has come.
+func (p *Pacer) grantDue() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.grantLocked()
+	p.grantDueLocked()
 }
 
-func (p *Pacer) grantLocked() {
+func (p *Pacer) grantDueLocked() {
 	for {
-		id, ok := p.link.Next(p.clock.Now())
+		id, ok := p.link.NextWriter(p.clock.Now())
 		if !ok {
 			break
 		}
-		close(p.turns[id])
-		delete(p.turns, id)
+		close(p.grants[id])
+		delete(p.grants, id)
 	}
-	if due, ok := p.link.Due(); ok {
+	if due, ok := p.link.NextGrantAt(); ok {
 		p.timer.Reset(max(0, p.clock.Until(due)))
 	}
 }
 
-// wrote counts a piece that goes out.
-func (p *Pacer) wrote(bytes int) {
+// recordPiece counts a piece that goes out.
+func (p *Pacer) recordPiece(bytes int) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.counts.Pieces++
 	p.counts.Bytes += uint64(bytes)
 }
 
-// unused gives the link's time for a piece to other writers, when its caller has hung up.
-func (p *Pacer) unused(bytes int) {
+// refund gives the link's time for a piece to other writers, when its caller has hung up.
+func (p *Pacer) refund(bytes int) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.link.Unused(bytes)
-	p.grantLocked()
+	p.link.Refund(bytes)
+	p.grantDueLocked()
 }
 
-func (p *Pacer) began() {
+func (p *Pacer) recordStart() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.counts.UnderWay++
-	p.counts.Most = max(p.counts.Most, p.counts.UnderWay)
+	p.counts.InFlight++
+	p.counts.MaxInFlight = max(p.counts.MaxInFlight, p.counts.InFlight)
 }
 
-func (p *Pacer) ended(whole bool) {
+func (p *Pacer) recordEnd(whole bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.counts.UnderWay--
+	p.counts.InFlight--
 	if !whole {
-		p.counts.CutShort++
+		p.counts.Incomplete++
 	}
 }
