--- a/pkg/latency/histogram.go
+++ b/pkg/latency/histogram.go
@@ -1,4 +1,4 @@
-// Package latency keeps histograms of how long things take.
+// Package latency keeps histograms of durations.
 package latency
 
 import (
@@ -8,16 +8,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms, in microseconds. A value beyond them counts as the bound.
+// Bounds of the histograms in microseconds. Values outside of them are clamped.
 const (
 	minMicros = 50
 	maxMicros = int64(10 * time.Minute / time.Microsecond)
 )
 
-// Precision is how many digits of a value a histogram keeps.
+// Precision is the number of significant digits that a histogram keeps.
 type Precision int
 
-// The precisions. A fine histogram takes 17 KB, a coarse one 2 KB.
+// The precisions. A fine histogram uses 17 KB of memory, a coarse one 2 KB.
 const (
 	Coarse Precision = 1
 	Fine   Precision = 2
@@ -34,15 +34,15 @@
 	return &Histogram{counts: hdrhistogram.New(minMicros, maxMicros, int(p))}
 }
 
-// Observe counts a duration.
-func (h *Histogram) Observe(took time.Duration) {
+// Observe records a duration.
+func (h *Histogram) Observe(d time.Duration) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	// The value is within the bounds, so there is no error.
-	_ = h.counts.RecordValue(min(max(took.Microseconds(), minMicros), maxMicros))
+	_ = h.counts.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros))
 }
 
-// Summary sums up a histogram; its times are in microseconds.
+// Summary has the count and quantiles of a histogram, in microseconds.
 type Summary struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -51,7 +51,7 @@
 	Max   int64 `json:"max"`
 }
 
-// Summary returns what was counted so far.
+// Summary summarizes what was recorded so far.
 func (h *Histogram) Summary() Summary {
 	h.lock.Lock()
 	defer h.lock.Unlock()
--- a/pkg/latency/keyed_histograms.go
+++ b/pkg/latency/keyed_histograms.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// KeyedHistograms keeps a histogram for each of many keys, up to a limit: then the one that was used
-// least recently makes room. It is safe for concurrent use.
+// KeyedHistograms keeps a histogram for each key, up to a maximum number of keys. Beyond it, the
+// least recently observed key is evicted. It is safe for concurrent use.
 type KeyedHistograms[K comparable] struct {
 	precision Precision
 	maxKeys   int
 
 	lock    sync.Mutex
 	entries map[K]*histogramEntry
-	// observations counts what was observed; it orders the pages by their last use.
+	// observations is the number of observations so far; it orders the entries by their last one.
 	observations uint64
 }
 
@@ -22,45 +22,45 @@
 	lastObservation uint64
 }
 
-// NewKeyedHistograms returns an empty book for at most limit keys.
-func NewKeyedHistograms[K comparable](p Precision, limit int) *KeyedHistograms[K] {
-	return &KeyedHistograms[K]{precision: p, maxKeys: limit, entries: map[K]*histogramEntry{}}
+// NewKeyedHistograms returns an empty set of histograms for at most maxKeys keys.
+func NewKeyedHistograms[K comparable](p Precision, maxKeys int) *KeyedHistograms[K] {
+	return &KeyedHistograms[K]{precision: p, maxKeys: maxKeys, entries: map[K]*histogramEntry{}}
 }
 
-// Observe counts a duration for a key.
-func (b *KeyedHistograms[K]) Observe(key K, took time.Duration) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	b.observations++
-	p := b.entries[key]
+// Observe records a duration for a key.
+func (k *KeyedHistograms[K]) Observe(key K, d time.Duration) {
+	k.lock.Lock()
+	defer k.lock.Unlock()
+	k.observations++
+	p := k.entries[key]
 	if p == nil {
-		b.evictLeastRecent()
-		p = &histogramEntry{histogram: NewHistogram(b.precision)}
-		b.entries[key] = p
+		k.evictLeastRecent()
+		p = &histogramEntry{histogram: NewHistogram(k.precision)}
+		k.entries[key] = p
 	}
-	p.lastObservation = b.observations
-	p.histogram.Observe(took)
+	p.lastObservation = k.observations
+	p.histogram.Observe(d)
 }
 
-func (b *KeyedHistograms[K]) evictLeastRecent() {
-	if len(b.entries) < b.maxKeys {
+func (k *KeyedHistograms[K]) evictLeastRecent() {
+	if len(k.entries) < k.maxKeys {
 		return
 	}
 	var oldest K
-	least := b.observations
-	for key, p := range b.entries {
+	least := k.observations
+	for key, p := range k.entries {
 		if p.lastObservation < least {
 			oldest, least = key, p.lastObservation
 		}
 	}
-	delete(b.entries, oldest)
+	delete(k.entries, oldest)
 }
 
-// Each calls f for every key, in no order.
-func (b *KeyedHistograms[K]) Each(f func(K, Summary)) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	for key, p := range b.entries {
+// Each calls f with the summary of every key, in no particular order.
+func (k *KeyedHistograms[K]) Each(f func(K, Summary)) {
+	k.lock.Lock()
+	defer k.lock.Unlock()
+	for key, p := range k.entries {
 		f(key, p.histogram.Summary())
 	}
 }
--- a/pkg/latency/latency_test.go
+++ b/pkg/latency/latency_test.go
@@ -16,19 +16,19 @@
 		t.Errorf("the summary is %+v", s)
 	}
 	if s.Max < maxMicros*99/100 {
-		t.Errorf("the longest is %d", s.Max)
+		t.Errorf("the maximum is %d", s.Max)
 	}
 }
 
-// However many targets come and go, a box keeps account of a bounded number.
+// A box must hold a bounded number of histograms, however many targets come and go.
 func TestABookForgetsWhatWasUsedLeastRecently(t *testing.T) {
-	b := NewKeyedHistograms[int](Coarse, 3)
+	k := NewKeyedHistograms[int](Coarse, 3)
 	for _, key := range []int{1, 2, 3, 1, 4} {
-		b.Observe(key, time.Millisecond)
+		k.Observe(key, time.Millisecond)
 	}
 	seen := map[int]int64{}
-	b.Each(func(key int, s Summary) { seen[key] = s.Count })
+	k.Each(func(key int, s Summary) { seen[key] = s.Count })
 	if len(seen) != 3 || seen[1] != 2 || seen[3] != 1 || seen[4] != 1 {
-		t.Errorf("the book has %v", seen)
+		t.Errorf("the histograms have %v", seen)
 	}
 }
--- a/pkg/pacing/body.go
+++ b/pkg/pacing/body.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// ErrCallerDisconnected ends a body whose caller has hung up.
-var ErrCallerDisconnected = errors.New("the caller has hung up")
+// ErrCallerDisconnected is returned by reads of a body whose caller has closed the connection.
+var ErrCallerDisconnected = errors.New("the caller has disconnected")
 
-// Response is a large answer to be paced.
+// Response is a large response to be paced.
 type Response struct {
-	// Body is the answer's body.
+	// Body is the unpaced body.
 	Body io.ReadCloser
-	// LatencyObjective is the aim of the answer's route; zero means none.
+	// LatencyObjective is that of the call's route; zero means none.
 	LatencyObjective time.Duration
-	// CallerDisconnected tells whether the caller has hung up.
+	// CallerDisconnected reports whether the caller has closed the connection.
 	CallerDisconnected func() bool
-	// OnEnd is called once, when the body has been read to its end or given up.
+	// OnEnd is called once, when the body has been read to its end or abandoned.
 	OnEnd func(Summary)
 }
 
-// Summary says how the writing of a large answer went.
+// Summary reports how the writing of a large response went.
 type Summary struct {
 	Bytes  int64
 	Pieces int
-	// WaitTime is how long its pieces waited for their turn, together.
+	// WaitTime is the total time for which its pieces waited for their turn.
 	WaitTime time.Duration
-	// Complete is set when the body came to its end.
+	// Complete is set when the body was read to its end.
 	Complete bool
 }
 
-// Body hands an answer on in pieces, each when it is its turn on the link. It holds no claim
-// while its reader is busy writing, so a caller that reads slowly delays nobody else.
+// Body returns a response in pieces, each once it is granted the link. It reserves nothing
+// while its reader is busy writing, so a caller that reads slowly delays no other response.
 type Body struct {
 	pacer    *Pacer
 	response Response
@@ -40,18 +40,18 @@
 	closed   bool
 }
 
-// Pace returns the body through which an answer is to be read. Without a limited link it is
-// the answer's own, and Ended isn't called.
-func (p *Pacer) Pace(a Response) io.ReadCloser {
+// Pace returns the paced body of a response. Without a rate limit it is the response's own
+// body, and OnEnd isn't called.
+func (p *Pacer) Pace(r Response) io.ReadCloser {
 	if p == nil {
-		return a.Body
+		return r.Body
 	}
 	p.recordStart()
-	return &Body{pacer: p, response: a}
+	return &Body{pacer: p, response: r}
 }
 
-// Read returns at most a piece, once it may be written. The bytes are there before their
-// turn is asked for: a target that is slow to send takes none of the link's time.
+// Read returns at most one piece, once it may be written. It reads the bytes before it waits
+// for a grant, so that a target that sends slowly holds no time on the link.
 func (b *Body) Read(into []byte) (int, error) {
 	n, err := b.response.Body.Read(into[:min(len(into), b.pacer.link.PieceBytes())])
 	if err == io.EOF {
@@ -72,7 +72,7 @@
 	return n, err
 }
 
-// Close ends the answer.
+// Close closes the underlying body and reports the summary. Later calls do nothing.
 func (b *Body) Close() error {
 	if b.closed {
 		return nil
--- a/pkg/pacing/link.go
+++ b/pkg/pacing/link.go
@@ -1,6 +1,7 @@
-// Package pacing shares a box's link among the answers that it writes. Link is the pure
-// part: it decides who may write how much and when, by a clock and the link's rate. Pacer
-// is the shell around it that answers' writers wait on.
+// Package pacing shares a box's outbound link among the responses that it writes. Link is the
+// scheduling logic without I/O: it decides which writer may write how many bytes and when,
+// from the time and the link's rate. Pacer wraps it with a clock, a lock and a timer, and
+// blocks writers until their turn.
 package pacing
 
 import (
@@ -9,47 +10,48 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Rate is how fast a link is, in bytes a second; zero means that it isn't limited.
+// Rate is a link's rate in bytes per second; zero means unlimited.
 type Rate float64
 
-// RateFromMegabits returns a rate given in megabits a second.
+// RateFromMegabits converts a rate in megabits per second.
 func RateFromMegabits(mbps float64) Rate { return Rate(mbps * 1e6 / 8) }
 
-// WriterID names a writer whose piece waits.
+// WriterID identifies a writer whose piece is queued.
 type WriterID uint64
 
 const (
-	// pacedFraction is the part of the link that answers may take together. The rest is for what
-	// isn't counted here: requests to targets, probes, messages of the control state, and
-	// packet headers; a small call must not queue behind a large answer because of them.
+	// pacedFraction is the fraction of the link that all responses together may use. The rest is
+	// for traffic that isn't counted here: requests to targets, probes, control messages and
+	// packet headers. Otherwise these would make a small call queue behind a large response.
 	pacedFraction = 0.75
-	// pieceTime is how long a piece occupies the link: as long as a small answer may have to
-	// wait behind it, a small part of the closest aims that callers of small answers have, which
-	// are tenths of a second.
+	// pieceTime is how long one piece occupies the link, and so how long a small response may
+	// wait behind it. It is a small fraction of the shortest latency objectives of small
+	// responses, which are tenths of a second.
 	pieceTime = 5 * time.Millisecond
-	// minPieceBytes and mostPiece bound a piece, in bytes: smaller ones would fill a slow link with
-	// packet headers, larger ones take a copying buffer of that size for each answer.
+	// minPieceBytes and maxPieceBytes bound a piece. Smaller ones would fill a slow link with
+	// packet headers; larger ones need a copy buffer of that size for each response.
 	minPieceBytes = 4 << 10
 	maxPieceBytes = 64 << 10
-	// maxSmallPieces is how many pieces an answer may have to count as small: waiting for its
-	// turn twice would delay it more than it delays others.
+	// maxSmallPieces is how many pieces a small response may have. Two waits for a grant would
+	// delay it more than it delays others.
 	maxSmallPieces = 2
-	// maxCatchUp is how much of the link's time may be caught up on after a piece was granted
-	// later than it could have been, since timers come late by a millisecond or two.
+	// maxCatchUp is how much unused link time may be made up for after a late grant, since
+	// timers fire a millisecond or two late.
 	maxCatchUp = 5 * time.Millisecond
-	// starvationTimeout is how long a piece waits before it goes ahead of closer aims: a caller
-	// whose route has a far aim must not lose its answer to a stream of more urgent ones.
+	// starvationTimeout is how long a piece waits before it takes precedence over shorter
+	// latency objectives, so that a stream of more urgent responses can't starve a route with a
+	// long objective.
 	starvationTimeout = time.Second
-	// maxYield is how long a piece waits for small answers at the most. While they take all of
-	// answers' part of the link, for seconds or minutes, callers of large answers would
-	// otherwise get nothing until well after.
+	// maxYield caps how long a piece waits for small responses. While these use the whole paced
+	// fraction of the link, for seconds or minutes, callers of large responses would otherwise
+	// get nothing until well after.
 	maxYield = 250 * time.Millisecond
 )
 
-// noObjective ranks answers of routes without an aim behind all others.
+// noObjective ranks responses of routes without a latency objective behind all others.
 const noObjective = time.Duration(1<<63 - 1)
 
-// waiter is a writer that waits for its next piece.
+// waiter is a writer that waits for the grant of its next piece.
 type waiter struct {
 	id         WriterID
 	bytes      int
@@ -57,38 +59,38 @@
 	enqueuedAt units.Instant
 }
 
-// Link decides who may write next. It has no clock of its own.
+// Link decides which writer may write next. It has no clock of its own.
 type Link struct {
 	rate Rate
-	// freeAt is when what was written will have left, as far as answers' part of the link goes.
+	// freeAt is when the paced fraction of the link will have sent everything written so far.
 	freeAt units.Instant
-	// lastGrantAt is when the last piece was granted.
+	// lastGrantAt is when a piece was last granted.
 	lastGrantAt units.Instant
-	// queue are in the order in which they asked. A writer asks for one piece at a time, so
-	// that those of one aim take turns.
+	// queue is in arrival order. A writer queues one piece at a time, so that writers with the
+	// same objective take turns.
 	queue []waiter
 }
 
-// NewLink returns a link on which nothing is under way.
+// NewLink returns an idle link with the given rate.
 func NewLink(r Rate) *Link { return &Link{rate: r * pacedFraction} }
 
-// PieceBytes is how many bytes a large answer may write at a time.
+// PieceBytes returns how many bytes a large response may write at a time.
 func (l *Link) PieceBytes() int {
 	return min(maxPieceBytes, max(minPieceBytes, int(float64(l.rate)*pieceTime.Seconds())))
 }
 
-// IsSmall tells whether an answer is written at once, before the rest of large ones.
+// IsSmall reports whether a response of that many bytes is written at once, ahead of large ones.
 func (l *Link) IsSmall(bytes int) bool { return bytes <= maxSmallPieces*l.PieceBytes() }
 
-// RecordSmall counts bytes that were written without asking; what waits comes later by them, but
-// not without end.
+// RecordSmall counts the bytes of a response that is written without a grant. It delays the
+// queued pieces, up to their yield deadline.
 func (l *Link) RecordSmall(now units.Instant, bytes int) {
-	before := l.freeAt
+	previous := l.freeAt
 	l.occupy(now, bytes)
-	l.freeAt = min(l.freeAt, max(before, l.yieldDeadline(now)))
+	l.freeAt = min(l.freeAt, max(previous, l.yieldDeadline(now)))
 }
 
-// yieldDeadline is up to when the next piece waits for small answers.
+// yieldDeadline returns until when the next piece may be delayed by small responses.
 func (l *Link) yieldDeadline(now units.Instant) units.Instant {
 	if len(l.queue) == 0 {
 		return now.Add(maxYield)
@@ -96,19 +98,19 @@
 	return max(l.lastGrantAt, l.queue[0].enqueuedAt).Add(maxYield)
 }
 
-// Enqueue puts a writer's next piece among those that wait. A closer aim goes first; zero means
-// none.
-func (l *Link) Enqueue(now units.Instant, id WriterID, bytes int, aim time.Duration) {
-	if aim <= 0 {
-		aim = noObjective
+// Enqueue adds a writer's next piece to the queue. A shorter latency objective goes first; zero
+// means none.
+func (l *Link) Enqueue(now units.Instant, id WriterID, bytes int, objective time.Duration) {
+	if objective <= 0 {
+		objective = noObjective
 	}
-	l.queue = append(l.queue, waiter{id: id, bytes: bytes, objective: aim, enqueuedAt: now})
+	l.queue = append(l.queue, waiter{id: id, bytes: bytes, objective: objective, enqueuedAt: now})
 }
 
-// Refund gives back the time of a piece that wasn't written after all.
+// Refund returns the link time of a granted piece that wasn't written.
 func (l *Link) Refund(bytes int) { l.freeAt = l.freeAt.Add(-l.transferTime(bytes)) }
 
-// NextWriter returns the writer whose piece may be written now, and false when there is none yet.
+// NextWriter grants a piece and returns its writer; false means that none may be written yet.
 func (l *Link) NextWriter(now units.Instant) (WriterID, bool) {
 	if len(l.queue) == 0 || l.freeAt > now {
 		return 0, false
@@ -121,11 +123,11 @@
 	return w.id, true
 }
 
-// NextGrantAt is when Next is to be asked again; false means that nobody waits.
+// NextGrantAt returns when to call NextWriter again; false means that the queue is empty.
 func (l *Link) NextGrantAt() (units.Instant, bool) { return l.freeAt, len(l.queue) > 0 }
 
-// nextIndex is the place of the piece whose turn it is: the oldest of those that have starved,
-// else the oldest of the closest aim.
+// nextIndex returns the queue index of the next piece to grant: the oldest if it has waited
+// beyond the starvation timeout, else the oldest with the shortest objective.
 func (l *Link) nextIndex(now units.Instant) int {
 	if now.Sub(l.queue[0].enqueuedAt) > starvationTimeout {
 		return 0
@@ -142,11 +144,11 @@
 func (l *Link) remove(i int) { l.queue = append(l.queue[:i], l.queue[i+1:]...) }
 
 func (l *Link) occupy(now units.Instant, bytes int) {
-	from := max(l.freeAt, now.Add(-maxCatchUp))
-	l.freeAt = from.Add(l.transferTime(bytes))
+	start := max(l.freeAt, now.Add(-maxCatchUp))
+	l.freeAt = start.Add(l.transferTime(bytes))
 }
 
-// transferTime is how long bytes occupy answers' part of the link.
+// transferTime returns how long bytes occupy the paced fraction of the link.
 func (l *Link) transferTime(bytes int) time.Duration {
 	return time.Duration(float64(bytes) / float64(l.rate) * float64(time.Second))
 }
--- a/pkg/pacing/link_test.go
+++ b/pkg/pacing/link_test.go
@@ -12,21 +12,21 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// arrival is an answer that is ready to be written at a time.
+// arrival is a response that is ready to be written at a given time.
 type arrival struct {
 	name      string
 	bytes     int
 	objective time.Duration
 	at        time.Duration
-	// disconnectsAfter is after how many pieces its caller hangs up; zero means never.
+	// disconnectsAfter is after how many pieces the caller disconnects; zero means never.
 	disconnectsAfter int
-	// repeats is how often it comes, every how far apart.
+	// repeats is how often it arrives, every the interval.
 	repeats int
 	every   time.Duration
 }
 
-// script plays answers on a link: each large one asks for its next piece as soon as it has
-// got one.
+// script runs responses against a link: each large one queues its next piece as soon as it was
+// granted one.
 type script struct {
 	link     *Link
 	arrivals []arrival
@@ -37,7 +37,7 @@
 
 // TestLinkScripts drives a link by the files in testdata: "link mbps=N", then
 // "answer NAME bytes=N [aim=D] [at=D] [leaves=PIECES] [times=N every=D]", then "run", which
-// prints who wrote how much and when, but for answers that come many times.
+// prints which response wrote how much and when, except for responses that arrive repeatedly.
 func TestLinkScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		s := &script{}
@@ -84,7 +84,7 @@
 	}
 }
 
-// start is when scripts begin.
+// start is when each script begins.
 const start = units.Instant(time.Second)
 
 func (s *script) run() string {
@@ -102,15 +102,15 @@
 }
 
 func (s *script) nextEventAt() (units.Instant, bool) {
-	due, ok := s.link.NextGrantAt()
+	grantAt, ok := s.link.NextGrantAt()
 	if len(s.arrivals) == 0 {
-		return due, ok
+		return grantAt, ok
 	}
 	first := start.Add(s.arrivals[0].at)
 	if !ok {
 		return first, true
 	}
-	return min(first, due), true
+	return min(first, grantAt), true
 }
 
 func (s *script) startArrivals(now units.Instant) {
--- a/pkg/pacing/pacer.go
+++ b/pkg/pacing/pacer.go
@@ -9,37 +9,38 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Pacer has the writers of answers wait for their turn on a box's link. A nil one limits
-// nothing.
+// Pacer blocks the writers of large responses until the box's link grants them a piece. A nil
+// Pacer limits nothing.
 type Pacer struct {
 	clock *clock.Clock
 	lock  sync.Mutex
 	link  *Link
-	// timer goes off when the next piece may be written.
+	// timer fires when the next piece may be granted.
 	timer *time.Timer
-	// lastID is the newest writer's id; turns holds those that wait.
+	// lastID is the newest writer's id; grants has a channel for each waiting writer, closed
+	// when its piece is granted.
 	lastID    WriterID
 	grants    map[WriterID]chan struct{}
 	counts    Counts
 	waitTimes *latency.Histogram
 }
 
-// Counts says what a pacer has done since the start.
+// Counts are the totals of a pacer since the process started.
 type Counts struct {
-	// InFlight is how many large answers are being written, Most the most at a time.
+	// InFlight is how many large responses are being written, MaxInFlight the highest such number.
 	InFlight    int `json:"underWay"`
 	MaxInFlight int `json:"most"`
-	// Pieces and Bytes are what large answers wrote, SmallBytes what went at once.
+	// Pieces and Bytes count what was written of large responses, SmallBytes of small ones.
 	Pieces     uint64 `json:"pieces"`
 	Bytes      uint64 `json:"bytes"`
 	SmallBytes uint64 `json:"smallBytes"`
-	// Incomplete counts large answers that ended before their last byte.
+	// Incomplete counts large responses that ended before their last byte.
 	Incomplete uint64 `json:"cutShort"`
-	// WaitTimes is how long pieces waited for their turn.
+	// WaitTimes summarizes how long pieces waited for a grant.
 	WaitTimes latency.Summary `json:"waits"`
 }
 
-// NewPacer returns a pacer for a link of that rate, or nil where it isn't limited.
+// NewPacer returns a pacer for a link of that rate, or nil if the rate is unlimited.
 func NewPacer(r Rate, c *clock.Clock) *Pacer {
 	if r <= 0 {
 		return nil
@@ -49,7 +50,7 @@
 	return p
 }
 
-// Counts returns what the pacer has done since the start.
+// Counts returns the totals so far.
 func (p *Pacer) Counts() Counts {
 	if p == nil {
 		return Counts{}
@@ -61,8 +62,8 @@
 	return counts
 }
 
-// AdmitSmall tells whether an answer of that length is small, and counts it if so: it goes
-// at once, and large ones yield to it.
+// AdmitSmall reports whether a response of that many bytes is small, and counts it if so: it
+// may be written at once, and large ones yield to it.
 func (p *Pacer) AdmitSmall(bytes int) bool {
 	if p == nil {
 		return true
@@ -77,27 +78,27 @@
 	return true
 }
 
-// wait returns when a piece may be written.
-func (p *Pacer) wait(bytes int, aim time.Duration) time.Duration {
-	asked := p.clock.Now()
-	<-p.enqueue(asked, bytes, aim)
-	waited := p.clock.Now().Sub(asked)
+// wait blocks until a piece may be written and returns how long that took.
+func (p *Pacer) wait(bytes int, objective time.Duration) time.Duration {
+	start := p.clock.Now()
+	<-p.enqueue(start, bytes, objective)
+	waited := p.clock.Now().Sub(start)
 	p.waitTimes.Observe(waited)
 	return waited
 }
 
-func (p *Pacer) enqueue(now units.Instant, bytes int, aim time.Duration) chan struct{} {
+func (p *Pacer) enqueue(now units.Instant, bytes int, objective time.Duration) chan struct{} {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.lastID++
-	turn := make(chan struct{})
-	p.grants[p.lastID] = turn
-	p.link.Enqueue(now, p.lastID, bytes, aim)
+	granted := make(chan struct{})
+	p.grants[p.lastID] = granted
+	p.link.Enqueue(now, p.lastID, bytes, objective)
 	p.grantDueLocked()
-	return turn
+	return granted
 }
 
-// grantDue lets the pieces go whose turn has come.
+// grantDue grants the pieces that may be written now.
 func (p *Pacer) grantDue() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -118,7 +119,7 @@
 	}
 }
 
-// recordPiece counts a piece that goes out.
+// recordPiece counts a piece that is written.
 func (p *Pacer) recordPiece(bytes int) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -126,7 +127,7 @@
 	p.counts.Bytes += uint64(bytes)
 }
 
-// refund gives the link's time for a piece to other writers, when its caller has hung up.
+// refund gives the link time of a piece to other writers, after its caller has disconnected.
 func (p *Pacer) refund(bytes int) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -141,11 +142,11 @@
 	p.counts.MaxInFlight = max(p.counts.MaxInFlight, p.counts.InFlight)
 }
 
-func (p *Pacer) recordEnd(whole bool) {
+func (p *Pacer) recordEnd(complete bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.counts.InFlight--
-	if !whole {
+	if !complete {
 		p.counts.Incomplete++
 	}
 }
