--- a/pkg/entry/answer.go
+++ b/pkg/entry/answer.go
@@ -28,7 +28,7 @@
 		out.SetConnectionClose()
 	}
 	out.Header.Set(targetHeader, string(a.endpoint.Target))
-	if from.BodyStream() == nil || a.attempt.Whole() {
+	if from.BodyStream() == nil || a.attempt.IsComplete() {
 		out.SkipBody = from.SkipBody
 		e.writeWhole(ctx, a)
 		return
@@ -59,7 +59,7 @@
 	id := string(ctx.Request.Header.Peek(e.Settings.Entry.CallIDHeader))
 	return e.pacer.Pace(pacing.Response{
 		Body:               body,
-		LatencyObjective:   a.attempt.Aim,
+		LatencyObjective:   a.attempt.LatencyObjective,
 		CallerDisconnected: func() bool { return !target.IsOpen(conn) },
 		OnEnd:              func(s pacing.Summary) { e.logPaced(id, a.endpoint, s) },
 	})
--- a/pkg/entry/call.go
+++ b/pkg/entry/call.go
@@ -134,7 +134,7 @@
 	c.note(c.endStep(e.Clock.Now(), s, result))
 	e.lock.Unlock()
 	if streaming {
-		e.reduce(&routing.AttemptStarted{Call: id, Attempt: number, Endpoint: a.Endpoint(), Reading: a.Reading, Coming: a.Coming()})
+		e.reduce(&routing.AttemptStarted{Call: id, Attempt: number, Endpoint: a.Endpoint(), Reading: a.Reading, Coming: a.RemainingBytes()})
 	} else {
 		e.reduce(&routing.AttemptEnded{
 			Call: id, Attempt: number, Endpoint: a.Endpoint(), Result: result, Reading: a.Reading, Refused: a.Refused,
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -348,11 +348,11 @@
 
 func targetSettings(s *entrySettings) target.Settings {
 	return target.Settings{
-		ConnectTimeout: s.ConnectTimeout.Std(), IdleLimit: s.IdleTarget.Std(), OnceIdle: s.OnceIdle.Std(), BufferBody: s.BufferBody,
+		ConnectTimeout: s.ConnectTimeout.Std(), IdleTimeout: s.IdleTarget.Std(), AtMostOnceIdleTimeout: s.OnceIdle.Std(), MaxBufferedBytes: s.BufferBody,
 		ShedStatus: s.ShedStatus, ShedHeader: s.ShedHeader, LoadHeader: s.LoadHeader,
 		DeadlineHeader: s.DeadlineHeader, ProbePath: s.ProbePath, CallIDHeader: s.CallIDHeader,
 		IdentityHeader: s.IdentityHeader, TargetHeader: s.TargetHeader, ColdHeader: s.ColdHeader, LeavingHeader: s.LeavingHeader,
-		LimitHeader:   s.LimitHeader,
-		PromiseStatus: s.PromiseStatus, Unframed: s.Unframed,
+		LimitHeader:              s.LimitHeader,
+		StatusMayMeanNotExecuted: s.PromiseStatus, AllowUnframed: s.Unframed,
 	}
 }
--- a/pkg/entry/trace.go
+++ b/pkg/entry/trace.go
@@ -74,7 +74,7 @@
 	a := ended.attempt
 	s := step{
 		at: now, what: stepEnded, attempt: ended.number, result: result,
-		said: a.Reading, unreadRest: a.UnreadRest, unreadLimit: a.UnreadLimit,
+		said: a.Reading, unreadRest: a.UnreadableRest, unreadLimit: a.UnreadableLimit,
 	}
 	if result == routing.Broken && !c.answered {
 		s.fingerprint = crash.FingerprintOf(&c.identity).String()
@@ -176,7 +176,7 @@
 		// No call that has been chosen by now is sent later than this.
 		calls = max(calls, e.Clock.Now().Add(e.Settings.Entry.MaxDeadline.Std()))
 	}
-	e.pools.Withhold(x.Endpoint, target.Withholding{Calls: calls, Probes: n.RestUntil, Limited: n.Limited})
+	e.pools.Withhold(x.Endpoint, target.Withholding{CallsUntil: calls, ProbesUntil: n.RestUntil, Limited: n.Limited})
 	f := logrus.Fields{"service": x.Endpoint.Service, "target": x.Endpoint.Target}
 	if n.LeaveBegins {
 		f["kind"] = "target-leaves"
--- a/pkg/target/attempt.go
+++ b/pkg/target/attempt.go
@@ -23,50 +23,50 @@
 	deadline units.Instant
 	notAfter units.Instant
 	// permitUntil is until when the attempt may begin if the target names a limit.
-	permitUntil units.Instant
-	limit       int
-	// idleLimit is how long the connection may have rested.
-	idleLimit time.Duration
-	// Aim is the aim of the call's route; zero means none.
-	Aim time.Duration
-	// largeAnswer is set where the route's answers are large: they pass through as they come.
-	largeAnswer bool
+	permitUntil    units.Instant
+	maxConnections int
+	// idleTimeout is how long the connection may have rested.
+	idleTimeout time.Duration
+	// LatencyObjective is the aim of the call's route; zero means none.
+	LatencyObjective time.Duration
+	// largeResponse is set where the route's answers are large: they pass through as they come.
+	largeResponse bool
 	// Request is the attempt's own copy.
 	Request  *fasthttp.Request
 	Response *fasthttp.Response
 	// Reading is what the target said of itself.
 	Reading routing.Reading
-	// UnreadRest is what the target wrote where it may ask for rest, if that can't be read.
-	UnreadRest string
-	// UnreadLimit is what the target wrote where it names its limit, if that can't be read.
-	UnreadLimit string
+	// UnreadableRest is what the target wrote where it may ask for rest, if that can't be read.
+	UnreadableRest string
+	// UnreadableLimit is what the target wrote where it names its limit, if that can't be read.
+	UnreadableLimit string
 	// Refused is set when the target's host refused the connection.
 	Refused bool
 
 	lock     sync.Mutex
 	conn     *conn
 	canceled bool
-	// stopDial ends the opening of a connection, while there is one.
-	stopDial context.CancelFunc
-	before   int64
-	whole    bool
-	// probe is set for a probe of load and health.
-	probe bool
-	// surplus is set when the connection can't be used again: an answer to another
+	// cancelDial ends the opening of a connection, while there is one.
+	cancelDial    context.CancelFunc
+	writtenBefore int64
+	complete      bool
+	// isProbe is set for a isProbe of load and health.
+	isProbe bool
+	// unusable is set when the connection can't be used again: an answer to another
 	// call came on it, or it ended with this answer.
-	surplus bool
-	prefix  []byte
+	unusable bool
+	prefix   []byte
 }
 
 // NewAttempt returns an attempt that hasn't begun.
 func (p *Pools) NewAttempt(x *routing.Effect) *Attempt {
-	idleLimit := p.settings.IdleLimit
+	idleLimit := p.settings.IdleTimeout
 	if x.Once {
-		idleLimit = p.settings.OnceIdle
+		idleLimit = p.settings.AtMostOnceIdleTimeout
 	}
 	return &Attempt{
-		pools: p, idleLimit: idleLimit, endpoint: x.Endpoint, deadline: x.Deadline, notAfter: x.NotAfter, permitUntil: x.PermitUntil, limit: x.Connections,
-		Aim: x.Aim, largeAnswer: x.LargeAnswer,
+		pools: p, idleTimeout: idleLimit, endpoint: x.Endpoint, deadline: x.Deadline, notAfter: x.NotAfter, permitUntil: x.PermitUntil, maxConnections: x.Connections,
+		LatencyObjective: x.Aim, largeResponse: x.LargeAnswer,
 		Request: fasthttp.AcquireRequest(), Response: fasthttp.AcquireResponse(),
 	}
 }
@@ -90,8 +90,8 @@
 	if a.conn != nil {
 		a.conn.raw.Close()
 	}
-	if a.stopDial != nil {
-		a.stopDial()
+	if a.cancelDial != nil {
+		a.cancelDial()
 	}
 }
 
@@ -102,8 +102,8 @@
 	return a.canceled
 }
 
-// claim ties a connection to the attempt, unless it was canceled meanwhile.
-func (a *Attempt) claim(c *conn) bool {
+// attach ties a connection to the attempt, unless it was canceled meanwhile.
+func (a *Attempt) attach(c *conn) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	if a.canceled {
@@ -113,8 +113,8 @@
 	return true
 }
 
-// unclaim takes the connection away; false means that it was cut.
-func (a *Attempt) unclaim() bool {
+// detach takes the connection away; false means that it was cut.
+func (a *Attempt) detach() bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	a.conn = nil
@@ -132,7 +132,7 @@
 	if c == nil {
 		return routing.NotSent, false
 	}
-	if !a.claim(c) {
+	if !a.attach(c) {
 		a.pools.close(a.endpoint.Address, c)
 		return routing.NotSent, false
 	}
@@ -140,20 +140,20 @@
 	if streaming {
 		return result, true
 	}
-	a.end()
+	a.finish()
 	return result, false
 }
 
 // connect returns an idle connection or opens a new one; nil when there is none
 // to be had, or the attempt was canceled meanwhile.
 func (a *Attempt) connect(left time.Duration) *conn {
-	if c := a.pools.take(a.endpoint.Address, a.idleLimit); c != nil {
+	if c := a.pools.takeIdle(a.endpoint.Address, a.idleTimeout); c != nil {
 		return c
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), min(left, a.pools.settings.ConnectTimeout))
 	defer cancel()
 	a.lock.Lock()
-	a.stopDial = cancel
+	a.cancelDial = cancel
 	canceled := a.canceled
 	a.lock.Unlock()
 	if canceled {
@@ -170,10 +170,10 @@
 // exchange does the sending and reading on a connection.
 func (a *Attempt) exchange(c *conn) (routing.AttemptResult, bool) {
 	c.raw.SetDeadline(a.pools.clock.Time(a.deadline))
-	a.before = c.raw.written
+	a.writtenBefore = c.raw.written
 	a.setHeaders()
 	if err := a.write(c); err != nil {
-		if c.raw.written > a.before {
+		if c.raw.written > a.writtenBefore {
 			return routing.Broken, false
 		}
 		// Nothing of it is left in the buffer for the connection's next user.
@@ -183,22 +183,22 @@
 		}
 		return routing.NotSent, false
 	}
-	return a.read(c)
+	return a.readResponse(c)
 }
 
 var (
-	errOutdated = errors.New("the choice of the target is out of date")
-	errWithheld = errors.New("the target wants nothing now")
+	errSelectionExpired = errors.New("the choice of the target is out of date")
+	errWithheld         = errors.New("the target wants nothing now")
 )
 
-// mayBegin looks once more whether the attempt's first byte may be written: the table that the
+// checkBeforeSend looks once more whether the attempt's first byte may be written: the table that the
 // choice rests on may have run out, or the target may have asked for rest, while a connection
 // was made or while the whole process stood still.
-func (a *Attempt) mayBegin() error {
+func (a *Attempt) checkBeforeSend() error {
 	if a.pools.clock.Now() >= a.notAfter {
-		return errOutdated
+		return errSelectionExpired
 	}
-	if a.withheld() {
+	if a.isWithheld() {
 		return errWithheld
 	}
 	return nil
@@ -207,48 +207,48 @@
 // setHeaders adds what the target has to know. A probe goes without: it is as small as
 // it can be, and its answer says who answered.
 func (a *Attempt) setHeaders() {
-	if a.probe {
+	if a.isProbe {
 		return
 	}
 	left := a.pools.clock.Until(a.deadline).Milliseconds()
 	a.Request.Header.Set(a.pools.settings.DeadlineHeader, strconv.FormatInt(max(1, left), 10))
-	a.nameTarget()
+	a.setTargetHeader()
 }
 
-// nameTarget tells a registered target which one is meant, since its address may
+// setTargetHeader tells a registered target which one is meant, since its address may
 // belong to another one by now.
-func (a *Attempt) nameTarget() {
+func (a *Attempt) setTargetHeader() {
 	if header := a.pools.settings.IdentityHeader; header != "" && a.endpoint.Registered {
 		a.Request.Header.Set(header, string(a.endpoint.Target))
 	}
 }
 
 func (a *Attempt) write(c *conn) error {
-	c.raw.look = a.mayBegin
+	c.raw.beforeWrite = a.checkBeforeSend
 	if err := a.Request.Write(c.writer); err != nil {
 		return err
 	}
 	return c.writer.Flush()
 }
 
-// end gives the connection back if nothing is owed on it, and closes it
+// finish gives the connection back if nothing is owed on it, and closes it
 // otherwise.
-func (a *Attempt) end() {
+func (a *Attempt) finish() {
 	c := a.conn
-	untouched := c.raw.written == a.before
-	reusable := a.whole && !a.surplus && !a.Response.ConnectionClose() && c.reader.Buffered() == 0
+	untouched := c.raw.written == a.writtenBefore
+	reusable := a.complete && !a.unusable && !a.Response.ConnectionClose() && c.reader.Buffered() == 0
 	a.Response.CloseBodyStream()
-	c.keepAlive = keepAliveOf(&a.Response.Header)
-	if a.unclaim() && (reusable || untouched) {
-		a.pools.put(a.endpoint, c, a.limit)
+	c.keepAliveTimeout = parseKeepAlive(&a.Response.Header)
+	if a.detach() && (reusable || untouched) {
+		a.pools.putIdle(a.endpoint, c, a.maxConnections)
 		return
 	}
 	a.pools.close(a.endpoint.Address, c)
 }
 
-// keepAliveOf is how long a target says that it keeps the connection: "timeout=5, max=100"
+// parseKeepAlive is how long a target says that it keeps the connection: "timeout=5, max=100"
 // means five seconds.
-func keepAliveOf(h *fasthttp.ResponseHeader) time.Duration {
+func parseKeepAlive(h *fasthttp.ResponseHeader) time.Duration {
 	for _, parameter := range strings.Split(string(h.Peek(keepAliveHeader)), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -265,6 +265,6 @@
 
 // Discard gives up an answer that nobody wants any more.
 func (a *Attempt) Discard() {
-	a.end()
+	a.finish()
 	a.Release()
 }
--- a/pkg/target/attempt_test.go
+++ b/pkg/target/attempt_test.go
@@ -18,37 +18,37 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// answers is a stand-in target that gives each request on a connection the next of the
-// answers it was told, as raw bytes; "RESET" and "CLOSE" on a line of their own end the
+// stubTarget is a stand-in target that gives each request on a connection the next of the
+// stubTarget it was told, as raw bytes; "RESET" and "CLOSE" on a line of their own end the
 // connection, a line "BYTES N" stands for so many bytes, and a line "LATER" keeps what follows
 // for the next request.
-type answers struct {
+type stubTarget struct {
 	listener net.Listener
 	script   string
 }
 
-func startAnswers(t *testing.T, script string) *answers {
+func startStubTarget(t *testing.T, script string) *stubTarget {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &answers{listener: listener, script: script}
+	a := &stubTarget{listener: listener, script: script}
 	t.Cleanup(func() { listener.Close() })
 	go a.serve()
 	return a
 }
 
-func (a *answers) serve() {
+func (a *stubTarget) serve() {
 	for {
 		conn, err := a.listener.Accept()
 		if err != nil {
 			return
 		}
-		go a.answer(conn)
+		go a.serveConn(conn)
 	}
 }
 
-func (a *answers) answer(conn net.Conn) {
+func (a *stubTarget) serveConn(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for _, part := range strings.Split(a.script, "LATER\n") {
@@ -82,9 +82,9 @@
 
 func newPools(bufferBody int) *Pools {
 	return NewPools(Settings{
-		ConnectTimeout: time.Second, IdleLimit: time.Minute, BufferBody: bufferBody, ShedHeader: "X-Shed",
+		ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxBufferedBytes: bufferBody, ShedHeader: "X-Shed",
 		LoadHeader: "X-Load", DeadlineHeader: "X-Deadline-Ms", CallIDHeader: "X-Call", IdentityHeader: "X-Expected-Target",
-		TargetHeader: "X-Target", PromiseStatus: true, Unframed: true, ProbePath: "/healthz",
+		TargetHeader: "X-Target", StatusMayMeanNotExecuted: true, AllowUnframed: true, ProbePath: "/healthz",
 	}, clock.NewClock())
 }
 
@@ -95,7 +95,7 @@
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			count := 1
 			d.MaybeScanArgs(t, "calls", &count)
-			target := startAnswers(t, d.Input+"\n")
+			target := startStubTarget(t, d.Input+"\n")
 			pools := newTestPools()
 			if d.HasArg("large") {
 				pools = newPools(64 << 10)
@@ -126,7 +126,7 @@
 	if len(a.Body()) > 100 {
 		body = fmt.Sprintf("%d bytes", len(a.Body()))
 	}
-	text := fmt.Sprintf("%s %s, connections kept: %d", result, body, pools.kept())
+	text := fmt.Sprintf("%s %s, connections kept: %d", result, body, pools.idleCount())
 	a.Release()
 	return text
 }
@@ -135,17 +135,17 @@
 // sent again uses it all the same; work that must not run twice gets another.
 func TestOnceWorkUsesNoConnectionThatHasRested(t *testing.T) {
 	for _, once := range []bool{false, true} {
-		target := startAnswers(t, `HTTP/1.1 200 OK\nX-Call: call-1\nContent-Length: 0\n\n`+"\nLATER\nRESET\n")
+		target := startStubTarget(t, `HTTP/1.1 200 OK\nX-Call: call-1\nContent-Length: 0\n\n`+"\nLATER\nRESET\n")
 		pools := newTestPools()
-		pools.settings.OnceIdle = time.Hour
+		pools.settings.AtMostOnceIdleTimeout = time.Hour
 		address := target.listener.Addr().String()
 		first := callOnce(pools, address, "call-1", false)
-		for _, x := range pools.pools {
+		for _, x := range pools.byAddress {
 			for _, c := range x.idle {
 				c.idleSince -= units.Instant(2 * time.Hour)
 			}
 		}
-		pools.settings.IdleLimit = 3 * time.Hour
+		pools.settings.IdleTimeout = 3 * time.Hour
 		a := pools.NewAttempt(&routing.Effect{
 			Endpoint: &routing.Endpoint{Service: "s", Target: "t", Address: address, Registered: true}, Once: once,
 			Deadline: pools.clock.Now().Add(10 * time.Second), NotAfter: pools.clock.Now().Add(time.Minute),
@@ -164,8 +164,8 @@
 	scenarios := []struct {
 		testName string
 		header   string
-		rested   time.Duration
-		again    bool
+		idle     time.Duration
+		reused   bool
 	}{
 		{"not told", "X: y", time.Hour, true},
 		{"within the time", "Keep-Alive: timeout=5", 3 * time.Second, true},
@@ -174,17 +174,17 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			target := startAnswers(t, `HTTP/1.1 200 OK\nX-Call: call-1\n`+s.header+`\nContent-Length: 0\n\n`+"\n")
+			target := startStubTarget(t, `HTTP/1.1 200 OK\nX-Call: call-1\n`+s.header+`\nContent-Length: 0\n\n`+"\n")
 			pools := newTestPools()
 			address := target.listener.Addr().String()
 			callOnce(pools, address, "call-1", false)
-			for _, x := range pools.pools {
+			for _, x := range pools.byAddress {
 				for _, c := range x.idle {
-					c.idleSince -= units.Instant(s.rested)
+					c.idleSince -= units.Instant(s.idle)
 				}
 			}
-			if c := pools.take(address, 2*time.Hour); (c != nil) != s.again {
-				t.Errorf("used again: %t, want %t", c != nil, s.again)
+			if c := pools.takeIdle(address, 2*time.Hour); (c != nil) != s.reused {
+				t.Errorf("used again: %t, want %t", c != nil, s.reused)
 			}
 		})
 	}
@@ -195,11 +195,11 @@
 	stream := a.Stream(func(r routing.AttemptResult) { ended = r })
 	body, err := io.ReadAll(stream)
 	stream.Close()
-	return fmt.Sprintf("streamed %d bytes, cut short: %t, %s, connections kept: %d", len(body), err != nil, ended, pools.kept())
+	return fmt.Sprintf("streamed %d bytes, cut short: %t, %s, connections kept: %d", len(body), err != nil, ended, pools.idleCount())
 }
 
-// kept counts the idle connections.
-func (p *Pools) kept() int {
+// idleCount counts the idle connections.
+func (p *Pools) idleCount() int {
 	n := 0
 	for _, s := range p.Status() {
 		n += s.Idle
--- a/pkg/target/conn.go
+++ b/pkg/target/conn.go
@@ -17,16 +17,16 @@
 type countingConn struct {
 	net.Conn
 	written int64
-	// look is asked once, right before the next byte, whether that may still be written; nil asks
-	// nobody. A process may stand still at any moment: the less time there is between the look and
+	// beforeWrite is asked once, right before the next byte, whether that may still be written; nil asks
+	// nobody. A process may stand still at any moment: the less time there is between the beforeWrite and
 	// the write, the seldomer it writes what was decided long ago.
-	look func() error
+	beforeWrite func() error
 }
 
 // Write counts what the network took; a failed write reports that too.
 func (c *countingConn) Write(p []byte) (int, error) {
-	if look := c.look; look != nil {
-		c.look = nil
+	if look := c.beforeWrite; look != nil {
+		c.beforeWrite = nil
 		if err := look(); err != nil {
 			return 0, err
 		}
@@ -43,9 +43,9 @@
 	reader    *bufio.Reader
 	writer    *bufio.Writer
 	idleSince units.Instant
-	// keepAlive is how long the target said that it keeps the connection; zero when it
+	// keepAliveTimeout is how long the target said that it keeps the connection; zero when it
 	// didn't say.
-	keepAlive time.Duration
+	keepAliveTimeout time.Duration
 }
 
 const bufferSize = 4 << 10
@@ -59,19 +59,19 @@
 	}
 }
 
-// isAlive tells whether an idle connection is still open and silent. It looks at
+// isUsable tells whether an idle connection is still open and silent. It looks at
 // the socket without waiting.
-func (c *conn) isAlive() bool {
+func (c *conn) isUsable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
 	return isOpen(c.raw.Conn) && !hasInput(c.raw.Conn)
 }
 
-// outlived tells whether the target may be about to close a connection that rests since
+// isNearKeepAliveEnd tells whether the target may be about to close a connection that rests since
 // it was last used.
-func (c *conn) outlived(now units.Instant) bool {
-	return c.keepAlive > 0 && now.Sub(c.idleSince) > c.keepAlive-keepAliveMargin
+func (c *conn) isNearKeepAliveEnd(now units.Instant) bool {
+	return c.keepAliveTimeout > 0 && now.Sub(c.idleSince) > c.keepAliveTimeout-keepAliveMargin
 }
 
 // keepAliveMargin is left of the time that a target keeps a connection: what is sent in
--- a/pkg/target/pool.go
+++ b/pkg/target/pool.go
@@ -13,16 +13,16 @@
 // Settings are what the connections to targets need to know.
 type Settings struct {
 	ConnectTimeout time.Duration
-	IdleLimit      time.Duration
-	// OnceIdle is how long a connection may have rested to carry work that must not run
+	IdleTimeout    time.Duration
+	// AtMostOnceIdleTimeout is how long a connection may have rested to carry work that must not run
 	// twice.
-	OnceIdle       time.Duration
-	BufferBody     int
-	ShedStatus     int
-	ShedHeader     string
-	LoadHeader     string
-	DeadlineHeader string
-	ProbePath      string
+	AtMostOnceIdleTimeout time.Duration
+	MaxBufferedBytes      int
+	ShedStatus            int
+	ShedHeader            string
+	LoadHeader            string
+	DeadlineHeader        string
+	ProbePath             string
 	// CallIDHeader names a call and its answer; empty compares nothing.
 	CallIDHeader string
 	// IdentityHeader names the registered target that is meant; empty sends none.
@@ -37,50 +37,50 @@
 	// LimitHeader is where a target names how many calls a second it takes from all boxes together;
 	// empty reads none.
 	LimitHeader string
-	// PromiseStatus is set where some statuses promise that a call hasn't run.
-	PromiseStatus bool
-	// Unframed lets answers count that end with their connection.
-	Unframed bool
+	// StatusMayMeanNotExecuted is set where some statuses promise that a call hasn't run.
+	StatusMayMeanNotExecuted bool
+	// AllowUnframed lets answers count that end with their connection.
+	AllowUnframed bool
 }
 
 // Pools keeps idle connections, an address each.
 type Pools struct {
-	settings Settings
-	clock    *clock.Clock
-	lock     sync.Mutex
-	pools    map[string]*pool
+	settings  Settings
+	clock     *clock.Clock
+	lock      sync.Mutex
+	byAddress map[string]*pool
 	// withheld are the targets that want nothing; anyWithheld is set while there are any.
 	withheld    map[*routing.Endpoint]Withholding
 	anyWithheld atomic.Bool
 }
 
 type pool struct {
-	idle []*conn
-	open int
+	idle      []*conn
+	openCount int
 }
 
 // NewPools returns empty pools.
 func NewPools(s Settings, c *clock.Clock) *Pools {
-	return &Pools{settings: s, clock: c, pools: map[string]*pool{}, withheld: map[*routing.Endpoint]Withholding{}}
+	return &Pools{settings: s, clock: c, byAddress: map[string]*pool{}, withheld: map[*routing.Endpoint]Withholding{}}
 }
 
-// take returns an idle connection that is still alive and has rested for no longer than a
+// takeIdle returns an idle connection that is still alive and has rested for no longer than a
 // limit, or nil. Dead ones that it meets are closed, and those that their targets may
 // close any moment.
-func (p *Pools) take(address string, limit time.Duration) *conn {
+func (p *Pools) takeIdle(address string, limit time.Duration) *conn {
 	for {
-		c := p.pop(address, limit)
-		if c == nil || c.isAlive() && !c.outlived(p.clock.Now()) {
+		c := p.popIdle(address, limit)
+		if c == nil || c.isUsable() && !c.isNearKeepAliveEnd(p.clock.Now()) {
 			return c
 		}
 		p.close(address, c)
 	}
 }
 
-func (p *Pools) pop(address string, limit time.Duration) *conn {
+func (p *Pools) popIdle(address string, limit time.Duration) *conn {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	x := p.pools[address]
+	x := p.byAddress[address]
 	if x == nil || len(x.idle) == 0 {
 		return nil
 	}
@@ -101,27 +101,27 @@
 	}
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.pool(address).open++
+	p.pool(address).openCount++
 	return c, nil
 }
 
 func (p *Pools) pool(address string) *pool {
-	x := p.pools[address]
+	x := p.byAddress[address]
 	if x == nil {
 		x = &pool{}
-		p.pools[address] = x
+		p.byAddress[address] = x
 	}
 	return x
 }
 
-// put gives a connection back on which nothing is owed. It is closed when the
+// putIdle gives a connection back on which nothing is owed. It is closed when the
 // box has as many open as it may.
-func (p *Pools) put(e *routing.Endpoint, c *conn, connections int) {
+func (p *Pools) putIdle(e *routing.Endpoint, c *conn, connections int) {
 	c.raw.SetDeadline(time.Time{})
 	c.idleSince = p.clock.Now()
 	p.lock.Lock()
 	x := p.pool(e.Address)
-	if connections > 0 && x.open > connections {
+	if connections > 0 && x.openCount > connections {
 		p.lock.Unlock()
 		p.close(e.Address, c)
 		return
@@ -135,9 +135,9 @@
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	x := p.pool(address)
-	x.open--
-	if x.open == 0 {
-		delete(p.pools, address)
+	x.openCount--
+	if x.openCount == 0 {
+		delete(p.byAddress, address)
 	}
 }
 
@@ -149,8 +149,8 @@
 	}
 	var olds []old
 	p.lock.Lock()
-	oldest := p.clock.Now().Add(-p.settings.IdleLimit)
-	for address, x := range p.pools {
+	oldest := p.clock.Now().Add(-p.settings.IdleTimeout)
+	for address, x := range p.byAddress {
 		// The longest idle stand first.
 		n := 0
 		for n < len(x.idle) && x.idle[n].idleSince < oldest {
@@ -159,7 +159,7 @@
 		}
 		x.idle = append(x.idle[:0], x.idle[n:]...)
 	}
-	p.dropWithheld()
+	p.dropExpiredWithheld()
 	p.lock.Unlock()
 	for _, o := range olds {
 		p.close(o.address, o.conn)
@@ -177,9 +177,9 @@
 func (p *Pools) Status() []Status {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	all := make([]Status, 0, len(p.pools))
-	for a, x := range p.pools {
-		all = append(all, Status{Address: a, Open: x.open, Idle: len(x.idle)})
+	all := make([]Status, 0, len(p.byAddress))
+	for a, x := range p.byAddress {
+		all = append(all, Status{Address: a, Open: x.openCount, Idle: len(x.idle)})
 	}
 	return all
 }
--- a/pkg/target/probe.go
+++ b/pkg/target/probe.go
@@ -15,16 +15,16 @@
 	a.Request.SetRequestURI(p.probePath(x))
 	a.Request.Header.SetNoDefaultContentType(true)
 	a.Request.Header.SetUserAgentBytes(nil)
-	a.probe = true
+	a.isProbe = true
 	a.Request.Header.SetHost(string(x.Endpoint.Service))
 	result, streaming := a.Run()
 	ended := routing.ProbeEnded{
 		Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Reading: a.Reading,
-		Unreachable: result == routing.NotSent, Refused: a.Refused, Misdirected: a.fromAnother(),
+		Unreachable: result == routing.NotSent, Refused: a.Refused, Misdirected: a.isFromOtherTarget(),
 		Answered: result == routing.Answered || result == routing.Failed || result == routing.Shed || result == routing.Misdirected,
 	}
 	if streaming {
-		a.end()
+		a.finish()
 		return ended
 	}
 	ended.Healthy = result == routing.Answered
@@ -38,8 +38,8 @@
 	return p.settings.ProbePath
 }
 
-// fromAnother tells whether the answer names another target than the one asked.
-func (a *Attempt) fromAnother() bool {
+// isFromOtherTarget tells whether the answer names another target than the one asked.
+func (a *Attempt) isFromOtherTarget() bool {
 	header := a.pools.settings.TargetHeader
 	if header == "" || !a.endpoint.Registered {
 		return false
--- a/pkg/target/reading.go
+++ b/pkg/target/reading.go
@@ -8,8 +8,8 @@
 	"github.com/madderpond/madderpond/pkg/core/routing"
 )
 
-// usualPace is the pace of a target whose work takes as long as usual, in hundredths.
-const usualPace = 100
+// usualPacePercent is the pace of a target whose work takes as long as usual, in hundredths.
+const usualPacePercent = 100
 
 // parseReading reads what a target says of its load: the number of its calls, or the
 // calls running, those waiting, the slots, and how long work takes now in hundredths
@@ -30,15 +30,15 @@
 		case 2:
 			reading.Slots = x
 		case 3:
-			reading.Pace = x / usualPace
+			reading.Pace = x / usualPacePercent
 		}
 	}
 	return reading
 }
 
-// parseCold reads for how many milliseconds a target says that it stays cold. What can't be
+// parseColdRemaining reads for how many milliseconds a target says that it stays cold. What can't be
 // read says that it is warm: the target's registration tells of cold ones as well.
-func parseCold(text string) time.Duration {
+func parseColdRemaining(text string) time.Duration {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || ms <= 0 {
 		return 0
--- a/pkg/target/rest.go
+++ b/pkg/target/rest.go
@@ -13,17 +13,17 @@
 	// mistake or because it counts in other units, gets a call an hour and may ask again; callers
 	// aren't kept from it for good.
 	maxRest = time.Hour
-	// maxUnread bounds the bytes of an unreadable rest that a log line carries.
-	maxUnread = 64
+	// maxUnreadableBytes bounds the bytes of an unreadable rest that a log line carries.
+	maxUnreadableBytes = 64
 )
 
-// restOf reads for how long a target that turned a call away wants nothing more. Where it says so
+// readRest reads for how long a target that turned a call away wants nothing more. Where it says so
 // several times the longest counts. What can't be read asks for nothing, and is returned.
-func restOf(h *fasthttp.ResponseHeader, now time.Time) (rest time.Duration, unread string) {
+func readRest(h *fasthttp.ResponseHeader, now time.Time) (rest time.Duration, unread string) {
 	for _, value := range h.PeekAll(fasthttp.HeaderRetryAfter) {
-		x, ok := parseRest(string(bytes.TrimSpace(value)), dateOf(h, now))
+		x, ok := parseRest(string(bytes.TrimSpace(value)), responseDate(h, now))
 		if !ok {
-			unread = string(value[:min(len(value), maxUnread)])
+			unread = string(value[:min(len(value), maxUnreadableBytes)])
 			continue
 		}
 		rest = max(rest, x)
@@ -47,9 +47,9 @@
 	return max(0, min(until.Sub(now), maxRest)), true
 }
 
-// dateOf is when an answer was made by its target's clock, which a date in it goes by, or this
+// responseDate is when an answer was made by its target's clock, which a date in it goes by, or this
 // box's time where the answer doesn't say.
-func dateOf(h *fasthttp.ResponseHeader, now time.Time) time.Time {
+func responseDate(h *fasthttp.ResponseHeader, now time.Time) time.Time {
 	if date, err := fasthttp.ParseHTTPDate(h.Peek(fasthttp.HeaderDate)); err == nil {
 		return date
 	}
--- a/pkg/target/rest_test.go
+++ b/pkg/target/rest_test.go
@@ -14,7 +14,7 @@
 // said of itself: for how long it wants rest, whether it leaves, the limit that it names, and what couldn't be read.
 func TestNotices(t *testing.T) {
 	datadriven.RunTest(t, "testdata/notices", func(t *testing.T, d *datadriven.TestData) string {
-		target := startAnswers(t, d.Input+"\n")
+		target := startStubTarget(t, d.Input+"\n")
 		pools := newTestPools()
 		pools.settings.LeavingHeader = "X-Leaving"
 		pools.settings.LimitHeader = "X-Limit"
@@ -33,10 +33,10 @@
 		a.Request.Header.Set("X-Call", "call-1")
 		result, streaming := a.Run()
 		if streaming {
-			defer a.end()
+			defer a.finish()
 		}
 		return fmt.Sprintf(
-			"%s: rest %s, leaving %t%s, unread %q\n", result, a.Reading.Rest, a.Reading.Leaving, describeLimit(a.Reading.Limit, a.UnreadLimit), a.UnreadRest,
+			"%s: rest %s, leaving %t%s, unread %q\n", result, a.Reading.Rest, a.Reading.Leaving, describeLimit(a.Reading.Limit, a.UnreadableLimit), a.UnreadableRest,
 		)
 	})
 }
@@ -75,15 +75,15 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			target := startAnswers(t, `HTTP/1.1 200 OK\nContent-Length: 0\n\n`+"\n")
+			target := startStubTarget(t, `HTTP/1.1 200 OK\nContent-Length: 0\n\n`+"\n")
 			pools := newTestPools()
 			now := pools.clock.Now()
 			x := &routing.Effect{
 				Endpoint: &routing.Endpoint{Service: "s", Target: "t", Address: target.listener.Addr().String()},
 				Deadline: now.Add(10 * time.Second), NotAfter: now.Add(time.Minute), PermitUntil: now.Add(s.permit),
 			}
-			pools.Withhold(x.Endpoint, Withholding{Calls: now.Add(time.Minute), Probes: now.Add(time.Minute)})
-			pools.Withhold(x.Endpoint, Withholding{Calls: now.Add(s.calls), Probes: now.Add(s.probes), Limited: s.limited})
+			pools.Withhold(x.Endpoint, Withholding{CallsUntil: now.Add(time.Minute), ProbesUntil: now.Add(time.Minute)})
+			pools.Withhold(x.Endpoint, Withholding{CallsUntil: now.Add(s.calls), ProbesUntil: now.Add(s.probes), Limited: s.limited})
 			a := pools.NewAttempt(x)
 			defer a.Release()
 			a.Request.SetRequestURI("/")
@@ -91,10 +91,10 @@
 			if result, _ := a.Run(); result != s.call {
 				t.Errorf("a call was %s, not %s", result, s.call)
 			}
-			if pools.kept() != 1 {
-				t.Errorf("%d connections were kept", pools.kept())
+			if pools.idleCount() != 1 {
+				t.Errorf("%d connections were kept", pools.idleCount())
 			}
-			if v := newTestPoolsLike(pools).Probe(x); v.Healthy != s.probed || v.Unreachable {
+			if v := newTestPoolsWithWithheldOf(pools).Probe(x); v.Healthy != s.probed || v.Unreachable {
 				t.Errorf("a probe found it healthy: %t, unreachable: %t", v.Healthy, v.Unreachable)
 			}
 			pools.CloseIdle()
@@ -107,7 +107,7 @@
 
 // A choice that is out of date isn't sent, and leaves nothing on its connection for the next call.
 func TestNothingIsSentOnAnOldChoice(t *testing.T) {
-	target := startAnswers(t, `HTTP/1.1 200 OK\nX-Call: call-2\nContent-Length: 0\n\n`+"\n")
+	target := startStubTarget(t, `HTTP/1.1 200 OK\nX-Call: call-2\nContent-Length: 0\n\n`+"\n")
 	pools := newTestPools()
 	address := target.listener.Addr().String()
 	now := pools.clock.Now()
@@ -116,8 +116,8 @@
 	})
 	a.Request.SetRequestURI("/")
 	a.Request.Header.SetHost("s")
-	if result, _ := a.Run(); result != routing.NotSent || pools.kept() != 1 {
-		t.Errorf("the call was %s, and %d connections were kept", result, pools.kept())
+	if result, _ := a.Run(); result != routing.NotSent || pools.idleCount() != 1 {
+		t.Errorf("the call was %s, and %d connections were kept", result, pools.idleCount())
 	}
 	a.Release()
 	if got := callOnce(pools, address, "call-2", false); got != `answered "", connections kept: 1` {
@@ -125,8 +125,8 @@
 	}
 }
 
-// newTestPoolsLike returns pools without connections that keep the same from targets.
-func newTestPoolsLike(p *Pools) *Pools {
+// newTestPoolsWithWithheldOf returns pools without connections that keep the same from targets.
+func newTestPoolsWithWithheldOf(p *Pools) *Pools {
 	fresh := newTestPools()
 	for x, w := range p.withheld {
 		fresh.Withhold(x, w)
--- a/pkg/target/silent_test.go
+++ b/pkg/target/silent_test.go
@@ -11,7 +11,7 @@
 // then nothing more: the next call on it gets no answer, ends as broken when it is given up,
 // and the connection is closed. The call after that gets another one.
 func TestASilentConnectionIsNeverUsedAgain(t *testing.T) {
-	target := startAnswers(t, `HTTP/1.1 200 OK\nContent-Length: 0\n\n`+"\n")
+	target := startStubTarget(t, `HTTP/1.1 200 OK\nContent-Length: 0\n\n`+"\n")
 	pools := newTestPools()
 	address := target.listener.Addr().String()
 	if got := callOnce(pools, address, "", false); got != `answered "", connections kept: 1` {
@@ -46,7 +46,7 @@
 // TestAProbeOfASilentConnectionEnds has the target fall silent on the connection that a probe
 // takes: the probe ends by itself, and isn't taken for one that reached nobody.
 func TestAProbeOfASilentConnectionEnds(t *testing.T) {
-	target := startAnswers(t, `HTTP/1.1 200 OK\nContent-Length: 0\n\n`+"\n")
+	target := startStubTarget(t, `HTTP/1.1 200 OK\nContent-Length: 0\n\n`+"\n")
 	pools := newTestPools()
 	pools.settings.ConnectTimeout = 100 * time.Millisecond
 	address := target.listener.Addr().String()
--- a/pkg/target/stream.go
+++ b/pkg/target/stream.go
@@ -13,7 +13,7 @@
 	return &stream{
 		attempt: a,
 		reader:  io.MultiReader(bytes.NewReader(a.prefix), a.Response.BodyStream()),
-		ended:   ended,
+		onEnd:   ended,
 	}
 }
 
@@ -21,7 +21,7 @@
 type stream struct {
 	attempt *Attempt
 	reader  io.Reader
-	ended   func(routing.AttemptResult)
+	onEnd   func(routing.AttemptResult)
 	result  routing.AttemptResult
 	closed  bool
 }
@@ -32,7 +32,7 @@
 	switch {
 	case err == io.EOF:
 		s.result = s.attempt.classify()
-		s.attempt.whole = true
+		s.attempt.complete = true
 	case err != nil:
 		s.result = routing.Broken
 	}
@@ -49,8 +49,8 @@
 		// The caller stopped reading.
 		s.result = routing.Canceled
 	}
-	s.attempt.end()
-	s.ended(s.result)
+	s.attempt.finish()
+	s.onEnd(s.result)
 	s.attempt.Release()
 	return nil
 }
--- a/pkg/target/withhold.go
+++ b/pkg/target/withhold.go
@@ -12,15 +12,15 @@
 
 // Withholding says what is kept from a target that hasn't been sent.
 type Withholding struct {
-	// Calls and Probes are until when calls and probes are.
-	Calls, Probes units.Instant
+	// CallsUntil and ProbesUntil are until when calls and probes are.
+	CallsUntil, ProbesUntil units.Instant
 	// Limited is set while the target names a limit: what goes without a permit is kept from it.
 	Limited bool
 }
 
-// isOver tells whether nothing is kept from the target any more.
-func (w *Withholding) isOver(now units.Instant) bool {
-	return !w.Limited && max(w.Calls, w.Probes) <= now
+// isExpired tells whether nothing is kept from the target any more.
+func (w *Withholding) isExpired(now units.Instant) bool {
+	return !w.Limited && max(w.CallsUntil, w.ProbesUntil) <= now
 }
 
 // Withhold keeps calls and probes that haven't been sent from a target. It takes the place of what was
@@ -32,8 +32,8 @@
 	p.anyWithheld.Store(true)
 }
 
-// withheld tells whether nothing of an attempt may be sent now.
-func (a *Attempt) withheld() bool {
+// isWithheld tells whether nothing of an attempt may be sent now.
+func (a *Attempt) isWithheld() bool {
 	p := a.pools
 	if !p.anyWithheld.Load() {
 		return false
@@ -45,15 +45,15 @@
 	if w.Limited && now >= a.permitUntil {
 		return true
 	}
-	if a.probe {
-		return now < w.Probes
+	if a.isProbe {
+		return now < w.ProbesUntil
 	}
-	return now < w.Calls
+	return now < w.CallsUntil
 }
 
-// dropWithheld forgets what is over. It is called with the lock held.
-func (p *Pools) dropWithheld() {
+// dropExpiredWithheld forgets what is over. It is called with the lock held.
+func (p *Pools) dropExpiredWithheld() {
 	now := p.clock.Now()
-	maps.DeleteFunc(p.withheld, func(_ *routing.Endpoint, w Withholding) bool { return w.isOver(now) })
+	maps.DeleteFunc(p.withheld, func(_ *routing.Endpoint, w Withholding) bool { return w.isExpired(now) })
 	p.anyWithheld.Store(len(p.withheld) > 0)
 }
