--- a/pkg/target/answer.go
+++ b/pkg/target/answer.go
@@ -11,14 +11,16 @@
 	"github.com/madderpond/madderpond/pkg/core/routing"
 )
 
+// readResponse reads the response, or as much of it as is buffered, and reports whether its body
+// is to be streamed.
 func (a *Attempt) readResponse(c *conn) (routing.AttemptResult, bool) {
 	if !a.readOwnResponse(c) {
 		return routing.Broken, false
 	}
 	r := a.Response
 	if r.Header.ContentLength() < -1 && !a.hasNoBody() {
-		// An answer without a length can't be told from one that was cut short, unless
-		// targets are known to reset what they cut.
+		// A response without a length can't be told from a truncated one, unless targets are
+		// known to reset the connections of responses that they truncate.
 		if !a.pools.settings.AllowUnframed {
 			return routing.Broken, false
 		}
@@ -31,12 +33,11 @@
 	return a.readBody()
 }
 
-// maxStaleResponses is how many answers to earlier calls may come before the call's own.
+// maxStaleResponses is how many responses to earlier calls may precede the call's own.
 const maxStaleResponses = 3
 
-// readOwnResponse reads the head of the call's own answer, and the body if it is short.
-// Answers that name another call are passed over; the connection isn't used again
-// after one.
+// readOwnResponse reads the head of the call's own response, and the body if it is short.
+// It discards responses that name another call; the connection isn't reused after one.
 func (a *Attempt) readOwnResponse(c *conn) bool {
 	r := a.Response
 	for range maxStaleResponses + 1 {
@@ -61,7 +62,7 @@
 	return false
 }
 
-// isOwnResponse tells whether the answer names the call that was sent.
+// isOwnResponse reports whether the response names the call that was sent.
 func (a *Attempt) isOwnResponse() bool {
 	header := a.pools.settings.CallIDHeader
 	if header == "" {
@@ -71,32 +72,33 @@
 	return len(sent) == 0 || bytes.Equal(sent, a.Response.Header.Peek(header))
 }
 
-// hasNoBody tells whether the answer has no body whatever its head says.
+// hasNoBody reports whether the response has no body, whatever its head says.
 func (a *Attempt) hasNoBody() bool {
 	code := a.Response.StatusCode()
 	return a.Response.SkipBody || code == fasthttp.StatusNoContent || code == fasthttp.StatusNotModified
 }
 
-// largePrefixBytes is how much of a large answer must have come before it is passed on. A target
-// that fails before has cost the caller nothing, since the call can still go elsewhere; more
-// would hold the answer up for longer and take more memory, of which boxes have little.
+// largePrefixBytes is how much of a large response is buffered before it is streamed to the
+// caller. If the target fails before that, the call can still be sent elsewhere. A larger prefix
+// would delay the response and need more memory, which is scarce on boxes.
 const largePrefixBytes = 16 << 10
 
-// maxPrefixBytes is how much of the answer is read before it is passed on. A failed answer of
-// a route with large ones is held as others are, since the call may be tried elsewhere.
+// maxPrefixBytes returns how much of the response is buffered before it is streamed. A failed
+// response of a route with large responses is buffered like that of any other route, since the
+// call may be retried elsewhere.
 func (a *Attempt) maxPrefixBytes() int {
-	most := a.pools.settings.MaxBufferedBytes
+	limit := a.pools.settings.MaxBufferedBytes
 	if a.largeResponse && a.Response.Header.ContentLength() >= chunkedContentLength && a.classify() == routing.Answered {
-		return min(most, largePrefixBytes)
+		return min(limit, largePrefixBytes)
 	}
-	return most
+	return limit
 }
 
-// chunkedContentLength is the content length of an answer in chunks; that of one whose end is the
-// end of its connection lies below.
+// chunkedContentLength is what fasthttp returns as the content length of a chunked response. For
+// a response that ends with its connection it returns less.
 const chunkedContentLength = -1
 
-// readBody reads up to as much as is buffered; a longer body is streamed.
+// readBody reads the body up to the buffer limit; a longer one is streamed.
 func (a *Attempt) readBody() (routing.AttemptResult, bool) {
 	limit := a.maxPrefixBytes()
 	if !a.largeResponse && a.Response.Header.ContentLength() > limit {
@@ -116,18 +118,19 @@
 	return routing.Broken, false
 }
 
-// classifyLong has an answer streamed that is too long to be held. One that sheds the call, or may
-// be taken for a promise that the call hasn't run, isn't for the caller whatever its length.
+// classifyLong classifies a response that is too long to be buffered, and reports whether it is
+// streamed. One that sheds the call, or that may mean that the call wasn't executed, isn't passed
+// to the caller whatever its length.
 func (a *Attempt) classifyLong() (routing.AttemptResult, bool) {
 	result := a.classify()
 	return result, result == routing.Answered || result == routing.Failed
 }
 
-// IsComplete tells whether the answer has come to its end.
+// IsComplete reports whether the response has been read to its end.
 func (a *Attempt) IsComplete() bool { return a.complete }
 
-// RemainingBytes is how many bytes of a streamed answer are still to come; negative when it doesn't
-// say how long it is.
+// RemainingBytes returns how many bytes of a streamed response are still to be read; it is
+// negative if the response has no content length.
 func (a *Attempt) RemainingBytes() int {
 	length := a.Response.Header.ContentLength()
 	if length < 0 {
@@ -136,9 +139,10 @@
 	return length - len(a.prefix)
 }
 
-// Body returns the whole body of an answer that isn't streamed.
+// Body returns the complete body of a response that isn't streamed.
 func (a *Attempt) Body() []byte { return a.prefix }
 
+// classify returns the result that the response stands for.
 func (a *Attempt) classify() routing.AttemptResult {
 	s := &a.pools.settings
 	code := a.Response.StatusCode()
@@ -157,7 +161,7 @@
 	return routing.Answered
 }
 
-// notExecutedStatuses are the statuses by which an answer may promise that the call hasn't run.
+// notExecutedStatuses are the statuses that callers may take to mean that a call wasn't executed.
 var notExecutedStatuses = map[int]bool{
 	fasthttp.StatusRequestTimeout:     true,
 	fasthttp.StatusMisdirectedRequest: true,
@@ -165,25 +169,27 @@
 	fasthttp.StatusServiceUnavailable: true,
 }
 
+// readLoad reads the load that the target reports, and keeps what readNotice has read.
 func (a *Attempt) readLoad() {
 	h := &a.Response.Header
-	said := a.Reading
+	notice := a.Reading
 	a.Reading = parseReading(string(h.Peek(a.pools.settings.LoadHeader)))
-	a.Reading.Rest, a.Reading.Leaving, a.Reading.Limit = said.Rest, said.Leaving, said.Limit
+	a.Reading.Rest, a.Reading.Leaving, a.Reading.Limit = notice.Rest, notice.Leaving, notice.Limit
 	if header := a.pools.settings.ColdHeader; header != "" {
 		a.Reading.Cold = parseColdRemaining(string(h.Peek(header)))
 	}
 }
 
-// readNotice reads whether the target asks for rest, leaves or names a limit. The answer to another call tells it
-// as well: what comes on a connection comes from one start of a target.
+// readNotice reads whether the target asks for rest, is leaving or names a limit. A response to
+// another call counts as well, since all responses on a connection come from the same target
+// process.
 func (a *Attempt) readNotice() {
 	h := &a.Response.Header
 	if header := a.pools.settings.LeavingHeader; header != "" && parseLeaving(h.Peek(header)) {
 		a.Reading.Leaving = true
 	}
 	if header := a.pools.settings.LimitHeader; header != "" {
-		// Of several answers the last one says what holds now.
+		// Of several responses the last one is in force.
 		a.Reading.Limit, a.UnreadableLimit = readLimit(h, header)
 	}
 	if a.Response.StatusCode() != fasthttp.StatusServiceUnavailable && a.classify() != routing.Shed {
--- a/pkg/target/attempt.go
+++ b/pkg/target/attempt.go
@@ -15,50 +15,53 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Attempt is one send of a call to a target. Run is called once; Cancel may be
-// called at any time from anywhere.
+// Attempt is one send of a call to a target. Run is called once; Cancel may be called at any
+// time from any goroutine.
 type Attempt struct {
 	pools    *Pools
 	endpoint *routing.Endpoint
 	deadline units.Instant
+	// notAfter is when the selection of the target expires: from then on nothing may be sent.
 	notAfter units.Instant
-	// permitUntil is until when the attempt may begin if the target names a limit.
+	// permitUntil is until when the attempt may be sent if the target names a limit.
 	permitUntil    units.Instant
 	maxConnections int
-	// idleTimeout is how long the connection may have rested.
+	// idleTimeout is how long a reused connection may have been idle.
 	idleTimeout time.Duration
-	// LatencyObjective is the aim of the call's route; zero means none.
+	// LatencyObjective is that of the call's route; zero means none.
 	LatencyObjective time.Duration
-	// largeResponse is set where the route's answers are large: they pass through as they come.
+	// largeResponse is set where the route has large responses, which are streamed early.
 	largeResponse bool
-	// Request is the attempt's own copy.
+	// Request is the attempt's own copy of the call's request.
 	Request  *fasthttp.Request
 	Response *fasthttp.Response
-	// Reading is what the target said of itself.
+	// Reading is the load and notice that the target reported.
 	Reading routing.Reading
-	// UnreadableRest is what the target wrote where it may ask for rest, if that can't be read.
+	// UnreadableRest is the header value of a request for rest that couldn't be parsed.
 	UnreadableRest string
-	// UnreadableLimit is what the target wrote where it names its limit, if that can't be read.
+	// UnreadableLimit is the header value of a limit that couldn't be parsed.
 	UnreadableLimit string
-	// Refused is set when the target's host refused the connection.
+	// Refused is set if the target's host refused the connection.
 	Refused bool
 
 	lock     sync.Mutex
 	conn     *conn
 	canceled bool
-	// cancelDial ends the opening of a connection, while there is one.
-	cancelDial    context.CancelFunc
+	// cancelDial cancels the dialing of a new connection, if there is one.
+	cancelDial context.CancelFunc
+	// writtenBefore is how many bytes had been written to the connection before the attempt.
 	writtenBefore int64
 	complete      bool
-	// isProbe is set for a isProbe of load and health.
+	// isProbe is set for a probe of load and health.
 	isProbe bool
-	// unusable is set when the connection can't be used again: an answer to another
-	// call came on it, or it ended with this answer.
+	// unusable is set if the connection can't be reused: it carried a response to another
+	// call, or it ends with this response.
 	unusable bool
-	prefix   []byte
+	// prefix is the buffered beginning of the body, or all of it.
+	prefix []byte
 }
 
-// NewAttempt returns an attempt that hasn't begun.
+// NewAttempt returns an attempt that hasn't been sent.
 func (p *Pools) NewAttempt(x *routing.Effect) *Attempt {
 	idleLimit := p.settings.IdleTimeout
 	if x.Once {
@@ -71,7 +74,7 @@
 	}
 }
 
-// Release gives the attempt's buffers back; nothing of it may be used any more.
+// Release returns the attempt's buffers to their pools; the attempt must not be used afterwards.
 func (a *Attempt) Release() {
 	fasthttp.ReleaseRequest(a.Request)
 	a.Response.CloseBodyStream()
@@ -79,10 +82,10 @@
 	a.Request, a.Response = nil, nil
 }
 
-// Endpoint is the target that the attempt goes to.
+// Endpoint returns the target of the attempt.
 func (a *Attempt) Endpoint() *routing.Endpoint { return a.endpoint }
 
-// Cancel cuts the attempt's connection; the target sees that nobody waits.
+// Cancel closes the attempt's connection, so that the target sees that nobody waits for it.
 func (a *Attempt) Cancel() {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -95,14 +98,14 @@
 	}
 }
 
-// Canceled tells whether Cancel was called.
+// Canceled reports whether Cancel was called.
 func (a *Attempt) Canceled() bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	return a.canceled
 }
 
-// attach ties a connection to the attempt, unless it was canceled meanwhile.
+// attach sets the connection that Cancel closes; false means that the attempt was canceled.
 func (a *Attempt) attach(c *conn) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -113,7 +116,7 @@
 	return true
 }
 
-// detach takes the connection away; false means that it was cut.
+// detach clears the connection that Cancel closes; false means that Cancel has closed it.
 func (a *Attempt) detach() bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -121,14 +124,14 @@
 	return !a.canceled
 }
 
-// Run sends the request and reads the answer, or its beginning. When streaming
-// is true the answer's body goes on in Stream, and the attempt ends there.
+// Run sends the request and reads the response, or its beginning. If streaming is true, the
+// caller must read the body from Stream, and the attempt ends when that is closed.
 func (a *Attempt) Run() (result routing.AttemptResult, streaming bool) {
-	left := a.pools.clock.Until(a.deadline)
-	if left <= 0 || a.Canceled() {
+	remaining := a.pools.clock.Until(a.deadline)
+	if remaining <= 0 || a.Canceled() {
 		return routing.NotSent, false
 	}
-	c := a.connect(left)
+	c := a.connect(remaining)
 	if c == nil {
 		return routing.NotSent, false
 	}
@@ -144,13 +147,13 @@
 	return result, false
 }
 
-// connect returns an idle connection or opens a new one; nil when there is none
-// to be had, or the attempt was canceled meanwhile.
-func (a *Attempt) connect(left time.Duration) *conn {
+// connect returns an idle connection or opens a new one. It returns nil if dialing fails or the
+// attempt is canceled.
+func (a *Attempt) connect(remaining time.Duration) *conn {
 	if c := a.pools.takeIdle(a.endpoint.Address, a.idleTimeout); c != nil {
 		return c
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), min(left, a.pools.settings.ConnectTimeout))
+	ctx, cancel := context.WithTimeout(context.Background(), min(remaining, a.pools.settings.ConnectTimeout))
 	defer cancel()
 	a.lock.Lock()
 	a.cancelDial = cancel
@@ -167,7 +170,7 @@
 	return c
 }
 
-// exchange does the sending and reading on a connection.
+// exchange writes the request and reads the response on a connection.
 func (a *Attempt) exchange(c *conn) (routing.AttemptResult, bool) {
 	c.raw.SetDeadline(a.pools.clock.Time(a.deadline))
 	a.writtenBefore = c.raw.written
@@ -176,7 +179,7 @@
 		if c.raw.written > a.writtenBefore {
 			return routing.Broken, false
 		}
-		// Nothing of it is left in the buffer for the connection's next user.
+		// The buffer must not pass the unsent request to the connection's next user.
 		c.writer.Reset(c.raw)
 		if errors.Is(err, errWithheld) {
 			return routing.Withheld, false
@@ -187,13 +190,13 @@
 }
 
 var (
-	errSelectionExpired = errors.New("the choice of the target is out of date")
-	errWithheld         = errors.New("the target wants nothing now")
+	errSelectionExpired = errors.New("the selection of the target has expired")
+	errWithheld         = errors.New("the target has asked for no more sends")
 )
 
-// checkBeforeSend looks once more whether the attempt's first byte may be written: the table that the
-// choice rests on may have run out, or the target may have asked for rest, while a connection
-// was made or while the whole process stood still.
+// checkBeforeSend checks once more whether the attempt's first byte may be written. While a
+// connection was opened, or while the whole process was paused, the table that the selection is
+// based on may have expired or the target may have asked for rest.
 func (a *Attempt) checkBeforeSend() error {
 	if a.pools.clock.Now() >= a.notAfter {
 		return errSelectionExpired
@@ -204,19 +207,19 @@
 	return nil
 }
 
-// setHeaders adds what the target has to know. A probe goes without: it is as small as
-// it can be, and its answer says who answered.
+// setHeaders adds the deadline and the target's id. A probe has neither: it is kept as small as
+// possible, and its response names the target that sent it.
 func (a *Attempt) setHeaders() {
 	if a.isProbe {
 		return
 	}
-	left := a.pools.clock.Until(a.deadline).Milliseconds()
-	a.Request.Header.Set(a.pools.settings.DeadlineHeader, strconv.FormatInt(max(1, left), 10))
+	remaining := a.pools.clock.Until(a.deadline).Milliseconds()
+	a.Request.Header.Set(a.pools.settings.DeadlineHeader, strconv.FormatInt(max(1, remaining), 10))
 	a.setTargetHeader()
 }
 
-// setTargetHeader tells a registered target which one is meant, since its address may
-// belong to another one by now.
+// setTargetHeader adds the id of a registered target, since its address may belong to another
+// target by now.
 func (a *Attempt) setTargetHeader() {
 	if header := a.pools.settings.IdentityHeader; header != "" && a.endpoint.Registered {
 		a.Request.Header.Set(header, string(a.endpoint.Target))
@@ -231,23 +234,23 @@
 	return c.writer.Flush()
 }
 
-// finish gives the connection back if nothing is owed on it, and closes it
+// finish returns the connection to the pool if no response is outstanding on it, and closes it
 // otherwise.
 func (a *Attempt) finish() {
 	c := a.conn
-	untouched := c.raw.written == a.writtenBefore
+	unsent := c.raw.written == a.writtenBefore
 	reusable := a.complete && !a.unusable && !a.Response.ConnectionClose() && c.reader.Buffered() == 0
 	a.Response.CloseBodyStream()
 	c.keepAliveTimeout = parseKeepAlive(&a.Response.Header)
-	if a.detach() && (reusable || untouched) {
+	if a.detach() && (reusable || unsent) {
 		a.pools.putIdle(a.endpoint, c, a.maxConnections)
 		return
 	}
 	a.pools.close(a.endpoint.Address, c)
 }
 
-// parseKeepAlive is how long a target says that it keeps the connection: "timeout=5, max=100"
-// means five seconds.
+// parseKeepAlive returns for how long the target keeps an idle connection open, by the Keep-Alive
+// header: "timeout=5, max=100" means five seconds. It returns zero if the header doesn't say.
 func parseKeepAlive(h *fasthttp.ResponseHeader) time.Duration {
 	for _, parameter := range strings.Split(string(h.Peek(keepAliveHeader)), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -263,7 +266,7 @@
 
 const keepAliveHeader = "Keep-Alive"
 
-// Discard gives up an answer that nobody wants any more.
+// Discard ends an attempt whose response is no longer wanted.
 func (a *Attempt) Discard() {
 	a.finish()
 	a.Release()
--- a/pkg/target/attempt_test.go
+++ b/pkg/target/attempt_test.go
@@ -18,10 +18,9 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// stubTarget is a stand-in target that gives each request on a connection the next of the
-// stubTarget it was told, as raw bytes; "RESET" and "CLOSE" on a line of their own end the
-// connection, a line "BYTES N" stands for so many bytes, and a line "LATER" keeps what follows
-// for the next request.
+// stubTarget is a target that answers each request on a connection with the next part of a
+// script, as raw bytes. In a script, the lines "RESET" and "CLOSE" end the connection, a line
+// "BYTES N" stands for N bytes, and a line "LATER" begins the part for the next request.
 type stubTarget struct {
 	listener net.Listener
 	script   string
@@ -72,7 +71,7 @@
 			io.WriteString(conn, strings.ReplaceAll(strings.ReplaceAll(line, "\n", ""), `\n`, "\r\n"))
 		}
 	}
-	// What follows isn't answered, but the connection stays open.
+	// Later requests get no response, but the connection stays open.
 	io.Copy(io.Discard, reader)
 }
 
@@ -88,8 +87,8 @@
 	}, clock.NewClock())
 }
 
-// TestAnswers sends calls to a stand-in that answers as the files in testdata say, and
-// prints what each came to and whether its connection may be used again.
+// TestAnswers sends calls to a stub target that follows the files in testdata, and prints the
+// result of each call and whether its connection was kept for reuse.
 func TestAnswers(t *testing.T) {
 	datadriven.Walk(t, "testdata/answers", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -131,8 +130,8 @@
 	return text
 }
 
-// A connection that has rested may have been forgotten by its target. Work that may be
-// sent again uses it all the same; work that must not run twice gets another.
+// A target may have dropped a connection that was idle for long. Work that may be sent again uses
+// it all the same; work that must not run twice gets another connection.
 func TestOnceWorkUsesNoConnectionThatHasRested(t *testing.T) {
 	for _, once := range []bool{false, true} {
 		target := startStubTarget(t, `HTTP/1.1 200 OK\nX-Call: call-1\nContent-Length: 0\n\n`+"\nLATER\nRESET\n")
@@ -198,7 +197,7 @@
 	return fmt.Sprintf("streamed %d bytes, cut short: %t, %s, connections kept: %d", len(body), err != nil, ended, pools.idleCount())
 }
 
-// idleCount counts the idle connections.
+// idleCount returns the number of idle connections.
 func (p *Pools) idleCount() int {
 	n := 0
 	for _, s := range p.Status() {
--- a/pkg/target/conn.go
+++ b/pkg/target/conn.go
@@ -1,5 +1,5 @@
-// Package target is the shell towards the targets: connections, sends, probes.
-// It decides nothing; what a send came to goes back to the core as it is.
+// Package target does the I/O with targets: connections, sends and probes. It makes no routing
+// decisions; the result of each send is returned to the core unchanged.
 package target
 
 import (
@@ -12,22 +12,22 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// countingConn counts the bytes handed to the network, so that a send which
-// failed before its first byte can be told from one that may have arrived.
+// countingConn counts the bytes written to the network, so that a send that failed before its
+// first byte can be told from one that may have reached the target.
 type countingConn struct {
 	net.Conn
 	written int64
-	// beforeWrite is asked once, right before the next byte, whether that may still be written; nil asks
-	// nobody. A process may stand still at any moment: the less time there is between the beforeWrite and
-	// the write, the seldomer it writes what was decided long ago.
+	// beforeWrite is called once, right before the next write, which fails with its error; nil
+	// means no check. The process may be paused at any moment, so the check is made as close to
+	// the write as possible, to seldom send what was decided long ago.
 	beforeWrite func() error
 }
 
-// Write counts what the network took; a failed write reports that too.
+// Write counts the bytes written, also those of a write that fails midway.
 func (c *countingConn) Write(p []byte) (int, error) {
-	if look := c.beforeWrite; look != nil {
+	if check := c.beforeWrite; check != nil {
 		c.beforeWrite = nil
-		if err := look(); err != nil {
+		if err := check(); err != nil {
 			return 0, err
 		}
 	}
@@ -36,18 +36,19 @@
 	return n, err
 }
 
-// conn is a connection to a target. It is used by one attempt at a time, and
-// never again once an answer on it is owed.
+// conn is a connection to a target. It is used by one attempt at a time, and never reused while
+// a response on it is outstanding.
 type conn struct {
 	raw       *countingConn
 	reader    *bufio.Reader
 	writer    *bufio.Writer
 	idleSince units.Instant
-	// keepAliveTimeout is how long the target said that it keeps the connection; zero when it
-	// didn't say.
+	// keepAliveTimeout is for how long the target keeps the connection open while it is idle;
+	// zero if it didn't say.
 	keepAliveTimeout time.Duration
 }
 
+// bufferSize is the size in bytes of the read buffer and of the write buffer of a connection.
 const bufferSize = 4 << 10
 
 func newConn(raw net.Conn) *conn {
@@ -59,8 +60,8 @@
 	}
 }
 
-// isUsable tells whether an idle connection is still open and silent. It looks at
-// the socket without waiting.
+// isUsable reports whether an idle connection is open and has no unread input. It checks the
+// socket without blocking.
 func (c *conn) isUsable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -68,17 +69,16 @@
 	return isOpen(c.raw.Conn) && !hasInput(c.raw.Conn)
 }
 
-// isNearKeepAliveEnd tells whether the target may be about to close a connection that rests since
-// it was last used.
+// isNearKeepAliveEnd reports whether the target may be about to close an idle connection.
 func (c *conn) isNearKeepAliveEnd(now units.Instant) bool {
 	return c.keepAliveTimeout > 0 && now.Sub(c.idleSince) > c.keepAliveTimeout-keepAliveMargin
 }
 
-// keepAliveMargin is left of the time that a target keeps a connection: what is sent in
-// the last moment meets its close.
+// keepAliveMargin is how long before the end of a target's keep-alive timeout a connection is no
+// longer reused: a request sent in the last moment could meet the target's close.
 const keepAliveMargin = time.Second
 
-// IsOpen tells whether the other side of a connection hasn't hung up.
+// IsOpen reports whether the peer hasn't closed a connection.
 func IsOpen(c net.Conn) bool { return isOpen(c) }
 
 func isOpen(c net.Conn) bool {
@@ -94,8 +94,8 @@
 	return err == nil && n > 0
 }
 
-// peek looks at the first byte that has come in, without taking it or waiting
-// for it.
+// peek reads the first received byte without consuming it or waiting for it. It returns zero
+// without an error if the peer has closed the connection.
 func peek(c net.Conn) (n int, err error) {
 	holder, ok := c.(syscall.Conn)
 	if !ok {
@@ -107,8 +107,8 @@
 	}
 	var b [1]byte
 	var peekErr error
-	// Control, unlike Read, doesn't mind the connection's read deadline, which may
-	// have passed while a call was under way.
+	// Control, unlike Read, ignores the connection's read deadline, which may have expired while
+	// a call was in flight.
 	err = raw.Control(func(fd uintptr) {
 		n, _, peekErr = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
--- a/pkg/target/limit.go
+++ b/pkg/target/limit.go
@@ -12,27 +12,28 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// readLimit reads how many calls a second a target takes from all boxes together. Where it says so
-// several times the least counts. What can't be read is returned: it names no limit, and ends none.
-func readLimit(h *fasthttp.ResponseHeader, header string) (said routing.SaidLimit, unread string) {
+// readLimit reads how many calls per second a target accepts from all boxes together. Of several
+// header values the lowest applies. A value that can't be parsed is returned as unreadable: it
+// neither sets a limit nor ends one.
+func readLimit(h *fasthttp.ResponseHeader, header string) (limit routing.SaidLimit, unreadable string) {
 	for _, value := range h.PeekAll(header) {
 		rate, ok := parseLimit(string(bytes.TrimSpace(value)))
 		switch {
 		case !ok:
-			unread = string(value[:min(len(value), maxUnreadableBytes)])
-			said.Unread = true
-		case !said.Named || rate < said.Rate:
-			said.Named, said.Rate = true, rate
+			unreadable = string(value[:min(len(value), maxUnreadableBytes)])
+			limit.Unread = true
+		case !limit.Named || rate < limit.Rate:
+			limit.Named, limit.Rate = true, rate
 		}
 	}
-	return said, unread
+	return limit, unreadable
 }
 
-// decimalChars are the characters of decimalChars numbers; what else the parser of numbers takes, such as
-// hexadecimal ones and infinity, is no limit.
+// decimalChars are the characters of decimal numbers. ParseFloat accepts other forms as well, such
+// as hexadecimal numbers and infinity, which aren't valid limits.
 const decimalChars = "+-.0123456789eE"
 
-// parseLimit reads a decimal number of calls a second that isn't less than none.
+// parseLimit parses a decimal number of calls per second that isn't negative.
 func parseLimit(text string) (units.CallRate, bool) {
 	if strings.Trim(text, decimalChars) != "" {
 		return 0, false
@@ -41,6 +42,6 @@
 	if err != nil || x < 0 || math.IsInf(x, 0) {
 		return 0, false
 	}
-	// A negative zero is none too.
+	// A negative zero counts as zero.
 	return units.CallRate(math.Abs(x)), true
 }
--- a/pkg/target/pool.go
+++ b/pkg/target/pool.go
@@ -10,46 +10,50 @@
 	"github.com/madderpond/madderpond/pkg/core/routing"
 )
 
-// Settings are what the connections to targets need to know.
+// Settings configure the connections to targets and how their responses are read.
 type Settings struct {
 	ConnectTimeout time.Duration
 	IdleTimeout    time.Duration
-	// AtMostOnceIdleTimeout is how long a connection may have rested to carry work that must not run
-	// twice.
+	// AtMostOnceIdleTimeout is how long a connection may have been idle to carry work that must
+	// not run twice.
 	AtMostOnceIdleTimeout time.Duration
 	MaxBufferedBytes      int
-	ShedStatus            int
-	ShedHeader            string
-	LoadHeader            string
-	DeadlineHeader        string
-	ProbePath             string
-	// CallIDHeader names a call and its answer; empty compares nothing.
+	// ShedStatus is the status of responses that shed a call; zero means any.
+	ShedStatus     int
+	ShedHeader     string
+	LoadHeader     string
+	DeadlineHeader string
+	ProbePath      string
+	// CallIDHeader carries the id of a call in its request and its response; empty means that the
+	// ids aren't compared.
 	CallIDHeader string
-	// IdentityHeader names the registered target that is meant; empty sends none.
+	// IdentityHeader carries the id of the registered target in a request; empty sends none.
 	IdentityHeader string
-	// TargetHeader is where a target names itself in the answer to a probe.
+	// TargetHeader carries the id of the target in the response to a probe.
 	TargetHeader string
-	// ColdHeader is where a target says for how many milliseconds it stays cold; empty reads
+	// ColdHeader is where a target reports for how many milliseconds it stays cold; empty reads
 	// none.
 	ColdHeader string
-	// LeavingHeader is where a target says that it is about to end; empty reads none.
+	// LeavingHeader is where a target reports that it is about to stop; empty reads none.
 	LeavingHeader string
-	// LimitHeader is where a target names how many calls a second it takes from all boxes together;
-	// empty reads none.
+	// LimitHeader is where a target names how many calls per second it accepts from all boxes
+	// together; empty reads none.
 	LimitHeader string
-	// StatusMayMeanNotExecuted is set where some statuses promise that a call hasn't run.
+	// StatusMayMeanNotExecuted is set where callers take some statuses to mean that the target
+	// didn't execute the call; such responses aren't passed to them.
 	StatusMayMeanNotExecuted bool
-	// AllowUnframed lets answers count that end with their connection.
+	// AllowUnframed accepts responses whose end is the end of their connection.
 	AllowUnframed bool
 }
 
-// Pools keeps idle connections, an address each.
+// Pools keeps idle connections, in a pool for each address.
 type Pools struct {
 	settings  Settings
 	clock     *clock.Clock
 	lock      sync.Mutex
 	byAddress map[string]*pool
-	// withheld are the targets that want nothing; anyWithheld is set while there are any.
+	// withheld has the targets for which calls or probes are withheld; anyWithheld is set while
+	// there are any.
 	withheld    map[*routing.Endpoint]Withholding
 	anyWithheld atomic.Bool
 }
@@ -64,12 +68,12 @@
 	return &Pools{settings: s, clock: c, byAddress: map[string]*pool{}, withheld: map[*routing.Endpoint]Withholding{}}
 }
 
-// takeIdle returns an idle connection that is still alive and has rested for no longer than a
-// limit, or nil. Dead ones that it meets are closed, and those that their targets may
-// close any moment.
-func (p *Pools) takeIdle(address string, limit time.Duration) *conn {
+// takeIdle returns an idle connection that is still usable and has been idle for no longer than a
+// timeout, or nil. It closes the connections it finds that are dead or that their target may be
+// about to close.
+func (p *Pools) takeIdle(address string, timeout time.Duration) *conn {
 	for {
-		c := p.popIdle(address, limit)
+		c := p.popIdle(address, timeout)
 		if c == nil || c.isUsable() && !c.isNearKeepAliveEnd(p.clock.Now()) {
 			return c
 		}
@@ -77,23 +81,23 @@
 	}
 }
 
-func (p *Pools) popIdle(address string, limit time.Duration) *conn {
+func (p *Pools) popIdle(address string, timeout time.Duration) *conn {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	x := p.byAddress[address]
 	if x == nil || len(x.idle) == 0 {
 		return nil
 	}
-	// The last one has rested for the least time.
+	// The last one has been idle for the shortest time.
 	c := x.idle[len(x.idle)-1]
-	if p.clock.Now().Sub(c.idleSince) > limit {
+	if p.clock.Now().Sub(c.idleSince) > timeout {
 		return nil
 	}
 	x.idle = x.idle[:len(x.idle)-1]
 	return c
 }
 
-// open opens a new connection.
+// open dials a new connection.
 func (p *Pools) open(ctx context.Context, address string) (*conn, error) {
 	c, err := dial(ctx, address)
 	if err != nil {
@@ -114,14 +118,14 @@
 	return x
 }
 
-// putIdle gives a connection back on which nothing is owed. It is closed when the
-// box has as many open as it may.
-func (p *Pools) putIdle(e *routing.Endpoint, c *conn, connections int) {
+// putIdle returns a connection without an outstanding response to its pool. It closes the
+// connection if more than maxConnections to the address are open; zero means no maximum.
+func (p *Pools) putIdle(e *routing.Endpoint, c *conn, maxConnections int) {
 	c.raw.SetDeadline(time.Time{})
 	c.idleSince = p.clock.Now()
 	p.lock.Lock()
 	x := p.pool(e.Address)
-	if connections > 0 && x.openCount > connections {
+	if maxConnections > 0 && x.openCount > maxConnections {
 		p.lock.Unlock()
 		p.close(e.Address, c)
 		return
@@ -141,39 +145,40 @@
 	}
 }
 
-// CloseIdle closes the connections that have been idle for too long.
+// CloseIdle closes the connections that have been idle for longer than the idle timeout, and drops
+// expired withholdings.
 func (p *Pools) CloseIdle() {
-	type old struct {
+	type idleConn struct {
 		address string
 		conn    *conn
 	}
-	var olds []old
+	var expired []idleConn
 	p.lock.Lock()
 	oldest := p.clock.Now().Add(-p.settings.IdleTimeout)
 	for address, x := range p.byAddress {
-		// The longest idle stand first.
+		// The longest idle come first.
 		n := 0
 		for n < len(x.idle) && x.idle[n].idleSince < oldest {
-			olds = append(olds, old{address, x.idle[n]})
+			expired = append(expired, idleConn{address, x.idle[n]})
 			n++
 		}
 		x.idle = append(x.idle[:0], x.idle[n:]...)
 	}
 	p.dropExpiredWithheld()
 	p.lock.Unlock()
-	for _, o := range olds {
+	for _, o := range expired {
 		p.close(o.address, o.conn)
 	}
 }
 
-// Status counts the connections of an address.
+// Status has the number of open and of idle connections to an address.
 type Status struct {
 	Address string `json:"address"`
 	Open    int    `json:"open"`
 	Idle    int    `json:"idle"`
 }
 
-// Status returns the pools' state.
+// Status returns the connection counts of every address.
 func (p *Pools) Status() []Status {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/pkg/target/probe.go
+++ b/pkg/target/probe.go
@@ -6,7 +6,7 @@
 	"github.com/madderpond/madderpond/pkg/core/routing"
 )
 
-// Probe asks a target for its health and load, on a connection like a call's.
+// Probe requests the health and load of a target, on a connection of the same pool as calls.
 func (p *Pools) Probe(x *routing.Effect) routing.ProbeEnded {
 	a := p.NewAttempt(x)
 	defer a.Release()
@@ -38,7 +38,7 @@
 	return p.settings.ProbePath
 }
 
-// isFromOtherTarget tells whether the answer names another target than the one asked.
+// isFromOtherTarget reports whether the response names a target other than the one probed.
 func (a *Attempt) isFromOtherTarget() bool {
 	header := a.pools.settings.TargetHeader
 	if header == "" || !a.endpoint.Registered {
--- a/pkg/target/reading.go
+++ b/pkg/target/reading.go
@@ -8,19 +8,19 @@
 	"github.com/madderpond/madderpond/pkg/core/routing"
 )
 
-// usualPacePercent is the pace of a target whose work takes as long as usual, in hundredths.
+// usualPacePercent is the reported pace of a target whose work takes as long as usual.
 const usualPacePercent = 100
 
-// parseReading reads what a target says of its load: the number of its calls, or the
-// calls running, those waiting, the slots, and how long work takes now in hundredths
-// of the usual, divided by commas. What can't be read says nothing.
+// parseReading parses the load that a target reports, as numbers separated by commas: its calls
+// in flight alone, or the calls running, the calls waiting, the slots, and how long work takes
+// now in percent of the usual. A value that can't be parsed is ignored as a whole.
 func parseReading(text string) routing.Reading {
 	if text == "" {
 		return routing.Reading{}
 	}
 	reading := routing.Reading{Known: true, Pace: 1}
-	for i, word := range strings.Split(text, ",") {
-		x, err := strconv.ParseFloat(strings.TrimSpace(word), 64)
+	for i, field := range strings.Split(text, ",") {
+		x, err := strconv.ParseFloat(strings.TrimSpace(field), 64)
 		if err != nil || x < 0 {
 			return routing.Reading{}
 		}
@@ -36,8 +36,8 @@
 	return reading
 }
 
-// parseColdRemaining reads for how many milliseconds a target says that it stays cold. What can't be
-// read says that it is warm: the target's registration tells of cold ones as well.
+// parseColdRemaining parses for how many milliseconds a target stays cold. A value that can't be
+// parsed counts as warm, since the target's registration reports a cold target as well.
 func parseColdRemaining(text string) time.Duration {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || ms <= 0 {
--- a/pkg/target/rest.go
+++ b/pkg/target/rest.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// maxRest bounds the rest that a target may ask for at once. One that asks for more, by
-	// mistake or because it counts in other units, gets a call an hour and may ask again; callers
-	// aren't kept from it for good.
+	// maxRest caps the rest that a target may ask for at once. One that asks for more, by mistake
+	// or because it uses other units, gets a call every hour and may ask again, so that it isn't
+	// unavailable to callers for good.
 	maxRest = time.Hour
-	// maxUnreadableBytes bounds the bytes of an unreadable rest that a log line carries.
+	// maxUnreadableBytes caps how much of an unreadable header value is logged.
 	maxUnreadableBytes = 64
 )
 
-// readRest reads for how long a target that turned a call away wants nothing more. Where it says so
-// several times the longest counts. What can't be read asks for nothing, and is returned.
-func readRest(h *fasthttp.ResponseHeader, now time.Time) (rest time.Duration, unread string) {
+// readRest reads for how long a target that rejected a call asks for no more. Of several header
+// values the longest applies. A value that can't be parsed asks for no rest and is returned as
+// unreadable.
+func readRest(h *fasthttp.ResponseHeader, now time.Time) (rest time.Duration, unreadable string) {
 	for _, value := range h.PeekAll(fasthttp.HeaderRetryAfter) {
 		x, ok := parseRest(string(bytes.TrimSpace(value)), responseDate(h, now))
 		if !ok {
-			unread = string(value[:min(len(value), maxUnreadableBytes)])
+			unreadable = string(value[:min(len(value), maxUnreadableBytes)])
 			continue
 		}
 		rest = max(rest, x)
 	}
-	return rest, unread
+	return rest, unreadable
 }
 
-// parseRest reads a number of seconds, with or without a fraction, or a date. A rest of less than
-// nothing isn't one.
+// parseRest parses a number of seconds, with or without a fraction, or an HTTP date. A negative
+// number of seconds is invalid.
 func parseRest(text string, now time.Time) (time.Duration, bool) {
 	if seconds, err := strconv.ParseFloat(text, 64); err == nil {
 		if !(seconds >= 0) {
@@ -47,8 +48,8 @@
 	return max(0, min(until.Sub(now), maxRest)), true
 }
 
-// responseDate is when an answer was made by its target's clock, which a date in it goes by, or this
-// box's time where the answer doesn't say.
+// responseDate returns the Date header of a response, since other dates in it follow the target's
+// clock too, or this box's time if there is none.
 func responseDate(h *fasthttp.ResponseHeader, now time.Time) time.Time {
 	if date, err := fasthttp.ParseHTTPDate(h.Peek(fasthttp.HeaderDate)); err == nil {
 		return date
@@ -56,7 +57,7 @@
 	return now
 }
 
-// parseLeaving reads whether a target says that it is about to end.
+// parseLeaving reports whether the header says that the target is about to stop.
 func parseLeaving(value []byte) bool {
 	return string(bytes.TrimSpace(value)) == "1"
 }
--- a/pkg/target/rest_test.go
+++ b/pkg/target/rest_test.go
@@ -10,8 +10,9 @@
 	"github.com/madderpond/madderpond/pkg/core/routing"
 )
 
-// TestNotices sends calls to a stand-in that answers as the file says, and prints what its answers
-// said of itself: for how long it wants rest, whether it leaves, the limit that it names, and what couldn't be read.
+// TestNotices sends calls to a stub target that follows the file, and prints the notice in its
+// responses: for how long it asks for rest, whether it is leaving, the limit that it names, and
+// what couldn't be parsed.
 func TestNotices(t *testing.T) {
 	datadriven.RunTest(t, "testdata/notices", func(t *testing.T, d *datadriven.TestData) string {
 		target := startStubTarget(t, d.Input+"\n")
@@ -41,7 +42,7 @@
 	})
 }
 
-// describeLimit says what an answer said of the target's limit, if it said anything.
+// describeLimit formats what a response says of the target's limit, if anything.
 func describeLimit(x routing.SaidLimit, unread string) string {
 	text := ""
 	if x.Named {
@@ -53,8 +54,9 @@
 	return text
 }
 
-// A target asks for rest, or names a limit, after a call or a probe was chosen for it. Nothing of them is sent, and the
-// connection is kept; both are sent once the rest is over, calls not to one that leaves.
+// A target asks for rest, is leaving or names a limit after a call or a probe was assigned to it.
+// Nothing of them may be sent, and the connection is kept. Both are sent once the rest is over, and
+// probes, but no calls, to a target that is leaving.
 func TestNothingIsSentToATargetThatWantsNothing(t *testing.T) {
 	scenarios := []struct {
 		testName      string
@@ -105,7 +107,8 @@
 	}
 }
 
-// A choice that is out of date isn't sent, and leaves nothing on its connection for the next call.
+// A call whose selection of the target has expired isn't sent, and leaves no bytes on the connection
+// for the next call.
 func TestNothingIsSentOnAnOldChoice(t *testing.T) {
 	target := startStubTarget(t, `HTTP/1.1 200 OK\nX-Call: call-2\nContent-Length: 0\n\n`+"\n")
 	pools := newTestPools()
@@ -125,11 +128,11 @@
 	}
 }
 
-// newTestPoolsWithWithheldOf returns pools without connections that keep the same from targets.
+// newTestPoolsWithWithheldOf returns pools without connections and with the withholdings of others.
 func newTestPoolsWithWithheldOf(p *Pools) *Pools {
-	fresh := newTestPools()
+	pools := newTestPools()
 	for x, w := range p.withheld {
-		fresh.Withhold(x, w)
+		pools.Withhold(x, w)
 	}
-	return fresh
+	return pools
 }
--- a/pkg/target/silent_test.go
+++ b/pkg/target/silent_test.go
@@ -7,9 +7,9 @@
 	"github.com/madderpond/madderpond/pkg/core/routing"
 )
 
-// TestASilentConnectionIsNeverUsedAgain has a target answer one call on each connection and
-// then nothing more: the next call on it gets no answer, ends as broken when it is given up,
-// and the connection is closed. The call after that gets another one.
+// TestASilentConnectionIsNeverUsedAgain has a target answer only the first call on each
+// connection. The second call gets no response, ends as broken when it is canceled, and its
+// connection is closed. The third call gets a new connection.
 func TestASilentConnectionIsNeverUsedAgain(t *testing.T) {
 	target := startStubTarget(t, `HTTP/1.1 200 OK\nContent-Length: 0\n\n`+"\n")
 	pools := newTestPools()
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestAProbeOfASilentConnectionEnds has the target fall silent on the connection that a probe
-// takes: the probe ends by itself, and isn't taken for one that reached nobody.
+// TestAProbeOfASilentConnectionEnds has the target stop answering on the connection that a probe
+// uses: the probe must time out, and not count as one that couldn't reach the target.
 func TestAProbeOfASilentConnectionEnds(t *testing.T) {
 	target := startStubTarget(t, `HTTP/1.1 200 OK\nContent-Length: 0\n\n`+"\n")
 	pools := newTestPools()
--- a/pkg/target/stream.go
+++ b/pkg/target/stream.go
@@ -7,17 +7,16 @@
 	"github.com/madderpond/madderpond/pkg/core/routing"
 )
 
-// Stream returns the body of a streamed answer. ended is called once, when the
-// body has been read to its end or given up.
-func (a *Attempt) Stream(ended func(routing.AttemptResult)) io.ReadCloser {
+// Stream returns the body of a streamed response. onEnd is called once, when the body is closed.
+func (a *Attempt) Stream(onEnd func(routing.AttemptResult)) io.ReadCloser {
 	return &stream{
 		attempt: a,
 		reader:  io.MultiReader(bytes.NewReader(a.prefix), a.Response.BodyStream()),
-		onEnd:   ended,
+		onEnd:   onEnd,
 	}
 }
 
-// stream passes a target's body on and keeps account of how it ended.
+// stream is the body of a target's response; it records how the body ended.
 type stream struct {
 	attempt *Attempt
 	reader  io.Reader
@@ -26,7 +25,7 @@
 	closed  bool
 }
 
-// Read passes on what has come; a body cut short gives an error, never an end.
+// Read reads from the body. A truncated body returns an error other than io.EOF.
 func (s *stream) Read(p []byte) (int, error) {
 	n, err := s.reader.Read(p)
 	switch {
@@ -39,7 +38,7 @@
 	return n, err
 }
 
-// Close ends the attempt.
+// Close ends the attempt and releases it. Later calls do nothing.
 func (s *stream) Close() error {
 	if s.closed {
 		return nil
--- a/pkg/target/withhold.go
+++ b/pkg/target/withhold.go
@@ -7,24 +7,24 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A target may ask for rest or name a limit while a call that has been chosen for it waits for a connection. So
-// each send looks once more, right before its first byte.
+// A target may ask for rest or name a limit while a call that was assigned to it waits for a
+// connection. So each send checks once more, right before its first byte.
 
-// Withholding says what is kept from a target that hasn't been sent.
+// Withholding says which unsent calls and probes must not be sent to a target.
 type Withholding struct {
-	// CallsUntil and ProbesUntil are until when calls and probes are.
+	// CallsUntil and ProbesUntil are until when calls and probes are withheld.
 	CallsUntil, ProbesUntil units.Instant
-	// Limited is set while the target names a limit: what goes without a permit is kept from it.
+	// Limited is set while the target names a limit: sends without a valid permit are withheld.
 	Limited bool
 }
 
-// isExpired tells whether nothing is kept from the target any more.
+// isExpired reports whether nothing is withheld any more.
 func (w *Withholding) isExpired(now units.Instant) bool {
 	return !w.Limited && max(w.CallsUntil, w.ProbesUntil) <= now
 }
 
-// Withhold keeps calls and probes that haven't been sent from a target. It takes the place of what was
-// said before.
+// Withhold prevents unsent calls and probes from being sent to a target. It replaces the previous
+// withholding of the target.
 func (p *Pools) Withhold(x *routing.Endpoint, w Withholding) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -32,7 +32,7 @@
 	p.anyWithheld.Store(true)
 }
 
-// isWithheld tells whether nothing of an attempt may be sent now.
+// isWithheld reports whether the attempt must not be sent now.
 func (a *Attempt) isWithheld() bool {
 	p := a.pools
 	if !p.anyWithheld.Load() {
@@ -51,7 +51,7 @@
 	return now < w.CallsUntil
 }
 
-// dropExpiredWithheld forgets what is over. It is called with the lock held.
+// dropExpiredWithheld removes expired withholdings. It is called with the lock held.
 func (p *Pools) dropExpiredWithheld() {
 	now := p.clock.Now()
 	maps.DeleteFunc(p.withheld, func(_ *routing.Endpoint, w Withholding) bool { return w.isExpired(now) })
