--- a/pkg/boxlist/boxlist.go
+++ b/pkg/boxlist/boxlist.go
@@ -45,29 +45,29 @@
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unavailable, "check platform.list", "the platform's list can't be read")
 	}
-	return parse(data)
+	return parseList(data)
 }
 
 type httpSource struct{ url string }
 
-// readLimit is how long the platform may take to answer.
-const readLimit = 2 * time.Second
+// readTimeout is how long the platform may take to answer.
+const readTimeout = 2 * time.Second
 
 // Read asks the platform.
 func (s *httpSource) Read() (*List, error) {
-	status, data, err := fasthttp.GetTimeout(nil, s.url, readLimit)
+	status, data, err := fasthttp.GetTimeout(nil, s.url, readTimeout)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unavailable, "check platform.list", "the platform doesn't answer")
 	}
 	if status != fasthttp.StatusOK {
 		return nil, fault.New(fault.Unavailable, "check platform.list", "the platform answers %d", status)
 	}
-	return parse(data)
+	return parseList(data)
 }
 
-// parse reads a list. An entry that isn't a name is another writer's and names no box; the others
+// parseList reads a list. An entry that isn't a name is another writer's and names no box; the others
 // hold.
-func parse(data []byte) (*List, error) {
+func parseList(data []byte) (*List, error) {
 	var l struct {
 		Live    []json.RawMessage `json:"live"`
 		Leaving []json.RawMessage `json:"leaving"`
@@ -75,10 +75,10 @@
 	if err := json.Unmarshal(data, &l); err != nil {
 		return nil, fault.Wrap(err, fault.Invalid, `publish {"live": [...], "leaving": [...]}`, "the platform's list can't be understood")
 	}
-	return &List{Live: namesIn(l.Live), Leaving: namesIn(l.Leaving)}, nil
+	return &List{Live: boxIDs(l.Live), Leaving: boxIDs(l.Leaving)}, nil
 }
 
-func namesIn(entries []json.RawMessage) []units.BoxID {
+func boxIDs(entries []json.RawMessage) []units.BoxID {
 	var names []units.BoxID
 	for _, entry := range entries {
 		var name units.BoxID
@@ -92,11 +92,11 @@
 // Watcher reads the list again and again and keeps the last one.
 type Watcher struct {
 	*common.Common
-	source Source
-	lock   sync.Mutex
-	status Status
-	done   chan struct{}
-	ended  chan struct{}
+	source  Source
+	lock    sync.Mutex
+	status  Status
+	stop    chan struct{}
+	stopped chan struct{}
 }
 
 // Status is what a watcher last read, as the dump shows it.
@@ -116,7 +116,7 @@
 		return nil
 	}
 	return &Watcher{
-		Common: c, source: NewSource(c.Settings.Platform.List), done: make(chan struct{}), ended: make(chan struct{}),
+		Common: c, source: NewSource(c.Settings.Platform.List), stop: make(chan struct{}), stopped: make(chan struct{}),
 	}
 }
 
@@ -127,7 +127,7 @@
 }
 
 func (w *Watcher) run(changed func(bool)) {
-	defer close(w.ended)
+	defer close(w.stopped)
 	ticker := time.NewTicker(w.Settings.Platform.Every.Std())
 	defer ticker.Stop()
 	for {
@@ -135,7 +135,7 @@
 			changed(leaving)
 		}
 		select {
-		case <-w.done:
+		case <-w.stop:
 			return
 		case <-ticker.C:
 		}
@@ -168,6 +168,6 @@
 
 // Stop ends the reading.
 func (w *Watcher) Stop() {
-	close(w.done)
-	<-w.ended
+	close(w.stop)
+	<-w.stopped
 }
--- a/pkg/boxlist/boxlist_test.go
+++ b/pkg/boxlist/boxlist_test.go
@@ -59,7 +59,7 @@
 
 // An entry of another writer names no box; the others hold.
 func TestEntriesOfOtherWritersNameNoBox(t *testing.T) {
-	l, err := parse([]byte(`{"live": ["b1", 5, null, {"name": "b2"}, "b3"], "leaving": [["b4"], "b5"], "resting": 7}`))
+	l, err := parseList([]byte(`{"live": ["b1", 5, null, {"name": "b2"}, "b3"], "leaving": [["b4"], "b5"], "resting": 7}`))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -26,15 +26,15 @@
 	servers []string
 	token   string
 	http    *fasthttp.Client
-	// patience is how long an edit is sent again before its outcome is given up.
-	patience time.Duration
+	// editTimeout is how long an edit is sent again before its outcome is given up.
+	editTimeout time.Duration
 }
 
 const (
-	// requestLimit is how long a server may take to answer: longer than a watch waits for the next change.
-	requestLimit = 40 * time.Second
-	// pauseLimit is the pause before an edit is sent again.
-	pauseLimit = 200 * time.Millisecond
+	// requestTimeout is how long a server may take to answer: longer than a watch waits for the next change.
+	requestTimeout = 40 * time.Second
+	// editRetryInterval is the pause before an edit is sent again.
+	editRetryInterval = 200 * time.Millisecond
 )
 
 // NewClient returns a client of servers, each an IP number and a port. The
@@ -43,7 +43,7 @@
 	if len(servers) == 0 {
 		return nil, fault.New(fault.Settings, "name one with --server, or in MADDERPOND_SERVERS", "no server is named")
 	}
-	c := &Client{servers: servers, patience: patience, http: &fasthttp.Client{MaxIdemponentCallAttempts: 1, ReadTimeout: requestLimit}}
+	c := &Client{servers: servers, editTimeout: patience, http: &fasthttp.Client{MaxIdemponentCallAttempts: 1, ReadTimeout: requestTimeout}}
 	if tokenFile != "" {
 		data, err := os.ReadFile(tokenFile)
 		if err != nil {
@@ -54,8 +54,8 @@
 	return c, nil
 }
 
-// ask sends one request to one server and decodes the answer.
-func (c *Client) ask(server, method, path string, body, into any) error {
+// send sends one request to one server and decodes the answer.
+func (c *Client) send(server, method, path string, body, into any) error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -71,13 +71,13 @@
 		}
 		request.SetBody(data)
 	}
-	if err := c.http.DoTimeout(request, response, requestLimit); err != nil {
+	if err := c.http.DoTimeout(request, response, requestTimeout); err != nil {
 		return fault.Wrap(err, fault.Unavailable, "check that the server runs, or name another with --server", "%s doesn't answer", server)
 	}
-	return readAnswer(response, into)
+	return decodeResponse(response, into)
 }
 
-func readAnswer(response *fasthttp.Response, into any) error {
+func decodeResponse(response *fasthttp.Response, into any) error {
 	if strings.HasPrefix(string(response.Header.ContentType()), "application/problem+json") {
 		p := &admin.Problem{}
 		if err := json.Unmarshal(response.Body(), p); err != nil {
@@ -95,12 +95,12 @@
 	return nil
 }
 
-// askAny asks the servers in turn until one answers with something else than
+// sendToAny asks the servers in turn until one answers with something else than
 // that it can't.
-func (c *Client) askAny(method, path string, body, into any) error {
+func (c *Client) sendToAny(method, path string, body, into any) error {
 	var err error
 	for _, s := range c.servers {
-		err = c.ask(s, method, path, body, into)
+		err = c.send(s, method, path, body, into)
 		if k := fault.KindOf(err); err == nil || k != fault.Unavailable && k != fault.Unknown {
 			return err
 		}
@@ -111,25 +111,25 @@
 // Table returns the newest table that any server knows of.
 func (c *Client) Table() (*table.Table, error) {
 	t := table.NewTable()
-	return t, c.askAny("GET", "/v1/table", nil, t)
+	return t, c.sendToAny("GET", "/v1/table", nil, t)
 }
 
 // Watch waits until the table is newer than a revision, and returns it.
 func (c *Client) Watch(after units.Revision) (*table.Table, error) {
 	t := table.NewTable()
-	return t, c.askAny("GET", fmt.Sprintf("/v1/watch?after=%d", after), nil, t)
+	return t, c.sendToAny("GET", fmt.Sprintf("/v1/watch?after=%d", after), nil, t)
 }
 
 // History returns the last accepted edits.
 func (c *Client) History() ([]table.Result, error) {
 	var results []table.Result
-	return results, c.askAny("GET", "/v1/history", nil, &results)
+	return results, c.sendToAny("GET", "/v1/history", nil, &results)
 }
 
-// Form forms the cluster.
-func (c *Client) Form() (*replica.Status, error) {
+// FormCluster forms the cluster.
+func (c *Client) FormCluster() (*replica.Status, error) {
 	s := &replica.Status{}
-	return s, c.askAny("POST", "/v1/cluster/form", nil, s)
+	return s, c.sendToAny("POST", "/v1/cluster/form", nil, s)
 }
 
 // ServerStatus is what one server says of itself.
@@ -144,7 +144,7 @@
 	all := make([]ServerStatus, 0, len(c.servers))
 	for _, server := range c.servers {
 		x := ServerStatus{Server: server, Status: &replica.Status{}}
-		if err := c.ask(server, "GET", "/v1/status", nil, x.Status); err != nil {
+		if err := c.send(server, "GET", "/v1/status", nil, x.Status); err != nil {
 			x.Status, x.Error = nil, err.Error()
 		}
 		all = append(all, x)
@@ -155,113 +155,113 @@
 // Document returns the newest document as it was put.
 func (c *Client) Document() (json.RawMessage, error) {
 	var raw json.RawMessage
-	return raw, c.askAny("GET", "/v1/document", nil, &raw)
+	return raw, c.sendToAny("GET", "/v1/document", nil, &raw)
 }
 
 // PutDocument puts a document in force; it may be sent again without harm. Without an
 // error its version or a higher one holds.
 func (c *Client) PutDocument(document json.RawMessage) error {
 	var answer json.RawMessage
-	return c.askAny("PUT", "/v1/document", document, &answer)
+	return c.sendToAny("PUT", "/v1/document", document, &answer)
 }
 
 // Targets returns the targets that registered by themselves.
 func (c *Client) Targets() ([]replica.TargetReport, error) {
 	var targets []replica.TargetReport
-	return targets, c.askAny("GET", "/v1/targets", nil, &targets)
+	return targets, c.sendToAny("GET", "/v1/targets", nil, &targets)
 }
 
-// Report registers a target, or tells of its state.
-func (c *Client) Report(r *table.Registration) error {
+// SubmitReport registers a target, or tells of its state.
+func (c *Client) SubmitReport(r *table.Registration) error {
 	var answer json.RawMessage
-	return c.askAny("PUT", "/v1/targets/"+string(r.Target), r, &answer)
+	return c.sendToAny("PUT", "/v1/targets/"+string(r.Target), r, &answer)
 }
 
-// Depart takes a registered target out for good.
-func (c *Client) Depart(id units.TargetID) error {
+// SubmitDeparture takes a registered target out for good.
+func (c *Client) SubmitDeparture(id units.TargetID) error {
 	var answer json.RawMessage
-	return c.askAny("DELETE", "/v1/targets/"+string(id), nil, &answer)
+	return c.sendToAny("DELETE", "/v1/targets/"+string(id), nil, &answer)
 }
 
 // Workspaces returns the workspaces of the document in force.
 func (c *Client) Workspaces() ([]table.WorkspaceView, error) {
 	var list []table.WorkspaceView
-	return list, c.askAny("GET", "/v1/workspaces", nil, &list)
+	return list, c.sendToAny("GET", "/v1/workspaces", nil, &list)
 }
 
 // Evacuations returns the failure domains that are or were evacuated.
 func (c *Client) Evacuations() ([]table.Evacuation, error) {
 	var list []table.Evacuation
-	return list, c.askAny("GET", "/v1/evacuations", nil, &list)
+	return list, c.sendToAny("GET", "/v1/evacuations", nil, &list)
 }
 
-// OrderEvacuation evacuates a failure domain or restores it; an order may be sent again
+// SubmitEvacuation evacuates a failure domain or restores it; an order may be sent again
 // without harm.
-func (c *Client) OrderEvacuation(o table.EvacuationOrder) error {
+func (c *Client) SubmitEvacuation(o table.EvacuationOrder) error {
 	method := "DELETE"
 	if o.Evacuate {
 		method = "PUT"
 	}
 	var answer json.RawMessage
 	path := "/v1/evacuations/" + url.PathEscape(string(o.Domain)) + "?operator=" + url.QueryEscape(o.Operator)
-	return c.askAny(method, path, nil, &answer)
+	return c.sendToAny(method, path, nil, &answer)
 }
 
 // Rollouts returns the last rollouts of services as the control replica asked knows them.
 func (c *Client) Rollouts() ([]control.RolloutStatus, error) {
 	var list []control.RolloutStatus
-	return list, c.askAny("GET", "/v1/rollouts", nil, &list)
+	return list, c.sendToAny("GET", "/v1/rollouts", nil, &list)
 }
 
-// OrderRollout orders a rollout or ends the one under way; an order may be sent again
+// SubmitRollout orders a rollout or ends the one under way; an order may be sent again
 // without harm.
-func (c *Client) OrderRollout(o table.RolloutOrder) error {
+func (c *Client) SubmitRollout(o table.RolloutOrder) error {
 	method := "PUT"
 	if o.Abort {
 		method = "DELETE"
 	}
 	var answer json.RawMessage
 	path := "/v1/rollouts/" + url.PathEscape(string(o.Service)) + "?operator=" + url.QueryEscape(o.Operator)
-	return c.askAny(method, path, o, &answer)
+	return c.sendToAny(method, path, o, &answer)
 }
 
 // Quarantines returns the calls that no target gets, as the control replica asked knows them.
 func (c *Client) Quarantines() ([]control.QuarantineStatus, error) {
 	var list []control.QuarantineStatus
-	return list, c.askAny("GET", "/v1/quarantines", nil, &list)
+	return list, c.sendToAny("GET", "/v1/quarantines", nil, &list)
 }
 
-// ReleaseCall gives a call in quarantine to targets again; an order may be sent again without
+// SubmitRelease gives a call in quarantine to targets again; an order may be sent again without
 // harm.
-func (c *Client) ReleaseCall(name, operator string) error {
+func (c *Client) SubmitRelease(name, operator string) error {
 	var answer json.RawMessage
 	path := "/v1/quarantines/" + url.PathEscape(name) + "?operator=" + url.QueryEscape(operator)
-	return c.askAny("DELETE", path, nil, &answer)
+	return c.sendToAny("DELETE", path, nil, &answer)
 }
 
 // Dump returns a server's whole state as JSON.
 func (c *Client) Dump() (json.RawMessage, error) {
 	var raw json.RawMessage
-	return raw, c.askAny("GET", "/v1/dump", nil, &raw)
+	return raw, c.sendToAny("GET", "/v1/dump", nil, &raw)
 }
 
 // Settings returns what became of a server's settings file.
 func (c *Client) Settings() (*reload.Status, error) {
 	status := &reload.Status{}
-	return status, c.askAny("GET", "/v1/settings", nil, status)
+	return status, c.sendToAny("GET", "/v1/settings", nil, status)
 }
 
-// Apply has an edit decided. While its outcome isn't known it is sent again
+// SubmitEdit has an edit decided. While its outcome isn't known it is sent again
 // with the same id, to one server after another, which is safe: it takes effect
 // once at most.
-func (c *Client) Apply(edit *table.Edit) (*table.Result, error) {
+func (c *Client) SubmitEdit(edit *table.Edit) (*table.Result, error) {
 	if edit.ID == "" {
 		edit.ID = units.EditID(uuid.NewString())
 	}
-	deadline := time.Now().Add(c.patience)
+	deadline := time.Now().Add(c.editTimeout)
 	for {
 		result := &table.Result{}
-		err := c.askAny("POST", "/v1/edits", edit, result)
+		err := c.sendToAny("POST", "/v1/edits", edit, result)
 		kind := fault.KindOf(err)
 		if err == nil || kind != fault.Unavailable && kind != fault.Unknown {
 			return result, err
@@ -270,6 +270,6 @@
 			return nil, fault.Wrap(err, fault.Unknown,
 				fmt.Sprintf("send it again with --id %s; it takes effect once at most", edit.ID), "the outcome of the edit isn't known")
 		}
-		time.Sleep(pauseLimit)
+		time.Sleep(editRetryInterval)
 	}
 }
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -16,11 +16,11 @@
 // lease above all, runs out meanwhile.
 type Clock struct {
 	source source
-	// steady, wall and suspended are what the source read at the start.
-	steady, wall, suspended time.Duration
-	// apart is how much further than the steady clock the wall clock had moved when
-	// suspensions were last looked for, slept how long they were.
-	apart, slept atomic.Int64
+	// startMonotonic, startWall and startSuspended are what the source read at the start.
+	startMonotonic, startWall, startSuspended time.Duration
+	// wallDrift is how much further than the steady clock the wall clock had moved when
+	// suspensions were last looked for, suspendedSinceStart how long they were.
+	wallDrift, suspendedSinceStart atomic.Int64
 }
 
 // source is where a clock reads from.
@@ -34,37 +34,37 @@
 const (
 	// firstInstant keeps the zero instant free to stand for "never".
 	firstInstant = units.Instant(time.Second)
-	// apartSlack is by how much the wall clock moves against the steady one before the
+	// driftThreshold is by how much the wall clock moves against the steady one before the
 	// suspended time is read, which takes two calls of the kernel: a shorter suspension harms no
 	// lease, and a clock that is off by a thousandth is read so every ten seconds.
-	apartSlack = 10 * time.Millisecond
+	driftThreshold = 10 * time.Millisecond
 )
 
 // NewClock returns a clock that starts now.
-func NewClock() *Clock { return newClock(machine{start: time.Now()}) }
+func NewClock() *Clock { return newClock(systemClocks{start: time.Now()}) }
 
 func newClock(s source) *Clock {
-	c := &Clock{source: s, suspended: s.suspended()}
-	c.steady, c.wall = s.now()
+	c := &Clock{source: s, startSuspended: s.suspended()}
+	c.startMonotonic, c.startWall = s.now()
 	return c
 }
 
 // Now returns the present instant.
 func (c *Clock) Now() units.Instant {
 	steady, wall := c.source.now()
-	passed := steady - c.steady
-	apart := int64(wall - c.wall - passed)
-	if moved := apart - c.apart.Load(); moved >= int64(apartSlack) || -moved >= int64(apartSlack) {
-		c.apart.Store(apart)
-		c.noteSuspension()
+	passed := steady - c.startMonotonic
+	apart := int64(wall - c.startWall - passed)
+	if moved := apart - c.wallDrift.Load(); moved >= int64(driftThreshold) || -moved >= int64(driftThreshold) {
+		c.wallDrift.Store(apart)
+		c.updateSuspended()
 	}
-	return firstInstant.Add(passed + time.Duration(c.slept.Load()))
+	return firstInstant.Add(passed + time.Duration(c.suspendedSinceStart.Load()))
 }
 
-// noteSuspension reads how long the machine was suspended. Instants never go back.
-func (c *Clock) noteSuspension() {
-	slept := int64(c.source.suspended() - c.suspended)
-	for held := c.slept.Load(); slept > held && !c.slept.CompareAndSwap(held, slept); held = c.slept.Load() {
+// updateSuspended reads how long the machine was suspended. Instants never go back.
+func (c *Clock) updateSuspended() {
+	slept := int64(c.source.suspended() - c.startSuspended)
+	for held := c.suspendedSinceStart.Load(); slept > held && !c.suspendedSinceStart.CompareAndSwap(held, slept); held = c.suspendedSinceStart.Load() {
 	}
 }
 
@@ -77,17 +77,17 @@
 // Time returns the time of an instant, for deadlines of connections.
 func (c *Clock) Time(i units.Instant) time.Time { return time.Now().Add(c.Until(i)) }
 
-// machine reads the clocks of the machine.
-type machine struct{ start time.Time }
+// systemClocks reads the clocks of the systemClocks.
+type systemClocks struct{ start time.Time }
 
-func (m machine) now() (steady, wall time.Duration) {
+func (m systemClocks) now() (steady, wall time.Duration) {
 	t := time.Now()
 	return t.Sub(m.start), time.Duration(t.UnixNano())
 }
 
 // suspended is the difference of the two clocks that only differ in that; zero where the kernel
 // doesn't have them.
-func (m machine) suspended() time.Duration {
+func (m systemClocks) suspended() time.Duration {
 	var counting, steady unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &counting) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil {
 		return 0
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -9,35 +9,35 @@
 
 // fakeSource is a machine whose clocks the test sets.
 type fakeSource struct {
-	steady, wall, slept time.Duration
-	reads               int
+	monotonic, wall, suspendedFor time.Duration
+	reads                         int
 }
 
-func (f *fakeSource) now() (steady, wall time.Duration) { return f.steady, f.wall }
+func (f *fakeSource) now() (steady, wall time.Duration) { return f.monotonic, f.wall }
 
 func (f *fakeSource) suspended() time.Duration {
 	f.reads++
-	return f.slept
+	return f.suspendedFor
 }
 
-// pass lets time pass on all clocks.
-func (f *fakeSource) pass(d time.Duration) {
-	f.steady += d
+// advance lets time advance on all clocks.
+func (f *fakeSource) advance(d time.Duration) {
+	f.monotonic += d
 	f.wall += d
 }
 
 // suspend puts the machine to sleep.
 func (f *fakeSource) suspend(d time.Duration) {
 	f.wall += d
-	f.slept += d
+	f.suspendedFor += d
 }
 
 func TestInstantsCountSuspensions(t *testing.T) {
-	f := &fakeSource{steady: 5 * time.Second, wall: time.Hour, slept: time.Minute}
+	f := &fakeSource{monotonic: 5 * time.Second, wall: time.Hour, suspendedFor: time.Minute}
 	c := newClock(f)
 	start := c.Now()
 	lease := start.Add(2 * time.Second)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	if left := c.Until(lease); left != time.Second {
 		t.Fatalf("%s are left of the lease", left)
 	}
@@ -46,7 +46,7 @@
 		t.Fatalf("after the suspension %s are left of the lease", left)
 	}
 	f.suspend(500 * time.Millisecond)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	if got := c.Now().Sub(start); got != 5500*time.Millisecond {
 		t.Fatalf("%s have passed", got)
 	}
@@ -59,7 +59,7 @@
 	start := c.Now()
 	for _, step := range []time.Duration{time.Hour, -2 * time.Hour, 5 * time.Millisecond} {
 		f.wall += step
-		f.pass(time.Second)
+		f.advance(time.Second)
 		c.Now()
 	}
 	if got := c.Now().Sub(start); got != 3*time.Second {
@@ -67,7 +67,7 @@
 	}
 	reads := f.reads
 	for range 1000 {
-		f.pass(time.Millisecond)
+		f.advance(time.Millisecond)
 		f.wall += time.Microsecond
 		c.Now()
 	}
@@ -85,7 +85,7 @@
 	for i := range 100 {
 		f.suspend(time.Duration(i) * time.Millisecond)
 		f.wall -= time.Duration(i%7) * 20 * time.Millisecond
-		f.pass(time.Millisecond)
+		f.advance(time.Millisecond)
 		if now := c.Now(); now < last {
 			t.Fatalf("instant %d lies before %d", now, last)
 		} else {
--- a/pkg/container/heap.go
+++ b/pkg/container/heap.go
@@ -3,12 +3,12 @@
 // Heap is a binary heap ordered by a function given at its making.
 type Heap[T any] struct {
 	values []T
-	before func(a, b T) bool
+	less   func(a, b T) bool
 }
 
 // NewHeap returns an empty heap whose first value is the one before all others.
 func NewHeap[T any](before func(a, b T) bool) *Heap[T] {
-	return &Heap[T]{before: before}
+	return &Heap[T]{less: before}
 }
 
 // Len returns the number of values.
@@ -17,7 +17,7 @@
 // Push adds a value.
 func (h *Heap[T]) Push(v T) {
 	h.values = append(h.values, v)
-	h.up(len(h.values) - 1)
+	h.siftUp(len(h.values) - 1)
 }
 
 // Peek returns the first value without removing it; ok is false when there is
@@ -40,14 +40,14 @@
 	var zero T
 	h.values[last] = zero
 	h.values = h.values[:last]
-	h.down(0)
+	h.siftDown(0)
 	return v, true
 }
 
-func (h *Heap[T]) up(i int) {
+func (h *Heap[T]) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
-		if !h.before(h.values[i], h.values[parent]) {
+		if !h.less(h.values[i], h.values[parent]) {
 			return
 		}
 		h.values[i], h.values[parent] = h.values[parent], h.values[i]
@@ -55,11 +55,11 @@
 	}
 }
 
-func (h *Heap[T]) down(i int) {
+func (h *Heap[T]) siftDown(i int) {
 	for {
 		first := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(h.values); child++ {
-			if h.before(h.values[child], h.values[first]) {
+			if h.less(h.values[child], h.values[first]) {
 				first = child
 			}
 		}
--- a/pkg/container/ordered_test.go
+++ b/pkg/container/ordered_map_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestOrderedKeepsTheOrderOfItsKeys(t *testing.T) {
-	o := NewOrdered[string, int]()
+	o := NewOrderedMap[string, int]()
 	for i, k := range []string{"c", "a", "b", "a"} {
 		o.Put(k, i)
 	}
--- a/pkg/container/slab.go
+++ b/pkg/container/slab.go
@@ -13,16 +13,16 @@
 func (h Handle) index() uint32      { return uint32(h) }
 func (h Handle) generation() uint32 { return uint32(h >> handleIndexBits) }
 
-type slabPlace[T any] struct {
+type slabSlot[T any] struct {
 	value      T
 	generation uint32
-	used       bool
+	inUse      bool
 }
 
 // Slab keeps values in reused places and names them by handles, so that a
 // lookup costs an index and a released value costs no garbage.
 type Slab[T any] struct {
-	places []*slabPlace[T]
+	slots  []*slabSlot[T]
 	free   []uint32
 	length int
 }
@@ -40,22 +40,22 @@
 	if n := len(s.free); n > 0 {
 		i := s.free[n-1]
 		s.free = s.free[:n-1]
-		p := s.places[i]
-		p.used = true
+		p := s.slots[i]
+		p.inUse = true
 		return newHandle(i, p.generation), &p.value
 	}
-	p := &slabPlace[T]{generation: 1, used: true}
-	s.places = append(s.places, p)
-	return newHandle(uint32(len(s.places)-1), p.generation), &p.value
+	p := &slabSlot[T]{generation: 1, inUse: true}
+	s.slots = append(s.slots, p)
+	return newHandle(uint32(len(s.slots)-1), p.generation), &p.value
 }
 
 // Get returns the value of a handle, or nil when it was released.
 func (s *Slab[T]) Get(h Handle) *T {
-	if int(h.index()) >= len(s.places) {
+	if int(h.index()) >= len(s.slots) {
 		return nil
 	}
-	p := s.places[h.index()]
-	if !p.used || p.generation != h.generation() {
+	p := s.slots[h.index()]
+	if !p.inUse || p.generation != h.generation() {
 		return nil
 	}
 	return &p.value
@@ -66,8 +66,8 @@
 	if s.Get(h) == nil {
 		return
 	}
-	p := s.places[h.index()]
-	p.used = false
+	p := s.slots[h.index()]
+	p.inUse = false
 	p.generation++
 	s.free = append(s.free, h.index())
 	s.length--
@@ -75,8 +75,8 @@
 
 // Each calls f with every value in use, in the order of their places.
 func (s *Slab[T]) Each(f func(Handle, *T)) {
-	for i, p := range s.places {
-		if p.used {
+	for i, p := range s.slots {
+		if p.inUse {
 			f(newHandle(uint32(i), p.generation), &p.value)
 		}
 	}
--- a/pkg/container/sortedmap.go
+++ b/pkg/container/sortedmap.go
@@ -25,19 +25,19 @@
 // level, so that small nodes make changes cheap and large ones make the tree flat.
 const mapFanout = 32
 
-// builtLeaf is how many keys a leaf of a map has that is built at once: some may still come.
-const builtLeaf = mapFanout * 3 / 4
+// builtNodeSize is how many keys a leaf of a map has that is built at once: some may still come.
+const builtNodeSize = mapFanout * 3 / 4
 
 // SortedMapOf returns the map of keys, which ascend, and their values. It takes less than putting
 // one after the other.
 func SortedMapOf[K cmp.Ordered, V any](keys []K, values []V) SortedMap[K, V] {
 	var level []*mapNode[K, V]
-	for i := 0; i < len(keys); i += builtLeaf {
-		end := min(i+builtLeaf, len(keys))
+	for i := 0; i < len(keys); i += builtNodeSize {
+		end := min(i+builtNodeSize, len(keys))
 		level = append(level, &mapNode[K, V]{keys: slices.Clip(keys[i:end]), values: slices.Clip(values[i:end])})
 	}
 	for len(level) > 1 {
-		level = joined(level)
+		level = parentLevel(level)
 	}
 	m := SortedMap[K, V]{length: len(keys)}
 	if len(level) > 0 {
@@ -46,10 +46,10 @@
 	return m
 }
 
-// joined returns the level above some nodes.
-func joined[K cmp.Ordered, V any](nodes []*mapNode[K, V]) []*mapNode[K, V] {
+// parentLevel returns the level above some nodes.
+func parentLevel[K cmp.Ordered, V any](nodes []*mapNode[K, V]) []*mapNode[K, V] {
 	var level []*mapNode[K, V]
-	for children := range slices.Chunk(nodes, builtLeaf) {
+	for children := range slices.Chunk(nodes, builtNodeSize) {
 		n := &mapNode[K, V]{children: slices.Clip(children)}
 		for _, c := range children {
 			n.keys = append(n.keys, c.keys[0])
@@ -66,7 +66,7 @@
 func (m SortedMap[K, V]) Get(k K) (V, bool) {
 	for n := m.root; n != nil; {
 		if n.children != nil {
-			n = n.children[n.childOf(k)]
+			n = n.children[n.childIndex(k)]
 			continue
 		}
 		if i, found := slices.BinarySearch(n.keys, k); found {
@@ -78,8 +78,8 @@
 	return none, false
 }
 
-// childOf returns the place of the child that a key belongs to.
-func (n *mapNode[K, V]) childOf(k K) int {
+// childIndex returns the place of the child that a key belongs to.
+func (n *mapNode[K, V]) childIndex(k K) int {
 	i, found := slices.BinarySearch(n.keys, k)
 	if found {
 		return i
@@ -137,7 +137,7 @@
 	if n.children == nil {
 		return n.putLeaf(k, v)
 	}
-	i := n.childOf(k)
+	i := n.childIndex(k)
 	below, added := n.children[i].put(k, v)
 	next := &mapNode[K, V]{keys: slices.Clone(n.keys), children: slices.Clone(n.children)}
 	next.children[i] = below[0]
@@ -156,12 +156,12 @@
 		next.values[i] = v
 		return []*mapNode[K, V]{next}, false
 	}
-	next := &mapNode[K, V]{keys: inserted(n.keys, i, k), values: inserted(n.values, i, v)}
+	next := &mapNode[K, V]{keys: withInserted(n.keys, i, k), values: withInserted(n.values, i, v)}
 	return next.split(), true
 }
 
-// inserted returns a copy of a list with a value more.
-func inserted[T any](list []T, i int, x T) []T { return slices.Concat(list[:i], []T{x}, list[i:]) }
+// withInserted returns a copy of a list with a value more.
+func withInserted[T any](list []T, i int, x T) []T { return slices.Concat(list[:i], []T{x}, list[i:]) }
 
 // split divides a node that has become too large; nobody else holds it yet.
 func (n *mapNode[K, V]) split() []*mapNode[K, V] {
@@ -184,25 +184,25 @@
 	if _, found := m.Get(k); !found {
 		return m
 	}
-	next := SortedMap[K, V]{root: m.root.without(k), length: m.length - 1}
+	next := SortedMap[K, V]{root: m.root.withoutKey(k), length: m.length - 1}
 	for next.root != nil && len(next.root.children) == 1 {
 		next.root = next.root.children[0]
 	}
 	return next
 }
 
-// without returns the node without a key that is below it, or nil where nothing is left. Nodes that
+// withoutKey returns the node withoutKey a key that is below it, or nil where nothing is left. Nodes that
 // have become small aren't joined: what comes later fills them.
-func (n *mapNode[K, V]) without(k K) *mapNode[K, V] {
+func (n *mapNode[K, V]) withoutKey(k K) *mapNode[K, V] {
 	if n.children == nil {
 		i, _ := slices.BinarySearch(n.keys, k)
 		if len(n.keys) == 1 {
 			return nil
 		}
-		return &mapNode[K, V]{keys: without(n.keys, i), values: without(n.values, i)}
+		return &mapNode[K, V]{keys: withoutIndex(n.keys, i), values: withoutIndex(n.values, i)}
 	}
-	i := n.childOf(k)
-	below := n.children[i].without(k)
+	i := n.childIndex(k)
+	below := n.children[i].withoutKey(k)
 	if below != nil {
 		next := &mapNode[K, V]{keys: n.keys, children: slices.Clone(n.children)}
 		next.children[i] = below
@@ -211,8 +211,8 @@
 	if len(n.children) == 1 {
 		return nil
 	}
-	return &mapNode[K, V]{keys: without(n.keys, i), children: without(n.children, i)}
+	return &mapNode[K, V]{keys: withoutIndex(n.keys, i), children: withoutIndex(n.children, i)}
 }
 
-// without returns a copy of a list that lacks one value.
-func without[T any](list []T, i int) []T { return slices.Concat(list[:i], list[i+1:]) }
+// withoutIndex returns a copy of a list that lacks one value.
+func withoutIndex[T any](list []T, i int) []T { return slices.Concat(list[:i], list[i+1:]) }
--- a/pkg/container/sortedmap_diff.go
+++ b/pkg/container/sortedmap_diff.go
@@ -5,7 +5,7 @@
 // Difference calls removed and put with what leads from one map to another, each in the keys' order. It
 // takes time in proportion to what differs where one map was made from the other.
 func Difference[K cmp.Ordered, V any](from, to SortedMap[K, V], same func(a, b V) bool, removed func(K), put func(K, V)) {
-	before, after := leavesThatDiffer(from.root, to.root)
+	before, after := differingLeaves(from.root, to.root)
 	a, b := newMapCursor(before), newMapCursor(after)
 	for a.valid() || b.valid() {
 		switch {
@@ -25,8 +25,8 @@
 	}
 }
 
-// leavesThatDiffer returns the leaves of two trees that aren't shared.
-func leavesThatDiffer[K cmp.Ordered, V any](from, to *mapNode[K, V]) (before, after []*mapNode[K, V]) {
+// differingLeaves returns the leaves of two trees that aren't shared.
+func differingLeaves[K cmp.Ordered, V any](from, to *mapNode[K, V]) (before, after []*mapNode[K, V]) {
 	before, after = appendNode(before, from), appendNode(after, to)
 	for {
 		before, after = dropShared(before, after)
@@ -94,7 +94,7 @@
 // mapCursor goes through the keys of some leaves.
 type mapCursor[K cmp.Ordered, V any] struct {
 	leaves []*mapNode[K, V]
-	place  int
+	index  int
 }
 
 func newMapCursor[K cmp.Ordered, V any](leaves []*mapNode[K, V]) *mapCursor[K, V] {
@@ -102,12 +102,12 @@
 }
 
 func (c *mapCursor[K, V]) valid() bool { return len(c.leaves) > 0 }
-func (c *mapCursor[K, V]) key() K      { return c.leaves[0].keys[c.place] }
-func (c *mapCursor[K, V]) value() V    { return c.leaves[0].values[c.place] }
+func (c *mapCursor[K, V]) key() K      { return c.leaves[0].keys[c.index] }
+func (c *mapCursor[K, V]) value() V    { return c.leaves[0].values[c.index] }
 
 func (c *mapCursor[K, V]) next() {
-	c.place++
-	if c.place == len(c.leaves[0].keys) {
-		c.leaves, c.place = c.leaves[1:], 0
+	c.index++
+	if c.index == len(c.leaves[0].keys) {
+		c.leaves, c.index = c.leaves[1:], 0
 	}
 }
--- a/pkg/core/control/edits.go
+++ b/pkg/core/control/edits.go
@@ -20,13 +20,13 @@
 // editQueue holds the edits that wait for a result at this replica, and the ids of those that it
 // has proposed as the leader.
 type editQueue struct {
-	waiting *container.Ordered[units.EditID, *waitingEdit]
+	waiting *container.OrderedMap[units.EditID, *waitingEdit]
 	// proposed keeps a leader from adding a resent edit to the log twice.
 	proposed map[units.EditID]bool
 }
 
 func newEditQueue() editQueue {
-	return editQueue{waiting: container.NewOrdered[units.EditID, *waitingEdit](), proposed: map[units.EditID]bool{}}
+	return editQueue{waiting: container.NewOrderedMap[units.EditID, *waitingEdit](), proposed: map[units.EditID]bool{}}
 }
 
 func (q *editQueue) clearProposed() {
--- a/pkg/core/control/replica.go
+++ b/pkg/core/control/replica.go
@@ -71,7 +71,7 @@
 	node     *replication.Node
 	state    *table.State
 	edits    editQueue
-	sessions *container.Ordered[ConnectionID, *session]
+	sessions *container.OrderedMap[ConnectionID, *session]
 	// previousTables are the tables before the current one, the newest last.
 	previousTables *container.Ring[*table.Table]
 	// cachedUpdate and cachedTable are the last computed update and whole table for boxes.
@@ -122,7 +122,7 @@
 		state:          table.NewState(),
 		node:           replication.NewNode(s.Replication, d, now),
 		edits:          newEditQueue(),
-		sessions:       container.NewOrdered[ConnectionID, *session](),
+		sessions:       container.NewOrderedMap[ConnectionID, *session](),
 		previousTables: container.NewRing[*table.Table](maxPreviousTables),
 		leases:         newLeaseTracker(),
 		domains:        map[units.ReplicaID]units.Domain{s.Replication.ID: s.Domain},
--- a/pkg/core/control/requests.go
+++ b/pkg/core/control/requests.go
@@ -42,8 +42,8 @@
 // requestQueue holds the commands and reads that wait at this replica.
 type requestQueue struct {
 	number   commandNumber
-	commands *container.Ordered[commandNumber, *waitingCommand]
-	reads    *container.Ordered[commandNumber, *waitingRead]
+	commands *container.OrderedMap[commandNumber, *waitingCommand]
+	reads    *container.OrderedMap[commandNumber, *waitingRead]
 	// reports are the waiting commands that are reports, by target.
 	reports map[units.TargetID]*waitingCommand
 	// proposed are the commands that this leader has added to the log and that aren't applied yet,
@@ -60,8 +60,8 @@
 
 func newRequestQueue() requestQueue {
 	return requestQueue{
-		commands: container.NewOrdered[commandNumber, *waitingCommand](),
-		reads:    container.NewOrdered[commandNumber, *waitingRead](),
+		commands: container.NewOrderedMap[commandNumber, *waitingCommand](),
+		reads:    container.NewOrderedMap[commandNumber, *waitingRead](),
 		reports:  map[units.TargetID]*waitingCommand{},
 		proposed: map[commandKey]bool{},
 	}
--- a/pkg/ctl/evacuation.go
+++ b/pkg/ctl/evacuation.go
@@ -24,7 +24,7 @@
 		return err
 	}
 	o := table.EvacuationOrder{Domain: units.Domain(c.Args.Domain), Evacuate: c.evacuate, Operator: c.tool.options.Operator}
-	if err := api.OrderEvacuation(o); err != nil {
+	if err := api.SubmitEvacuation(o); err != nil {
 		return err
 	}
 	state := "takes calls"
--- a/pkg/ctl/quarantine.go
+++ b/pkg/ctl/quarantine.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	if err := api.ReleaseCall(c.Args.Call, c.tool.options.Operator); err != nil {
+	if err := api.SubmitRelease(c.Args.Call, c.tool.options.Operator); err != nil {
 		return err
 	}
 	c.tool.print("targets get the call %s again\n", c.Args.Call)
--- a/pkg/ctl/rollout.go
+++ b/pkg/ctl/rollout.go
@@ -30,7 +30,7 @@
 		Service: units.ServiceName(c.Args.Service), To: units.SoftwareVersion(c.Args.Version), Duration: c.Args.Duration,
 		Operator: c.tool.options.Operator,
 	}
-	if err := api.OrderRollout(o); err != nil {
+	if err := api.SubmitRollout(o); err != nil {
 		return err
 	}
 	c.tool.print("the rollout of %s to %s is taken; see madderctl rollout show\n", o.Service, o.To)
@@ -52,7 +52,7 @@
 		return err
 	}
 	o := table.RolloutOrder{Service: units.ServiceName(c.Args.Service), Abort: true, Operator: c.tool.options.Operator}
-	if err := api.OrderRollout(o); err != nil {
+	if err := api.SubmitRollout(o); err != nil {
 		return err
 	}
 	c.tool.print("the rollout of %s is rolled back\n", o.Service)
--- a/pkg/ctl/show.go
+++ b/pkg/ctl/show.go
@@ -138,10 +138,10 @@
 
 func (t *Tool) printSettings(s *reload.Status) {
 	t.print("%s, read at %s\n", s.File, s.ReadAt.Format(time.RFC3339))
-	for _, place := range s.Waiting {
+	for _, place := range s.PendingRestart {
 		t.print("%s has changed in the file and takes a restart\n", place)
 	}
-	if len(s.Waiting) == 0 && s.Refused == "" {
+	if len(s.PendingRestart) == 0 && s.Refused == "" {
 		t.print("all of the file is in force\n")
 	}
 }
@@ -191,7 +191,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := api.Form()
+	s, err := api.FormCluster()
 	if err != nil {
 		return err
 	}
--- a/pkg/ctl/table.go
+++ b/pkg/ctl/table.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	result, err := c.Apply(&table.Edit{
+	result, err := c.SubmitEdit(&table.Edit{
 		ID: units.EditID(t.options.ID), Operator: t.options.Operator,
 		Bases: sheet.Bases(from, operations), Operations: operations,
 	})
--- a/pkg/lab/cluster.go
+++ b/pkg/lab/cluster.go
@@ -203,7 +203,7 @@
 		return err
 	}
 	return Eventually(startLimit, func() error {
-		_, err := api.Form()
+		_, err := api.FormCluster()
 		return err
 	})
 }
@@ -224,7 +224,7 @@
 		return nil, err
 	}
 	operations := sheet.Diff(t, s, false)
-	result, err := api.Apply(&table.Edit{
+	result, err := api.SubmitEdit(&table.Edit{
 		ID: units.EditID(uuid.NewString()), Operator: "lab", Operations: operations, Bases: sheet.Bases(t, operations),
 	})
 	if err == nil && result.Outcome != table.Accepted {
--- a/pkg/lab/control_measure.go
+++ b/pkg/lab/control_measure.go
@@ -124,7 +124,7 @@
 			var base units.Version
 			for i := range edits / operators {
 				at := time.Now()
-				result, err := api.Apply(serviceEdit(fmt.Sprintf("load-%d-%d", operators, k), base, i))
+				result, err := api.SubmitEdit(serviceEdit(fmt.Sprintf("load-%d-%d", operators, k), base, i))
 				took := time.Since(at)
 				lock.Lock()
 				all = append(all, took)
@@ -225,7 +225,7 @@
 	started := time.Now()
 	base := units.Version(0)
 	for i := range m.Edits / 4 {
-		result, err := api.Apply(serviceEdit("watched", base, i))
+		result, err := api.SubmitEdit(serviceEdit("watched", base, i))
 		if err != nil {
 			return "", err
 		}
--- a/pkg/lab/recovery_measure.go
+++ b/pkg/lab/recovery_measure.go
@@ -27,14 +27,14 @@
 
 func (m *ControlMeasure) recoveryRow(c *Cluster, api *client.Client, rows int) (string, error) {
 	for i := range rows / 7 {
-		if _, err := api.Apply(serviceEdit(fmt.Sprintf("s-%d", i), 0, i)); err != nil {
+		if _, err := api.SubmitEdit(serviceEdit(fmt.Sprintf("s-%d", i), 0, i)); err != nil {
 			return "", err
 		}
 	}
 	killed := c.leader()
 	killed.Process.Kill()
 	at := time.Now()
-	if _, err := api.Apply(serviceEdit("after", 0, 1)); err != nil {
+	if _, err := api.SubmitEdit(serviceEdit("after", 0, 1)); err != nil {
 		return "", err
 	}
 	gap := time.Since(at)
--- a/pkg/reload/reloader.go
+++ b/pkg/reload/reloader.go
@@ -13,8 +13,8 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-// pollEvery is how often the file is looked at: it may change without a signal.
-const pollEvery = time.Second
+// pollInterval is how often the file is looked at: it may change without a signal.
+const pollInterval = time.Second
 
 // Source is where the settings come from.
 type Source struct {
@@ -32,8 +32,8 @@
 	File string `json:"file"`
 	// InForce are the settings that the process works with.
 	InForce *config.Settings `json:"inForce"`
-	// Waiting are the fields of the file that differ and take a restart.
-	Waiting []string `json:"waiting"`
+	// PendingRestart are the fields of the file that differ and take a restart.
+	PendingRestart []string `json:"waiting"`
 	// Refused says why the file as it stands isn't taken.
 	Refused string `json:"refused,omitempty"`
 	// ReadAt is when the file was read last.
@@ -52,12 +52,12 @@
 	source Source
 	apply  Apply
 
-	lock    sync.Mutex
-	inForce *config.Settings
-	waiting []string
-	refused error
-	readAt  time.Time
-	stamp   fileStamp
+	lock           sync.Mutex
+	inForce        *config.Settings
+	pendingRestart []string
+	refused        error
+	readAt         time.Time
+	stamp          fileStamp
 }
 
 // NewReloader returns a reloader of settings that are in force already.
@@ -70,7 +70,7 @@
 // Run reads the file again with each signal, and whenever it has changed, until done is
 // closed.
 func (r *Reloader) Run(signals <-chan os.Signal, done <-chan struct{}) {
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -116,17 +116,17 @@
 			Warn("the changed settings can't be used; those in force stay")
 		return
 	}
-	r.take(next)
+	r.applyRunning(next)
 }
 
-func (r *Reloader) take(next *config.Settings) {
+func (r *Reloader) applyRunning(next *config.Settings) {
 	var taken []string
-	r.waiting = nil
+	r.pendingRestart = nil
 	for _, d := range config.Differences(r.inForce, next) {
 		if d.Running {
 			taken = append(taken, d.Place)
 		} else {
-			r.waiting = append(r.waiting, d.Place)
+			r.pendingRestart = append(r.pendingRestart, d.Place)
 		}
 	}
 	merged := config.MergeRunning(r.inForce, next)
@@ -134,7 +134,7 @@
 	if len(taken) > 0 {
 		r.apply(merged)
 	}
-	r.log.WithFields(logrus.Fields{"kind": "reload", "file": r.source.Path, "taken": taken, "waiting": r.waiting}).
+	r.log.WithFields(logrus.Fields{"kind": "reload", "file": r.source.Path, "taken": taken, "waiting": r.pendingRestart}).
 		Info("the settings have been read again; what waits takes a restart")
 }
 
@@ -142,7 +142,7 @@
 func (r *Reloader) Status() Status {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	s := Status{File: r.source.Path, InForce: r.inForce, Waiting: r.waiting, ReadAt: r.readAt.UTC()}
+	s := Status{File: r.source.Path, InForce: r.inForce, PendingRestart: r.pendingRestart, ReadAt: r.readAt.UTC()}
 	if r.refused != nil {
 		s.Refused = r.refused.Error()
 	}
--- a/pkg/reload/reloader_test.go
+++ b/pkg/reload/reloader_test.go
@@ -79,7 +79,7 @@
 				t.Errorf("other seeds were applied:\n%s", d)
 			}
 			status := r.Status()
-			if d := cmp.Diff(s.waiting, status.Waiting); d != "" {
+			if d := cmp.Diff(s.waiting, status.PendingRestart); d != "" {
 				t.Errorf("other fields wait:\n%s", d)
 			}
 			if (status.Refused != "") != s.refused {
@@ -121,12 +121,12 @@
 	r, path, _ := newTestReloader(t)
 	writeSettings(t, path, `{"box": "b", "roles": ["entry"], "seeds": ["127.0.0.1:7001", "127.0.0.1:7002"], "stop": {"limit": "7s"}}`)
 	r.Reload()
-	if len(r.Status().Waiting) != 1 {
-		t.Fatalf("waiting: %v", r.Status().Waiting)
+	if len(r.Status().PendingRestart) != 1 {
+		t.Fatalf("waiting: %v", r.Status().PendingRestart)
 	}
 	writeSettings(t, path, original)
 	r.Reload()
-	if len(r.Status().Waiting) != 0 {
-		t.Fatalf("still waiting: %v", r.Status().Waiting)
+	if len(r.Status().PendingRestart) != 0 {
+		t.Fatalf("still waiting: %v", r.Status().PendingRestart)
 	}
 }
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -45,7 +45,7 @@
 	proxy.Silence(true)
 	rest := x.others(cutOff)
 	started := time.Now()
-	result, err := x.api(rest...).Apply(x.editFrom(rest, "during-cut", 2))
+	result, err := x.api(rest...).SubmitEdit(x.editFrom(rest, "during-cut", 2))
 	x.must(err)
 	if took := time.Since(started); took > bound {
 		t.Fatalf("edits went on only after %s", took)
@@ -95,7 +95,7 @@
 	frozen := x.leader()
 	frozen.Process.Freeze()
 	rest := x.others(frozen)
-	result, err := x.api(rest...).Apply(x.editFrom(rest, "during-freeze", 7))
+	result, err := x.api(rest...).SubmitEdit(x.editFrom(rest, "during-freeze", 7))
 	x.must(err)
 	frozen.Process.Thaw()
 	x.awaitEverywhere(result)
@@ -177,7 +177,7 @@
 			wait.Add(1)
 			go func() {
 				defer wait.Done()
-				result, err := x.api().Apply(weightEdit(present, fmt.Sprintf("race-%d-%d", race, k), "alpha", 1000*k+race))
+				result, err := x.api().SubmitEdit(weightEdit(present, fmt.Sprintf("race-%d-%d", race, k), "alpha", 1000*k+race))
 				switch {
 				case err != nil:
 					t.Errorf("race %d: %v", race, err)
@@ -208,7 +208,7 @@
 	present, err := x.api().Table()
 	x.must(err)
 	edit := weightEdit(present, "the-edit", "alpha", 42)
-	first, err := x.api().Apply(edit)
+	first, err := x.api().SubmitEdit(edit)
 	x.must(err)
 	resend := func(when string) {
 		t.Helper()
@@ -216,7 +216,7 @@
 			if n.Process.Ended() {
 				continue
 			}
-			again, err := x.api(n).Apply(edit)
+			again, err := x.api(n).SubmitEdit(edit)
 			x.must(err)
 			if d := cmp.Diff(first, again); d != "" {
 				t.Fatalf("%s, %s answers differently:\n%s", when, n.Settings.Box, d)
@@ -294,11 +294,11 @@
 	x.must(x.cluster.StartAgain(a))
 	x.must(x.cluster.StartAgain(b))
 	// Two empty replicas are a majority of machines, but no quorum.
-	if _, err := x.api(a, b).Form(); err == nil {
+	if _, err := x.api(a, b).FormCluster(); err == nil {
 		t.Fatal("a cluster formed although one replica was missing")
 	}
 	x.must(x.cluster.StartAgain(c))
-	if _, err := x.api(a, b).Form(); err == nil {
+	if _, err := x.api(a, b).FormCluster(); err == nil {
 		t.Fatal("a second cluster formed beside the first")
 	}
 	d, err := c.Dump()
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -305,7 +305,7 @@
 		target.Process.Terminate()
 	}
 	time.Sleep(2 * restartPause)
-	x.must(x.api().ReleaseCall(name, "test"))
+	x.must(x.api().SubmitRelease(name, "test"))
 	x.awaitWhole(badCall)
 	list, err := x.api().Quarantines()
 	if err != nil || len(list) != 0 {
--- a/test/power_test.go
+++ b/test/power_test.go
@@ -45,7 +45,7 @@
 		x.must(lab.Eventually(patience, func() error {
 			r := registration(target, 1)
 			r.Service, r.Domain = "shop", []units.Domain{soakDomain, soakOtherDomain}[i]
-			return x.api().Report(r)
+			return x.api().SubmitReport(r)
 		}))
 	}
 	for round, pause := range []time.Duration{time.Millisecond, 40 * time.Millisecond, 400 * time.Millisecond} {
@@ -57,7 +57,7 @@
 		put(version)
 		evacuate := round%2 == 0
 		x.must(lab.Eventually(patience, func() error {
-			return x.api().OrderEvacuation(table.EvacuationOrder{Domain: soakDomain, Evacuate: evacuate, Operator: "test"})
+			return x.api().SubmitEvacuation(table.EvacuationOrder{Domain: soakDomain, Evacuate: evacuate, Operator: "test"})
 		}))
 		time.Sleep(pause)
 		x.killAndStart(x.allNodes(), x.cluster.Replicas[round], x.cluster.Replicas[(round+2)%replicas])
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -67,8 +67,8 @@
 				box.Process.HangUp()
 			}
 			x.awaitAttached(box)
-			if status := x.settingsOf(box); !slices.Equal(status.InForce.Seeds, seeds) || len(status.Waiting) > 0 {
-				t.Errorf("in force are the seeds %v, waiting %v", status.InForce.Seeds, status.Waiting)
+			if status := x.settingsOf(box); !slices.Equal(status.InForce.Seeds, seeds) || len(status.PendingRestart) > 0 {
+				t.Errorf("in force are the seeds %v, waiting %v", status.InForce.Seeds, status.PendingRestart)
 			}
 		})
 	}
--- a/test/residency_test.go
+++ b/test/residency_test.go
@@ -94,7 +94,7 @@
 func (x *residencyStory) reportAll() {
 	for i, t := range x.targets {
 		x.sequence++
-		x.must(x.api().Report(&table.Registration{
+		x.must(x.api().SubmitReport(&table.Registration{
 			Target: units.TargetID(t.Name), Service: "shop", Address: t.Address, Slots: 8, State: table.Active,
 			Sequence: x.sequence, Domain: units.Domain(fmt.Sprintf("d%d", i+1)),
 		}))
--- a/test/rest_test.go
+++ b/test/rest_test.go
@@ -40,7 +40,7 @@
 	})
 	x.must(lab.Eventually(patience, func() error { return x.api().PutDocument(rolloutDocument()) }))
 	for _, target := range x.targets {
-		x.must(lab.Eventually(patience, func() error { return x.api().Report(registration(target, 1)) }))
+		x.must(lab.Eventually(patience, func() error { return x.api().SubmitReport(registration(target, 1)) }))
 	}
 	x.caller = lab.NewCaller(x.servingEntries()...)
 	x.awaitWhole(shopCall)
--- a/test/rollout_test.go
+++ b/test/rollout_test.go
@@ -97,7 +97,7 @@
 				continue
 			}
 			// One that isn't acknowledged is sent again with the next round.
-			api.Report(&table.Registration{
+			api.SubmitReport(&table.Registration{
 				Target: units.TargetID(t.Name), Service: rolloutService, Address: t.Address, Software: v, Slots: 8,
 				State: table.Active, Sequence: sequence,
 			})
@@ -130,7 +130,7 @@
 // send sends an order until it is acknowledged.
 func (x *rolloutStory) send(o table.RolloutOrder) {
 	x.Helper()
-	x.must(lab.Eventually(patience, func() error { return x.api().OrderRollout(o) }))
+	x.must(lab.Eventually(patience, func() error { return x.api().SubmitRollout(o) }))
 }
 
 func (x *rolloutStory) awaitStage(stages ...table.RolloutStage) table.RolloutStage {
--- a/test/settings_steps_test.go
+++ b/test/settings_steps_test.go
@@ -23,8 +23,8 @@
 	if err != nil {
 		return err
 	}
-	if (status.Refused != "") != refused || waiting != "" && !slices.Contains(status.Waiting, waiting) {
-		return fmt.Errorf("refused %q, waiting %v", status.Refused, status.Waiting)
+	if (status.Refused != "") != refused || waiting != "" && !slices.Contains(status.PendingRestart, waiting) {
+		return fmt.Errorf("refused %q, waiting %v", status.Refused, status.PendingRestart)
 	}
 	return nil
 }
--- a/test/soak_evacuation_test.go
+++ b/test/soak_evacuation_test.go
@@ -41,7 +41,7 @@
 }
 
 func (x *soak) orderEvacuation(n *lab.Node, evacuate bool) error {
-	return x.oneReplica(n).OrderEvacuation(table.EvacuationOrder{Domain: soakDomain, Evacuate: evacuate, Operator: "soak"})
+	return x.oneReplica(n).SubmitEvacuation(table.EvacuationOrder{Domain: soakDomain, Evacuate: evacuate, Operator: "soak"})
 }
 
 // checkEvacuation evacuates the domain by way of one replica, kills all of them, and makes
--- a/test/soak_rollout_test.go
+++ b/test/soak_rollout_test.go
@@ -43,7 +43,7 @@
 		o.To = newSoftware
 	}
 	// Most orders come while another one is under way, or while nobody leads.
-	x.oneReplica(x.anyReplica()).OrderRollout(o)
+	x.oneReplica(x.anyReplica()).SubmitRollout(o)
 	x.pause(300, 2000)
 }
 
@@ -61,7 +61,7 @@
 		if t.SoftwareInForce(soakRolled) == newSoftware {
 			to = oldSoftware
 		}
-		return x.oneReplica(x.anyReplica()).OrderRollout(table.RolloutOrder{Service: soakRolled, To: to, Duration: soakRollout, Operator: "soak"})
+		return x.oneReplica(x.anyReplica()).SubmitRollout(table.RolloutOrder{Service: soakRolled, To: to, Duration: soakRollout, Operator: "soak"})
 	}))
 	x.killAll()
 	var end *table.Table
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -325,7 +325,7 @@
 // belongs to one target.
 func (x *soak) reportAll(n *lab.Node) {
 	for i := range x.targets {
-		x.oneReplica(n).Report(x.registration(soakServices[i%len(soakServices)], i, table.Active))
+		x.oneReplica(n).SubmitReport(x.registration(soakServices[i%len(soakServices)], i, table.Active))
 	}
 }
 
@@ -382,7 +382,7 @@
 	x.reportAll(x.cluster.Replicas[1])
 	n := x.cluster.Replicas[x.draw(soakReplicas)]
 	x.must(lab.Eventually(patience, func() error {
-		return x.oneReplica(n).Report(x.registration(soakServices[0], 0, table.Leaving))
+		return x.oneReplica(n).SubmitReport(x.registration(soakServices[0], 0, table.Leaving))
 	}))
 	n.Process.Kill()
 	time.Sleep(soakLeaveBound)
--- a/test/starts_test.go
+++ b/test/starts_test.go
@@ -16,7 +16,7 @@
 	report := func(target *lab.TargetProcess, born units.WallTime, sequence uint64, state table.RowState) {
 		t.Helper()
 		x.must(lab.Eventually(patience, func() error {
-			return x.api().Report(&table.Registration{
+			return x.api().SubmitReport(&table.Registration{
 				Target: "pool-1", Service: rolloutService, Address: target.Address, Slots: 4, State: state, Sequence: sequence, StartedAt: born,
 			})
 		}))
@@ -33,7 +33,7 @@
 			t.Errorf("after the late report a call was answered %+v", c)
 		}
 	}
-	x.must(x.api().Depart("pool-1"))
+	x.must(x.api().SubmitDeparture("pool-1"))
 	report(x.targets[1], 2000, 2, table.Active)
 	known, err := x.api().Targets()
 	x.must(err)
--- a/test/steps_test.go
+++ b/test/steps_test.go
@@ -184,7 +184,7 @@
 	api := x.api(nodes...)
 	t, err := api.Table()
 	x.must(err)
-	result, err := api.Apply(weightEdit(t, id, service, weight))
+	result, err := api.SubmitEdit(weightEdit(t, id, service, weight))
 	x.must(err)
 	return result
 }
