--- a/pkg/boxlist/boxlist.go
+++ b/pkg/boxlist/boxlist.go
@@ -1,6 +1,6 @@
-// Package boxlist reads the platform's list of live and leaving boxes. The list
-// lags, so it only ever adds caution: a box that stands on it as leaving calls
-// itself not ready, and serves on.
+// Package boxlist reads the platform's list of live and leaving boxes. The list lags behind, so it
+// is used only as a precaution: a box that is listed as leaving reports itself as not ready, but
+// continues to serve.
 package boxlist
 
 import (
@@ -17,24 +17,24 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// List is the platform's list as it is published, in JSON.
+// List is the platform's list, as published in JSON.
 type List struct {
 	Live    []units.BoxID `json:"live"`
 	Leaving []units.BoxID `json:"leaving"`
 }
 
-// Source is where a list can be read.
+// Source is where the list is read from.
 type Source interface {
-	// Read returns the present list, or an Unavailable or Invalid fault.
+	// Read returns the current list, or an Unavailable or Invalid fault.
 	Read() (*List, error)
 }
 
-// NewSource returns the source that a setting names: a file or a http URL.
-func NewSource(place string) Source {
-	if strings.HasPrefix(place, "http://") {
-		return &httpSource{url: place}
+// NewSource returns the source at the location in the settings: a file path or an http:// URL.
+func NewSource(location string) Source {
+	if strings.HasPrefix(location, "http://") {
+		return &httpSource{url: location}
 	}
-	return &fileSource{path: place}
+	return &fileSource{path: location}
 }
 
 type fileSource struct{ path string }
@@ -50,30 +50,30 @@
 
 type httpSource struct{ url string }
 
-// readTimeout is how long the platform may take to answer.
+// readTimeout bounds one HTTP request to the platform.
 const readTimeout = 2 * time.Second
 
-// Read asks the platform.
+// Read requests the list by HTTP.
 func (s *httpSource) Read() (*List, error) {
 	status, data, err := fasthttp.GetTimeout(nil, s.url, readTimeout)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unavailable, "check platform.list", "the platform doesn't answer")
 	}
 	if status != fasthttp.StatusOK {
-		return nil, fault.New(fault.Unavailable, "check platform.list", "the platform answers %d", status)
+		return nil, fault.New(fault.Unavailable, "check platform.list", "the platform answers with status %d", status)
 	}
 	return parseList(data)
 }
 
-// parseList reads a list. An entry that isn't a name is another writer's and names no box; the others
-// hold.
+// parseList parses a list. Entries that aren't names are ignored, since other programs may have
+// written them; the remaining entries are valid.
 func parseList(data []byte) (*List, error) {
 	var l struct {
 		Live    []json.RawMessage `json:"live"`
 		Leaving []json.RawMessage `json:"leaving"`
 	}
 	if err := json.Unmarshal(data, &l); err != nil {
-		return nil, fault.Wrap(err, fault.Invalid, `publish {"live": [...], "leaving": [...]}`, "the platform's list can't be understood")
+		return nil, fault.Wrap(err, fault.Invalid, `publish {"live": [...], "leaving": [...]}`, "the platform's list can't be parsed")
 	}
 	return &List{Live: boxIDs(l.Live), Leaving: boxIDs(l.Leaving)}, nil
 }
@@ -89,7 +89,7 @@
 	return names
 }
 
-// Watcher reads the list again and again and keeps the last one.
+// Watcher reads the list periodically and keeps the last one.
 type Watcher struct {
 	*common.Common
 	source  Source
@@ -99,18 +99,18 @@
 	stopped chan struct{}
 }
 
-// Status is what a watcher last read, as the dump shows it.
+// Status is what a watcher has last read, as the state dump shows it.
 type Status struct {
 	List List `json:"list"`
-	// ReadAt is when the list was last read; zero means never.
+	// ReadAt is when the list was last read successfully; zero means never.
 	ReadAt time.Time `json:"readAt"`
 	Error  string    `json:"error,omitempty"`
-	// Leaving is set when the list has this box as leaving.
+	// Leaving is set if the list has this box as leaving.
 	Leaving bool `json:"leaving"`
 }
 
-// NewWatcher returns a watcher of the list that the settings name. It returns nil
-// when they name none.
+// NewWatcher returns a watcher of the list that is configured in the settings, or nil if there is
+// none.
 func NewWatcher(c *common.Common) *Watcher {
 	if c.Settings.Platform.List == "" {
 		return nil
@@ -120,8 +120,8 @@
 	}
 }
 
-// Start begins to read. changed is called whenever this box begins or ceases to
-// be listed as leaving.
+// Start starts to read the list in the background. changed is called whenever this box begins or
+// ceases to be listed as leaving.
 func (w *Watcher) Start(changed func(leaving bool)) {
 	go w.run(changed)
 }
@@ -142,7 +142,8 @@
 	}
 }
 
-// readOnce reads the list; a failure keeps the last one.
+// readOnce reads the list and reports whether this box is listed as leaving and whether that has
+// changed. A failure keeps the last list.
 func (w *Watcher) readOnce() (leaving, differs bool) {
 	list, err := w.source.Read()
 	w.lock.Lock()
@@ -166,7 +167,7 @@
 	return w.status
 }
 
-// Stop ends the reading.
+// Stop stops reading and waits for the background goroutine to end.
 func (w *Watcher) Stop() {
 	close(w.stop)
 	<-w.stopped
--- a/pkg/boxlist/boxlist_test.go
+++ b/pkg/boxlist/boxlist_test.go
@@ -26,18 +26,18 @@
 	s := config.Defaults()
 	s.Box, s.Platform.List, s.Platform.Every = "b1", path, config.Duration(5*time.Millisecond)
 	w := NewWatcher(&common.Common{Settings: s})
-	heard := make(chan bool, 10)
-	w.Start(func(leaving bool) { heard <- leaving })
+	changes := make(chan bool, 10)
+	w.Start(func(leaving bool) { changes <- leaving })
 	defer w.Stop()
 	write(`{"live": ["b2"], "leaving": ["b1"]}`)
-	if !<-heard {
-		t.Fatal("the box heard that it stays")
+	if !<-changes {
+		t.Fatal("the first change reported the box as staying")
 	}
 	// A list that can't be read changes nothing.
 	write(`{"live": nonsense`)
 	write(`{"live": ["b1", "b2"], "leaving": []}`)
-	if <-heard {
-		t.Fatal("the box heard that it leaves")
+	if <-changes {
+		t.Fatal("the second change reported the box as leaving")
 	}
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// An entry of another writer names no box; the others hold.
+// Entries that aren't names are ignored, and the remaining ones are used.
 func TestEntriesOfOtherWritersNameNoBox(t *testing.T) {
 	l, err := parseList([]byte(`{"live": ["b1", 5, null, {"name": "b2"}, "b3"], "leaving": [["b4"], "b5"], "resting": 7}`))
 	if err != nil {
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -1,4 +1,4 @@
-// Package client talks to the administration API for the operators' tool.
+// Package client is the client of the administration API that the operators' tool uses.
 package client
 
 import (
@@ -21,40 +21,40 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Client asks one server after another until one can answer.
+// Client sends a request to one server after another until one is available.
 type Client struct {
 	servers []string
 	token   string
 	http    *fasthttp.Client
-	// editTimeout is how long an edit is sent again before its outcome is given up.
+	// editTimeout is how long an edit without a known outcome is retried.
 	editTimeout time.Duration
 }
 
 const (
-	// requestTimeout is how long a server may take to answer: longer than a watch waits for the next change.
+	// requestTimeout is longer than a watch request waits for the next change.
 	requestTimeout = 40 * time.Second
-	// editRetryInterval is the pause before an edit is sent again.
+	// editRetryInterval is the delay before an edit is sent again.
 	editRetryInterval = 200 * time.Millisecond
 )
 
-// NewClient returns a client of servers, each an IP number and a port. The
-// token file may be empty. The error is a Settings fault.
-func NewClient(servers []string, tokenFile string, patience time.Duration) (*Client, error) {
+// NewClient returns a client of servers, each given as an IP address and a port. The token file's
+// name may be empty. SubmitEdit retries for at most editTimeout. The error is a Settings fault.
+func NewClient(servers []string, tokenFile string, editTimeout time.Duration) (*Client, error) {
 	if len(servers) == 0 {
-		return nil, fault.New(fault.Settings, "name one with --server, or in MADDERPOND_SERVERS", "no server is named")
+		return nil, fault.New(fault.Settings, "name one with --server, or in MADDERPOND_SERVERS", "no server is configured")
 	}
-	c := &Client{servers: servers, editTimeout: patience, http: &fasthttp.Client{MaxIdemponentCallAttempts: 1, ReadTimeout: requestTimeout}}
+	c := &Client{servers: servers, editTimeout: editTimeout, http: &fasthttp.Client{MaxIdemponentCallAttempts: 1, ReadTimeout: requestTimeout}}
 	if tokenFile != "" {
 		data, err := os.ReadFile(tokenFile)
 		if err != nil {
-			return nil, fault.Wrap(err, fault.Settings, "name a file that you may read", "the token can't be read")
+			return nil, fault.Wrap(err, fault.Settings, "name a readable file", "the token file can't be read")
 		}
 		c.token = strings.TrimSpace(string(data))
 	}
 	return c, nil
 }
 
-// send sends one request to one server and decodes the answer.
+// send sends one request to one server and decodes the response.
 func (c *Client) send(server, method, path string, body, into any) error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -72,16 +72,17 @@
 		request.SetBody(data)
 	}
 	if err := c.http.DoTimeout(request, response, requestTimeout); err != nil {
-		return fault.Wrap(err, fault.Unavailable, "check that the server runs, or name another with --server", "%s doesn't answer", server)
+		return fault.Wrap(err, fault.Unavailable, "check that the server is running, or name another one with --server", "%s doesn't answer", server)
 	}
 	return decodeResponse(response, into)
 }
 
+// decodeResponse decodes a response into a value; an error of the server is returned as a fault.
 func decodeResponse(response *fasthttp.Response, into any) error {
 	if strings.HasPrefix(string(response.Header.ContentType()), "application/problem+json") {
 		p := &admin.Problem{}
 		if err := json.Unmarshal(response.Body(), p); err != nil {
-			return fault.Wrap(err, fault.Protocol, "use a madderctl of the server's version", "the server's error can't be read")
+			return fault.Wrap(err, fault.Protocol, "use a madderctl of the server's version", "the server's error can't be decoded")
 		}
 		return fault.New(p.Title, p.Remedy, "%s", strings.TrimSuffix(p.Detail, "; "+p.Remedy))
 	}
@@ -90,13 +91,13 @@
 		return nil
 	}
 	if err := json.Unmarshal(response.Body(), into); err != nil {
-		return fault.Wrap(err, fault.Protocol, "use a madderctl of the server's version", "the server's answer can't be read")
+		return fault.Wrap(err, fault.Protocol, "use a madderctl of the server's version", "the server's response can't be decoded")
 	}
 	return nil
 }
 
-// sendToAny asks the servers in turn until one answers with something else than
-// that it can't.
+// sendToAny sends the request to the servers in turn, until one returns neither an Unavailable nor
+// an Unknown fault.
 func (c *Client) sendToAny(method, path string, body, into any) error {
 	var err error
 	for _, s := range c.servers {
@@ -108,7 +109,7 @@
 	return err
 }
 
-// Table returns the newest table that any server knows of.
+// Table returns the newest table.
 func (c *Client) Table() (*table.Table, error) {
 	t := table.NewTable()
 	return t, c.sendToAny("GET", "/v1/table", nil, t)
@@ -126,20 +127,20 @@
 	return results, c.sendToAny("GET", "/v1/history", nil, &results)
 }
 
-// FormCluster forms the cluster.
+// FormCluster forms the cluster and returns the status of the replica that did.
 func (c *Client) FormCluster() (*replica.Status, error) {
 	s := &replica.Status{}
 	return s, c.sendToAny("POST", "/v1/cluster/form", nil, s)
 }
 
-// ServerStatus is what one server says of itself.
+// ServerStatus is the status of one server, or the error of the request for it.
 type ServerStatus struct {
 	Server string          `json:"server"`
 	Status *replica.Status `json:"status,omitempty"`
 	Error  string          `json:"error,omitempty"`
 }
 
-// Statuses asks every server for its state.
+// Statuses requests the status of every server.
 func (c *Client) Statuses() []ServerStatus {
 	all := make([]ServerStatus, 0, len(c.servers))
 	for _, server := range c.servers {
@@ -152,35 +153,35 @@
 	return all
 }
 
-// Document returns the newest document as it was put.
+// Document returns the newest document as it was submitted.
 func (c *Client) Document() (json.RawMessage, error) {
 	var raw json.RawMessage
 	return raw, c.sendToAny("GET", "/v1/document", nil, &raw)
 }
 
-// PutDocument puts a document in force; it may be sent again without harm. Without an
-// error its version or a higher one holds.
+// PutDocument puts a document in force. It may safely be repeated. When it returns no error, the
+// document's version or a higher one is in force.
 func (c *Client) PutDocument(document json.RawMessage) error {
-	var answer json.RawMessage
-	return c.sendToAny("PUT", "/v1/document", document, &answer)
+	var response json.RawMessage
+	return c.sendToAny("PUT", "/v1/document", document, &response)
 }
 
-// Targets returns the targets that registered by themselves.
+// Targets returns the targets that registered themselves.
 func (c *Client) Targets() ([]replica.TargetReport, error) {
 	var targets []replica.TargetReport
 	return targets, c.sendToAny("GET", "/v1/targets", nil, &targets)
 }
 
-// SubmitReport registers a target, or tells of its state.
+// SubmitReport registers a target, or updates the state of a registered one.
 func (c *Client) SubmitReport(r *table.Registration) error {
-	var answer json.RawMessage
-	return c.sendToAny("PUT", "/v1/targets/"+string(r.Target), r, &answer)
+	var response json.RawMessage
+	return c.sendToAny("PUT", "/v1/targets/"+string(r.Target), r, &response)
 }
 
-// SubmitDeparture takes a registered target out for good.
+// SubmitDeparture removes a registered target for good.
 func (c *Client) SubmitDeparture(id units.TargetID) error {
-	var answer json.RawMessage
-	return c.sendToAny("DELETE", "/v1/targets/"+string(id), nil, &answer)
+	var response json.RawMessage
+	return c.sendToAny("DELETE", "/v1/targets/"+string(id), nil, &response)
 }
 
 // Workspaces returns the workspaces of the document in force.
@@ -195,48 +196,46 @@
 	return list, c.sendToAny("GET", "/v1/evacuations", nil, &list)
 }
 
-// SubmitEvacuation evacuates a failure domain or restores it; an order may be sent again
-// without harm.
+// SubmitEvacuation evacuates a failure domain or restores it. An order may safely be repeated.
 func (c *Client) SubmitEvacuation(o table.EvacuationOrder) error {
 	method := "DELETE"
 	if o.Evacuate {
 		method = "PUT"
 	}
-	var answer json.RawMessage
+	var response json.RawMessage
 	path := "/v1/evacuations/" + url.PathEscape(string(o.Domain)) + "?operator=" + url.QueryEscape(o.Operator)
-	return c.sendToAny(method, path, nil, &answer)
+	return c.sendToAny(method, path, nil, &response)
 }
 
-// Rollouts returns the last rollouts of services as the control replica asked knows them.
+// Rollouts returns the last rollout of each service, as known to the control replica that answers.
 func (c *Client) Rollouts() ([]control.RolloutStatus, error) {
 	var list []control.RolloutStatus
 	return list, c.sendToAny("GET", "/v1/rollouts", nil, &list)
 }
 
-// SubmitRollout orders a rollout or ends the one under way; an order may be sent again
-// without harm.
+// SubmitRollout starts a rollout or aborts the active one. An order may safely be repeated.
 func (c *Client) SubmitRollout(o table.RolloutOrder) error {
 	method := "PUT"
 	if o.Abort {
 		method = "DELETE"
 	}
-	var answer json.RawMessage
+	var response json.RawMessage
 	path := "/v1/rollouts/" + url.PathEscape(string(o.Service)) + "?operator=" + url.QueryEscape(o.Operator)
-	return c.sendToAny(method, path, o, &answer)
+	return c.sendToAny(method, path, o, &response)
 }
 
-// Quarantines returns the calls that no target gets, as the control replica asked knows them.
+// Quarantines returns the quarantined calls, as known to the control replica that answers.
 func (c *Client) Quarantines() ([]control.QuarantineStatus, error) {
 	var list []control.QuarantineStatus
 	return list, c.sendToAny("GET", "/v1/quarantines", nil, &list)
 }
 
-// SubmitRelease gives a call in quarantine to targets again; an order may be sent again without
-// harm.
+// SubmitRelease releases a call from quarantine, so that it is sent to targets again. An order may
+// safely be repeated.
 func (c *Client) SubmitRelease(name, operator string) error {
-	var answer json.RawMessage
+	var response json.RawMessage
 	path := "/v1/quarantines/" + url.PathEscape(name) + "?operator=" + url.QueryEscape(operator)
-	return c.sendToAny("DELETE", path, nil, &answer)
+	return c.sendToAny("DELETE", path, nil, &response)
 }
 
 // Dump returns a server's whole state as JSON.
@@ -245,15 +244,15 @@
 	return raw, c.sendToAny("GET", "/v1/dump", nil, &raw)
 }
 
-// Settings returns what became of a server's settings file.
+// Settings returns the state of a server's settings file.
 func (c *Client) Settings() (*reload.Status, error) {
 	status := &reload.Status{}
 	return status, c.sendToAny("GET", "/v1/settings", nil, status)
 }
 
-// SubmitEdit has an edit decided. While its outcome isn't known it is sent again
-// with the same id, to one server after another, which is safe: it takes effect
-// once at most.
+// SubmitEdit submits an edit and returns its result. While the outcome is unknown, the edit is sent
+// again with the same id, to one server after another, until the edit timeout. That is safe, since
+// an edit takes effect at most once.
 func (c *Client) SubmitEdit(edit *table.Edit) (*table.Result, error) {
 	if edit.ID == "" {
 		edit.ID = units.EditID(uuid.NewString())
@@ -268,7 +267,7 @@
 		}
 		if time.Now().After(deadline) {
 			return nil, fault.Wrap(err, fault.Unknown,
-				fmt.Sprintf("send it again with --id %s; it takes effect once at most", edit.ID), "the outcome of the edit isn't known")
+				fmt.Sprintf("send it again with --id %s; it takes effect at most once", edit.ID), "the outcome of the edit is unknown")
 		}
 		time.Sleep(editRetryInterval)
 	}
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock reads the time for the shells; the decision logic gets it from
-// them.
+// Package clock reads the time for the parts of a process that do I/O. The decision logic reads no
+// clock; it gets the time as an argument.
 package clock
 
 import (
@@ -11,32 +11,33 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Clock reads a process's steady clock and the wall clock. Instants count the time for which
-// the machine was suspended, which the steady clock leaves out: what another process granted, a
-// lease above all, runs out meanwhile.
+// Clock reads the monotonic clock and the wall clock. Its instants include the time for which the
+// machine was suspended, unlike the monotonic clock, since what another process has granted, such
+// as a lease, expires during a suspension too.
 type Clock struct {
 	source source
-	// startMonotonic, startWall and startSuspended are what the source read at the start.
+	// startMonotonic, startWall and startSuspended are the readings of the source at the start.
 	startMonotonic, startWall, startSuspended time.Duration
-	// wallDrift is how much further than the steady clock the wall clock had moved when
-	// suspensions were last looked for, suspendedSinceStart how long they were.
+	// wallDrift is how much further the wall clock had advanced than the monotonic clock when
+	// suspensions were last checked for, in nanoseconds since the start. suspendedSinceStart is
+	// how long the machine was suspended, in nanoseconds.
 	wallDrift, suspendedSinceStart atomic.Int64
 }
 
-// source is where a clock reads from.
+// source has the readings that a clock is based on.
 type source interface {
-	// now reads the steady clock and the wall clock.
-	now() (steady, wall time.Duration)
-	// suspended is for how long the machine has been suspended so far.
+	// now reads the monotonic clock and the wall clock.
+	now() (monotonic, wall time.Duration)
+	// suspended returns for how long the machine has been suspended so far.
 	suspended() time.Duration
 }
 
 const (
-	// firstInstant keeps the zero instant free to stand for "never".
+	// firstInstant is after zero, which means "never".
 	firstInstant = units.Instant(time.Second)
-	// driftThreshold is by how much the wall clock moves against the steady one before the
-	// suspended time is read, which takes two calls of the kernel: a shorter suspension harms no
-	// lease, and a clock that is off by a thousandth is read so every ten seconds.
+	// driftThreshold is by how much the wall clock must drift from the monotonic clock before the
+	// suspended time is read again, which takes two system calls. A shorter suspension harms no
+	// lease, and a wall clock that is off by a thousandth causes one such read every ten seconds.
 	driftThreshold = 10 * time.Millisecond
 )
 
@@ -49,48 +50,49 @@
 	return c
 }
 
-// Now returns the present instant.
+// Now returns the current instant.
 func (c *Clock) Now() units.Instant {
-	steady, wall := c.source.now()
-	passed := steady - c.startMonotonic
-	apart := int64(wall - c.startWall - passed)
-	if moved := apart - c.wallDrift.Load(); moved >= int64(driftThreshold) || -moved >= int64(driftThreshold) {
-		c.wallDrift.Store(apart)
+	monotonic, wall := c.source.now()
+	elapsed := monotonic - c.startMonotonic
+	drift := int64(wall - c.startWall - elapsed)
+	if moved := drift - c.wallDrift.Load(); moved >= int64(driftThreshold) || -moved >= int64(driftThreshold) {
+		c.wallDrift.Store(drift)
 		c.updateSuspended()
 	}
-	return firstInstant.Add(passed + time.Duration(c.suspendedSinceStart.Load()))
+	return firstInstant.Add(elapsed + time.Duration(c.suspendedSinceStart.Load()))
 }
 
-// updateSuspended reads how long the machine was suspended. Instants never go back.
+// updateSuspended reads for how long the machine was suspended. It only ever increases the stored
+// time, so that instants never go back.
 func (c *Clock) updateSuspended() {
-	slept := int64(c.source.suspended() - c.startSuspended)
-	for held := c.suspendedSinceStart.Load(); slept > held && !c.suspendedSinceStart.CompareAndSwap(held, slept); held = c.suspendedSinceStart.Load() {
+	suspended := int64(c.source.suspended() - c.startSuspended)
+	for stored := c.suspendedSinceStart.Load(); suspended > stored && !c.suspendedSinceStart.CompareAndSwap(stored, suspended); stored = c.suspendedSinceStart.Load() {
 	}
 }
 
 // Wall returns the wall-clock time.
 func (c *Clock) Wall() units.WallTime { return units.WallTime(time.Now().UnixMilli()) }
 
-// Until returns the time left until an instant; it is negative once it is past.
+// Until returns the time remaining until an instant; it is negative for a past one.
 func (c *Clock) Until(i units.Instant) time.Duration { return i.Sub(c.Now()) }
 
-// Time returns the time of an instant, for deadlines of connections.
+// Time returns the local time of an instant, for the deadlines of connections.
 func (c *Clock) Time(i units.Instant) time.Time { return time.Now().Add(c.Until(i)) }
 
-// systemClocks reads the clocks of the systemClocks.
+// systemClocks reads the operating system's clocks.
 type systemClocks struct{ start time.Time }
 
-func (m systemClocks) now() (steady, wall time.Duration) {
+func (s systemClocks) now() (monotonic, wall time.Duration) {
 	t := time.Now()
-	return t.Sub(m.start), time.Duration(t.UnixNano())
+	return t.Sub(s.start), time.Duration(t.UnixNano())
 }
 
-// suspended is the difference of the two clocks that only differ in that; zero where the kernel
-// doesn't have them.
-func (m systemClocks) suspended() time.Duration {
-	var counting, steady unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &counting) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil {
+// suspended returns the difference between the two clocks that differ only in the suspended time;
+// zero if the kernel doesn't have them.
+func (s systemClocks) suspended() time.Duration {
+	var boot, monotonic unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
 		return 0
 	}
-	return time.Duration(counting.Nano() - steady.Nano())
+	return time.Duration(boot.Nano() - monotonic.Nano())
 }
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -7,26 +7,26 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// fakeSource is a machine whose clocks the test sets.
+// fakeSource is a source whose clocks the test sets.
 type fakeSource struct {
 	monotonic, wall, suspendedFor time.Duration
 	reads                         int
 }
 
-func (f *fakeSource) now() (steady, wall time.Duration) { return f.monotonic, f.wall }
+func (f *fakeSource) now() (monotonic, wall time.Duration) { return f.monotonic, f.wall }
 
 func (f *fakeSource) suspended() time.Duration {
 	f.reads++
 	return f.suspendedFor
 }
 
-// advance lets time advance on all clocks.
+// advance lets time pass on both clocks.
 func (f *fakeSource) advance(d time.Duration) {
 	f.monotonic += d
 	f.wall += d
 }
 
-// suspend puts the machine to sleep.
+// suspend suspends the machine for a time, which only the wall clock counts.
 func (f *fakeSource) suspend(d time.Duration) {
 	f.wall += d
 	f.suspendedFor += d
@@ -38,12 +38,12 @@
 	start := c.Now()
 	lease := start.Add(2 * time.Second)
 	f.advance(time.Second)
-	if left := c.Until(lease); left != time.Second {
-		t.Fatalf("%s are left of the lease", left)
+	if remaining := c.Until(lease); remaining != time.Second {
+		t.Fatalf("%s remain of the lease", remaining)
 	}
 	f.suspend(3 * time.Second)
-	if left := c.Until(lease); left != -2*time.Second {
-		t.Fatalf("after the suspension %s are left of the lease", left)
+	if remaining := c.Until(lease); remaining != -2*time.Second {
+		t.Fatalf("after the suspension %s remain of the lease", remaining)
 	}
 	f.suspend(500 * time.Millisecond)
 	f.advance(time.Second)
@@ -52,7 +52,7 @@
 	}
 }
 
-// A step of the wall clock, and one that is a little fast or slow, are no suspensions.
+// A step of the wall clock, or a wall clock that runs a little fast, must not count as a suspension.
 func TestTheWallClockMovesNoInstant(t *testing.T) {
 	f := &fakeSource{}
 	c := newClock(f)
@@ -76,8 +76,8 @@
 	}
 }
 
-// A wall clock that is set back while the machine sleeps, by as much, hides the suspension until it
-// next moves; instants don't go back then either.
+// A wall clock that is set back by as much as a suspension hides the suspension until it next drifts.
+// Instants must not go back then either.
 func TestInstantsNeverGoBack(t *testing.T) {
 	f := &fakeSource{}
 	c := newClock(f)
@@ -98,12 +98,12 @@
 	c := NewClock()
 	first := c.Now()
 	time.Sleep(2 * time.Millisecond)
-	if passed := c.Now().Sub(first); passed < 2*time.Millisecond {
-		t.Errorf("%s have passed", passed)
+	if elapsed := c.Now().Sub(first); elapsed < 2*time.Millisecond {
+		t.Errorf("%s have passed", elapsed)
 	}
 }
 
-// What an instant costs: 49 ns, and 27 ns for the steady clock alone.
+// BenchmarkNow measures the cost of an instant: 49 ns, of which the monotonic clock alone takes 27 ns.
 func BenchmarkNow(b *testing.B) {
 	c := NewClock()
 	for b.Loop() {
--- a/pkg/common/common.go
+++ b/pkg/common/common.go
@@ -1,4 +1,4 @@
-// Package common holds what every part of a process is given at its making.
+// Package common holds the dependencies that every part of a process is created with.
 package common
 
 import (
@@ -9,11 +9,11 @@
 	"github.com/madderpond/madderpond/pkg/transport"
 )
 
-// Common is shared by all parts of a process.
+// Common has the dependencies that all parts of a process share.
 type Common struct {
 	Log      *logrus.Entry
 	Settings *config.Settings
 	Clock    *clock.Clock
-	// Security is nil where the connections between processes are open.
+	// Security is nil if the connections between processes are neither encrypted nor authenticated.
 	Security *transport.Security
 }
--- a/pkg/container/heap.go
+++ b/pkg/container/heap.go
@@ -1,14 +1,14 @@
 package container
 
-// Heap is a binary heap ordered by a function given at its making.
+// Heap is a binary heap that is ordered by a function.
 type Heap[T any] struct {
 	values []T
 	less   func(a, b T) bool
 }
 
-// NewHeap returns an empty heap whose first value is the one before all others.
-func NewHeap[T any](before func(a, b T) bool) *Heap[T] {
-	return &Heap[T]{less: before}
+// NewHeap returns an empty heap whose first value is the least one by the function less.
+func NewHeap[T any](less func(a, b T) bool) *Heap[T] {
+	return &Heap[T]{less: less}
 }
 
 // Len returns the number of values.
@@ -20,8 +20,7 @@
 	h.siftUp(len(h.values) - 1)
 }
 
-// Peek returns the first value without removing it; ok is false when there is
-// none.
+// Peek returns the first value without removing it; ok is false if the heap is empty.
 func (h *Heap[T]) Peek() (v T, ok bool) {
 	if len(h.values) == 0 {
 		return v, false
@@ -29,7 +28,7 @@
 	return h.values[0], true
 }
 
-// Pop removes and returns the first value; ok is false when there is none.
+// Pop removes and returns the first value; ok is false if the heap is empty.
 func (h *Heap[T]) Pop() (v T, ok bool) {
 	if len(h.values) == 0 {
 		return v, false
--- a/pkg/container/ordered_map.go
+++ b/pkg/container/ordered_map.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// OrderedMap is a map that keeps the order in which its keys came, so that the same events
-// always give the same effects. It is meant for small numbers of keys: removing one takes
-// time in proportion to them.
+// OrderedMap is a map that keeps the insertion order of its keys, so that the same events always
+// have the same effects. It is meant for small numbers of keys, since deleting one takes linear
+// time.
 type OrderedMap[K comparable, V any] struct {
 	values map[K]V
 	keys   []K
@@ -18,7 +18,7 @@
 // Get returns a key's value, or the zero value.
 func (o *OrderedMap[K, V]) Get(k K) V { return o.values[k] }
 
-// Put sets a key's value; a new key comes last.
+// Put sets a key's value; a new key is added at the end.
 func (o *OrderedMap[K, V]) Put(k K, v V) {
 	if _, known := o.values[k]; !known {
 		o.keys = append(o.keys, k)
@@ -26,7 +26,7 @@
 	o.values[k] = v
 }
 
-// Delete removes a key, if it is there.
+// Delete removes a key, if it exists.
 func (o *OrderedMap[K, V]) Delete(k K) {
 	if _, known := o.values[k]; !known {
 		return
@@ -38,5 +38,6 @@
 // Len returns the number of keys.
 func (o *OrderedMap[K, V]) Len() int { return len(o.keys) }
 
-// Keys returns a copy of the keys, so that they may be removed meanwhile.
+// Keys returns a copy of the keys in insertion order, so that a caller may delete keys while it
+// iterates over them.
 func (o *OrderedMap[K, V]) Keys() []K { return slices.Clone(o.keys) }
--- a/pkg/container/ring.go
+++ b/pkg/container/ring.go
@@ -2,15 +2,14 @@
 // shares. None of them is safe for concurrent use.
 package container
 
-// Ring keeps the last values pushed, up to a fixed number.
+// Ring is a ring buffer of the last values pushed, up to a fixed number.
 type Ring[T any] struct {
 	values []T
 	start  int
 	limit  int
 }
 
-// NewRing returns an empty ring that keeps at most limit values; limit must be
-// positive.
+// NewRing returns an empty ring for at most limit values; limit must be positive.
 func NewRing[T any](limit int) *Ring[T] {
 	return &Ring[T]{limit: limit}
 }
@@ -28,7 +27,7 @@
 // Len returns the number of values kept.
 func (r *Ring[T]) Len() int { return len(r.values) }
 
-// At returns the i-th value, counted from the oldest.
+// At returns the i-th value, counted from the oldest, which has index zero.
 func (r *Ring[T]) At(i int) T {
 	return r.values[(r.start+i)%len(r.values)]
 }
--- a/pkg/container/slab.go
+++ b/pkg/container/slab.go
@@ -1,9 +1,10 @@
 package container
 
-// Handle names a value of a slab. A handle of a released value never names a
-// later one, since each use of a place has its own generation.
+// Handle identifies a value of a slab. A handle of a released value never refers to a later value,
+// since each use of a slot has its own generation.
 type Handle uint64
 
+// handleIndexBits is the width in bits of the index in a handle; the generation has the rest.
 const handleIndexBits = 32
 
 func newHandle(index, generation uint32) Handle {
@@ -19,8 +20,8 @@
 	inUse      bool
 }
 
-// Slab keeps values in reused places and names them by handles, so that a
-// lookup costs an index and a released value costs no garbage.
+// Slab keeps values in reused slots and identifies them by handles, so that a lookup is an index
+// into a slice and a released value causes no garbage collection.
 type Slab[T any] struct {
 	slots  []*slabSlot[T]
 	free   []uint32
@@ -33,8 +34,8 @@
 // Len returns the number of values in use.
 func (s *Slab[T]) Len() int { return s.length }
 
-// Acquire returns a place and its handle. The value is as its last user left
-// it; the caller resets what it needs. The pointer stays valid until Release.
+// Acquire returns the value of a free slot and its handle. The value is as its last user left it;
+// the caller resets what it needs. The pointer stays valid until Release.
 func (s *Slab[T]) Acquire() (Handle, *T) {
 	s.length++
 	if n := len(s.free); n > 0 {
@@ -49,7 +50,7 @@
 	return newHandle(uint32(len(s.slots)-1), p.generation), &p.value
 }
 
-// Get returns the value of a handle, or nil when it was released.
+// Get returns the value of a handle, or nil if it was released.
 func (s *Slab[T]) Get(h Handle) *T {
 	if int(h.index()) >= len(s.slots) {
 		return nil
@@ -61,7 +62,7 @@
 	return &p.value
 }
 
-// Release gives a place back. Releasing a handle twice does nothing.
+// Release frees the slot of a handle. Releasing a handle twice does nothing.
 func (s *Slab[T]) Release(h Handle) {
 	if s.Get(h) == nil {
 		return
@@ -73,7 +74,7 @@
 	s.length--
 }
 
-// Each calls f with every value in use, in the order of their places.
+// Each calls f with every value in use, in the order of their slots.
 func (s *Slab[T]) Each(f func(Handle, *T)) {
 	for i, p := range s.slots {
 		if p.inUse {
--- a/pkg/container/sortedmap.go
+++ b/pkg/container/sortedmap.go
@@ -6,30 +6,31 @@
 	"slices"
 )
 
-// SortedMap is a sorted map that never changes: Put and Delete return other maps, which share with it
-// all but the few nodes on the way to the key. The zero value is an empty map.
+// SortedMap is an immutable sorted map, a B+ tree. Put and Delete return new maps, which share with it
+// all nodes but those on the path to the key. The zero value is an empty map.
 type SortedMap[K cmp.Ordered, V any] struct {
 	root   *mapNode[K, V]
 	length int
 }
 
-// mapNode is a node of a tree whose leaves are all as deep. Inner nodes have the first key below
-// each child as it was when the child came: a bound, no key of the map.
+// mapNode is a node of a tree whose leaves all have the same depth. An inner node has a key for each
+// child: a lower bound of the keys below the child, which need not be a key of the map any more.
 type mapNode[K cmp.Ordered, V any] struct {
 	keys     []K
 	values   []V
 	children []*mapNode[K, V]
 }
 
-// mapFanout is how many keys or children a node has at the most. A change copies one node of each
-// level, so that small nodes make changes cheap and large ones make the tree flat.
+// mapFanout is the maximum number of keys or children of a node. A change copies one node of each
+// level: small nodes make changes cheap, and large ones make the tree flat.
 const mapFanout = 32
 
-// builtNodeSize is how many keys a leaf of a map has that is built at once: some may still come.
+// builtNodeSize is the number of keys or children of a node in a map that is built by SortedMapOf. It
+// leaves room for later keys.
 const builtNodeSize = mapFanout * 3 / 4
 
-// SortedMapOf returns the map of keys, which ascend, and their values. It takes less than putting
-// one after the other.
+// SortedMapOf returns the map of the keys, which must be in ascending order, and their values. It is
+// cheaper than a Put for each key.
 func SortedMapOf[K cmp.Ordered, V any](keys []K, values []V) SortedMap[K, V] {
 	var level []*mapNode[K, V]
 	for i := 0; i < len(keys); i += builtNodeSize {
@@ -46,7 +47,7 @@
 	return m
 }
 
-// parentLevel returns the level above some nodes.
+// parentLevel returns the parents of a level of nodes.
 func parentLevel[K cmp.Ordered, V any](nodes []*mapNode[K, V]) []*mapNode[K, V] {
 	var level []*mapNode[K, V]
 	for children := range slices.Chunk(nodes, builtNodeSize) {
@@ -62,7 +63,7 @@
 // Len returns the number of keys.
 func (m SortedMap[K, V]) Len() int { return m.length }
 
-// Get returns a key's value, and whether the key is there.
+// Get returns a key's value, and whether the key exists.
 func (m SortedMap[K, V]) Get(k K) (V, bool) {
 	for n := m.root; n != nil; {
 		if n.children != nil {
@@ -78,7 +79,7 @@
 	return none, false
 }
 
-// childIndex returns the place of the child that a key belongs to.
+// childIndex returns the index of the child that a key belongs to.
 func (n *mapNode[K, V]) childIndex(k K) int {
 	i, found := slices.BinarySearch(n.keys, k)
 	if found {
@@ -87,12 +88,12 @@
 	return max(0, i-1)
 }
 
-// All returns the keys and values in the keys' order.
+// All iterates over the keys and values in the order of the keys.
 func (m SortedMap[K, V]) All() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) { m.root.each(yield) }
 }
 
-// Values returns the values in the keys' order.
+// Values iterates over the values in the order of their keys.
 func (m SortedMap[K, V]) Values() iter.Seq[V] {
 	return func(yield func(V) bool) {
 		m.root.each(func(_ K, v V) bool { return yield(v) })
@@ -116,7 +117,7 @@
 	return true
 }
 
-// Put returns the map with a key's value set.
+// Put returns a map with a key's value set.
 func (m SortedMap[K, V]) Put(k K, v V) SortedMap[K, V] {
 	if m.root == nil {
 		return SortedMap[K, V]{root: &mapNode[K, V]{keys: []K{k}, values: []V{v}}, length: 1}
@@ -132,7 +133,7 @@
 	return next
 }
 
-// put returns the node, or the two, that take the place of n.
+// put returns the one or two nodes that replace n, and whether the key is new.
 func (n *mapNode[K, V]) put(k K, v V) (nodes []*mapNode[K, V], added bool) {
 	if n.children == nil {
 		return n.putLeaf(k, v)
@@ -160,10 +161,10 @@
 	return next.split(), true
 }
 
-// withInserted returns a copy of a list with a value more.
+// withInserted returns a copy of a list with a value inserted at index i.
 func withInserted[T any](list []T, i int, x T) []T { return slices.Concat(list[:i], []T{x}, list[i:]) }
 
-// split divides a node that has become too large; nobody else holds it yet.
+// split splits a node that has become too large. The node must not be shared with a map yet.
 func (n *mapNode[K, V]) split() []*mapNode[K, V] {
 	if len(n.keys) <= mapFanout {
 		return []*mapNode[K, V]{n}
@@ -179,7 +180,7 @@
 	return []*mapNode[K, V]{left, right}
 }
 
-// Delete returns the map without a key.
+// Delete returns a map without a key.
 func (m SortedMap[K, V]) Delete(k K) SortedMap[K, V] {
 	if _, found := m.Get(k); !found {
 		return m
@@ -191,8 +192,8 @@
 	return next
 }
 
-// withoutKey returns the node withoutKey a key that is below it, or nil where nothing is left. Nodes that
-// have become small aren't joined: what comes later fills them.
+// withoutKey returns the node without a key that exists below it, or nil if nothing is left. Small
+// nodes aren't merged, since later keys fill them.
 func (n *mapNode[K, V]) withoutKey(k K) *mapNode[K, V] {
 	if n.children == nil {
 		i, _ := slices.BinarySearch(n.keys, k)
@@ -214,5 +215,5 @@
 	return &mapNode[K, V]{keys: withoutIndex(n.keys, i), children: withoutIndex(n.children, i)}
 }
 
-// withoutIndex returns a copy of a list that lacks one value.
+// withoutIndex returns a copy of a list without the value at index i.
 func withoutIndex[T any](list []T, i int) []T { return slices.Concat(list[:i], list[i+1:]) }
--- a/pkg/container/sortedmap_diff.go
+++ b/pkg/container/sortedmap_diff.go
@@ -2,9 +2,9 @@
 
 import "cmp"
 
-// Difference calls removed and put with what leads from one map to another, each in the keys' order. It
-// takes time in proportion to what differs where one map was made from the other.
-func Difference[K cmp.Ordered, V any](from, to SortedMap[K, V], same func(a, b V) bool, removed func(K), put func(K, V)) {
+// Difference calls removed and put for the changes that lead from one map to another, in the order of
+// the keys. If one map was derived from the other, it takes time in proportion to the changes.
+func Difference[K cmp.Ordered, V any](from, to SortedMap[K, V], equal func(a, b V) bool, removed func(K), put func(K, V)) {
 	before, after := differingLeaves(from.root, to.root)
 	a, b := newMapCursor(before), newMapCursor(after)
 	for a.valid() || b.valid() {
@@ -16,7 +16,7 @@
 			put(b.key(), b.value())
 			b.next()
 		default:
-			if !same(a.value(), b.value()) {
+			if !equal(a.value(), b.value()) {
 				put(b.key(), b.value())
 			}
 			a.next()
@@ -25,7 +25,7 @@
 	}
 }
 
-// differingLeaves returns the leaves of two trees that aren't shared.
+// differingLeaves returns the leaves that the two trees don't share.
 func differingLeaves[K cmp.Ordered, V any](from, to *mapNode[K, V]) (before, after []*mapNode[K, V]) {
 	before, after = appendNode(before, from), appendNode(after, to)
 	for {
@@ -50,7 +50,7 @@
 	return append(list, n)
 }
 
-// dropShared drops the nodes that are in both lists: what is below them doesn't differ.
+// dropShared drops the nodes that are in both lists, since there is no difference below them.
 func dropShared[K cmp.Ordered, V any](a, b []*mapNode[K, V]) (onlyA, onlyB []*mapNode[K, V]) {
 	shared := make(map[*mapNode[K, V]]bool, len(a))
 	for _, n := range a {
@@ -71,7 +71,7 @@
 	return onlyA, onlyB
 }
 
-// depthOf returns how many levels are below the nodes of a list, which all have as many.
+// depthOf returns how many levels are below the nodes of a list, which all have the same depth.
 func depthOf[K cmp.Ordered, V any](list []*mapNode[K, V]) int {
 	if len(list) == 0 {
 		return 0
@@ -91,7 +91,7 @@
 	return children
 }
 
-// mapCursor goes through the keys of some leaves.
+// mapCursor iterates over the keys of a list of leaves.
 type mapCursor[K cmp.Ordered, V any] struct {
 	leaves []*mapNode[K, V]
 	index  int
--- a/pkg/container/sortedmap_test.go
+++ b/pkg/container/sortedmap_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// A map must hold what an ordinary one does after the same changes, and the maps before each change
-// must stay as they were.
+// A sorted map must have the same content as a built-in map after the same changes, and maps from before
+// a change must stay unchanged.
 func TestSortedMapFollowsAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.SampledFrom([]int{5, 100, 3000}).Draw(t, "keys")
@@ -88,7 +88,8 @@
 	return m
 }
 
-// A change and its difference must cost the same however large the map is, but for a level more.
+// The cost of a change and of its difference must not grow with the size of the map, except for an
+// additional tree level.
 func TestChangesOfSortedMapsDontGrowWithThem(t *testing.T) {
 	const most = 3
 	cost := func(size int) float64 {
@@ -104,7 +105,7 @@
 	}
 }
 
-// BenchmarkSortedMapPut is one key of many set anew.
+// BenchmarkSortedMapPut measures setting an existing key of a large map.
 func BenchmarkSortedMapPut(b *testing.B) {
 	m := filledMap(10_000)
 	b.ReportAllocs()
--- a/pkg/fixedseed/fixedseed.go
+++ b/pkg/fixedseed/fixedseed.go
@@ -1,9 +1,9 @@
-// Package fixedseed gives random tests the same seed in every run, so that CI gives
-// the same verdict every time. A longer run by hand names its own:
+// Package fixedseed gives random tests the same seed in every run, so that CI has the same result
+// every time. For a longer manual run, override the flags:
 //
 //	go test ./pkg/core/control -run Random -rapid.checks=20000 -rapid.seed=0
 //
-// draws a new seed each time; a failing test prints the one that repeats it.
+// uses a new seed each time; a failing test prints the seed that reproduces the failure.
 package fixedseed
 
 import (
@@ -14,11 +14,11 @@
 
 const (
 	seed = "20261202"
-	// checks is how many cases each property gets where nothing else is said.
+	// checks is the default number of cases for each property.
 	checks = "150"
 )
 
-// Main runs a package's tests; call it from TestMain.
+// Main runs a package's tests with the fixed seed and exits; call it from TestMain.
 func Main(m *testing.M) {
 	defaults := []struct{ name, value string }{
 		{"rapid.seed", seed},
--- a/pkg/reload/reloader.go
+++ b/pkg/reload/reloader.go
@@ -1,5 +1,5 @@
-// Package reload has a running process take a changed settings file, as far as that is
-// possible without a restart.
+// Package reload applies a changed settings file to a running process, as far as that is possible
+// without a restart.
 package reload
 
 import (
@@ -13,34 +13,35 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-// pollInterval is how often the file is looked at: it may change without a signal.
+// pollInterval is how often the file is checked, since it may change without a signal.
 const pollInterval = time.Second
 
-// Source is where the settings come from.
+// Source is where the settings are read from.
 type Source struct {
 	// Path is the settings file.
 	Path string
-	// Load reads and checks it; its error is a Settings fault.
+	// Load reads and validates the file; its error is a Settings fault.
 	Load func(path string) (*config.Settings, error)
 }
 
-// Apply takes the fields of new settings that a running process can take.
+// Apply applies the fields of new settings that can change without a restart.
 type Apply func(*config.Settings)
 
-// Status is what became of the settings file since the start.
+// Status is the state of the settings file and of the settings in force.
 type Status struct {
 	File string `json:"file"`
-	// InForce are the settings that the process works with.
+	// InForce are the settings that the process uses.
 	InForce *config.Settings `json:"inForce"`
-	// PendingRestart are the fields of the file that differ and take a restart.
+	// PendingRestart are the fields that differ in the file and need a restart to be applied.
 	PendingRestart []string `json:"waiting"`
-	// Refused says why the file as it stands isn't taken.
+	// Refused is the error for which the file in its current state was rejected, if it was.
 	Refused string `json:"refused,omitempty"`
-	// ReadAt is when the file was read last.
+	// ReadAt is when the file was last read.
 	ReadAt time.Time `json:"readAt"`
 }
 
-// fileStamp tells whether a file has been written since.
+// fileStamp identifies a version of a file, to detect that it was written. It is zero for a
+// missing file.
 type fileStamp struct {
 	modified time.Time
 	size     int64
@@ -60,15 +61,14 @@
 	stamp          fileStamp
 }
 
-// NewReloader returns a reloader of settings that are in force already.
+// NewReloader returns a reloader for settings that are already in force.
 func NewReloader(log *logrus.Entry, inForce *config.Settings, source Source, apply Apply) *Reloader {
 	r := &Reloader{log: log, source: source, apply: apply, inForce: inForce, readAt: time.Now()}
 	r.stamp = r.readStamp()
 	return r
 }
 
-// Run reads the file again with each signal, and whenever it has changed, until done is
-// closed.
+// Run reads the file again on each signal, and whenever it has changed, until done is closed.
 func (r *Reloader) Run(signals <-chan os.Signal, done <-chan struct{}) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -84,8 +84,8 @@
 	}
 }
 
-// reloadIfChanged reads a file that has been written since it was read last. One that
-// can't be found is left to the next signal: it may be about to be replaced.
+// reloadIfChanged reads the file if it was written since it was last read. A missing file is
+// ignored until the next signal, since it may be about to be replaced.
 func (r *Reloader) reloadIfChanged() {
 	stamp := r.readStamp()
 	if stamp == r.stamp || stamp == (fileStamp{}) {
@@ -102,8 +102,8 @@
 	return fileStamp{modified: info.ModTime(), size: info.Size()}
 }
 
-// Reload reads the file and takes what a running process can take. A file with a fault is
-// refused as a whole, and the settings in force stay.
+// Reload reads the file and applies what can change without a restart. An invalid file is rejected
+// as a whole, and the settings in force stay.
 func (r *Reloader) Reload() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -113,32 +113,34 @@
 	r.refused = err
 	if err != nil {
 		r.log.WithError(err).WithFields(logrus.Fields{"kind": "reload-refused", "file": r.source.Path, "remedy": fault.RemedyOf(err)}).
-			Warn("the changed settings can't be used; those in force stay")
+			Warn("rejected the changed settings file; the settings in force stay")
 		return
 	}
 	r.applyRunning(next)
 }
 
+// applyRunning applies the fields that can change without a restart, and lists the others as
+// pending.
 func (r *Reloader) applyRunning(next *config.Settings) {
-	var taken []string
+	var applied []string
 	r.pendingRestart = nil
 	for _, d := range config.Differences(r.inForce, next) {
 		if d.Running {
-			taken = append(taken, d.Place)
+			applied = append(applied, d.Place)
 		} else {
 			r.pendingRestart = append(r.pendingRestart, d.Place)
 		}
 	}
 	merged := config.MergeRunning(r.inForce, next)
 	r.inForce = merged
-	if len(taken) > 0 {
+	if len(applied) > 0 {
 		r.apply(merged)
 	}
-	r.log.WithFields(logrus.Fields{"kind": "reload", "file": r.source.Path, "taken": taken, "waiting": r.pendingRestart}).
-		Info("the settings have been read again; what waits takes a restart")
+	r.log.WithFields(logrus.Fields{"kind": "reload", "file": r.source.Path, "taken": applied, "waiting": r.pendingRestart}).
+		Info("read the settings file again; the fields listed as waiting need a restart")
 }
 
-// Status returns what became of the settings file.
+// Status returns the state of the settings file.
 func (r *Reloader) Status() Status {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/pkg/reload/reloader_test.go
+++ b/pkg/reload/reloader_test.go
@@ -15,8 +15,8 @@
 
 const original = `{"box": "b", "roles": ["entry"], "seeds": ["127.0.0.1:7001", "127.0.0.1:7002"]}`
 
-// newTestReloader returns a reloader of a file that holds the original settings, and the
-// settings that were last applied.
+// newTestReloader returns a reloader of a file with the original settings, the file's path, and a
+// function that returns the settings that were last applied.
 func newTestReloader(t *testing.T) (r *Reloader, path string, applied func() *config.Settings) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "settings.jsonc")
@@ -43,7 +43,7 @@
 	scenarios := []struct {
 		testName string
 		file     string
-		// seeds are those applied, none when nothing is.
+		// seeds are the applied ones; nil if nothing is applied.
 		seeds   []string
 		waiting []string
 		refused bool
@@ -80,13 +80,13 @@
 			}
 			status := r.Status()
 			if d := cmp.Diff(s.waiting, status.PendingRestart); d != "" {
-				t.Errorf("other fields wait:\n%s", d)
+				t.Errorf("other fields are pending:\n%s", d)
 			}
 			if (status.Refused != "") != s.refused {
 				t.Errorf("refused: %q", status.Refused)
 			}
 			if status.InForce.Entry.Listen != config.Defaults().Entry.Listen {
-				t.Error("a field that takes a restart is shown in force")
+				t.Error("a field that needs a restart is shown as in force")
 			}
 		})
 	}
@@ -103,7 +103,7 @@
 	}
 	r.reloadIfChanged()
 	if r.Status().Refused != "" {
-		t.Fatal("a file that is being replaced was taken as a fault")
+		t.Fatal("a file that is being replaced was reported as an error")
 	}
 	writeSettings(t, path, `{"box": "b", "roles": ["entry"], "seeds": ["127.0.0.1:7004"]}`)
 	later := time.Now().Add(time.Minute)
@@ -112,21 +112,21 @@
 	}
 	r.reloadIfChanged()
 	if applied() == nil || applied().Seeds[0] != "127.0.0.1:7004" {
-		t.Fatalf("the changed file wasn't taken: %+v", r.Status())
+		t.Fatalf("the changed file wasn't applied: %+v", r.Status())
 	}
 }
 
-// A field that waited and was changed back waits no more.
+// A field that is changed back before the restart is no longer listed as pending.
 func TestAFieldThatIsChangedBackWaitsNoMore(t *testing.T) {
 	r, path, _ := newTestReloader(t)
 	writeSettings(t, path, `{"box": "b", "roles": ["entry"], "seeds": ["127.0.0.1:7001", "127.0.0.1:7002"], "stop": {"limit": "7s"}}`)
 	r.Reload()
 	if len(r.Status().PendingRestart) != 1 {
-		t.Fatalf("waiting: %v", r.Status().PendingRestart)
+		t.Fatalf("pending: %v", r.Status().PendingRestart)
 	}
 	writeSettings(t, path, original)
 	r.Reload()
 	if len(r.Status().PendingRestart) != 0 {
-		t.Fatalf("still waiting: %v", r.Status().PendingRestart)
+		t.Fatalf("still pending: %v", r.Status().PendingRestart)
 	}
 }
