--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -31,7 +31,8 @@
 }
 
 const (
-	// requestTimeout is longer than a watch request waits for the next change.
+	// requestTimeout bounds one request to a server. It is longer than a watch request waits for
+	// the next change.
 	requestTimeout = 40 * time.Second
 	// editRetryInterval is the delay before an edit is sent again.
 	editRetryInterval = 200 * time.Millisecond
--- a/pkg/container/sortedmap_test.go
+++ b/pkg/container/sortedmap_test.go
@@ -16,7 +16,7 @@
 		most := rapid.SampledFrom([]int{5, 100, 3000}).Draw(t, "keys")
 		var m SortedMap[int, int]
 		model := map[int]int{}
-		past, pastModel := m, maps.Clone(model)
+		earlier, earlierModel := m, maps.Clone(model)
 		for range rapid.IntRange(0, 300).Draw(t, "steps") {
 			first := rapid.IntRange(0, most).Draw(t, "first")
 			run := rapid.IntRange(1, 40).Draw(t, "run")
@@ -32,12 +32,12 @@
 				}
 			}
 			if rapid.IntRange(0, 9).Draw(t, "keep") == 0 {
-				past, pastModel = m, maps.Clone(model)
+				earlier, earlierModel = m, maps.Clone(model)
 			}
 		}
 		checkSortedMap(t, m, model)
-		checkSortedMap(t, past, pastModel)
-		checkDifference(t, past, m, pastModel, model)
+		checkSortedMap(t, earlier, earlierModel)
+		checkDifference(t, earlier, m, earlierModel, model)
 	})
 }
 
@@ -91,7 +91,7 @@
 // The cost of a change and of its difference must not grow with the size of the map, except for an
 // additional tree level.
 func TestChangesOfSortedMapsDontGrowWithThem(t *testing.T) {
-	const most = 3
+	const maxGrowthFactor = 3
 	cost := func(size int) float64 {
 		m := filledMap(size)
 		return testing.AllocsPerRun(100, func() {
@@ -100,7 +100,7 @@
 		})
 	}
 	small, large := cost(1_000), cost(100_000)
-	if large > most*small {
+	if large > maxGrowthFactor*small {
 		t.Errorf("%v allocations at 1,000 keys, %v at 100,000", small, large)
 	}
 }
--- a/pkg/latency/keyed_histograms.go
+++ b/pkg/latency/keyed_histograms.go
@@ -32,14 +32,14 @@
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	k.observations++
-	p := k.entries[key]
-	if p == nil {
+	e := k.entries[key]
+	if e == nil {
 		k.evictLeastRecent()
-		p = &histogramEntry{histogram: NewHistogram(k.precision)}
-		k.entries[key] = p
+		e = &histogramEntry{histogram: NewHistogram(k.precision)}
+		k.entries[key] = e
 	}
-	p.lastObservation = k.observations
-	p.histogram.Observe(d)
+	e.lastObservation = k.observations
+	e.histogram.Observe(d)
 }
 
 func (k *KeyedHistograms[K]) evictLeastRecent() {
@@ -48,9 +48,9 @@
 	}
 	var oldest K
 	least := k.observations
-	for key, p := range k.entries {
-		if p.lastObservation < least {
-			oldest, least = key, p.lastObservation
+	for key, e := range k.entries {
+		if e.lastObservation < least {
+			oldest, least = key, e.lastObservation
 		}
 	}
 	delete(k.entries, oldest)
@@ -60,7 +60,7 @@
 func (k *KeyedHistograms[K]) Each(f func(K, Summary)) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
-	for key, p := range k.entries {
-		f(key, p.histogram.Summary())
+	for key, e := range k.entries {
+		f(key, e.histogram.Summary())
 	}
 }
--- a/pkg/pacing/body.go
+++ b/pkg/pacing/body.go
@@ -17,7 +17,7 @@
 	LatencyObjective time.Duration
 	// CallerDisconnected reports whether the caller has closed the connection.
 	CallerDisconnected func() bool
-	// OnEnd is called once, when the body has been read to its end or abandoned.
+	// OnEnd is called once, when the body is closed.
 	OnEnd func(Summary)
 }
 
--- a/pkg/target/answer.go
+++ b/pkg/target/answer.go
@@ -142,7 +142,7 @@
 // Body returns the complete body of a response that isn't streamed.
 func (a *Attempt) Body() []byte { return a.prefix }
 
-// classify returns the result that the response stands for.
+// classify returns the result of the attempt by the status and headers of the response.
 func (a *Attempt) classify() routing.AttemptResult {
 	s := &a.pools.settings
 	code := a.Response.StatusCode()
--- a/pkg/target/attempt.go
+++ b/pkg/target/attempt.go
@@ -63,12 +63,12 @@
 
 // NewAttempt returns an attempt that hasn't been sent.
 func (p *Pools) NewAttempt(x *routing.Effect) *Attempt {
-	idleLimit := p.settings.IdleTimeout
+	idleTimeout := p.settings.IdleTimeout
 	if x.Once {
-		idleLimit = p.settings.AtMostOnceIdleTimeout
+		idleTimeout = p.settings.AtMostOnceIdleTimeout
 	}
 	return &Attempt{
-		pools: p, idleTimeout: idleLimit, endpoint: x.Endpoint, deadline: x.Deadline, notAfter: x.NotAfter, permitUntil: x.PermitUntil, maxConnections: x.Connections,
+		pools: p, idleTimeout: idleTimeout, endpoint: x.Endpoint, deadline: x.Deadline, notAfter: x.NotAfter, permitUntil: x.PermitUntil, maxConnections: x.Connections,
 		LatencyObjective: x.Aim, largeResponse: x.LargeAnswer,
 		Request: fasthttp.AcquireRequest(), Response: fasthttp.AcquireResponse(),
 	}
--- a/pkg/target/pool.go
+++ b/pkg/target/pool.go
@@ -156,7 +156,7 @@
 	p.lock.Lock()
 	oldest := p.clock.Now().Add(-p.settings.IdleTimeout)
 	for address, x := range p.byAddress {
-		// The longest idle come first.
+		// The connections are ordered by idleSince, the longest idle first.
 		n := 0
 		for n < len(x.idle) && x.idle[n].idleSince < oldest {
 			expired = append(expired, idleConn{address, x.idle[n]})
--- a/pkg/target/withhold.go
+++ b/pkg/target/withhold.go
@@ -10,7 +10,7 @@
 // A target may ask for rest or name a limit while a call that was assigned to it waits for a
 // connection. So each send checks once more, right before its first byte.
 
-// Withholding says which unsent calls and probes must not be sent to a target.
+// Withholding is until when, or under which condition, calls and probes must not be sent to a target.
 type Withholding struct {
 	// CallsUntil and ProbesUntil are until when calls and probes are withheld.
 	CallsUntil, ProbesUntil units.Instant
