--- a/pkg/target/conn.go
+++ b/pkg/target/conn.go
@@ -19,7 +19,7 @@
 	written int64
 	// beforeWrite is called once, right before the next write, which fails with its error; nil
 	// means no check. The process may be paused at any moment, so the check is made as close to
-	// the write as possible, to seldom send what was decided long ago.
+	// the write as possible, so that outdated decisions are rarely sent.
 	beforeWrite func() error
 }
 
--- a/pkg/target/pool.go
+++ b/pkg/target/pool.go
@@ -40,7 +40,7 @@
 	// together; empty reads none.
 	LimitHeader string
 	// StatusMayMeanNotExecuted is set where callers take some statuses to mean that the target
-	// didn't execute the call; such responses aren't passed to them.
+	// didn't execute the call; such responses without the shed header aren't passed to them.
 	StatusMayMeanNotExecuted bool
 	// AllowUnframed accepts responses whose end is the end of their connection.
 	AllowUnframed bool
