--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -7,59 +7,59 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// fakeSource is a machine whose clocks the test sets.
+// fakeSource is a source whose clocks the test sets.
 type fakeSource struct {
-	steady, wall, slept time.Duration
-	reads               int
+	monotonic, wall, suspendedFor time.Duration
+	reads                         int
 }
 
-func (f *fakeSource) now() (steady, wall time.Duration) { return f.steady, f.wall }
+func (f *fakeSource) now() (monotonic, wall time.Duration) { return f.monotonic, f.wall }
 
 func (f *fakeSource) suspended() time.Duration {
 	f.reads++
-	return f.slept
+	return f.suspendedFor
 }
 
-// pass lets time pass on all clocks.
-func (f *fakeSource) pass(d time.Duration) {
-	f.steady += d
+// advance lets time pass on both clocks.
+func (f *fakeSource) advance(d time.Duration) {
+	f.monotonic += d
 	f.wall += d
 }
 
-// suspend puts the machine to sleep.
+// suspend suspends the machine for a time, which only the wall clock counts.
 func (f *fakeSource) suspend(d time.Duration) {
 	f.wall += d
-	f.slept += d
+	f.suspendedFor += d
 }
 
 func TestInstantsCountSuspensions(t *testing.T) {
-	f := &fakeSource{steady: 5 * time.Second, wall: time.Hour, slept: time.Minute}
+	f := &fakeSource{monotonic: 5 * time.Second, wall: time.Hour, suspendedFor: time.Minute}
 	c := newClock(f)
 	start := c.Now()
 	lease := start.Add(2 * time.Second)
-	f.pass(time.Second)
-	if left := c.Until(lease); left != time.Second {
-		t.Fatalf("%s are left of the lease", left)
+	f.advance(time.Second)
+	if remaining := c.Until(lease); remaining != time.Second {
+		t.Fatalf("%s remain of the lease", remaining)
 	}
 	f.suspend(3 * time.Second)
-	if left := c.Until(lease); left != -2*time.Second {
-		t.Fatalf("after the suspension %s are left of the lease", left)
+	if remaining := c.Until(lease); remaining != -2*time.Second {
+		t.Fatalf("after the suspension %s remain of the lease", remaining)
 	}
 	f.suspend(500 * time.Millisecond)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	if got := c.Now().Sub(start); got != 5500*time.Millisecond {
 		t.Fatalf("%s have passed", got)
 	}
 }
 
-// A step of the wall clock, and one that is a little fast or slow, are no suspensions.
+// A step of the wall clock, or a wall clock that runs a little fast, must not count as a suspension.
 func TestTheWallClockMovesNoInstant(t *testing.T) {
 	f := &fakeSource{}
 	c := newClock(f)
 	start := c.Now()
 	for _, step := range []time.Duration{time.Hour, -2 * time.Hour, 5 * time.Millisecond} {
 		f.wall += step
-		f.pass(time.Second)
+		f.advance(time.Second)
 		c.Now()
 	}
 	if got := c.Now().Sub(start); got != 3*time.Second {
@@ -67,7 +67,7 @@
 	}
 	reads := f.reads
 	for range 1000 {
-		f.pass(time.Millisecond)
+		f.advance(time.Millisecond)
 		f.wall += time.Microsecond
 		c.Now()
 	}
@@ -76,8 +76,8 @@
 	}
 }
 
-// A wall clock that is set back while the machine sleeps, by as much, hides the suspension until it
-// next moves; instants don't go back then either.
+// A wall clock that is set back by as much as a suspension hides the suspension until it next drifts.
+// Instants must not go back then either.
 func TestInstantsNeverGoBack(t *testing.T) {
 	f := &fakeSource{}
 	c := newClock(f)
@@ -85,7 +85,7 @@
 	for i := range 100 {
 		f.suspend(time.Duration(i) * time.Millisecond)
 		f.wall -= time.Duration(i%7) * 20 * time.Millisecond
-		f.pass(time.Millisecond)
+		f.advance(time.Millisecond)
 		if now := c.Now(); now < last {
 			t.Fatalf("instant %d lies before %d", now, last)
 		} else {
@@ -98,12 +98,12 @@
 	c := NewClock()
 	first := c.Now()
 	time.Sleep(2 * time.Millisecond)
-	if passed := c.Now().Sub(first); passed < 2*time.Millisecond {
-		t.Errorf("%s have passed", passed)
+	if elapsed := c.Now().Sub(first); elapsed < 2*time.Millisecond {
+		t.Errorf("%s have passed", elapsed)
 	}
 }
 
-// What an instant costs: 49 ns, and 27 ns for the steady clock alone.
+// BenchmarkNow measures the cost of an instant: 49 ns, of which the monotonic clock alone takes 27 ns.
 func BenchmarkNow(b *testing.B) {
 	c := NewClock()
 	for b.Loop() {
--- a/pkg/container/sortedmap.go
+++ b/pkg/container/sortedmap.go
@@ -6,38 +6,39 @@
 	"slices"
 )
 
-// SortedMap is a sorted map that never changes: Put and Delete return other maps, which share with it
-// all but the few nodes on the way to the key. The zero value is an empty map.
+// SortedMap is an immutable sorted map, a B+ tree. Put and Delete return new maps, which share with it
+// all nodes but those on the path to the key. The zero value is an empty map.
 type SortedMap[K cmp.Ordered, V any] struct {
 	root   *mapNode[K, V]
 	length int
 }
 
-// mapNode is a node of a tree whose leaves are all as deep. Inner nodes have the first key below
-// each child as it was when the child came: a bound, no key of the map.
+// mapNode is a node of a tree whose leaves all have the same depth. An inner node has a key for each
+// child: a lower bound of the keys below the child, which need not be a key of the map any more.
 type mapNode[K cmp.Ordered, V any] struct {
 	keys     []K
 	values   []V
 	children []*mapNode[K, V]
 }
 
-// mapFanout is how many keys or children a node has at the most. A change copies one node of each
-// level, so that small nodes make changes cheap and large ones make the tree flat.
+// mapFanout is the maximum number of keys or children of a node. A change copies one node of each
+// level: small nodes make changes cheap, and large ones make the tree flat.
 const mapFanout = 32
 
-// builtLeaf is how many keys a leaf of a map has that is built at once: some may still come.
-const builtLeaf = mapFanout * 3 / 4
+// builtNodeSize is the number of keys or children of a node in a map that is built by SortedMapOf. It
+// leaves room for later keys.
+const builtNodeSize = mapFanout * 3 / 4
 
-// SortedMapOf returns the map of keys, which ascend, and their values. It takes less than putting
-// one after the other.
+// SortedMapOf returns the map of the keys, which must be in ascending order, and their values. It is
+// cheaper than a Put for each key.
 func SortedMapOf[K cmp.Ordered, V any](keys []K, values []V) SortedMap[K, V] {
 	var level []*mapNode[K, V]
-	for i := 0; i < len(keys); i += builtLeaf {
-		end := min(i+builtLeaf, len(keys))
+	for i := 0; i < len(keys); i += builtNodeSize {
+		end := min(i+builtNodeSize, len(keys))
 		level = append(level, &mapNode[K, V]{keys: slices.Clip(keys[i:end]), values: slices.Clip(values[i:end])})
 	}
 	for len(level) > 1 {
-		level = joined(level)
+		level = parentLevel(level)
 	}
 	m := SortedMap[K, V]{length: len(keys)}
 	if len(level) > 0 {
@@ -46,10 +47,10 @@
 	return m
 }
 
-// joined returns the level above some nodes.
-func joined[K cmp.Ordered, V any](nodes []*mapNode[K, V]) []*mapNode[K, V] {
+// parentLevel returns the parents of a level of nodes.
+func parentLevel[K cmp.Ordered, V any](nodes []*mapNode[K, V]) []*mapNode[K, V] {
 	var level []*mapNode[K, V]
-	for children := range slices.Chunk(nodes, builtLeaf) {
+	for children := range slices.Chunk(nodes, builtNodeSize) {
 		n := &mapNode[K, V]{children: slices.Clip(children)}
 		for _, c := range children {
 			n.keys = append(n.keys, c.keys[0])
@@ -62,11 +63,11 @@
 // Len returns the number of keys.
 func (m SortedMap[K, V]) Len() int { return m.length }
 
-// Get returns a key's value, and whether the key is there.
+// Get returns a key's value, and whether the key exists.
 func (m SortedMap[K, V]) Get(k K) (V, bool) {
 	for n := m.root; n != nil; {
 		if n.children != nil {
-			n = n.children[n.childOf(k)]
+			n = n.children[n.childIndex(k)]
 			continue
 		}
 		if i, found := slices.BinarySearch(n.keys, k); found {
@@ -78,8 +79,8 @@
 	return none, false
 }
 
-// childOf returns the place of the child that a key belongs to.
-func (n *mapNode[K, V]) childOf(k K) int {
+// childIndex returns the index of the child that a key belongs to.
+func (n *mapNode[K, V]) childIndex(k K) int {
 	i, found := slices.BinarySearch(n.keys, k)
 	if found {
 		return i
@@ -87,12 +88,12 @@
 	return max(0, i-1)
 }
 
-// All returns the keys and values in the keys' order.
+// All iterates over the keys and values in the order of the keys.
 func (m SortedMap[K, V]) All() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) { m.root.each(yield) }
 }
 
-// Values returns the values in the keys' order.
+// Values iterates over the values in the order of their keys.
 func (m SortedMap[K, V]) Values() iter.Seq[V] {
 	return func(yield func(V) bool) {
 		m.root.each(func(_ K, v V) bool { return yield(v) })
@@ -116,7 +117,7 @@
 	return true
 }
 
-// Put returns the map with a key's value set.
+// Put returns a map with a key's value set.
 func (m SortedMap[K, V]) Put(k K, v V) SortedMap[K, V] {
 	if m.root == nil {
 		return SortedMap[K, V]{root: &mapNode[K, V]{keys: []K{k}, values: []V{v}}, length: 1}
@@ -132,12 +133,12 @@
 	return next
 }
 
-// put returns the node, or the two, that take the place of n.
+// put returns the one or two nodes that replace n, and whether the key is new.
 func (n *mapNode[K, V]) put(k K, v V) (nodes []*mapNode[K, V], added bool) {
 	if n.children == nil {
 		return n.putLeaf(k, v)
 	}
-	i := n.childOf(k)
+	i := n.childIndex(k)
 	below, added := n.children[i].put(k, v)
 	next := &mapNode[K, V]{keys: slices.Clone(n.keys), children: slices.Clone(n.children)}
 	next.children[i] = below[0]
@@ -156,14 +157,14 @@
 		next.values[i] = v
 		return []*mapNode[K, V]{next}, false
 	}
-	next := &mapNode[K, V]{keys: inserted(n.keys, i, k), values: inserted(n.values, i, v)}
+	next := &mapNode[K, V]{keys: withInserted(n.keys, i, k), values: withInserted(n.values, i, v)}
 	return next.split(), true
 }
 
-// inserted returns a copy of a list with a value more.
-func inserted[T any](list []T, i int, x T) []T { return slices.Concat(list[:i], []T{x}, list[i:]) }
+// withInserted returns a copy of a list with a value inserted at index i.
+func withInserted[T any](list []T, i int, x T) []T { return slices.Concat(list[:i], []T{x}, list[i:]) }
 
-// split divides a node that has become too large; nobody else holds it yet.
+// split splits a node that has become too large. The node must not be shared with a map yet.
 func (n *mapNode[K, V]) split() []*mapNode[K, V] {
 	if len(n.keys) <= mapFanout {
 		return []*mapNode[K, V]{n}
@@ -179,30 +180,30 @@
 	return []*mapNode[K, V]{left, right}
 }
 
-// Delete returns the map without a key.
+// Delete returns a map without a key.
 func (m SortedMap[K, V]) Delete(k K) SortedMap[K, V] {
 	if _, found := m.Get(k); !found {
 		return m
 	}
-	next := SortedMap[K, V]{root: m.root.without(k), length: m.length - 1}
+	next := SortedMap[K, V]{root: m.root.withoutKey(k), length: m.length - 1}
 	for next.root != nil && len(next.root.children) == 1 {
 		next.root = next.root.children[0]
 	}
 	return next
 }
 
-// without returns the node without a key that is below it, or nil where nothing is left. Nodes that
-// have become small aren't joined: what comes later fills them.
-func (n *mapNode[K, V]) without(k K) *mapNode[K, V] {
+// withoutKey returns the node without a key that exists below it, or nil if nothing is left. Small
+// nodes aren't merged, since later keys fill them.
+func (n *mapNode[K, V]) withoutKey(k K) *mapNode[K, V] {
 	if n.children == nil {
 		i, _ := slices.BinarySearch(n.keys, k)
 		if len(n.keys) == 1 {
 			return nil
 		}
-		return &mapNode[K, V]{keys: without(n.keys, i), values: without(n.values, i)}
+		return &mapNode[K, V]{keys: withoutIndex(n.keys, i), values: withoutIndex(n.values, i)}
 	}
-	i := n.childOf(k)
-	below := n.children[i].without(k)
+	i := n.childIndex(k)
+	below := n.children[i].withoutKey(k)
 	if below != nil {
 		next := &mapNode[K, V]{keys: n.keys, children: slices.Clone(n.children)}
 		next.children[i] = below
@@ -211,8 +212,8 @@
 	if len(n.children) == 1 {
 		return nil
 	}
-	return &mapNode[K, V]{keys: without(n.keys, i), children: without(n.children, i)}
+	return &mapNode[K, V]{keys: withoutIndex(n.keys, i), children: withoutIndex(n.children, i)}
 }
 
-// without returns a copy of a list that lacks one value.
-func without[T any](list []T, i int) []T { return slices.Concat(list[:i], list[i+1:]) }
+// withoutIndex returns a copy of a list without the value at index i.
+func withoutIndex[T any](list []T, i int) []T { return slices.Concat(list[:i], list[i+1:]) }
--- a/pkg/container/sortedmap_test.go
+++ b/pkg/container/sortedmap_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// A map must hold what an ordinary one does after the same changes, and the maps before each change
-// must stay as they were.
+// A sorted map must have the same content as a built-in map after the same changes, and maps from before
+// a change must stay unchanged.
 func TestSortedMapFollowsAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.SampledFrom([]int{5, 100, 3000}).Draw(t, "keys")
 		var m SortedMap[int, int]
 		model := map[int]int{}
-		past, pastModel := m, maps.Clone(model)
+		earlier, earlierModel := m, maps.Clone(model)
 		for range rapid.IntRange(0, 300).Draw(t, "steps") {
 			first := rapid.IntRange(0, most).Draw(t, "first")
 			run := rapid.IntRange(1, 40).Draw(t, "run")
@@ -32,12 +32,12 @@
 				}
 			}
 			if rapid.IntRange(0, 9).Draw(t, "keep") == 0 {
-				past, pastModel = m, maps.Clone(model)
+				earlier, earlierModel = m, maps.Clone(model)
 			}
 		}
 		checkSortedMap(t, m, model)
-		checkSortedMap(t, past, pastModel)
-		checkDifference(t, past, m, pastModel, model)
+		checkSortedMap(t, earlier, earlierModel)
+		checkDifference(t, earlier, m, earlierModel, model)
 	})
 }
 
@@ -88,9 +88,10 @@
 	return m
 }
 
-// A change and its difference must cost the same however large the map is, but for a level more.
+// The cost of a change and of its difference must not grow with the size of the map, except for an
+// additional tree level.
 func TestChangesOfSortedMapsDontGrowWithThem(t *testing.T) {
-	const most = 3
+	const maxGrowthFactor = 3
 	cost := func(size int) float64 {
 		m := filledMap(size)
 		return testing.AllocsPerRun(100, func() {
@@ -99,12 +100,12 @@
 		})
 	}
 	small, large := cost(1_000), cost(100_000)
-	if large > most*small {
+	if large > maxGrowthFactor*small {
 		t.Errorf("%v allocations at 1,000 keys, %v at 100,000", small, large)
 	}
 }
 
-// BenchmarkSortedMapPut is one key of many set anew.
+// BenchmarkSortedMapPut measures setting an existing key of a large map.
 func BenchmarkSortedMapPut(b *testing.B) {
 	m := filledMap(10_000)
 	b.ReportAllocs()
--- a/pkg/entry/answer.go
+++ b/pkg/entry/answer.go
@@ -28,7 +28,7 @@
 		out.SetConnectionClose()
 	}
 	out.Header.Set(targetHeader, string(a.endpoint.Target))
-	if from.BodyStream() == nil || a.attempt.Whole() {
+	if from.BodyStream() == nil || a.attempt.IsComplete() {
 		out.SkipBody = from.SkipBody
 		e.writeWhole(ctx, a)
 		return
@@ -42,7 +42,7 @@
 // writeWhole writes an answer whose body is in memory; a small one isn't paced.
 func (e *Entry) writeWhole(ctx *fasthttp.RequestCtx, a answer) {
 	body := a.attempt.Body()
-	if e.pacer.WriteSmall(len(body)) {
+	if e.pacer.AdmitSmall(len(body)) {
 		ctx.Response.SetBody(body)
 	} else {
 		ctx.Response.SetBodyStream(e.pace(ctx, a, io.NopCloser(bytes.NewReader(body))), len(body))
@@ -58,21 +58,21 @@
 	}
 	conn := ctx.Conn()
 	id := string(ctx.Request.Header.Peek(e.Settings.Entry.CallIDHeader))
-	return e.pacer.Pace(pacing.Answer{
-		From:  body,
-		Aim:   a.attempt.Aim,
-		Gone:  func() bool { return !target.IsOpen(conn) },
-		Ended: func(s pacing.Summary) { e.logPacedAnswer(id, a.endpoint, s) },
+	return e.pacer.Pace(pacing.Response{
+		Body:               body,
+		LatencyObjective:   a.attempt.LatencyObjective,
+		CallerDisconnected: func() bool { return !target.IsOpen(conn) },
+		OnEnd:              func(s pacing.Summary) { e.logPacedAnswer(id, a.endpoint, s) },
 	})
 }
 
 // logPacedAnswer logs a large answer that was delayed by pacing or cut short.
 func (e *Entry) logPacedAnswer(id string, x *routing.Endpoint, s pacing.Summary) {
-	if s.Whole && s.Waited < minLoggedWait {
+	if s.Complete && s.WaitTime < minLoggedWait {
 		return
 	}
 	e.Log.WithFields(logrus.Fields{
 		"kind": "answer-paced", "call": id, "service": x.Service, "target": x.Target, "bytes": s.Bytes,
-		"pieces": s.Pieces, "waitedMs": millis(s.Waited), "whole": s.Whole,
+		"pieces": s.Pieces, "waitedMs": millis(s.WaitTime), "whole": s.Complete,
 	}).Info("a large answer was paced on the box's link")
 }
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -85,7 +85,7 @@
 		waitingCalls: map[*call]bool{},
 		pools:        target.NewPools(targetSettings(s), c.Clock),
 		workers:      pond.NewPool(s.MaxCalls, pond.WithQueueSize(max(1, s.MaxCalls/queueDivisor)), pond.WithNonBlocking(true)),
-		pacer:        pacing.NewPacer(pacing.FromMegabits(s.LinkMbps), c.Clock),
+		pacer:        pacing.NewPacer(pacing.RateFromMegabits(s.LinkMbps), c.Clock),
 		metrics:      newMetrics(),
 		done:         make(chan struct{}),
 	}
@@ -117,7 +117,7 @@
 		ProbeCost:         s.Entry.ProbeCost.Std(),
 		Loans:             s.Entry.Loans,
 		MaxDeadline:       s.Entry.MaxDeadline.Std(),
-		LinkRate:          float64(pacing.FromMegabits(s.Entry.LinkMbps)),
+		LinkRate:          float64(pacing.RateFromMegabits(s.Entry.LinkMbps)),
 		MaxKeyStaleness:   s.Entry.KeyDoubt.Std(),
 		QuotaSlack:        s.Entry.QuotaSlack,
 		Disable:           s.Entry.Disable,
@@ -351,11 +351,11 @@
 
 func targetSettings(s *entrySettings) target.Settings {
 	return target.Settings{
-		ConnectTimeout: s.ConnectTimeout.Std(), IdleLimit: s.IdleTarget.Std(), OnceIdle: s.OnceIdle.Std(), BufferBody: s.BufferBody,
+		ConnectTimeout: s.ConnectTimeout.Std(), IdleTimeout: s.IdleTarget.Std(), AtMostOnceIdleTimeout: s.OnceIdle.Std(), MaxBufferedBytes: s.BufferBody,
 		ShedStatus: s.ShedStatus, ShedHeader: s.ShedHeader, LoadHeader: s.LoadHeader,
 		DeadlineHeader: s.DeadlineHeader, ProbePath: s.ProbePath, CallIDHeader: s.CallIDHeader,
 		IdentityHeader: s.IdentityHeader, TargetHeader: s.TargetHeader, ColdHeader: s.ColdHeader, LeavingHeader: s.LeavingHeader,
-		LimitHeader:   s.LimitHeader,
-		PromiseStatus: s.PromiseStatus, Unframed: s.Unframed,
+		LimitHeader:              s.LimitHeader,
+		StatusMayMeanNotExecuted: s.PromiseStatus, AllowUnframed: s.Unframed,
 	}
 }
--- a/pkg/entry/metrics.go
+++ b/pkg/entry/metrics.go
@@ -23,8 +23,8 @@
 	unknownOutcomes expvar.Int
 	badRequests     expvar.Int
 	refusals        expvar.Map
-	services        *latency.Book[units.ServiceName]
-	targets         *latency.Book[targetKey]
+	services        *latency.KeyedHistograms[units.ServiceName]
+	targets         *latency.KeyedHistograms[targetKey]
 }
 
 type targetKey struct {
@@ -34,8 +34,8 @@
 
 func newMetrics() *metrics {
 	m := &metrics{
-		services: latency.NewBook[units.ServiceName](latency.Fine, maxServiceLatencies),
-		targets:  latency.NewBook[targetKey](latency.Coarse, maxTargetLatencies),
+		services: latency.NewKeyedHistograms[units.ServiceName](latency.Fine, maxServiceLatencies),
+		targets:  latency.NewKeyedHistograms[targetKey](latency.Coarse, maxTargetLatencies),
 	}
 	m.refusals.Init()
 	return m
--- a/pkg/entry/trace.go
+++ b/pkg/entry/trace.go
@@ -76,7 +76,7 @@
 	a := finished.attempt
 	s := step{
 		at: now, kind: stepEnded, attempt: finished.number, result: result,
-		reading: a.Reading, unreadRest: a.UnreadRest, unreadLimit: a.UnreadLimit,
+		reading: a.Reading, unreadRest: a.UnreadableRest, unreadLimit: a.UnreadableLimit,
 	}
 	if result == routing.Broken && !c.answered {
 		s.fingerprint = crash.FingerprintOf(&c.identity).String()
@@ -181,7 +181,7 @@
 		// No call that was assigned to the target before this moment is sent later than this.
 		withholdCallsUntil = max(withholdCallsUntil, e.Clock.Now().Add(e.Settings.Entry.MaxDeadline.Std()))
 	}
-	e.pools.Withhold(x.Endpoint, target.Withholding{Calls: withholdCallsUntil, Probes: n.RestUntil, Limited: n.Limited})
+	e.pools.Withhold(x.Endpoint, target.Withholding{CallsUntil: withholdCallsUntil, ProbesUntil: n.RestUntil, Limited: n.Limited})
 	f := logrus.Fields{"service": x.Endpoint.Service, "target": x.Endpoint.Target}
 	if n.LeaveBegins {
 		f["kind"] = "target-leaves"
--- a/pkg/pacing/pacer.go
+++ b/pkg/pacing/pacer.go
@@ -9,47 +9,48 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Pacer has the writers of answers wait for their turn on a box's link. A nil one limits
-// nothing.
+// Pacer blocks the writers of large responses until the box's link grants them a piece. A nil
+// Pacer limits nothing.
 type Pacer struct {
 	clock *clock.Clock
 	lock  sync.Mutex
 	link  *Link
-	// timer goes off when the next piece may be written.
+	// timer fires when the next piece may be granted.
 	timer *time.Timer
-	// last is the newest writer's id; turns holds those that wait.
-	last   WriterID
-	turns  map[WriterID]chan struct{}
-	counts Counts
-	waits  *latency.Histogram
+	// lastID is the newest writer's id; grants has a channel for each waiting writer, closed
+	// when its piece is granted.
+	lastID    WriterID
+	grants    map[WriterID]chan struct{}
+	counts    Counts
+	waitTimes *latency.Histogram
 }
 
-// Counts says what a pacer has done since the start.
+// Counts are the totals of a pacer since the process started.
 type Counts struct {
-	// UnderWay is how many large answers are being written, Most the most at a time.
-	UnderWay int `json:"underWay"`
-	Most     int `json:"most"`
-	// Pieces and Bytes are what large answers wrote, SmallBytes what went at once.
+	// InFlight is how many large responses are being written, MaxInFlight the highest such number.
+	InFlight    int `json:"underWay"`
+	MaxInFlight int `json:"most"`
+	// Pieces and Bytes count what was written of large responses, SmallBytes of small ones.
 	Pieces     uint64 `json:"pieces"`
 	Bytes      uint64 `json:"bytes"`
 	SmallBytes uint64 `json:"smallBytes"`
-	// CutShort counts large answers that ended before their last byte.
-	CutShort uint64 `json:"cutShort"`
-	// Waits is how long pieces waited for their turn.
-	Waits latency.Summary `json:"waits"`
+	// Incomplete counts large responses that ended before their last byte.
+	Incomplete uint64 `json:"cutShort"`
+	// WaitTimes summarizes how long pieces waited for a grant.
+	WaitTimes latency.Summary `json:"waits"`
 }
 
-// NewPacer returns a pacer for a link of that rate, or nil where it isn't limited.
+// NewPacer returns a pacer for a link of that rate, or nil if the rate is unlimited.
 func NewPacer(r Rate, c *clock.Clock) *Pacer {
 	if r <= 0 {
 		return nil
 	}
-	p := &Pacer{clock: c, link: NewLink(r), turns: map[WriterID]chan struct{}{}, waits: latency.NewHistogram(latency.Coarse)}
-	p.timer = time.AfterFunc(0, p.grant)
+	p := &Pacer{clock: c, link: NewLink(r), grants: map[WriterID]chan struct{}{}, waitTimes: latency.NewHistogram(latency.Coarse)}
+	p.timer = time.AfterFunc(0, p.grantDue)
 	return p
 }
 
-// Counts returns what the pacer has done since the start.
+// Counts returns the totals so far.
 func (p *Pacer) Counts() Counts {
 	if p == nil {
 		return Counts{}
@@ -57,13 +58,13 @@
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	counts := p.counts
-	counts.Waits = p.waits.Summary()
+	counts.WaitTimes = p.waitTimes.Summary()
 	return counts
 }
 
-// WriteSmall tells whether an answer of that length is small, and counts it if so: it goes
-// at once, and large ones yield to it.
-func (p *Pacer) WriteSmall(bytes int) bool {
+// AdmitSmall reports whether a response of that many bytes is small, and counts it if so: it
+// may be written at once, and large ones yield to it.
+func (p *Pacer) AdmitSmall(bytes int) bool {
 	if p == nil {
 		return true
 	}
@@ -72,80 +73,80 @@
 	if !p.link.IsSmall(bytes) {
 		return false
 	}
-	p.link.Wrote(p.clock.Now(), bytes)
+	p.link.RecordSmall(p.clock.Now(), bytes)
 	p.counts.SmallBytes += uint64(bytes)
 	return true
 }
 
-// wait returns when a piece may be written.
-func (p *Pacer) wait(bytes int, aim time.Duration) time.Duration {
-	asked := p.clock.Now()
-	<-p.ask(asked, bytes, aim)
-	waited := p.clock.Now().Sub(asked)
-	p.waits.Observe(waited)
+// wait blocks until a piece may be written and returns how long that took.
+func (p *Pacer) wait(bytes int, objective time.Duration) time.Duration {
+	start := p.clock.Now()
+	<-p.enqueue(start, bytes, objective)
+	waited := p.clock.Now().Sub(start)
+	p.waitTimes.Observe(waited)
 	return waited
 }
 
-func (p *Pacer) ask(now units.Instant, bytes int, aim time.Duration) chan struct{} {
+func (p *Pacer) enqueue(now units.Instant, bytes int, objective time.Duration) chan struct{} {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.last++
-	turn := make(chan struct{})
-	p.turns[p.last] = turn
-	p.link.Ask(now, p.last, bytes, aim)
-	p.grantLocked()
-	return turn
+	p.lastID++
+	granted := make(chan struct{})
+	p.grants[p.lastID] = granted
+	p.link.Enqueue(now, p.lastID, bytes, objective)
+	p.grantDueLocked()
+	return granted
 }
 
-// grant lets the pieces go whose turn has come.
-func (p *Pacer) grant() {
+// grantDue grants the pieces that may be written now.
+func (p *Pacer) grantDue() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.grantLocked()
+	p.grantDueLocked()
 }
 
-func (p *Pacer) grantLocked() {
+func (p *Pacer) grantDueLocked() {
 	for {
-		id, ok := p.link.Next(p.clock.Now())
+		id, ok := p.link.NextWriter(p.clock.Now())
 		if !ok {
 			break
 		}
-		close(p.turns[id])
-		delete(p.turns, id)
+		close(p.grants[id])
+		delete(p.grants, id)
 	}
-	if due, ok := p.link.Due(); ok {
+	if due, ok := p.link.NextGrantAt(); ok {
 		p.timer.Reset(max(0, p.clock.Until(due)))
 	}
 }
 
-// wrote counts a piece that goes out.
-func (p *Pacer) wrote(bytes int) {
+// recordPiece counts a piece that is written.
+func (p *Pacer) recordPiece(bytes int) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.counts.Pieces++
 	p.counts.Bytes += uint64(bytes)
 }
 
-// unused gives the link's time for a piece to other writers, when its caller has hung up.
-func (p *Pacer) unused(bytes int) {
+// refund gives the link time of a piece to other writers, after its caller has disconnected.
+func (p *Pacer) refund(bytes int) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.link.Unused(bytes)
-	p.grantLocked()
+	p.link.Refund(bytes)
+	p.grantDueLocked()
 }
 
-func (p *Pacer) began() {
+func (p *Pacer) recordStart() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.counts.UnderWay++
-	p.counts.Most = max(p.counts.Most, p.counts.UnderWay)
+	p.counts.InFlight++
+	p.counts.MaxInFlight = max(p.counts.MaxInFlight, p.counts.InFlight)
 }
 
-func (p *Pacer) ended(whole bool) {
+func (p *Pacer) recordEnd(complete bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.counts.UnderWay--
-	if !whole {
-		p.counts.CutShort++
+	p.counts.InFlight--
+	if !complete {
+		p.counts.Incomplete++
 	}
 }
--- a/pkg/target/attempt_test.go
+++ b/pkg/target/attempt_test.go
@@ -18,37 +18,36 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// answers is a stand-in target that gives each request on a connection the next of the
-// answers it was told, as raw bytes; "RESET" and "CLOSE" on a line of their own end the
-// connection, a line "BYTES N" stands for so many bytes, and a line "LATER" keeps what follows
-// for the next request.
-type answers struct {
+// stubTarget is a target that answers each request on a connection with the next part of a
+// script, as raw bytes. In a script, the lines "RESET" and "CLOSE" end the connection, a line
+// "BYTES N" stands for N bytes, and a line "LATER" begins the part for the next request.
+type stubTarget struct {
 	listener net.Listener
 	script   string
 }
 
-func startAnswers(t *testing.T, script string) *answers {
+func startStubTarget(t *testing.T, script string) *stubTarget {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &answers{listener: listener, script: script}
+	a := &stubTarget{listener: listener, script: script}
 	t.Cleanup(func() { listener.Close() })
 	go a.serve()
 	return a
 }
 
-func (a *answers) serve() {
+func (a *stubTarget) serve() {
 	for {
 		conn, err := a.listener.Accept()
 		if err != nil {
 			return
 		}
-		go a.answer(conn)
+		go a.serveConn(conn)
 	}
 }
 
-func (a *answers) answer(conn net.Conn) {
+func (a *stubTarget) serveConn(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for _, part := range strings.Split(a.script, "LATER\n") {
@@ -72,7 +71,7 @@
 			io.WriteString(conn, strings.ReplaceAll(strings.ReplaceAll(line, "\n", ""), `\n`, "\r\n"))
 		}
 	}
-	// What follows isn't answered, but the connection stays open.
+	// Later requests get no response, but the connection stays open.
 	io.Copy(io.Discard, reader)
 }
 
@@ -82,20 +81,20 @@
 
 func newPools(bufferBody int) *Pools {
 	return NewPools(Settings{
-		ConnectTimeout: time.Second, IdleLimit: time.Minute, BufferBody: bufferBody, ShedHeader: "X-Shed",
+		ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxBufferedBytes: bufferBody, ShedHeader: "X-Shed",
 		LoadHeader: "X-Load", DeadlineHeader: "X-Deadline-Ms", CallIDHeader: "X-Call", IdentityHeader: "X-Expected-Target",
-		TargetHeader: "X-Target", PromiseStatus: true, Unframed: true, ProbePath: "/healthz",
+		TargetHeader: "X-Target", StatusMayMeanNotExecuted: true, AllowUnframed: true, ProbePath: "/healthz",
 	}, clock.NewClock())
 }
 
-// TestAnswers sends calls to a stand-in that answers as the files in testdata say, and
-// prints what each came to and whether its connection may be used again.
+// TestAnswers sends calls to a stub target that follows the files in testdata, and prints the
+// result of each call and whether its connection was kept for reuse.
 func TestAnswers(t *testing.T) {
 	datadriven.Walk(t, "testdata/answers", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			count := 1
 			d.MaybeScanArgs(t, "calls", &count)
-			target := startAnswers(t, d.Input+"\n")
+			target := startStubTarget(t, d.Input+"\n")
 			pools := newTestPools()
 			if d.HasArg("large") {
 				pools = newPools(64 << 10)
@@ -126,26 +125,26 @@
 	if len(a.Body()) > 100 {
 		body = fmt.Sprintf("%d bytes", len(a.Body()))
 	}
-	text := fmt.Sprintf("%s %s, connections kept: %d", result, body, pools.kept())
+	text := fmt.Sprintf("%s %s, connections kept: %d", result, body, pools.idleCount())
 	a.Release()
 	return text
 }
 
-// A connection that has rested may have been forgotten by its target. Work that may be
-// sent again uses it all the same; work that must not run twice gets another.
+// A target may have dropped a connection that was idle for long. Work that may be sent again uses
+// it all the same; work that must not run twice gets another connection.
 func TestOnceWorkUsesNoConnectionThatHasRested(t *testing.T) {
 	for _, once := range []bool{false, true} {
-		target := startAnswers(t, `HTTP/1.1 200 OK\nX-Call: call-1\nContent-Length: 0\n\n`+"\nLATER\nRESET\n")
+		target := startStubTarget(t, `HTTP/1.1 200 OK\nX-Call: call-1\nContent-Length: 0\n\n`+"\nLATER\nRESET\n")
 		pools := newTestPools()
-		pools.settings.OnceIdle = time.Hour
+		pools.settings.AtMostOnceIdleTimeout = time.Hour
 		address := target.listener.Addr().String()
 		first := callOnce(pools, address, "call-1", false)
-		for _, x := range pools.pools {
+		for _, x := range pools.byAddress {
 			for _, c := range x.idle {
 				c.idleSince -= units.Instant(2 * time.Hour)
 			}
 		}
-		pools.settings.IdleLimit = 3 * time.Hour
+		pools.settings.IdleTimeout = 3 * time.Hour
 		a := pools.NewAttempt(&routing.Effect{
 			Endpoint: &routing.Endpoint{Service: "s", Target: "t", Address: address, Registered: true}, AtMostOnce: once,
 			Deadline: pools.clock.Now().Add(10 * time.Second), NotAfter: pools.clock.Now().Add(time.Minute),
@@ -164,8 +163,8 @@
 	scenarios := []struct {
 		testName string
 		header   string
-		rested   time.Duration
-		again    bool
+		idle     time.Duration
+		reused   bool
 	}{
 		{"not told", "X: y", time.Hour, true},
 		{"within the time", "Keep-Alive: timeout=5", 3 * time.Second, true},
@@ -174,17 +173,17 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			target := startAnswers(t, `HTTP/1.1 200 OK\nX-Call: call-1\n`+s.header+`\nContent-Length: 0\n\n`+"\n")
+			target := startStubTarget(t, `HTTP/1.1 200 OK\nX-Call: call-1\n`+s.header+`\nContent-Length: 0\n\n`+"\n")
 			pools := newTestPools()
 			address := target.listener.Addr().String()
 			callOnce(pools, address, "call-1", false)
-			for _, x := range pools.pools {
+			for _, x := range pools.byAddress {
 				for _, c := range x.idle {
-					c.idleSince -= units.Instant(s.rested)
+					c.idleSince -= units.Instant(s.idle)
 				}
 			}
-			if c := pools.take(address, 2*time.Hour); (c != nil) != s.again {
-				t.Errorf("used again: %t, want %t", c != nil, s.again)
+			if c := pools.takeIdle(address, 2*time.Hour); (c != nil) != s.reused {
+				t.Errorf("used again: %t, want %t", c != nil, s.reused)
 			}
 		})
 	}
@@ -195,11 +194,11 @@
 	stream := a.Stream(func(r routing.AttemptResult) { ended = r })
 	body, err := io.ReadAll(stream)
 	stream.Close()
-	return fmt.Sprintf("streamed %d bytes, cut short: %t, %s, connections kept: %d", len(body), err != nil, ended, pools.kept())
+	return fmt.Sprintf("streamed %d bytes, cut short: %t, %s, connections kept: %d", len(body), err != nil, ended, pools.idleCount())
 }
 
-// kept counts the idle connections.
-func (p *Pools) kept() int {
+// idleCount returns the number of idle connections.
+func (p *Pools) idleCount() int {
 	n := 0
 	for _, s := range p.Status() {
 		n += s.Idle
--- a/pkg/target/limit.go
+++ b/pkg/target/limit.go
@@ -12,35 +12,36 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// limitOf reads how many calls a second a target takes from all boxes together. Where it says so
-// several times the least counts. What can't be read is returned: it names no limit, and ends none.
-func limitOf(h *fasthttp.ResponseHeader, header string) (said routing.ReportedLimit, unread string) {
+// readLimit reads how many calls per second a target accepts from all boxes together. Of several
+// header values the lowest applies. A value that can't be parsed is returned as unreadable: it
+// neither sets a limit nor ends one.
+func readLimit(h *fasthttp.ResponseHeader, header string) (limit routing.ReportedLimit, unreadable string) {
 	for _, value := range h.PeekAll(header) {
 		rate, ok := parseLimit(string(bytes.TrimSpace(value)))
 		switch {
 		case !ok:
-			unread = string(value[:min(len(value), maxUnread)])
-			said.Malformed = true
-		case !said.Present || rate < said.Rate:
-			said.Present, said.Rate = true, rate
+			unreadable = string(value[:min(len(value), maxUnreadableBytes)])
+			limit.Malformed = true
+		case !limit.Present || rate < limit.Rate:
+			limit.Present, limit.Rate = true, rate
 		}
 	}
-	return said, unread
+	return limit, unreadable
 }
 
-// decimal are the characters of decimal numbers; what else the parser of numbers takes, such as
-// hexadecimal ones and infinity, is no limit.
-const decimal = "+-.0123456789eE"
+// decimalChars are the characters of decimal numbers. ParseFloat accepts other forms as well, such
+// as hexadecimal numbers and infinity, which aren't valid limits.
+const decimalChars = "+-.0123456789eE"
 
-// parseLimit reads a decimal number of calls a second that isn't less than none.
+// parseLimit parses a decimal number of calls per second that isn't negative.
 func parseLimit(text string) (units.CallRate, bool) {
-	if strings.Trim(text, decimal) != "" {
+	if strings.Trim(text, decimalChars) != "" {
 		return 0, false
 	}
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil || x < 0 || math.IsInf(x, 0) {
 		return 0, false
 	}
-	// A negative zero is none too.
+	// A negative zero counts as zero.
 	return units.CallRate(math.Abs(x)), true
 }
--- a/pkg/target/withhold.go
+++ b/pkg/target/withhold.go
@@ -7,24 +7,24 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A target may ask for rest or name a limit while a call that has been chosen for it waits for a connection. So
-// each send looks once more, right before its first byte.
+// A target may ask for rest or name a limit while a call that was assigned to it waits for a
+// connection. So each send checks once more, right before its first byte.
 
-// Withholding says what is kept from a target that hasn't been sent.
+// Withholding is until when, or under which condition, calls and probes must not be sent to a target.
 type Withholding struct {
-	// Calls and Probes are until when calls and probes are.
-	Calls, Probes units.Instant
-	// Limited is set while the target names a limit: what goes without a permit is kept from it.
+	// CallsUntil and ProbesUntil are until when calls and probes are withheld.
+	CallsUntil, ProbesUntil units.Instant
+	// Limited is set while the target names a limit: sends without a valid permit are withheld.
 	Limited bool
 }
 
-// isOver tells whether nothing is kept from the target any more.
-func (w *Withholding) isOver(now units.Instant) bool {
-	return !w.Limited && max(w.Calls, w.Probes) <= now
+// isExpired reports whether nothing is withheld any more.
+func (w *Withholding) isExpired(now units.Instant) bool {
+	return !w.Limited && max(w.CallsUntil, w.ProbesUntil) <= now
 }
 
-// Withhold keeps calls and probes that haven't been sent from a target. It takes the place of what was
-// said before.
+// Withhold prevents unsent calls and probes from being sent to a target. It replaces the previous
+// withholding of the target.
 func (p *Pools) Withhold(x *routing.Endpoint, w Withholding) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -32,8 +32,8 @@
 	p.anyWithheld.Store(true)
 }
 
-// withheld tells whether nothing of an attempt may be sent now.
-func (a *Attempt) withheld() bool {
+// isWithheld reports whether the attempt must not be sent now.
+func (a *Attempt) isWithheld() bool {
 	p := a.pools
 	if !p.anyWithheld.Load() {
 		return false
@@ -45,15 +45,15 @@
 	if w.Limited && now >= a.permitUntil {
 		return true
 	}
-	if a.probe {
-		return now < w.Probes
+	if a.isProbe {
+		return now < w.ProbesUntil
 	}
-	return now < w.Calls
+	return now < w.CallsUntil
 }
 
-// dropWithheld forgets what is over. It is called with the lock held.
-func (p *Pools) dropWithheld() {
+// dropExpiredWithheld removes expired withholdings. It is called with the lock held.
+func (p *Pools) dropExpiredWithheld() {
 	now := p.clock.Now()
-	maps.DeleteFunc(p.withheld, func(_ *routing.Endpoint, w Withholding) bool { return w.isOver(now) })
+	maps.DeleteFunc(p.withheld, func(_ *routing.Endpoint, w Withholding) bool { return w.isExpired(now) })
 	p.anyWithheld.Store(len(p.withheld) > 0)
 }
