--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -129,20 +129,20 @@
 // rollout's new version that finds no room there falls back to the other targets.
 func (r *Router) choose(s *service, c *call) *target {
 	if c.onNewVersion {
-		if t := r.chooseFromSide(s, c, r.roleForCall(s, c)); t != nil {
+		if t := r.chooseByRole(s, c, r.roleForCall(s, c)); t != nil {
 			return t
 		}
 		c.onNewVersion = false
 	}
-	return r.chooseFromSide(s, c, r.defaultRole(s))
+	return r.chooseByRole(s, c, r.defaultRole(s))
 }
 
-// chooseFromSide picks a target on one side of a rollout.
-func (r *Router) chooseFromSide(s *service, c *call, from versionRole) *target {
+// chooseByRole picks a target on one side of a rollout.
+func (r *Router) chooseByRole(s *service, c *call, from versionRole) *target {
 	// The set is stored in the router because passing it to a policy would otherwise allocate it on
 	// the heap.
 	set := &r.candidates
-	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != trialVersion, excludeTried: c.sendsSinceHeld > 0, role: from}
+	*set = candidates{service: s, now: r.now, call: c, ignoreHealth: r.ignoresHealth(s, c) && from != trialVersion, excludeTried: c.sendsSinceHeld > 0, role: from}
 	if t := set.limitCheckTarget(); t != nil {
 		return t
 	}
--- a/pkg/core/routing/borrowing.go
+++ b/pkg/core/routing/borrowing.go
@@ -52,7 +52,7 @@
 	for range min(lendersPerRequest, others) {
 		box := r.selectLender(s, others)
 		s.loans.spareByPeer[box] = spareReport{slots: s.loans.spareByPeer[box].slots - 1, at: r.now}
-		r.sendLoan(box, LoanMessage{Kind: RequestSlots, Service: s.row.Name, Count: s.held.length, Nonce: nonce}, e)
+		r.sendLoanMessage(box, LoanMessage{Kind: RequestSlots, Service: s.row.Name, Count: s.held.length, Nonce: nonce}, e)
 	}
 }
 
@@ -94,7 +94,7 @@
 	t := s.target(m.Target)
 	late := known && r.now >= sentAt.Add(min(m.Term, loanReclaimTimeout-maxLoanTerm))
 	if !known || t == nil || late {
-		r.sendLoan(from, LoanMessage{Kind: ReturnSlot, Loan: m.Loan}, e)
+		r.sendLoanMessage(from, LoanMessage{Kind: ReturnSlot, Loan: m.Loan}, e)
 		return
 	}
 	l := &loan{id: m.Loan, lender: from, target: t, validUntil: sentAt.Add(m.Term), lastUsedAt: r.now}
@@ -121,7 +121,7 @@
 
 func (r *Router) returnLoan(l *loan, e *Effects) {
 	r.removeLoan(l)
-	r.sendLoan(l.lender, LoanMessage{Kind: ReturnSlot, Service: l.target.row.Service, Loan: l.id}, e)
+	r.sendLoanMessage(l.lender, LoanMessage{Kind: ReturnSlot, Service: l.target.row.Service, Loan: l.id}, e)
 }
 
 func (r *Router) removeLoan(l *loan) {
@@ -170,7 +170,7 @@
 				m.Loans = append(m.Loans, l.id)
 			}
 		}
-		r.sendLoan(box, m, e)
+		r.sendLoanMessage(box, m, e)
 	}
 }
 
@@ -187,6 +187,6 @@
 		}
 	}
 	for _, box := range borrowers {
-		r.sendLoan(box, LoanMessage{Kind: RecallSlots, Service: s.row.Name}, e)
+		r.sendLoanMessage(box, LoanMessage{Kind: RecallSlots, Service: s.row.Name}, e)
 	}
 }
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -117,8 +117,8 @@
 	// awaitsTable is set while the call is held for the box's first table.
 	awaitsTable bool
 	probeRound  probeRound
-	// silenceTimerSet is set while a silenceTimer is pending for the call.
-	silenceTimerSet bool
+	// overdueTimerSet is set while a silenceTimer is pending for the call.
+	overdueTimerSet bool
 	// kept is a failed answer that is delivered to the caller if no better one comes.
 	kept keptAnswer
 	// trial admits the call once although it is in quarantine; its number is zero for other calls.
@@ -228,8 +228,8 @@
 	firstTableTimer
 	// linkTimer ends a call's wait for large answers that are being received.
 	linkTimer
-	// silenceTimer fires when an attempt's answer is overdue.
-	silenceTimer
+	// overdueTimer fires when an attempt's answer is overdue.
+	overdueTimer
 	// crashTimer fires when a target whose calls broke off is to be probed again.
 	crashTimer
 	// canaryTimer fires when a call that waits for a canary turn tries again.
@@ -283,7 +283,7 @@
 		r.hedge(t.call, c, e)
 	case linkTimer:
 		r.resumeAfterLinkWait(t.call, c, e)
-	case silenceTimer:
+	case overdueTimer:
 		r.checkOverdue(t.call, c, e)
 	case canaryTimer:
 		r.canaryTimerFired(t.call, c, e)
--- a/pkg/core/routing/coordinator.go
+++ b/pkg/core/routing/coordinator.go
@@ -98,13 +98,13 @@
 	return first
 }
 
-// sendLimit sends a message about a target's limit, or handles it directly if this box is the
+// sendLimitMessage sends a message about a target's limit, or handles it directly if this box is the
 // recipient.
-func (r *Router) sendLimit(to units.BoxID, t *target, m LimitMessage, e *Effects) {
+func (r *Router) sendLimitMessage(to units.BoxID, t *target, m LimitMessage, e *Effects) {
 	m.Service, m.Target, m.Born = t.row.Service, t.row.Target, t.row.Born
 	m.LimitState = t.limitState()
 	if to == r.settings.Box {
-		r.receiveLimit(to, m, e)
+		r.receiveLimitMessage(to, m, e)
 		return
 	}
 	e.add(Effect{Kind: SendLimit, Peer: to, Limit: &m})
@@ -118,9 +118,9 @@
 	return t.notice.limit.current
 }
 
-// receiveLimit handles a message. A message about another instance of the target is ignored: the
+// receiveLimitMessage handles a message. A message about another instance of the target is ignored: the
 // next table updates whichever of the two boxes is behind.
-func (r *Router) receiveLimit(from units.BoxID, m LimitMessage, e *Effects) {
+func (r *Router) receiveLimitMessage(from units.BoxID, m LimitMessage, e *Effects) {
 	t := r.services[m.Service].target(m.Target)
 	if t == nil || t.row.Born != m.Born {
 		return
@@ -163,9 +163,9 @@
 		}
 		answer.Count = x.account.Permit(r.now, min(m.Count, maxPermitsHeld))
 		answer.RetryAfter = x.account.WaitTime(r.now)
-		r.permits.Permitted += uint64(answer.Count)
+		r.permits.Issued += uint64(answer.Count)
 	}
-	r.sendLimit(from, t, answer, e)
+	r.sendLimitMessage(from, t, answer, e)
 }
 
 // coordinationStart is when this box, as a target's coordinator, may begin to issue permits. This
@@ -215,7 +215,7 @@
 			if to, known := r.coordinatorOf(t); to != r.settings.Box {
 				t.notice.limit.account = nil
 				if known {
-					r.sendLimit(to, t, LimitMessage{Kind: HandOver}, e)
+					r.sendLimitMessage(to, t, LimitMessage{Kind: HandOver}, e)
 				}
 			}
 		}
--- a/pkg/core/routing/crowd_test.go
+++ b/pkg/core/routing/crowd_test.go
@@ -286,7 +286,7 @@
 		f.measure(0.5, func() { f.makeUnreachable("d1") })
 		return f
 	}
-	with, without := play(), play(Outlook)
+	with, without := play(), play(DomainAvailability)
 	t.Logf("wasted sends and probes per call: %.3f, and %.3f without the estimate of domain availability", with.wastedPerCall(), without.wastedPerCall())
 	if 2*with.wastedPerCall() > without.wastedPerCall() {
 		t.Errorf("%.3f sends and probes per call met unreachable targets, %.3f without the estimate", with.wastedPerCall(), without.wastedPerCall())
--- a/pkg/core/routing/domainavailability.go
+++ b/pkg/core/routing/domainavailability.go
@@ -61,10 +61,10 @@
 
 // availabilityOf returns the estimate of a failure domain, which all targets in it share.
 func (r *Router) availabilityOf(d units.Domain) *domainAvailability {
-	o := r.outlooks[d]
+	o := r.domainAvailabilities[d]
 	if o == nil {
 		o = &domainAvailability{}
-		r.outlooks[d] = o
+		r.domainAvailabilities[d] = o
 	}
 	return o
 }
--- a/pkg/core/routing/evacuation.go
+++ b/pkg/core/routing/evacuation.go
@@ -28,7 +28,7 @@
 func (r *Router) applyEvacuations(s *service) {
 	for _, t := range s.targets {
 		t.evacuated = r.table.Evacuated(t.row.Domain)
-		if t.availability == nil && t.row.Domain != "" && r.enabled(Outlook) {
+		if t.availability == nil && t.row.Domain != "" && r.enabled(DomainAvailability) {
 			t.availability = r.availabilityOf(t.row.Domain)
 		}
 		if r.wasRestored(t.row.Domain) {
--- a/pkg/core/routing/keys.go
+++ b/pkg/core/routing/keys.go
@@ -57,7 +57,7 @@
 		return false
 	}
 	if r.keysStale() {
-		r.refuse(id, c, Refusal{Reason: KeysInDoubt, Outcome: NotRun, RetryAfter: staleKeysRetryAfter}, e)
+		r.refuse(id, c, Refusal{Reason: StaleKeys, Outcome: NotRun, RetryAfter: staleKeysRetryAfter}, e)
 		return true
 	}
 	c.workspace = r.keys.owner(presented)
--- a/pkg/core/routing/lending.go
+++ b/pkg/core/routing/lending.go
@@ -72,7 +72,7 @@
 	r.loans.lent = append(r.loans.lent, &lentSlot{
 		id: r.loans.nextID, borrower: w.box, target: t, confirmedAt: r.now, offeredAt: r.now,
 	})
-	r.sendLoan(w.box, LoanMessage{
+	r.sendLoanMessage(w.box, LoanMessage{
 		Kind: OfferSlot, Service: s.row.Name, Target: t.row.Target, Loan: r.loans.nextID, Nonce: w.nonce, Term: r.loanTerm(),
 	}, e)
 	return true
@@ -152,7 +152,7 @@
 		}
 	}
 	if r.leased() {
-		r.sendLoan(from, LoanMessage{Kind: ConfirmLoans, Nonce: m.Nonce, Loans: r.lentTo(from), Term: r.loanTerm()}, e)
+		r.sendLoanMessage(from, LoanMessage{Kind: ConfirmLoans, Nonce: m.Nonce, Loans: r.lentTo(from), Term: r.loanTerm()}, e)
 	}
 }
 
--- a/pkg/core/routing/loans.go
+++ b/pkg/core/routing/loans.go
@@ -124,14 +124,14 @@
 	return true
 }
 
-func (r *Router) sendLoan(to units.BoxID, m LoanMessage, e *Effects) {
+func (r *Router) sendLoanMessage(to units.BoxID, m LoanMessage, e *Effects) {
 	if s := r.services[m.Service]; s != nil {
 		m.SpareSlots = s.spareSlots(r.now)
 	}
 	e.add(Effect{Kind: SendLoan, Peer: to, Loan: m})
 }
 
-func (r *Router) receiveLoan(from units.BoxID, m LoanMessage, e *Effects) {
+func (r *Router) receiveLoanMessage(from units.BoxID, m LoanMessage, e *Effects) {
 	if !r.settings.Loans {
 		return
 	}
--- a/pkg/core/routing/mechanism.go
+++ b/pkg/core/routing/mechanism.go
@@ -38,9 +38,9 @@
 	Subsetting Mechanism = "subsetting"
 	// EarlyCalls holds calls that arrive before a box's first table.
 	EarlyCalls Mechanism = "early-calls"
-	// Outlook estimates targets without recent readings from the other targets of their failure
+	// DomainAvailability estimates targets without recent readings from the other targets of their failure
 	// domain.
-	Outlook Mechanism = "outlook"
+	DomainAvailability Mechanism = "outlook"
 	// FirstTries prefers first tries over late retries of callers while a service is overloaded.
 	FirstTries Mechanism = "first-tries"
 	// SharedLink delays calls with large answers while others are being received on the box's link,
@@ -58,7 +58,7 @@
 // Mechanisms lists all mechanisms.
 var Mechanisms = []Mechanism{
 	Probing, Waiting, Hedging, Retrying, SlowTargets, FailingTargets, Ejection, Ramping, OwnDomain, Concurrency, Subsetting,
-	EarlyCalls, Outlook, FirstTries, SharedLink, UnansweredCalls, CrashSuspects, Canaries,
+	EarlyCalls, DomainAvailability, FirstTries, SharedLink, UnansweredCalls, CrashSuspects, Canaries,
 }
 
 // mechanismSet is a set of mechanisms that are switched off.
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -47,13 +47,13 @@
 
 // PermitStatus counts permits and permit requests for the dump.
 type PermitStatus struct {
-	Asked    uint64 `json:"asked"`
+	Requested    uint64 `json:"asked"`
 	Granted  uint64 `json:"granted"`
 	Used     uint64 `json:"used"`
 	Returned uint64 `json:"returned"`
-	// Permitted is the number of permits that this box granted as a coordinator, including those to
+	// Issued is the number of permits that this box granted as a coordinator, including those to
 	// itself.
-	Permitted uint64 `json:"permitted"`
+	Issued uint64 `json:"permitted"`
 	nonce     uint64
 }
 
@@ -71,16 +71,16 @@
 
 // nextPermitAt is the earliest time at which a permit may arrive, as far as this box knows.
 func (x *targetLimit) nextPermitAt(now units.Instant) units.Instant {
-	if x.ask.isPending(now) {
+	if x.request.isPending(now) {
 		return now
 	}
-	return max(now, x.nextAskAt)
+	return max(now, x.nextRequestAt)
 }
 
 // mayRequest reports whether a request for permits may be sent now: the box holds no permit, no
 // request is pending, and the wait after the last one is over.
 func (x *targetLimit) mayRequest(now units.Instant) bool {
-	return !x.permits.available(now) && !x.ask.isPending(now) && now >= x.nextAskAt
+	return !x.permits.available(now) && !x.request.isPending(now) && now >= x.nextRequestAt
 }
 
 // lacksPermit reports whether the target advertises a limit and this box has no permit for it.
@@ -149,7 +149,7 @@
 	if s.limitedTargets == 0 || !r.leased() {
 		return 0
 	}
-	anyHealth := r.anyHealth(s, c)
+	anyHealth := r.ignoresHealth(s, c)
 	start := r.random.IntN(len(s.targets))
 	for k := range s.targets {
 		t := s.targets[(start+k)%len(s.targets)]
@@ -182,21 +182,21 @@
 
 // hasPendingPermitRequest reports whether a coordinator may still answer a request.
 func (s *service) hasPendingPermitRequest(now units.Instant) bool {
-	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.notice.isLimited() && t.notice.limit.ask.isPending(now) })
+	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.notice.isLimited() && t.notice.limit.request.isPending(now) })
 }
 
 // requestTargetPermits requests permits of one target from its coordinator.
 func (r *Router) requestTargetPermits(t *target, count int, e *Effects) {
 	to, known := r.coordinatorOf(t)
 	if !known {
-		t.notice.limit.nextAskAt = r.now.Add(permitRetryInterval)
+		t.notice.limit.nextRequestAt = r.now.Add(permitRetryInterval)
 		return
 	}
 	r.permits.nonce++
-	r.permits.Asked++
-	t.notice.limit.ask = permitRequest{nonce: r.permits.nonce, at: r.now, pending: true}
+	r.permits.Requested++
+	t.notice.limit.request = permitRequest{nonce: r.permits.nonce, at: r.now, pending: true}
 	r.scheduleSweep(t.service, r.now.Add(permitRequestTimeout))
-	r.sendLimit(to, t, LimitMessage{Kind: RequestPermits, Nonce: r.permits.nonce, Count: count}, e)
+	r.sendLimitMessage(to, t, LimitMessage{Kind: RequestPermits, Nonce: r.permits.nonce, Count: count}, e)
 }
 
 // acceptPermits handles a coordinator's answer. Permits that arrive too late are returned.
@@ -205,13 +205,13 @@
 		return
 	}
 	x := t.notice.limit
-	if m.Nonce != x.ask.nonce || !x.ask.isPending(r.now) {
+	if m.Nonce != x.request.nonce || !x.request.isPending(r.now) {
 		r.returnPermitsTo(from, t, m.Count, e)
 		return
 	}
-	x.ask.pending = false
+	x.request.pending = false
 	pause := min(m.RetryAfter, maxPermitRetryInterval)
-	x.nextAskAt = r.now.Add(pause + time.Duration(permitRetryJitter*r.random.Float64()*float64(pause)))
+	x.nextRequestAt = r.now.Add(pause + time.Duration(permitRetryJitter*r.random.Float64()*float64(pause)))
 	if m.Count > 0 {
 		r.permits.Granted += uint64(m.Count)
 		until := r.now.Add(permitLifetime)
@@ -247,7 +247,7 @@
 		return
 	}
 	r.permits.Returned += uint64(n)
-	r.sendLimit(to, t, LimitMessage{Kind: ReturnPermits, Count: n}, e)
+	r.sendLimitMessage(to, t, LimitMessage{Kind: ReturnPermits, Count: n}, e)
 }
 
 // sweepPermits returns expired permits and records requests that timed out.
@@ -263,17 +263,17 @@
 		if n := x.permits.dropExpired(r.now); n > 0 {
 			r.returnPermits(t, n, e)
 			// No call here needed the permit, so other boxes may request theirs first.
-			x.nextAskAt = max(x.nextAskAt, r.now.Add(permitLifetime))
+			x.nextRequestAt = max(x.nextRequestAt, r.now.Add(permitLifetime))
 		}
-		if x.ask.pending && !x.ask.isPending(r.now) {
-			x.ask.pending = false
-			x.nextAskAt = r.now.Add(permitRetryInterval)
+		if x.request.pending && !x.request.isPending(r.now) {
+			x.request.pending = false
+			x.nextRequestAt = r.now.Add(permitRetryInterval)
 		}
 		if len(x.permits) > 0 {
 			r.scheduleSweep(s, x.permits[0])
 		}
-		if x.ask.pending {
-			r.scheduleSweep(s, x.ask.at.Add(permitRequestTimeout))
+		if x.request.pending {
+			r.scheduleSweep(s, x.request.at.Add(permitRequestTimeout))
 		}
 	}
 	r.requestPermitsForHeld(s, e)
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -142,7 +142,7 @@
 func (r *Router) probeBudgetRate(s *service) float64 {
 	rate := 0.0
 	for _, t := range s.targets {
-		if t.side <= trialVersion {
+		if t.role <= trialVersion {
 			rate += r.probeRate(s, t)
 		}
 	}
@@ -155,7 +155,7 @@
 func (r *Router) targetsToProbe(c *call, n int) []*target {
 	from := r.roleForCall(c.service, c)
 	set := candidates{
-		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c) && from != trialVersion, excludeTried: c.sendsSinceHeld > 0,
+		service: c.service, now: r.now, call: c, ignoreHealth: r.ignoresHealth(c.service, c) && from != trialVersion, excludeTried: c.sendsSinceHeld > 0,
 		role: from,
 	}
 	r.probeCandidates = r.probeCandidates[:0]
@@ -267,7 +267,7 @@
 // late is sent to a nearly full target with a known load rather than wait for a better one.
 func (r *Router) bestSuitable(c *call) *target {
 	set := candidates{
-		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c), excludeTried: true, role: r.roleForCall(c.service, c),
+		service: c.service, now: r.now, call: c, ignoreHealth: r.ignoresHealth(c.service, c), excludeTried: true, role: r.roleForCall(c.service, c),
 	}
 	var best *target
 	for i, t := range c.service.targets {
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// minSilenceBeforeProbe is how long nothing must have been heard from an ejected target before
+	// healthProbeDelay is how long nothing must have been heard from an ejected target before
 	// it is probed.
-	minSilenceBeforeProbe = 200 * time.Millisecond
+	healthProbeDelay = 200 * time.Millisecond
 	// defaultSlots is the assumed capacity of a target without a limit, in calls.
 	defaultSlots = 3
 	// probeBurst is the number of probes that a box may save up, the size of the token bucket.
@@ -30,7 +30,7 @@
 // probeIfDue probes a target that gets no calls. Targets that get calls are measured by these and
 // need no probe.
 func (r *Router) probeIfDue(s *service, t *target, e *Effects) {
-	if !t.needsHealthProbe(r.now) || t.evacuated || t.side > trialVersion || t.healthProbeInFlight || r.now.Sub(t.lastObservedAt) < minSilenceBeforeProbe || !r.leased() {
+	if !t.needsHealthProbe(r.now) || t.evacuated || t.role > trialVersion || t.healthProbeInFlight || r.now.Sub(t.lastObservedAt) < healthProbeDelay || !r.leased() {
 		return
 	}
 	if t.lacksPermit(r.now) {
--- a/pkg/core/routing/refusal.go
+++ b/pkg/core/routing/refusal.go
@@ -52,14 +52,14 @@
 	TargetsResting
 	TargetsLimited
 	UnknownKey
-	KeysInDoubt
+	StaleKeys
 	QuotaExceeded
 	reasonCount
 )
 
 // reasonInfo is what callers and operators see of a reason.
 type reasonInfo struct {
-	word string
+	name string
 	// status is the HTTP status of the refusal.
 	status int
 	remedy string
@@ -88,13 +88,13 @@
 	TargetsResting:     {"targets-rest", 503, "retry after the given time; all targets of this service have asked for no calls until then"},
 	TargetsLimited:     {"targets-limited", 503, "retry after the given time; all targets of this service have rate limits, which other calls use up"},
 	UnknownKey:         {"unknown-key", 401, "send one API key of a workspace, in the documented header"},
-	KeysInDoubt:        {"keys-in-doubt", 503, "try another box; this one has lost contact with the control replicas and can't know which keys are valid"},
+	StaleKeys:        {"keys-in-doubt", 503, "try another box; this one has lost contact with the control replicas and can't know which keys are valid"},
 	QuotaExceeded:      {"quota-spent", 429, "retry after the given time; the workspace's calls have used up its quota"},
 	CallerDisconnected: {"caller-gone", 499, "none; the caller disconnected"},
 }
 
 // String returns the reason as it is shown to callers and operators.
-func (r Reason) String() string { return reasonTable[r].word }
+func (r Reason) String() string { return reasonTable[r].name }
 
 // Status returns the HTTP status of a refusal for this reason.
 func (r Reason) Status() int { return reasonTable[r].status }
--- a/pkg/core/routing/residency.go
+++ b/pkg/core/routing/residency.go
@@ -132,9 +132,9 @@
 	return s.retryAfter(now)
 }
 
-// anyHealth reports whether more than half of the targets that a call may use are ejected; their
+// ignoresHealth reports whether more than half of the targets that a call may use are ejected; their
 // health is ignored then.
-func (r *Router) anyHealth(s *service, c *call) bool {
+func (r *Router) ignoresHealth(s *service, c *call) bool {
 	if c.regions == nil {
 		return s.mostlyEjected
 	}
--- a/pkg/core/routing/rollout.go
+++ b/pkg/core/routing/rollout.go
@@ -77,7 +77,7 @@
 	current := r.table.SoftwareInForce(s.row.Name)
 	r.updateRollout(s, record)
 	for _, t := range s.targets {
-		t.side = versionRoleOf(&t.row, current, record)
+		t.role = versionRoleOf(&t.row, current, record)
 	}
 }
 
@@ -155,5 +155,5 @@
 // hasOtherVersions reports whether targets of the service receive no calls only because of their
 // version.
 func (s *service) hasOtherVersions() bool {
-	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.isActiveInTable() && !t.evacuated && t.side != currentVersion })
+	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.isActiveInTable() && !t.evacuated && t.role != currentVersion })
 }
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -100,8 +100,8 @@
 	calls            *container.Slab[call]
 	timers           *container.Heap[timer]
 	loans            loanState
-	// outlooks are the shares of recently usable targets, by failure domain.
-	outlooks map[units.Domain]*domainAvailability
+	// domainAvailabilities are the shares of recently usable targets, by failure domain.
+	domainAvailabilities map[units.Domain]*domainAvailability
 	// startedAt is when the router was created; earlyCalls are calls that arrived before its first
 	// table.
 	startedAt  units.Instant
@@ -164,7 +164,7 @@
 		calls:           container.NewSlab[call](),
 		timers:          container.NewHeap(timerBefore),
 		loans:           newLoanState(),
-		outlooks:        map[units.Domain]*domainAvailability{},
+		domainAvailabilities:        map[units.Domain]*domainAvailability{},
 		boxListVersion:  1,
 		noBoxesSeen:     true,
 		domainBoxes:     map[units.Domain][]table.Box{},
@@ -213,9 +213,9 @@
 	case *ProbeEnded:
 		r.probeEnded(v, e)
 	case *PeerLoan:
-		r.receiveLoan(v.From, v.Message, e)
+		r.receiveLoanMessage(v.From, v.Message, e)
 	case *PeerLimit:
-		r.receiveLimit(v.From, v.Message, e)
+		r.receiveLimitMessage(v.From, v.Message, e)
 	case *PeerQuota:
 		r.receiveQuota(v.From, &v.Message, e)
 	case *PeerCanary:
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -18,8 +18,8 @@
 	// nearly full, or cold.
 	nearFullSlowdown slowdownEstimate
 	coldSlowdown     slowdownEstimate
-	// silence is the state on calls that were never answered.
-	silence unansweredStats
+	// unanswered is the state on calls that were never answered.
+	unanswered unansweredStats
 	// disabled are the mechanisms that are switched off.
 	disabled mechanismSet
 	// domain is the box's own failure domain.
@@ -186,8 +186,8 @@
 	now     units.Instant
 	// call is the call to send; targets that it is already in flight at are unavailable.
 	call *call
-	// anyHealth makes ejected targets available.
-	anyHealth bool
+	// ignoreHealth makes ejected targets available.
+	ignoreHealth bool
 	// excludeTried makes targets unavailable that the call has been sent to before.
 	excludeTried bool
 	// role is the version role of available targets.
@@ -208,14 +208,14 @@
 
 func (c *candidates) Available(i int) bool {
 	t := c.service.targets[i]
-	return t.side == c.role && t.isAvailable(c.now, c.anyHealth) && !c.excluded(t)
+	return t.role == c.role && t.isAvailable(c.now, c.ignoreHealth) && !c.excluded(t)
 }
 
 // availableIfWarm reports whether a target that may be cold would be available if a probe showed it
 // to be warm.
 func (c *candidates) availableIfWarm(i int) bool {
 	t := c.service.targets[i]
-	return t.side == c.role && t.isPossiblyCold(c.now) && !t.lacksPermit(c.now) && t.isAvailableWhenWarm(c.now, c.anyHealth) && !c.excluded(t)
+	return t.role == c.role && t.isPossiblyCold(c.now) && !t.lacksPermit(c.now) && t.isAvailableWhenWarm(c.now, c.ignoreHealth) && !c.excluded(t)
 }
 
 // excluded reports whether a target is unavailable because of the call itself. A call in flight
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -53,7 +53,7 @@
 
 // LoanStatus counts the loans between boxes.
 type LoanStatus struct {
-	Asked       uint64 `json:"asked"`
+	Requested       uint64 `json:"asked"`
 	Lent        uint64 `json:"lent"`
 	Borrowed    uint64 `json:"borrowed"`
 	LentNow     int    `json:"lentNow"`
@@ -148,7 +148,7 @@
 	// PermittedBy is the box that issues the permits, Permits the number of permits that this box
 	// holds. All are empty for a target that advertises no limit.
 	Limit       *units.CallRate `json:"limit,omitempty"`
-	PermittedBy units.BoxID     `json:"permittedBy,omitempty"`
+	Coordinator units.BoxID     `json:"permittedBy,omitempty"`
 	Permits     int             `json:"permits,omitempty"`
 	// Bound names what currently keeps calls away from the target; empty if nothing does.
 	Bound string `json:"bound,omitempty"`
@@ -162,7 +162,7 @@
 		Evacuated: r.table.EvacuatedDomains(), Region: r.settings.Regions[r.settings.Domain], Restricted: r.restrictedRoutes(),
 		Inbound: r.inboundStatus(now), Permits: r.permits, Quotas: r.quotaStatuses(), Canaries: r.crashes.canaries.status,
 		Loans: LoanStatus{
-			Asked: r.loans.requestTotal, Lent: r.loans.lentTotal, Borrowed: r.loans.borrowedTotal,
+			Requested: r.loans.requestTotal, Lent: r.loans.lentTotal, Borrowed: r.loans.borrowedTotal,
 			LentNow: len(r.loans.lent), BorrowedNow: len(r.loans.borrowed),
 		},
 	}
@@ -181,7 +181,7 @@
 	status := ServiceStatus{
 		Service: s.row.Name, Version: s.entry.Version, Calls: s.calls, Refused: s.refused, Held: s.held.length,
 		Retries: s.retries.spent, Hedges: s.hedges.spent, Latency: s.latency.mean(), HedgeDelay: s.hedgeDelay(),
-		Crashes: s.crashes, Rests: s.restRequests, Unanswered: s.silence.total, Hangs: s.silence.hangs(now), HangsFrom: s.silence.hangLoad,
+		Crashes: s.crashes, Rests: s.restRequests, Unanswered: s.unanswered.total, Hangs: s.unanswered.hangs(now), HangsFrom: s.unanswered.hangLoad,
 	}
 	if s.rollout != nil {
 		status.Rollout = s.rollout.status(now)
@@ -236,7 +236,7 @@
 	if t.notice.isLimited() {
 		x := t.notice.limit
 		status.Limit = &x.current.Rate
-		status.PermittedBy, _ = r.coordinatorOf(t)
+		status.Coordinator, _ = r.coordinatorOf(t)
 		status.Permits = len(x.permits)
 	}
 	return status
@@ -256,7 +256,7 @@
 		return "named-limit"
 	case t.evacuated:
 		return "evacuated"
-	case t.side > trialVersion:
+	case t.role > trialVersion:
 		return "version"
 	case t.row.Weight == 0:
 		return "weight"
--- a/pkg/core/routing/subset.go
+++ b/pkg/core/routing/subset.go
@@ -41,7 +41,7 @@
 	}
 	for _, t := range s.targets {
 		// All boxes send calls to the few targets of a rollout's new version.
-		t.inSubset = t.side == trialVersion
+		t.inSubset = t.role == trialVersion
 	}
 	slices.SortFunc(own, func(a, b *target) int { return compareByHash(s.row.Name, a.row.Target, b.row.Target) })
 	first := place * len(own) / len(boxes)
@@ -55,7 +55,7 @@
 func (r *Router) ownDomainTargets(s *service) []*target {
 	var own, all []*target
 	for _, t := range s.targets {
-		if t.row.State != table.Active || t.row.Silent || t.evacuated || t.side != currentVersion {
+		if t.row.State != table.Active || t.row.Silent || t.evacuated || t.role != currentVersion {
 			continue
 		}
 		all = append(all, t)
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -34,7 +34,7 @@
 	}
 	least := slowdown
 	for _, o := range t.service.targets {
-		if o.side == t.side && c.mayUse(o) && o.isAvailable(r.now, t.service.mostlyEjected) {
+		if o.role == t.role && c.mayUse(o) && o.isAvailable(r.now, t.service.mostlyEjected) {
 			least = min(least, o.currentSlowdown(r.now))
 		}
 	}
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -75,7 +75,7 @@
 	borrowedSlots []*loan
 	// evacuated is set while the target's failure domain is evacuated.
 	evacuated bool
-	side      versionRole
+	role      versionRole
 	cold      coldState
 	crash     crashEvidence
 	// coordination names the box that grants permits for the target while the target announces a
@@ -132,7 +132,7 @@
 // effectiveWeight returns the weight used for load balancing now: zero if the target may not take
 // calls, reduced while it ramps up.
 func (t *target) effectiveWeight(now units.Instant) float64 {
-	if t.row.State != table.Active || t.evacuated || t.side != currentVersion || t.notice.isLeaving() {
+	if t.row.State != table.Active || t.evacuated || t.role != currentVersion || t.notice.isLeaving() {
 		return 0
 	}
 	if t.service.disabled[Ramping] {
@@ -193,7 +193,7 @@
 // isEligible reports whether the target may take the service's calls, regardless of its health, its
 // limits and rests.
 func (t *target) isEligible() bool {
-	return t.isActiveInTable() && !t.evacuated && t.side == currentVersion && !t.notice.isLeaving()
+	return t.isActiveInTable() && !t.evacuated && t.role == currentVersion && !t.notice.isLeaving()
 }
 
 // isAvailable reports whether a new call may be sent to the target now.
@@ -204,7 +204,7 @@
 // isAvailableWhenWarm reports whether a new call could be sent to the target now if it were warm
 // and needed no permit.
 func (t *target) isAvailableWhenWarm(now units.Instant, anyHealth bool) bool {
-	if !t.isActiveInTable() || t.evacuated || t.side == inactiveVersion || t.notice.forbidsSending(now) || now < t.backoffUntil || t.mayHang(now) {
+	if !t.isActiveInTable() || t.evacuated || t.role == inactiveVersion || t.notice.forbidsSending(now) || now < t.backoffUntil || t.mayHang(now) {
 		return false
 	}
 	if !anyHealth && !t.service.disabled[Ejection] && (!t.health.admits(now, t.inFlight) || t.health.ejected && t.row.Silent) {
--- a/pkg/core/routing/targetlimit.go
+++ b/pkg/core/routing/targetlimit.go
@@ -33,9 +33,9 @@
 	loggedAt units.Instant
 	// permits are the unused permits held by this box.
 	permits allowances
-	// ask is the request in flight, nextAskAt the earliest useful time for the next one.
-	ask       permitRequest
-	nextAskAt units.Instant
+	// request is the request in flight, nextAskAt the earliest useful time for the next one.
+	request       permitRequest
+	nextRequestAt units.Instant
 	// account is the token bucket of the limit, kept by the target's coordinator only; nil before
 	// the first request.
 	account *limit.TokenBucket
@@ -80,7 +80,7 @@
 	}
 	r.setLimit(t.notice, t.endpoint, x.current.Cleared(), e)
 	if to, known := r.coordinatorOf(t); known && to != r.settings.Box {
-		r.sendLimit(to, t, LimitMessage{Kind: ReportLimitEnd}, e)
+		r.sendLimitMessage(to, t, LimitMessage{Kind: ReportLimitEnd}, e)
 	}
 }
 
@@ -104,7 +104,7 @@
 	x.current, x.changedAt = w, r.now
 	switch {
 	case !w.Limited:
-		x.permits, x.ask, x.nextAskAt, x.account = nil, permitRequest{}, 0, nil
+		x.permits, x.request, x.nextRequestAt, x.account = nil, permitRequest{}, 0, nil
 	case x.account != nil:
 		x.account.SetRate(r.now, w.Rate)
 	}
--- a/pkg/core/routing/unanswered.go
+++ b/pkg/core/routing/unanswered.go
@@ -89,7 +89,7 @@
 
 // mayHang reports whether the target might never answer one more call.
 func (t *target) mayHang(now units.Instant) bool {
-	x := &t.service.silence
+	x := &t.service.unanswered
 	return x.hangLoad > 0 && x.hangs(now) && t.load(now)+1 >= x.hangLoad
 }
 
@@ -134,7 +134,7 @@
 // markMissing marks the calls that a load report leaves out: when the target was asked, it had
 // fewer calls in all than this box waits for. The oldest ones are assumed to be missing.
 func (t *target) markMissing(now units.Instant, x Reading, asked units.Instant) {
-	if !x.HasLoad || now < t.service.silence.reportsUntrustedUntil {
+	if !x.HasLoad || now < t.service.unanswered.reportsUntrustedUntil {
 		return
 	}
 	missing := -int(x.InFlight)
@@ -152,7 +152,7 @@
 func (t *target) recordAnswer(now units.Instant, a *attempt) {
 	t.countOvertaken(a)
 	if a.missingFromReport {
-		t.service.silence.reportsUntrustedUntil = now.Add(unansweredHalfLife)
+		t.service.unanswered.reportsUntrustedUntil = now.Add(unansweredHalfLife)
 	}
 }
 
@@ -160,26 +160,26 @@
 // before that is checked only from its hedge on: few calls take that long, and each timer has a
 // cost.
 func (r *Router) scheduleOverdueCheck(id CallID, c *call, a *attempt) {
-	if c.silenceTimerSet || a.target == nil || !r.enabled(UnansweredCalls) {
+	if c.overdueTimerSet || a.target == nil || !r.enabled(UnansweredCalls) {
 		return
 	}
 	at := max(r.now, a.sent.Add(a.answerTimeout))
 	if at >= c.deadline {
 		return
 	}
-	c.silenceTimerSet = true
-	r.timers.Push(timer{at: at, call: id, kind: silenceTimer})
+	c.overdueTimerSet = true
+	r.timers.Push(timer{at: at, call: id, kind: overdueTimer})
 }
 
 // checkOverdue checks an overdue call and schedules the next check. If it can't decide whether the
 // target will answer, it sends the target a probe.
 func (r *Router) checkOverdue(id CallID, c *call, e *Effects) {
-	c.silenceTimerSet = false
+	c.overdueTimerSet = false
 	if c.held || c.streaming || c.inFlight() == 0 {
 		return
 	}
-	c.silenceTimerSet = true
-	r.timers.Push(timer{at: r.now.Add(overdueCheckInterval), call: id, kind: silenceTimer})
+	c.overdueTimerSet = true
+	r.timers.Push(timer{at: r.now.Add(overdueCheckInterval), call: id, kind: overdueTimer})
 	if r.abandonUnanswered(id, c, e) {
 		return
 	}
@@ -276,9 +276,9 @@
 	if a.callsAhead+1 > t.knownSlots() {
 		n = max(minHangLoad, a.callsAhead+1)
 	}
-	if t.service.silence.record(r.now, n) {
+	if t.service.unanswered.record(r.now, n) {
 		e.add(Effect{
-			Kind: ServiceHangs, Endpoint: t.endpoint, Failures: int(t.service.silence.total),
+			Kind: ServiceHangs, Endpoint: t.endpoint, Failures: int(t.service.unanswered.total),
 			Selection: Selection{
 				Load: a.callsAhead, Pace: t.expectedPace(r.now), Slowdown: float64(r.now.Sub(a.sent)) / float64(max(1, a.answerTimeout)),
 				ReadingAge: -1, Revision: r.table.Revision,
@@ -299,5 +299,5 @@
 // requiresKnownFreeSlot reports whether a call may go only to a target that is known to have a free
 // slot: the call can't be sent twice, so it would be lost if it were never answered.
 func (r *Router) requiresKnownFreeSlot(c *call) bool {
-	return r.enabled(UnansweredCalls) && c.route.work != table.Repeatable && c.service.silence.hangs(r.now)
+	return r.enabled(UnansweredCalls) && c.route.work != table.Repeatable && c.service.unanswered.hangs(r.now)
 }
