--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -59,11 +59,11 @@
 // evidenceFor returns the estimates of a target's state on which a send is based.
 func (r *Router) evidenceFor(t *target) Selection {
 	x := Selection{
-		Load: t.load(r.now), Pace: t.expectedPace(r.now), Slowdown: t.currentSlowdown(r.now), ReadingAge: -1,
+		Load: t.load(r.now), Pace: t.expectedPace(r.now), Slowdown: t.currentSlowdown(r.now), ReportAge: -1,
 		Revision: r.table.Revision,
 	}
 	if t.report.HasLoad {
-		x.ReadingAge = r.now.Sub(t.report.receivedAt)
+		x.ReportAge = r.now.Sub(t.report.receivedAt)
 	}
 	return x
 }
--- a/pkg/core/routing/bench_test.go
+++ b/pkg/core/routing/bench_test.go
@@ -220,16 +220,16 @@
 
 // BenchmarkCallBesideRests measures a call at a service of which every second target rests.
 // BenchmarkCall is the same without any rest.
-func BenchmarkCallBesideRests(b *testing.B) { benchCallsBeside(b, Reading{Rest: time.Hour}) }
+func BenchmarkCallBesideRests(b *testing.B) { benchCallsBeside(b, TargetReport{Rest: time.Hour}) }
 
 // BenchmarkCallBesideLimits measures a call at a service of which every second target announces a
 // limit, with permits that this box grants itself. BenchmarkCall is the same without any limit.
 func BenchmarkCallBesideLimits(b *testing.B) {
-	benchCallsBeside(b, Reading{Limit: ReportedLimit{Present: true, Rate: 2}})
+	benchCallsBeside(b, TargetReport{Limit: ReportedLimit{Present: true, Rate: 2}})
 }
 
 // benchCallsBeside measures calls at a service of which every second target has sent a notice.
-func benchCallsBeside(b *testing.B, reading Reading) {
+func benchCallsBeside(b *testing.B, reading TargetReport) {
 	for _, targets := range []int{20, 500} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
 			r, now := newBenchRouter(b, 1, targets, 0)
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -89,9 +89,9 @@
 	workspace *table.Workspace
 	// requestedDeadline is the deadline that the caller requested, as a duration; zero for none.
 	requestedDeadline time.Duration
-	// awaitsCanaryTurn is set while the call waits for its turn to be sent as a canary of a
+	// awaitsCanaryGrant is set while the call waits for its turn to be sent as a canary of a
 	// suspected request.
-	awaitsCanaryTurn bool
+	awaitsCanaryGrant bool
 	// awaitsCredit is set while the call waits for a credit of its workspace. creditValidUntil is
 	// when the credit that it took would have expired; zero for none.
 	awaitsCredit     bool
@@ -121,8 +121,8 @@
 	overdueTimerSet bool
 	// kept is a failed answer that is delivered to the caller if no better one comes.
 	kept keptAnswer
-	// trial admits the call once although it is in quarantine; its number is zero for other calls.
-	trial quarantineTrial
+	// quarantineTrial admits the call once although it is in quarantine; its number is zero for other calls.
+	quarantineTrial quarantineTrial
 	// onNewVersion is set while the call is to go to the new version of a rollout.
 	onNewVersion bool
 	// streaming is set once the head of an answer has been delivered to the caller.
--- a/pkg/core/routing/canary.go
+++ b/pkg/core/routing/canary.go
@@ -234,38 +234,38 @@
 	if !found {
 		return false
 	}
-	if r.takeTurn(f, c) {
+	if r.takeCanaryGrant(f, c) {
 		return false
 	}
 	r.crashes.canaries.status.Held++
-	c.awaitsCanaryTurn = true
+	c.awaitsCanaryGrant = true
 	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.arrived.Add(c.route.callDeadline(c.requestedDeadline, r.settings.MaxDeadline))})
-	r.requestTurn(id, c, f, e)
+	r.requestCanaryGrant(id, c, f, e)
 	return true
 }
 
-// takeTurn reports whether a call gets a turn now by this box's own decision as the coordinator,
+// takeCanaryGrant reports whether a call gets a turn now by this box's own decision as the coordinator,
 // and takes the turn.
-func (r *Router) takeTurn(f crash.Fingerprint, c *call) bool {
+func (r *Router) takeCanaryGrant(f crash.Fingerprint, c *call) bool {
 	b := &r.crashes.canaries
-	if r.canaryCoordinator(f) != r.settings.Box || b.yieldsTurn(f, c, r.now) || !b.grantTurn(f, r.now) {
+	if r.canaryCoordinator(f) != r.settings.Box || b.yieldsToOtherCallers(f, c, r.now) || !b.grantCanary(f, r.now) {
 		return false
 	}
 	b.status.Sent++
 	return true
 }
 
-// yieldsTurn reports whether a call should let those of other callers go first.
-func (b *canaryState) yieldsTurn(f crash.Fingerprint, c *call, now units.Instant) bool {
+// yieldsToOtherCallers reports whether a call should let those of other callers go first.
+func (b *canaryState) yieldsToOtherCallers(f crash.Fingerprint, c *call, now units.Instant) bool {
 	s := b.find(f)
 	return s != nil && now.Sub(s.crashedAt) < callerYieldTime && s.lastCrashed.Matches(c.identity)
 }
 
-// requestTurn asks the coordinator for a turn, and schedules the next request.
-func (r *Router) requestTurn(id CallID, c *call, f crash.Fingerprint, e *Effects) {
+// requestCanaryGrant asks the coordinator for a turn, and schedules the next request.
+func (r *Router) requestCanaryGrant(id CallID, c *call, f crash.Fingerprint, e *Effects) {
 	r.timers.Push(timer{at: r.now.Add(canaryPollInterval), call: id, kind: canaryTimer})
 	coordinator := r.canaryCoordinator(f)
-	if coordinator != r.settings.Box && !r.crashes.canaries.yieldsTurn(f, c, r.now) {
+	if coordinator != r.settings.Box && !r.crashes.canaries.yieldsToOtherCallers(f, c, r.now) {
 		e.add(Effect{Kind: SendCanaryMessage, Peer: coordinator, Canary: &CanaryMessage{
 			Kind: RequestCanary, Calls: []crash.Fingerprint{f}, Call: id,
 		}})
@@ -275,7 +275,7 @@
 // canaryTimerFired sends a waiting call if its request is no longer suspected, if it gets a turn,
 // or if it has waited for maxCanaryWait. Otherwise it asks for a turn again.
 func (r *Router) canaryTimerFired(id CallID, c *call, e *Effects) {
-	if !c.awaitsCanaryTurn {
+	if !c.awaitsCanaryGrant {
 		return
 	}
 	f, found := r.findSuspicion(c)
@@ -285,15 +285,15 @@
 	case r.now.Sub(c.arrived) >= maxCanaryWait:
 		r.crashes.canaries.status.TimedOut++
 		r.endCanaryWait(id, c, e)
-	case r.takeTurn(f, c):
+	case r.takeCanaryGrant(f, c):
 		r.endCanaryWait(id, c, e)
 	default:
-		r.requestTurn(id, c, f, e)
+		r.requestCanaryGrant(id, c, f, e)
 	}
 }
 
 func (r *Router) endCanaryWait(id CallID, c *call, e *Effects) {
-	c.awaitsCanaryTurn = false
+	c.awaitsCanaryGrant = false
 	r.admitAfterCanary(id, c, e)
 }
 
@@ -303,8 +303,8 @@
 	return cmp.Or(rendezvousOwner(f.String(), withoutLeaving(r.rank.boxes)), r.settings.Box)
 }
 
-// grantTurn takes the request's turn, and reports false if a canary is still out.
-func (b *canaryState) grantTurn(f crash.Fingerprint, now units.Instant) bool {
+// grantCanary takes the request's turn, and reports false if a canary is still out.
+func (b *canaryState) grantCanary(f crash.Fingerprint, now units.Instant) bool {
 	s := b.find(f)
 	if s == nil || now < s.canaryUntil {
 		return false
@@ -326,9 +326,9 @@
 		case ClearCall:
 			b.drop(f)
 		case RequestCanary:
-			r.grantPeerTurn(from, f, m.Call, e)
+			r.grantCanaryToPeer(from, f, m.Call, e)
 		case GrantCanary:
-			r.receiveTurn(f, m.Call, e)
+			r.acceptCanaryGrant(f, m.Call, e)
 		}
 	}
 	if m.Kind == SuspectCalls || m.Kind == ClearCall {
@@ -336,23 +336,23 @@
 	}
 }
 
-// grantPeerTurn grants a turn to another box's call if the turn is free. A coordinator that hasn't
+// grantCanaryToPeer grants a turn to another box's call if the turn is free. A coordinator that hasn't
 // been told of the crash trusts the requesting box. A refusal isn't sent: the box asks again.
-func (r *Router) grantPeerTurn(from units.BoxID, f crash.Fingerprint, id CallID, e *Effects) {
+func (r *Router) grantCanaryToPeer(from units.BoxID, f crash.Fingerprint, id CallID, e *Effects) {
 	b := &r.crashes.canaries
 	b.dropExpired(r.now)
 	if b.find(f) == nil {
 		b.suspect(f, r.now)
 	}
-	if b.grantTurn(f, r.now) {
+	if b.grantCanary(f, r.now) {
 		e.add(Effect{Kind: SendCanaryMessage, Peer: from, Canary: &CanaryMessage{Kind: GrantCanary, Calls: []crash.Fingerprint{f}, Call: id}})
 	}
 }
 
-// receiveTurn sends the call that was granted a turn. If the call has ended, the turn is unused
+// acceptCanaryGrant sends the call that was granted a turn. If the call has ended, the turn is unused
 // until it times out.
-func (r *Router) receiveTurn(f crash.Fingerprint, id CallID, e *Effects) {
-	if c := r.calls.Get(id); c != nil && c.awaitsCanaryTurn && f.Matches(c.identity) {
+func (r *Router) acceptCanaryGrant(f crash.Fingerprint, id CallID, e *Effects) {
+	if c := r.calls.Get(id); c != nil && c.awaitsCanaryGrant && f.Matches(c.identity) {
 		r.crashes.canaries.status.Sent++
 		r.endCanaryWait(id, c, e)
 	}
--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -279,14 +279,14 @@
 	})
 }
 
-func (f *canaryFleet) reading(t *canaryTarget) Reading {
+func (f *canaryFleet) reading(t *canaryTarget) TargetReport {
 	n := 0
 	for _, x := range t.running {
 		if !*x.ended {
 			n++
 		}
 	}
-	return Reading{HasLoad: f.now >= t.downUntil, InFlight: float64(n), Slots: 4, Pace: 1}
+	return TargetReport{HasLoad: f.now >= t.downUntil, InFlight: float64(n), Slots: 4, Pace: 1}
 }
 
 // call schedules random calls of a request at a mean rate, each of a different caller, until a
@@ -358,7 +358,7 @@
 	}
 	for _, r := range f.routers {
 		r.calls.Each(func(_ CallID, c *call) {
-			if c.awaitsCanaryTurn && f.now.Sub(c.arrived) > maxCanaryWait+canaryPollInterval {
+			if c.awaitsCanaryGrant && f.now.Sub(c.arrived) > maxCanaryWait+canaryPollInterval {
 				t.Errorf("a call has waited for a canary turn for %s", f.now.Sub(c.arrived))
 			}
 		})
--- a/pkg/core/routing/clientretry.go
+++ b/pkg/core/routing/clientretry.go
@@ -26,11 +26,11 @@
 	// clientRetryThreshold is the fraction of the usual deadline below which a call is taken for a
 	// retry: the deadlines of first tries vary a little between callers.
 	clientRetryThreshold = 0.9
-	// crowdedThreshold is the fraction of calls without an immediate target from which on late
+	// overloadThreshold is the fraction of calls without an immediate target from which on late
 	// retries are refused. crowdedDuration is how long that remains valid, since a box may get only
 	// one call of a service each second.
-	crowdedThreshold = 0.25
-	crowdedDuration  = 2 * time.Second
+	overloadThreshold = 0.25
+	overloadDuration  = 2 * time.Second
 )
 
 // deadlineEstimate estimates the deadline that a route's callers request at their first try: nearly
@@ -75,17 +75,17 @@
 	return u.estimate - requested
 }
 
-// isCrowded reports whether many recent calls found no target at once, so that a slot given to one
+// isOverloaded reports whether many recent calls found no target at once, so that a slot given to one
 // call is missing for another.
-func (s *service) isCrowded(now units.Instant) bool {
-	return s.busyFraction >= crowdedThreshold && now.Sub(s.busyUpdatedAt) < crowdedDuration
+func (s *service) isOverloaded(now units.Instant) bool {
+	return s.busyFraction >= overloadThreshold && now.Sub(s.busyUpdatedAt) < overloadDuration
 }
 
 // wouldMissAim reports whether a call should be refused at once because it is such a late retry
 // that its answer would miss the aim, and first tries need the slots.
 func (r *Router) wouldMissAim(c *call, requested time.Duration) bool {
 	x := c.route
-	if !r.enabled(FirstTries) || x.aim == 0 || !c.service.isCrowded(r.now) {
+	if !r.enabled(FirstTries) || x.aim == 0 || !c.service.isOverloaded(r.now) {
 		return false
 	}
 	elapsed := x.callerDeadline.elapsedSinceFirstTry(requested)
--- a/pkg/core/routing/creditrequests.go
+++ b/pkg/core/routing/creditrequests.go
@@ -13,9 +13,9 @@
 const (
 	// creditRequestTimeout is when an unanswered request is considered lost.
 	creditRequestTimeout = 100 * time.Millisecond
-	// silentHolderBackoff is how long no request is sent to a holder that didn't answer the last
+	// unresponsiveHolderBackoff is how long no request is sent to a holder that didn't answer the last
 	// one.
-	silentHolderBackoff = 500 * time.Millisecond
+	unresponsiveHolderBackoff = 500 * time.Millisecond
 	// creditPrefetch is the time whose expected calls are added to a request beyond the calls that
 	// already wait; maxCreditsPerRequest caps the credits of a request.
 	creditPrefetch       = 200 * time.Millisecond
@@ -145,8 +145,8 @@
 	r.requestCredits(u, e)
 }
 
-// receiveQuota handles a QuotaMessage of another box.
-func (r *Router) receiveQuota(from units.BoxID, m *QuotaMessage, e *Effects) {
+// receiveQuotaMessage handles a QuotaMessage of another box.
+func (r *Router) receiveQuotaMessage(from units.BoxID, m *QuotaMessage, e *Effects) {
 	switch m.Kind {
 	case RequestCredits:
 		r.handleCreditRequest(from, m, e)
--- a/pkg/core/routing/crowd_test.go
+++ b/pkg/core/routing/crowd_test.go
@@ -221,7 +221,7 @@
 	f.after(crowdShareDelay, func() {
 		for _, o := range f.routers {
 			var e Effects
-			o.handleNotice(x.Endpoint, Reading{Rest: t.rest - crowdShareDelay}, false, unknownLimitVersion, &e)
+			o.handleNotice(x.Endpoint, TargetReport{Rest: t.rest - crowdShareDelay}, false, unknownLimitVersion, &e)
 		}
 	})
 }
@@ -239,11 +239,11 @@
 	})
 }
 
-func (t *crowdTarget) reading() Reading {
+func (t *crowdTarget) reading() TargetReport {
 	if t.unreachable {
-		return Reading{}
+		return TargetReport{}
 	}
-	return Reading{HasLoad: true, InFlight: float64(t.running), Slots: 2, Pace: 1}
+	return TargetReport{HasLoad: true, InFlight: float64(t.running), Slots: 2, Pace: 1}
 }
 
 // retryCaller schedules a refused caller's only retry: at the time that it was told, but within a
--- a/pkg/core/routing/events.go
+++ b/pkg/core/routing/events.go
@@ -69,7 +69,7 @@
 	Endpoint *Endpoint
 	Result   AttemptResult
 	// Reading is the target's report on itself, if the answer had one.
-	Reading Reading
+	Reading TargetReport
 	// Refused is set if the target's host refused the connection, so that no process listens there.
 	Refused bool
 }
@@ -80,7 +80,7 @@
 	Call     CallID
 	Attempt  AttemptNumber
 	Endpoint *Endpoint
-	Reading  Reading
+	Reading  TargetReport
 	// Remaining is the number of body bytes still to come; negative if the answer doesn't give its
 	// length.
 	Remaining int
@@ -90,7 +90,7 @@
 type ProbeEnded struct {
 	Target  *Endpoint
 	Healthy bool
-	Reading Reading
+	Reading TargetReport
 	// Call and Attempt are copied from the Probe effect; zero if no call waits for the probe.
 	Call    CallID
 	Attempt AttemptNumber
@@ -154,8 +154,8 @@
 // String returns the result's name in the log.
 func (r AttemptResult) String() string { return resultNames[r] }
 
-// Reading is what a target reports about itself in an answer.
-type Reading struct {
+// TargetReport is what a target reports about itself in an answer.
+type TargetReport struct {
 	// HasLoad is set if the answer reports the target's load: InFlight, Slots and Pace.
 	HasLoad bool
 	// InFlight is the number of calls in flight at the target.
@@ -217,8 +217,8 @@
 	// there divided by the usual one. Slowdown is the measured ratio of call times there to those
 	// at other targets.
 	Load, Pace, Slowdown float64
-	// ReadingAge is the age of the target's last load report; negative if there is none.
-	ReadingAge time.Duration
+	// ReportAge is the age of the target's last load report; negative if there is none.
+	ReportAge time.Duration
 	Revision   units.Revision
 }
 
--- a/pkg/core/routing/expectation_test.go
+++ b/pkg/core/routing/expectation_test.go
@@ -66,7 +66,7 @@
 
 func TestReadingsFadeWithAge(t *testing.T) {
 	v := newTarget(newService(table.Service{}), table.Row{Registered: true})
-	v.recordReport(testNow, Reading{HasLoad: true, InFlight: 3, Slots: 3, Pace: 5})
+	v.recordReport(testNow, TargetReport{HasLoad: true, InFlight: 3, Slots: 3, Pace: 5})
 	if p := v.expectedPace(testNow); p != 5 {
 		t.Errorf("a new report of 5 gives the pace %.2f", p)
 	}
@@ -107,7 +107,7 @@
 				x.row = table.Row{Registered: true, State: table.Active, Weight: 1, Slots: 3}
 				x.inFlightShare.setImmediately(unlimited)
 				x.slowdown, x.slowdownAt = slowdown, testNow
-				x.recordReport(testNow, Reading{HasLoad: true, Slots: 3, Pace: 1})
+				x.recordReport(testNow, TargetReport{HasLoad: true, Slots: 3, Pace: 1})
 				v.targets = append(v.targets, x)
 			}
 			c := &call{service: v, route: &route{aim: time.Second}, arrived: testNow}
--- a/pkg/core/routing/inbound.go
+++ b/pkg/core/routing/inbound.go
@@ -167,10 +167,10 @@
 	return a.answerStarted || float64(r.linkBusySince(a)) > inconclusiveFraction*float64(r.now.Sub(a.sent))
 }
 
-// mayGoUnprobed reports whether a call should be sent to a target based on existing data, since the
+// maySkipProbes reports whether a call should be sent to a target based on existing data, since the
 // answers to probes would be delayed by large answers. This doesn't apply while the service is
 // busy: a target without recent data is likely to be full then, and calls wait anyway.
-func (r *Router) mayGoUnprobed(c *call, t *target) bool {
+func (r *Router) maySkipProbes(c *call, t *target) bool {
 	return r.linkDelaysProbes(c) && !r.isTooSlow(c, t) && t.load(r.now)+1 <= t.slots()
 }
 
@@ -187,7 +187,7 @@
 		return false
 	}
 	t := r.choose(c.service, c)
-	if t == nil || !r.mayGoUnprobed(c, t) {
+	if t == nil || !r.maySkipProbes(c, t) {
 		return false
 	}
 	c.probeRound.active = false
--- a/pkg/core/routing/limit_fleet_test.go
+++ b/pkg/core/routing/limit_fleet_test.go
@@ -340,8 +340,8 @@
 }
 
 // answer returns the target's reading and records that the box is informed of its limit.
-func (t *limitTarget) answer(f *limitFleet, b *limitBox) Reading {
-	r := Reading{HasLoad: true, InFlight: 1, Slots: 6, Pace: 1}
+func (t *limitTarget) answer(f *limitFleet, b *limitBox) TargetReport {
+	r := TargetReport{HasLoad: true, InFlight: 1, Slots: 6, Pace: 1}
 	if !t.limited {
 		return r
 	}
--- a/pkg/core/routing/loadreport.go
+++ b/pkg/core/routing/loadreport.go
@@ -9,7 +9,7 @@
 // loadReport is the last load that a target reported, with the time of its arrival and a trust
 // factor.
 type loadReport struct {
-	Reading
+	TargetReport
 	receivedAt units.Instant
 	// trust is a factor from 0 to 1. It falls when the target sheds calls while its reports show it
 	// idle.
@@ -23,17 +23,17 @@
 	trustLossFactor = 0.5
 )
 
-func (r *loadReport) update(now units.Instant, x Reading) {
+func (r *loadReport) update(now units.Instant, x TargetReport) {
 	if !x.HasLoad {
 		return
 	}
-	r.Reading = x
+	r.TargetReport = x
 	r.receivedAt = now
 	r.trust = min(1, r.trust+trustGain)
 }
 
 // recordReport stores a load report from the target.
-func (t *target) recordReport(now units.Instant, x Reading) {
+func (t *target) recordReport(now units.Instant, x TargetReport) {
 	if x.HasLoad {
 		t.sentSinceReport = 0
 	}
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -92,7 +92,7 @@
 // handleNotice processes the notices in an answer from a target, whatever the result of the call or
 // probe. A misdirected answer comes from another target at the address. knownVersion is the version
 // of the target's limit that was known when the call was sent.
-func (r *Router) handleNotice(x *Endpoint, reading Reading, misdirected bool, knownVersion uint64, e *Effects) {
+func (r *Router) handleNotice(x *Endpoint, reading TargetReport, misdirected bool, knownVersion uint64, e *Effects) {
 	if x == nil || reading.Rest <= 0 && !reading.Leaving && !reading.Limit.Present {
 		return
 	}
@@ -130,7 +130,7 @@
 
 // updateNotice stores what an incarnation announced and applies it to all targets of that
 // incarnation.
-func (r *Router) updateNotice(o incarnation, x *Endpoint, reading Reading, knownVersion uint64, e *Effects) {
+func (r *Router) updateNotice(o incarnation, x *Endpoint, reading TargetReport, knownVersion uint64, e *Effects) {
 	n := r.ensureNotice(o)
 	if reading.Limit.Present {
 		r.recordLimit(n, x, reading.Limit.Rate, knownVersion, e)
--- a/pkg/core/routing/notice_random_test.go
+++ b/pkg/core/routing/notice_random_test.go
@@ -115,8 +115,8 @@
 }
 
 // drawReading draws the content of an answer and records what the box is told by it.
-func (x *noticeModel) drawReading(e *Endpoint) Reading {
-	r := Reading{HasLoad: true, InFlight: float64(rapid.IntRange(0, 4).Draw(x.T, "load")), Slots: 3, Pace: 1}
+func (x *noticeModel) drawReading(e *Endpoint) TargetReport {
+	r := TargetReport{HasLoad: true, InFlight: float64(rapid.IntRange(0, 4).Draw(x.T, "load")), Slots: 3, Pace: 1}
 	switch rapid.IntRange(0, 5).Draw(x.T, "words") {
 	case 0:
 		r.Rest = time.Duration(rapid.IntRange(1, 3000).Draw(x.T, "rest")) * time.Millisecond
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -18,8 +18,8 @@
 	hedgeProbeTimeout = 100 * time.Millisecond
 	// maxProbesPerSend bounds the targets that are probed for one send.
 	maxProbesPerSend = 4
-	// freshReadingAge is the age up to which a reading is as good as a new one.
-	freshReadingAge = 30 * time.Millisecond
+	// freshReportAge is the age up to which a reading is as good as a new one.
+	freshReportAge = 30 * time.Millisecond
 	// probeBurstTime is the time for which a box may save up its share of the probe budget: probes
 	// are most useful in the seconds in which many calls arrive. minProbeBurst is the minimum size
 	// of that token bucket, in probes.
@@ -57,7 +57,7 @@
 
 // sendOrProbe sends a call to the target that seems best, or probes a few targets first.
 func (r *Router) sendOrProbe(id CallID, c *call, best *target, why Purpose, e *Effects) {
-	if !r.enabled(Probing) || !c.service.probesTargets() || best.notice.isLimited() || best.hasFreshReading(r.now) && r.isSuitable(c, best) || r.mayGoUnprobed(c, best) {
+	if !r.enabled(Probing) || !c.service.probesTargets() || best.notice.isLimited() || best.hasFreshReport(r.now) && r.isSuitable(c, best) || r.maySkipProbes(c, best) {
 		r.send(id, c, best, why, e)
 		return
 	}
@@ -65,7 +65,7 @@
 	c.probeRound.queued = false
 	r.dropFinishedWaiting(c.service)
 	if len(c.service.waiting) >= maxProbingCalls || !r.sendProbes(id, c, e) {
-		if !c.service.isBusy(r.now) && !best.hasFreshReading(r.now) && !r.requiresKnownFreeSlot(c) {
+		if !c.service.isBusy(r.now) && !best.hasFreshReport(r.now) && !r.requiresKnownFreeSlot(c) {
 			r.send(id, c, best, why, e)
 			return
 		}
@@ -83,7 +83,7 @@
 const maxUnreported = 8
 
 // recordReport records whether an answer carried a load report.
-func (s *service) recordReport(x Reading) {
+func (s *service) recordReport(x TargetReport) {
 	if x.HasLoad {
 		s.answersWithoutReport = 0
 		return
@@ -167,7 +167,7 @@
 		i := (start + k) % len(targets)
 		t := targets[i]
 		// At a target with an announced rate limit a probe would cost as much as the call.
-		if t.notice.isLimited() || !set.Available(i) && !set.availableIfWarm(i) || t.hasFreshReading(r.now) || t.hasProbeInFlight(r.now) {
+		if t.notice.isLimited() || !set.Available(i) && !set.availableIfWarm(i) || t.hasFreshReport(r.now) || t.hasProbeInFlight(r.now) {
 			continue
 		}
 		if t.lastProbedAt != 0 && r.now.Sub(t.lastProbedAt) < t.probeTimeout() {
@@ -208,7 +208,7 @@
 		return
 	}
 	c.probeRound.pending--
-	if c.probeRound.pending == 0 || t != nil && t.hasFreshReading(r.now) && r.isSuitable(c, t) {
+	if c.probeRound.pending == 0 || t != nil && t.hasFreshReport(r.now) && r.isSuitable(c, t) {
 		r.concludeProbing(v.Call, c, e)
 	}
 }
@@ -258,7 +258,7 @@
 // like a new call.
 func (r *Router) leaveNewVersion(id CallID, c *call, e *Effects) {
 	c.onNewVersion = false
-	if t := r.choose(c.service, c); t != nil && t.hasFreshReading(r.now) && r.isSuitable(c, t) || !r.sendProbes(id, c, e) {
+	if t := r.choose(c.service, c); t != nil && t.hasFreshReport(r.now) && r.isSuitable(c, t) || !r.sendProbes(id, c, e) {
 		r.concludeProbing(id, c, e)
 	}
 }
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -120,7 +120,7 @@
 // shareProbeAnswer makes a probe's answer available to the waiting calls if the call that probed no
 // longer needs it.
 func (r *Router) shareProbeAnswer(t *target) {
-	if t != nil && len(t.service.waiting) > 0 && t.hasFreshReading(r.now) && r.isSuitableByReading(nil, t) {
+	if t != nil && len(t.service.waiting) > 0 && t.hasFreshReport(r.now) && r.isSuitableByReport(nil, t) {
 		r.freedServices = append(r.freedServices, t.service)
 	}
 }
--- a/pkg/core/routing/quarantine.go
+++ b/pkg/core/routing/quarantine.go
@@ -22,9 +22,9 @@
 	// with the seconds in which a target starts; it is short compared with a wrong decision that
 	// nobody can correct meanwhile.
 	localQuarantineDuration = time.Minute
-	// trialDuration is how long a box may use a trial: a call that is still being sent arrives within
+	// quarantineTrialDuration is how long a box may use a trial: a call that is still being sent arrives within
 	// that time.
-	trialDuration = 5 * time.Second
+	quarantineTrialDuration = 5 * time.Second
 	// localWatchDuration is for how long a box records answers to the calls that it has itself recorded
 	// as suspects. A call that is sent often is answered within seconds.
 	localWatchDuration = time.Minute
@@ -90,7 +90,7 @@
 }
 
 // isQuarantineTrial reports whether the call is in quarantine and may be sent once.
-func (c *call) isQuarantineTrial() bool { return c.trial.number > 0 }
+func (c *call) isQuarantineTrial() bool { return c.quarantineTrial.number > 0 }
 
 // isQuarantined reports whether a call may be sent to no target.
 func (r *Router) isQuarantined(c *call) bool {
@@ -122,7 +122,7 @@
 	if !found {
 		return false
 	}
-	if c.trial = r.crashes.takeTrial(f, r.now); c.isQuarantineTrial() {
+	if c.quarantineTrial = r.crashes.takeQuarantineTrial(f, r.now); c.isQuarantineTrial() {
 		return false
 	}
 	r.crashes.recordRefused(f)
@@ -130,8 +130,8 @@
 	return true
 }
 
-// takeTrial uses up a trial of a call and returns it; zero for none.
-func (b *crashState) takeTrial(f crash.Fingerprint, now units.Instant) quarantineTrial {
+// takeQuarantineTrial uses up a trial of a call and returns it; zero for none.
+func (b *crashState) takeQuarantineTrial(f crash.Fingerprint, now units.Instant) quarantineTrial {
 	i := slices.IndexFunc(b.trials, func(t quarantineTrial) bool { return t.call == f && now < t.until })
 	if i < 0 {
 		return quarantineTrial{}
@@ -141,11 +141,11 @@
 	return used
 }
 
-// returnTrial returns the trial of a call that ends without having been sent: nothing was learned
+// returnQuarantineTrial returns the trial of a call that ends without having been sent: nothing was learned
 // from it, and the next trial may be granted only minutes later.
-func (r *Router) returnTrial(c *call) {
+func (r *Router) returnQuarantineTrial(c *call) {
 	if c.isQuarantineTrial() && c.sends == 0 {
-		r.crashes.trials = append(r.crashes.trials, c.trial)
+		r.crashes.trials = append(r.crashes.trials, c.quarantineTrial)
 	}
 }
 
@@ -171,7 +171,7 @@
 	for _, x := range v.Calls {
 		if x.Trial > b.lastTrial[x.Call] {
 			b.lastTrial[x.Call] = x.Trial
-			b.trials = append(b.trials, quarantineTrial{call: x.Call, number: x.Trial, until: r.now.Add(trialDuration)})
+			b.trials = append(b.trials, quarantineTrial{call: x.Call, number: x.Trial, until: r.now.Add(quarantineTrialDuration)})
 		}
 	}
 	b.trials = slices.DeleteFunc(b.trials, func(t quarantineTrial) bool { return r.now >= t.until })
--- a/pkg/core/routing/quota_fleet_test.go
+++ b/pkg/core/routing/quota_fleet_test.go
@@ -296,7 +296,7 @@
 // send delivers a call to its target, which answers.
 func (f *quotaFleet) send(b *quotaBox, x Effect) {
 	incarnation, id, attempt, endpoint := b.incarnation, x.Call, x.Attempt, x.Endpoint
-	done := func(result AttemptResult, said Reading) {
+	done := func(result AttemptResult, said TargetReport) {
 		if b.incarnation == incarnation {
 			f.deliver(b, &AttemptEnded{Call: id, Attempt: attempt, Endpoint: endpoint, Result: result, Reading: said})
 		}
@@ -305,7 +305,7 @@
 		f.shedding.handle(f, endpoint.Target, done)
 		return
 	}
-	f.after(f.upTo(40*time.Millisecond), func() { done(Answered, Reading{}) })
+	f.after(f.upTo(40*time.Millisecond), func() { done(Answered, TargetReport{}) })
 }
 
 func (f *quotaFleet) box(id units.BoxID) *quotaBox {
--- a/pkg/core/routing/quotas.go
+++ b/pkg/core/routing/quotas.go
@@ -319,7 +319,7 @@
 		u.requests = slices.DeleteFunc(u.requests, func(a creditRequest) bool {
 			lost := r.now.Sub(a.at) >= creditRequestTimeout
 			if lost {
-				u.unavailableUntil[a.holder] = r.now.Add(silentHolderBackoff)
+				u.unavailableUntil[a.holder] = r.now.Add(unresponsiveHolderBackoff)
 			}
 			return lost
 		})
--- a/pkg/core/routing/regions_test.go
+++ b/pkg/core/routing/regions_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-func (f *regionFleet) reading(x *Endpoint, known bool) Reading {
-	return Reading{HasLoad: known, InFlight: float64(f.load[x.Target]), Slots: fleetSlots, Pace: 1}
+func (f *regionFleet) reading(x *Endpoint, known bool) TargetReport {
+	return TargetReport{HasLoad: known, InFlight: float64(f.load[x.Target]), Slots: fleetSlots, Pace: 1}
 }
 
 func (f *regionFleet) send(d units.Domain, x Effect) {
--- a/pkg/core/routing/residency_test.go
+++ b/pkg/core/routing/residency_test.go
@@ -206,7 +206,7 @@
 	i := rapid.IntRange(0, len(w.running)-1).Draw(w.T, "which")
 	x := w.running[i]
 	w.running = slices.Delete(w.running, i, i+1)
-	reading := Reading{HasLoad: true, InFlight: float64(rapid.IntRange(0, 2).Draw(w.T, "load")), Slots: 2, Pace: 1}
+	reading := TargetReport{HasLoad: true, InFlight: float64(rapid.IntRange(0, 2).Draw(w.T, "load")), Slots: 2, Pace: 1}
 	if x.Kind == Probe {
 		w.reduce(&ProbeEnded{Target: x.Endpoint, Healthy: true, Reading: reading, Call: x.Call, Attempt: x.Attempt})
 		return
--- a/pkg/core/routing/retrying.go
+++ b/pkg/core/routing/retrying.go
@@ -41,7 +41,7 @@
 
 // resendRetryAfter is the retry delay for a call that no target accepted.
 func (r *Router) resendRetryAfter(s *service, reason Reason) time.Duration {
-	if reason == TargetShed && !s.isCrowded(r.now) && s.held.length == 0 {
+	if reason == TargetShed && !s.isOverloaded(r.now) && s.held.length == 0 {
 		return shedRetryAfter
 	}
 	return s.retryAfter(r.now)
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -217,7 +217,7 @@
 	case *PeerLimit:
 		r.receiveLimitMessage(v.From, v.Message, e)
 	case *PeerQuota:
-		r.receiveQuota(v.From, &v.Message, e)
+		r.receiveQuotaMessage(v.From, &v.Message, e)
 	case *PeerCanary:
 		r.receiveCanaryMessage(v.From, &v.Message, e)
 	}
@@ -331,7 +331,7 @@
 		return
 	}
 	r.explainBlocked(c, &refusal)
-	r.returnTrial(c)
+	r.returnQuarantineTrial(c)
 	e.add(Effect{Kind: Refuse, Call: id, Owner: c.owner, Refusal: refusal, Workspace: c.workspaceName()})
 	r.refusals[refusal.Reason]++
 	if c.service != nil {
--- a/pkg/core/routing/script_notice_test.go
+++ b/pkg/core/routing/script_notice_test.go
@@ -12,7 +12,7 @@
 )
 
 // setNotice sets the notice in an answer from "rest=D", "leaving", "limit=R" and "unread-limit".
-func (s *script) setNotice(d *datadriven.TestData, x *Reading) {
+func (s *script) setNotice(d *datadriven.TestData, x *TargetReport) {
 	x.Rest = s.duration(d, "rest")
 	x.Leaving = d.HasArg("leaving")
 	x.Limit.Malformed = d.HasArg("unread-limit")
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -406,7 +406,7 @@
 	if err != nil {
 		d.Fatalf(s.t, "%v", err)
 	}
-	s.endProbeOf(d, ProbeEnded{Healthy: true, Reading: Reading{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: x, Cold: s.duration(d, "cold")}})
+	s.endProbeOf(d, ProbeEnded{Healthy: true, Reading: TargetReport{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: x, Cold: s.duration(d, "cold")}})
 }
 
 // end-probe CALL TARGET how=unreachable|misdirected|healthy [rest=D] [leaving] ends a call's probe
@@ -460,7 +460,7 @@
 	if d.HasArg("load") {
 		var load int
 		d.ScanArgs(s.t, "load", &load)
-		v.Reading = Reading{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: 1}
+		v.Reading = TargetReport{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: 1}
 	}
 	v.Refused = d.HasArg("refused")
 	v.Endpoint = s.sent[d.CmdArgs[0].Key][v.Attempt]
--- a/pkg/core/routing/starvation_test.go
+++ b/pkg/core/routing/starvation_test.go
@@ -19,7 +19,7 @@
 const shedAfter = 2 * time.Millisecond
 
 // handle runs or sheds a call at a target; done receives the result.
-func (x *sheddingTargets) handle(f *quotaFleet, target units.TargetID, done func(AttemptResult, Reading)) {
+func (x *sheddingTargets) handle(f *quotaFleet, target units.TargetID, done func(AttemptResult, TargetReport)) {
 	if x.running[target] >= x.slots {
 		f.after(shedAfter, func() { done(Shed, x.reading(target)) })
 		return
@@ -31,8 +31,8 @@
 	})
 }
 
-func (x *sheddingTargets) reading(target units.TargetID) Reading {
-	return Reading{HasLoad: true, InFlight: float64(x.running[target]), Slots: float64(x.slots), Pace: 1}
+func (x *sheddingTargets) reading(target units.TargetID) TargetReport {
+	return TargetReport{HasLoad: true, InFlight: float64(x.running[target]), Slots: float64(x.slots), Pace: 1}
 }
 
 // row is a target's registration.
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -9,12 +9,12 @@
 		// A target with an announced rate limit has room for each call that it issues a permit for.
 		return true
 	}
-	return r.isSuitableByReading(c, t) && (t.hasFreshReading(r.now) || !r.requiresKnownFreeSlot(c))
+	return r.isSuitableByReport(c, t) && (t.hasFreshReport(r.now) || !r.requiresKnownFreeSlot(c))
 }
 
-// isSuitableByReading reports whether a target is suitable for a call by its current reading. A nil
+// isSuitableByReport reports whether a target is suitable for a call by its current reading. A nil
 // call stands for one that may go to any target.
-func (r *Router) isSuitableByReading(c *call, t *target) bool {
+func (r *Router) isSuitableByReport(c *call, t *target) bool {
 	if t.expectedPace(r.now) >= maxGoodPace || r.isTooSlow(c, t) {
 		return false
 	}
@@ -52,7 +52,7 @@
 	return c.mayHaveRun || c.probeRound.rounds == 0 && !c.service.isBusy(r.now)
 }
 
-// hasFreshReading reports whether the target's last reading is as good as a new one.
-func (t *target) hasFreshReading(now units.Instant) bool {
-	return t.report.HasLoad && now.Sub(t.report.receivedAt) <= freshReadingAge
+// hasFreshReport reports whether the target's last reading is as good as a new one.
+func (t *target) hasFreshReport(now units.Instant) bool {
+	return t.report.HasLoad && now.Sub(t.report.receivedAt) <= freshReportAge
 }
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -155,7 +155,7 @@
 		r.shareRegistered(t)
 		return
 	}
-	r.updatePlace(t)
+	r.updateRank(t)
 	limit := r.rank.integerShare(t.row.MaxInFlight, t.rank)
 	connections := r.rank.integerShare(t.row.MaxConnections, t.rank)
 	t.maxConnections = connections
@@ -199,9 +199,9 @@
 	return r.domainBoxCounts
 }
 
-// updatePlace computes how many boxes rank before this one for a target. After the first time only
+// updateRank computes how many boxes rank before this one for a target. After the first time only
 // the boxes that joined and left are counted.
-func (r *Router) updatePlace(t *target) {
+func (r *Router) updateRank(t *target) {
 	if !t.ranked {
 		t.ranked = true
 		t.rank = r.rank.countBefore(t.row.Target, r.rank.boxes)
--- a/pkg/core/routing/unanswered.go
+++ b/pkg/core/routing/unanswered.go
@@ -133,7 +133,7 @@
 
 // markMissing marks the calls that a load report leaves out: when the target was asked, it had
 // fewer calls in all than this box waits for. The oldest ones are assumed to be missing.
-func (t *target) markMissing(now units.Instant, x Reading, asked units.Instant) {
+func (t *target) markMissing(now units.Instant, x TargetReport, asked units.Instant) {
 	if !x.HasLoad || now < t.service.unanswered.reportsUntrustedUntil {
 		return
 	}
@@ -281,7 +281,7 @@
 			Kind: ServiceHangs, Endpoint: t.endpoint, Failures: int(t.service.unanswered.total),
 			Selection: Selection{
 				Load: a.callsAhead, Pace: t.expectedPace(r.now), Slowdown: float64(r.now.Sub(a.sent)) / float64(max(1, a.answerTimeout)),
-				ReadingAge: -1, Revision: r.table.Revision,
+				ReportAge: -1, Revision: r.table.Revision,
 			},
 		})
 	}
--- a/pkg/core/routing/unanswered_test.go
+++ b/pkg/core/routing/unanswered_test.go
@@ -135,8 +135,8 @@
 
 func attemptName(call string, n AttemptNumber) string { return fmt.Sprintf("%s #%d", call, n) }
 
-func (x *hangingTarget) reading() Reading {
-	return Reading{HasLoad: true, InFlight: float64(len(x.inFlight)), Slots: float64(x.slots), Pace: 1}
+func (x *hangingTarget) reading() TargetReport {
+	return TargetReport{HasLoad: true, InFlight: float64(len(x.inFlight)), Slots: float64(x.slots), Pace: 1}
 }
 
 // receive accepts a call or drops it.
--- a/pkg/core/routing/waiting.go
+++ b/pkg/core/routing/waiting.go
@@ -182,7 +182,7 @@
 		if c == nil || !c.probeRound.active || c.service != s || blocked != nil && blocked.Equal(c.regions) {
 			continue
 		}
-		if t := r.choose(s, c); t != nil && (t.hasFreshReading(r.now) || t.notice.isLimited()) && r.isSuitable(c, t) {
+		if t := r.choose(s, c); t != nil && (t.hasFreshReport(r.now) || t.notice.isLimited()) && r.isSuitable(c, t) {
 			return i, t
 		}
 		if c.regions == nil {
--- a/pkg/entry/trace.go
+++ b/pkg/entry/trace.go
@@ -40,7 +40,7 @@
 	probed    routing.ProbeEnded
 	// said is what a target said of itself in an answer, unreadRest and unreadLimit what it wrote in place of
 	// a time to rest and of a limit.
-	said                    routing.Reading
+	said                    routing.TargetReport
 	unreadRest, unreadLimit string
 	// fingerprint is set for an attempt that broke off and for a call in quarantine; request and
 	// caller, which operators need to find whoever sends it, for the latter only.
@@ -258,7 +258,7 @@
 	case stepSent:
 		f["purpose"] = s.purpose.String()
 		f["load"], f["pace"], f["slowdown"] = round(s.evidence.Load), round(s.evidence.Pace), round(s.evidence.Slowdown)
-		f["readingAgeMs"], f["revision"] = millis(s.evidence.ReadingAge), s.evidence.Revision
+		f["readingAgeMs"], f["revision"] = millis(s.evidence.ReportAge), s.evidence.Revision
 	case stepProbed:
 		f["known"], f["healthy"], f["unreachable"] = s.probed.Reading.HasLoad, s.probed.Healthy, s.probed.Unreachable
 		f["misdirected"], f["load"], f["pace"] = s.probed.Misdirected, s.probed.Reading.InFlight, round(s.probed.Reading.Pace)
@@ -286,7 +286,7 @@
 }
 
 // addNotice adds what a target said of itself to a line, where it said anything.
-func addNotice(f logrus.Fields, said *routing.Reading) {
+func addNotice(f logrus.Fields, said *routing.TargetReport) {
 	if said.Rest > 0 {
 		f["restMs"] = millis(said.Rest)
 	}
--- a/pkg/replay/target.go
+++ b/pkg/replay/target.go
@@ -44,11 +44,11 @@
 }
 
 // load is what the target says of itself.
-func (t *target) load() routing.Reading {
+func (t *target) load() routing.TargetReport {
 	if t.lies {
-		return routing.Reading{HasLoad: true}
+		return routing.TargetReport{HasLoad: true}
 	}
-	return routing.Reading{HasLoad: true, InFlight: float64(len(t.busy) + len(t.queue))}
+	return routing.TargetReport{HasLoad: true, InFlight: float64(len(t.busy) + len(t.queue))}
 }
 
 // arrive takes a job in, or sheds it.
--- a/pkg/target/attempt.go
+++ b/pkg/target/attempt.go
@@ -35,7 +35,7 @@
 	Request  *fasthttp.Request
 	Response *fasthttp.Response
 	// Reading is what the target said of itself.
-	Reading routing.Reading
+	Reading routing.TargetReport
 	// UnreadRest is what the target wrote where it may ask for rest, if that can't be read.
 	UnreadRest string
 	// UnreadLimit is what the target wrote where it names its limit, if that can't be read.
--- a/pkg/target/reading.go
+++ b/pkg/target/reading.go
@@ -14,15 +14,15 @@
 // parseReading reads what a target says of its load: the number of its calls, or the
 // calls running, those waiting, the slots, and how long work takes now in hundredths
 // of the usual, divided by commas. What can't be read says nothing.
-func parseReading(text string) routing.Reading {
+func parseReading(text string) routing.TargetReport {
 	if text == "" {
-		return routing.Reading{}
+		return routing.TargetReport{}
 	}
-	reading := routing.Reading{HasLoad: true, Pace: 1}
+	reading := routing.TargetReport{HasLoad: true, Pace: 1}
 	for i, word := range strings.Split(text, ",") {
 		x, err := strconv.ParseFloat(strings.TrimSpace(word), 64)
 		if err != nil || x < 0 {
-			return routing.Reading{}
+			return routing.TargetReport{}
 		}
 		switch i {
 		case 0, 1:
