--- a/pkg/core/box/box.go
+++ b/pkg/core/box/box.go
@@ -93,7 +93,7 @@
 			x.Evidence = wire.FromEvidence(b.router.CollectEvidence())
 			x.CrashNotes = wire.FromCrashNotes(b.router.CrashNotes(), now)
 			x.Refused = wire.FromFingerprints(b.router.DrainRefused())
-			x.Uses = wire.FromQuotaUses(b.router.TakeQuotaUsage(now))
+			x.Uses = wire.FromQuotaUses(b.router.DrainQuotaUsage(now))
 		}
 	}
 }
--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -105,11 +105,11 @@
 // mayOutlastBox reports whether a call might still be in flight at the planned stop of this box.
 // Its connection should have been closed by then, so the caller is better served by opening another
 // one elsewhere now than by losing its answer.
-func (r *Router) mayOutlastBox(x *route, asked time.Duration) bool {
+func (r *Router) mayOutlastBox(x *route, requested time.Duration) bool {
 	if r.stopsAt == 0 || r.now < r.stopsAdmittingAt {
 		return false
 	}
-	return r.now.Add(x.callDeadline(asked, r.settings.MaxDeadline)) > r.stopsAt
+	return r.now.Add(x.callDeadline(requested, r.settings.MaxDeadline)) > r.stopsAt
 }
 
 // noRouteRefusal returns the refusal of a call for which the table has no route. A box whose table
@@ -138,11 +138,11 @@
 }
 
 // chooseByRole picks a target on one side of a rollout.
-func (r *Router) chooseByRole(s *service, c *call, from versionRole) *target {
+func (r *Router) chooseByRole(s *service, c *call, role versionRole) *target {
 	// The set is stored in the router because passing it to a policy would otherwise allocate it on
 	// the heap.
 	set := &r.candidates
-	*set = candidates{service: s, now: r.now, call: c, ignoreHealth: r.ignoresHealth(s, c) && from != trialVersion, excludeTried: c.sendsSinceHeld > 0, role: from}
+	*set = candidates{service: s, now: r.now, call: c, ignoreHealth: r.ignoresHealth(s, c) && role != trialVersion, excludeTried: c.sendsSinceHeld > 0, role: role}
 	if t := set.limitCheckTarget(); t != nil {
 		return t
 	}
@@ -201,7 +201,7 @@
 		return s.noTargetReason(c, r.now)
 	}
 	if r.defaultRole(s) == noVersion && c.route.work != table.Patient {
-		return RolloutUnsure
+		return UnknownVersion
 	}
 	if s.isBlockedTooLong(c, r.now) {
 		return s.blockedReason(c, r.now)
@@ -210,8 +210,8 @@
 	if r.isBehindHeld(s, c) {
 		wait = max(wait, r.oldestHeldAge(s))
 	}
-	room := time.Duration(holdMargin * float64(until.Sub(r.now)))
-	if wait > room || r.now.Add(wait+s.latency.longTermMean()) > c.deadline {
+	maxWait := time.Duration(holdMargin * float64(until.Sub(r.now)))
+	if wait > maxWait || r.now.Add(wait+s.latency.longTermMean()) > c.deadline {
 		return WaitTooLong
 	}
 	return 0
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -112,16 +112,16 @@
 // other attempts.
 func (r *Router) attemptStarted(v *AttemptStarted, e *Effects) {
 	c, a := r.findAttempt(v.Call, v.Attempt)
-	r.handleNotice(v.Endpoint, v.Reading, false, a.limitVersionAtSend(), e)
+	r.handleNotice(v.Endpoint, v.Report, false, a.limitVersionAtSend(), e)
 	if a == nil || c.streaming {
 		return
 	}
 	c.streaming = true
 	// The shell may release the request once its answer is streamed.
 	c.identity = nil
-	r.recordNoLimit(a, v.Reading.Limit, e)
+	r.recordNoLimit(a, v.Report.Limit, e)
 	r.recordAnswerStart(c, a, v.Remaining)
-	a.target.recordReport(r.now, v.Reading)
+	a.target.recordReport(r.now, v.Report)
 	e.add(Effect{Kind: Deliver, Call: v.Call, Owner: c.owner, Attempt: v.Attempt, Endpoint: a.target.endpoint})
 	r.cancelOthers(v.Call, c, a, e)
 	c.endProbing()
@@ -159,7 +159,7 @@
 // answer or continues with the call.
 func (r *Router) attemptEnded(v *AttemptEnded, e *Effects) {
 	c, a := r.findAttempt(v.Call, v.Attempt)
-	r.handleNotice(v.Endpoint, v.Reading, v.Result == Misdirected, a.limitVersionAtSend(), e)
+	r.handleNotice(v.Endpoint, v.Report, v.Result == Misdirected, a.limitVersionAtSend(), e)
 	if a == nil {
 		return
 	}
@@ -172,7 +172,7 @@
 		t.recordAnswerTime(r.now, c.route, took, a)
 	}
 	if v.Result == Answered {
-		r.recordNoLimit(a, v.Reading.Limit, e)
+		r.recordNoLimit(a, v.Report.Limit, e)
 	}
 	if v.Result == NotSent || v.Result == Withheld {
 		r.restorePermit(t, a.permitUntil, e)
@@ -224,33 +224,33 @@
 	if v.Result == Withheld {
 		return
 	}
-	t.recordReport(r.now, v.Reading)
-	if v.Reading.Cold > 0 {
-		r.markCold(t, v.Reading.Cold)
+	t.recordReport(r.now, v.Report)
+	if v.Report.Cold > 0 {
+		r.markCold(t, v.Report.Cold)
 	}
 	t.lastObservedAt = r.now
-	turned := false
+	changed := false
 	switch v.Result {
 	case Answered:
 		t.recordReachability(r.now, true)
 		t.answers++
 		t.updateFailureRate(r.now, 0)
-		t.service.recordReport(v.Reading)
+		t.service.recordReport(v.Report)
 		t.latency.add(took)
 		t.service.latency.add(took)
 		t.growWindow()
-		turned = t.health.recordSuccess(r.now)
+		changed = t.health.recordSuccess(r.now)
 	case Failed, Broken:
 		t.failures++
 		t.updateFailureRate(r.now, 1)
-		turned = t.health.recordFailure(r.now)
+		changed = t.health.recordFailure(r.now)
 	case NotSent:
 		t.recordReachability(r.now, false)
 		t.failures++
-		turned = t.health.recordUnreachable(r.now)
+		changed = t.health.recordUnreachable(r.now)
 	case Misdirected:
 		t.sheds++
-		turned = t.health.recordMisdirected(r.now)
+		changed = t.health.recordMisdirected(r.now)
 	case Shed:
 		t.sheds++
 		if t.row.Registered && r.enabled(FailingTargets) && t.hasReportedFreeSlot(r.now) {
@@ -263,7 +263,7 @@
 		t.shrinkWindow()
 		t.backoffUntil = max(t.backoffUntil, r.now.Add(t.latency.mean()/2))
 	}
-	if turned {
+	if changed {
 		r.healthChanged(t, e)
 	}
 }
--- a/pkg/core/routing/bench_test.go
+++ b/pkg/core/routing/bench_test.go
@@ -229,7 +229,7 @@
 }
 
 // benchCallsBeside measures calls at a service of which every second target has sent a notice.
-func benchCallsBeside(b *testing.B, reading TargetReport) {
+func benchCallsBeside(b *testing.B, report TargetReport) {
 	for _, targets := range []int{20, 500} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
 			r, now := newBenchRouter(b, 1, targets, 0)
@@ -238,7 +238,7 @@
 				t.row.Address = fmt.Sprintf("10.0.0.1:%d", i)
 				t.endpoint.Address = t.row.Address
 				if i%2 == 0 {
-					r.handleNotice(t.endpoint, reading, false, unknownLimitVersion, &e)
+					r.handleNotice(t.endpoint, report, false, unknownLimitVersion, &e)
 				}
 			}
 			benchCalls(b, r, now, &CallArrived{Owner: r, Host: []byte("s0"), Path: []byte("/")})
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -117,7 +117,7 @@
 	// awaitsTable is set while the call is held for the box's first table.
 	awaitsTable bool
 	probeRound  probeRound
-	// overdueTimerSet is set while a silenceTimer is pending for the call.
+	// overdueTimerSet is set while an overdueTimer is pending for the call.
 	overdueTimerSet bool
 	// kept is a failed answer that is delivered to the caller if no better one comes.
 	kept keptAnswer
--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -252,7 +252,7 @@
 	f.after(workTime, func() {
 		if !ended {
 			ended = true
-			f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Endpoint: x.Endpoint, Result: Answered, Reading: f.reading(t)})
+			f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Endpoint: x.Endpoint, Result: Answered, Report: f.report(t)})
 		}
 	})
 }
@@ -274,12 +274,12 @@
 		t := f.targets[x.Endpoint.Target]
 		down := f.now < t.downUntil
 		f.reduce(r, &ProbeEnded{
-			Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Healthy: !down, Unreachable: down, Refused: down, Answered: !down, Reading: f.reading(t),
+			Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Healthy: !down, Unreachable: down, Refused: down, Answered: !down, Report: f.report(t),
 		})
 	})
 }
 
-func (f *canaryFleet) reading(t *canaryTarget) TargetReport {
+func (f *canaryFleet) report(t *canaryTarget) TargetReport {
 	n := 0
 	for _, x := range t.running {
 		if !*x.ended {
--- a/pkg/core/routing/clientretry.go
+++ b/pkg/core/routing/clientretry.go
@@ -27,7 +27,7 @@
 	// retry: the deadlines of first tries vary a little between callers.
 	clientRetryThreshold = 0.9
 	// overloadThreshold is the fraction of calls without an immediate target from which on late
-	// retries are refused. crowdedDuration is how long that remains valid, since a box may get only
+	// retries are refused. overloadDuration is how long that remains valid, since a box may get only
 	// one call of a service each second.
 	overloadThreshold = 0.25
 	overloadDuration  = 2 * time.Second
--- a/pkg/core/routing/coordinator.go
+++ b/pkg/core/routing/coordinator.go
@@ -10,7 +10,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// While a target advertises a rate limit, one box, its coordinator, issues the permits for calls to
+// While a target announces a rate limit, one box, its coordinator, issues the permits for calls to
 // it. The coordinator is the first box by rendezvous hashing among those in the target's failure
 // domain that aren't leaving. A box that becomes coordinator issues no permits while another box
 // may still act on a list that names a different coordinator, unless the previous coordinator has
@@ -27,18 +27,18 @@
 	GrantPermits
 	// ReturnPermits returns Count unused permits.
 	ReturnPermits
-	// ReportLimitEnd reports that the target no longer advertises a limit.
+	// ReportLimitEnd reports that the target no longer announces a limit.
 	ReportLimitEnd
 	// HandOver reports that the sender, the previous coordinator, issues no more permits.
 	HandOver
 )
 
-// LimitMessage is a message between two boxes about the limit of one instance of a target.
+// LimitMessage is a message between two boxes about the limit of one incarnation of a target.
 type LimitMessage struct {
 	Kind    LimitKind
 	Service units.ServiceName
 	Target  units.TargetID
-	// Born is when the target's instance started.
+	// Born is when the target's incarnation started.
 	Born units.WallTime
 	// Nonce matches a grant to its request.
 	Nonce uint64
@@ -107,7 +107,7 @@
 		r.receiveLimitMessage(to, m, e)
 		return
 	}
-	e.add(Effect{Kind: SendLimit, Peer: to, Limit: &m})
+	e.add(Effect{Kind: SendLimitMessage, Peer: to, Limit: &m})
 }
 
 // limitState is the newest known state of a target's limit.
@@ -118,7 +118,7 @@
 	return t.notice.limit.current
 }
 
-// receiveLimitMessage handles a message. A message about another instance of the target is ignored: the
+// receiveLimitMessage handles a message. A message about another incarnation of the target is ignored: the
 // next table updates whichever of the two boxes is behind.
 func (r *Router) receiveLimitMessage(from units.BoxID, m LimitMessage, e *Effects) {
 	t := r.services[m.Service].target(m.Target)
--- a/pkg/core/routing/creditrequests.go
+++ b/pkg/core/routing/creditrequests.go
@@ -96,7 +96,7 @@
 		r.quotas.nonce++
 		u.requests = append(u.requests, creditRequest{nonce: r.quotas.nonce, holder: holder, count: count, at: r.now})
 		r.scheduleQuotaSweep(r.now.Add(creditRequestTimeout))
-		e.add(Effect{Kind: SendQuota, Peer: holder, Quota: &QuotaMessage{
+		e.add(Effect{Kind: SendQuotaMessage, Peer: holder, Quota: &QuotaMessage{
 			Kind: RequestCredits, Workspace: u.name, Nonce: r.quotas.nonce, Count: count,
 		}})
 	}
@@ -105,8 +105,8 @@
 // nextHolder returns the next holder to send a request to; empty if there is none.
 func (r *Router) nextHolder(u *workspaceQuota) units.BoxID {
 	for _, h := range r.holdersOf(u.group).order {
-		asked := slices.ContainsFunc(u.requests, func(a creditRequest) bool { return a.holder == h })
-		if !asked && r.now >= u.unavailableUntil[h] {
+		pending := slices.ContainsFunc(u.requests, func(a creditRequest) bool { return a.holder == h })
+		if !pending && r.now >= u.unavailableUntil[h] {
 			return h
 		}
 	}
@@ -131,17 +131,17 @@
 	}
 	if i < 0 {
 		if m.Count > 0 {
-			e.add(Effect{Kind: SendQuota, Peer: from, Quota: &QuotaMessage{Kind: ReturnCredits, Workspace: m.Workspace, Count: m.Count}})
+			e.add(Effect{Kind: SendQuotaMessage, Peer: from, Quota: &QuotaMessage{Kind: ReturnCredits, Workspace: m.Workspace, Count: m.Count}})
 		}
 		return
 	}
-	ask := u.requests[i]
+	request := u.requests[i]
 	u.requests = slices.Delete(u.requests, i, i+1)
 	delete(u.unavailableUntil, from)
-	if m.Count < ask.count {
+	if m.Count < request.count {
 		u.unavailableUntil[from] = r.now.Add(min(m.RetryAfter, maxQuotaRetryAfter))
 	}
-	u.credits.add(min(m.Count, ask.count), r.now.Add(creditLifetime))
+	u.credits.add(min(m.Count, request.count), r.now.Add(creditLifetime))
 	r.requestCredits(u, e)
 }
 
--- a/pkg/core/routing/events.go
+++ b/pkg/core/routing/events.go
@@ -64,12 +64,12 @@
 type AttemptEnded struct {
 	Call    CallID
 	Attempt AttemptNumber
-	// Endpoint is where the call was sent; the reading is used even if the call is over. It is nil
+	// Endpoint is where the call was sent; the report is used even if the call is over. It is nil
 	// for the end of a streamed answer.
 	Endpoint *Endpoint
 	Result   AttemptResult
-	// Reading is the target's report on itself, if the answer had one.
-	Reading TargetReport
+	// Report is the target's report on itself, if the answer had one.
+	Report TargetReport
 	// Refused is set if the target's host refused the connection, so that no process listens there.
 	Refused bool
 }
@@ -80,7 +80,7 @@
 	Call     CallID
 	Attempt  AttemptNumber
 	Endpoint *Endpoint
-	Reading  TargetReport
+	Report   TargetReport
 	// Remaining is the number of body bytes still to come; negative if the answer doesn't give its
 	// length.
 	Remaining int
@@ -90,7 +90,7 @@
 type ProbeEnded struct {
 	Target  *Endpoint
 	Healthy bool
-	Reading TargetReport
+	Report  TargetReport
 	// Call and Attempt are copied from the Probe effect; zero if no call waits for the probe.
 	Call    CallID
 	Attempt AttemptNumber
@@ -142,7 +142,7 @@
 	// Canceled: the router itself canceled the attempt.
 	Canceled
 	// Withheld: nothing was sent, because after its selection the target asked for rest, announced
-	// its shutdown or advertised a limit.
+	// its shutdown or announced a limit.
 	Withheld
 )
 
@@ -203,7 +203,7 @@
 	// down and nothing may be sent any more.
 	RestUntil units.Instant
 	Leaving   bool
-	// Limited is set if the target advertises a limit, of Rate: nothing may be sent without a
+	// Limited is set if the target announces a limit, of Rate: nothing may be sent without a
 	// permit.
 	Limited bool
 	Rate    units.CallRate
@@ -219,7 +219,7 @@
 	Load, Pace, Slowdown float64
 	// ReportAge is the age of the target's last load report; negative if there is none.
 	ReportAge time.Duration
-	Revision   units.Revision
+	Revision  units.Revision
 }
 
 // EffectKind is the kind of an Effect.
@@ -255,12 +255,12 @@
 	// TargetNotice reports that the notice of the target at Endpoint is now Notice. It also applies
 	// to calls that have been selected for the target and not yet sent.
 	TargetNotice
-	// SendLoan sends Loan to the box Peer.
-	SendLoan
-	// SendLimit sends Limit to the box Peer.
-	SendLimit
-	// SendQuota sends Quota to the box Peer.
-	SendQuota
+	// SendLoanMessage sends Loan to the box Peer.
+	SendLoanMessage
+	// SendLimitMessage sends Limit to the box Peer.
+	SendLimitMessage
+	// SendQuotaMessage sends Quota to the box Peer.
+	SendQuotaMessage
 	// SendCanaryMessage sends Canary to the box Peer.
 	SendCanaryMessage
 	// ExposureSwitched reports, for the log, that the box's exposure to a new version began or
@@ -278,7 +278,7 @@
 	Owner    any
 	Attempt  AttemptNumber
 	Endpoint *Endpoint
-	// PermitUntil is when the permit of a Send or Probe expires; zero if the target advertised no
+	// PermitUntil is when the permit of a Send or Probe expires; zero if the target announced no
 	// limit when it was selected.
 	PermitUntil units.Instant
 	// Deadline is when the call must be answered.
--- a/pkg/core/routing/health.go
+++ b/pkg/core/routing/health.go
@@ -88,11 +88,11 @@
 // wasn't ejected before. The maximum ejection time applies, since only a new table is likely to
 // correct the address.
 func (h *health) recordMisdirected(now units.Instant) bool {
-	turned := !h.ejected
+	changed := !h.ejected
 	h.ejected = true
 	h.ejections = max(h.ejections, maxEjectionDoublings)
 	h.eject(now)
-	return turned
+	return changed
 }
 
 func (h *health) eject(now units.Instant) {
--- a/pkg/core/routing/limit_fleet_test.go
+++ b/pkg/core/routing/limit_fleet_test.go
@@ -14,7 +14,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// The checked rule: from limitGrace after an instance of a target first advertised a limit, it
+// The checked rule: from limitGrace after an incarnation of a target first announced a limit, it
 // receives in no limitWindow more calls than the limit allows in that time and in the time for
 // which permits are kept, plus what its coordinator may have saved. Only calls of boxes that were
 // informed of the limit informedGrace before, and that weren't disturbed, are counted. The rule is
@@ -28,7 +28,7 @@
 	limitSlack = 1
 )
 
-// limitFleet simulates, in virtual time, several boxes and the targets of a service that advertise
+// limitFleet simulates, in virtual time, several boxes and the targets of a service that announce
 // limits.
 type limitFleet struct {
 	timeline
@@ -56,13 +56,13 @@
 }
 
 // limitBox is one box and its shell, which withholds sends without a permit from targets that
-// advertise limits.
+// announce limits.
 type limitBox struct {
 	id          units.BoxID
 	domain      units.Domain
 	router      *Router
 	incarnation int
-	// limited are the endpoints that advertise limits according to the router's notices.
+	// limited are the endpoints that announce limits according to the router's notices.
 	limited map[*Endpoint]bool
 	// isolated is set while only targets and callers can reach the box, frozenUntil is when it
 	// resumes after a freeze.
@@ -80,11 +80,11 @@
 	born    units.WallTime
 	limited bool
 	rate    float64
-	// rates are the limits of the current instance and when each began; limitedSince is when it
-	// last began to advertise one.
+	// rates are the limits of the current incarnation and when each began; limitedSince is when it
+	// last began to announce one.
 	rates        []limitRate
 	limitedSince units.Instant
-	// startedAt is when the current instance started; zero for before the test.
+	// startedAt is when the current incarnation started; zero for before the test.
 	startedAt units.Instant
 	// informedAt is when each box was first informed of the current limit.
 	informedAt map[*limitBox]units.Instant
@@ -228,7 +228,7 @@
 	switch x.Kind {
 	case TargetNotice:
 		b.limited[x.Endpoint] = x.Notice.Limited
-	case SendLimit:
+	case SendLimitMessage:
 		f.post(b, x)
 	case Send:
 		if x.Attempt == 1 {
@@ -317,7 +317,7 @@
 		if f.random.IntN(50) == 0 {
 			ended.Result = Failed
 		}
-		ended.Reading = t.answer(f, b)
+		ended.Report = t.answer(f, b)
 		if b.incarnation == incarnation {
 			f.deliver(b, ended)
 		}
@@ -334,12 +334,12 @@
 	incarnation := b.incarnation
 	f.after(2*time.Millisecond, func() {
 		if b.incarnation == incarnation {
-			f.deliver(b, &ProbeEnded{Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Healthy: true, Answered: true, Reading: t.answer(f, b)})
+			f.deliver(b, &ProbeEnded{Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Healthy: true, Answered: true, Report: t.answer(f, b)})
 		}
 	})
 }
 
-// answer returns the target's reading and records that the box is informed of its limit.
+// answer returns the target's report and records that the box is informed of its limit.
 func (t *limitTarget) answer(f *limitFleet, b *limitBox) TargetReport {
 	r := TargetReport{HasLoad: true, InFlight: 1, Slots: 6, Pace: 1}
 	if !t.limited {
@@ -352,10 +352,10 @@
 	return r
 }
 
-// advertise makes the target advertise a limit from now on, or none.
-func (t *limitTarget) advertise(f *limitFleet, limited bool, rate float64) {
+// announce makes the target announce a limit from now on, or none.
+func (t *limitTarget) announce(f *limitFleet, limited bool, rate float64) {
 	if limited && t.startedAt != 0 && f.now.Sub(t.startedAt) < limitGrace {
-		// Boxes whose rows don't show the new instance yet attribute its readings to the previous
+		// Boxes whose rows don't show the new incarnation yet attribute its reports to the previous
 		// one.
 		return
 	}
@@ -367,10 +367,10 @@
 	t.rates = append(t.rates, limitRate{f.now, rate})
 }
 
-// restart replaces the target with a new instance, which hasn't advertised a limit yet.
+// restart replaces the target with a new incarnation, which hasn't announced a limit yet.
 func (t *limitTarget) restart(f *limitFleet) {
 	t.born++
-	t.advertise(f, false, 0)
+	t.announce(f, false, 0)
 	t.startedAt = f.now
 	f.publishTable()
 }
@@ -398,7 +398,7 @@
 	kept := (permitLifetime + permitRequestTimeout).Seconds() * t.highest(begin, f.now)
 	saved := 1 + 0.5*t.highest(begin, f.now)
 	if allowed := t.allowed(begin, f.now) + kept + saved + limitSlack; float64(n) > allowed {
-		f.t.Fatalf("at %s %s advertised a limit of %.2f and received %d calls in %s, allowed %.1f: %v, after the faults %v", time.Duration(f.now), t.id, t.rate, n, limitWindow, allowed, from, f.faults)
+		f.t.Fatalf("at %s %s announced a limit of %.2f and received %d calls in %s, allowed %.1f: %v, after the faults %v", time.Duration(f.now), t.id, t.rate, n, limitWindow, allowed, from, f.faults)
 	}
 }
 
@@ -487,9 +487,9 @@
 			f.after(time.Second, func() { f.setLeaving(b, false); f.enlist(b) })
 		})
 	}},
-	{"limit", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.advertise(f, true, f.random.Float64()*12) }},
-	{"low limit", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.advertise(f, true, f.random.Float64()) }},
-	{"no limit", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.advertise(f, false, 0) }},
+	{"limit", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.announce(f, true, f.random.Float64()*12) }},
+	{"low limit", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.announce(f, true, f.random.Float64()) }},
+	{"no limit", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.announce(f, false, 0) }},
 	{"start again", func(f *limitFleet, _ *limitBox, t *limitTarget) { t.restart(f) }},
 }
 
@@ -535,7 +535,7 @@
 	f.publishTable()
 }
 
-// Whatever faults occur in boxes, targets and messages, no instance of a target receives more calls
+// Whatever faults occur in boxes, targets and messages, no incarnation of a target receives more calls
 // than its limit allows from the boxes that it has informed.
 func TestLimitsHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -560,7 +560,7 @@
 	})
 }
 
-// If all targets of a service advertise limits, at least six tenths of the allowed calls are made,
+// If all targets of a service announce limits, at least six tenths of the allowed calls are made,
 // whichever boxes they arrive at, and refusals take at most 200 ms.
 func TestLimitsAreUsed(t *testing.T) {
 	scenarios := []struct {
@@ -581,7 +581,7 @@
 			}
 			f.run(2 * time.Second)
 			for _, x := range f.targets {
-				x.advertise(f, true, s.rate)
+				x.announce(f, true, s.rate)
 			}
 			f.run(4 * time.Second)
 			before, messages, calls := f.total(), f.messages, f.calls
@@ -628,11 +628,11 @@
 	}
 	f.run(3 * time.Second)
 	for _, x := range f.targets {
-		x.advertise(f, true, 2)
+		x.announce(f, true, 2)
 	}
 	f.run(8 * time.Second)
 	for _, x := range f.targets {
-		x.advertise(f, false, 0)
+		x.announce(f, false, 0)
 	}
 	// sends counts the calls in each half second by target, without probes.
 	var sends [][]int
@@ -668,7 +668,7 @@
 	}
 }
 
-// Two of ten targets advertise limits. No call is refused, and calls are sent as soon as they would
+// Two of ten targets announce limits. No call is refused, and calls are sent as soon as they would
 // be without limits.
 func TestLimitsOfSomeTargetsCostCallersNothing(t *testing.T) {
 	const boxes, targets, calls = 18, 10, 73.0
@@ -681,7 +681,7 @@
 	f.run(10 * time.Second)
 	without := f.totalWait - before
 	for _, x := range f.targets[:2] {
-		x.advertise(f, true, 1)
+		x.announce(f, true, 1)
 	}
 	f.run(4 * time.Second)
 	f.refusals = 0
--- a/pkg/core/routing/loans.go
+++ b/pkg/core/routing/loans.go
@@ -128,7 +128,7 @@
 	if s := r.services[m.Service]; s != nil {
 		m.SpareSlots = s.spareSlots(r.now)
 	}
-	e.add(Effect{Kind: SendLoan, Peer: to, Loan: m})
+	e.add(Effect{Kind: SendLoanMessage, Peer: to, Loan: m})
 }
 
 func (r *Router) receiveLoanMessage(from units.BoxID, m LoanMessage, e *Effects) {
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -92,8 +92,8 @@
 // handleNotice processes the notices in an answer from a target, whatever the result of the call or
 // probe. A misdirected answer comes from another target at the address. knownVersion is the version
 // of the target's limit that was known when the call was sent.
-func (r *Router) handleNotice(x *Endpoint, reading TargetReport, misdirected bool, knownVersion uint64, e *Effects) {
-	if x == nil || reading.Rest <= 0 && !reading.Leaving && !reading.Limit.Present {
+func (r *Router) handleNotice(x *Endpoint, report TargetReport, misdirected bool, knownVersion uint64, e *Effects) {
+	if x == nil || report.Rest <= 0 && !report.Leaving && !report.Limit.Present {
 		return
 	}
 	o := x.incarnation()
@@ -107,7 +107,7 @@
 		// The start time may have become known after the endpoint was created.
 		o = incarnationOfRow(&t.row)
 	}
-	r.updateNotice(o, x, reading, knownVersion, e)
+	r.updateNotice(o, x, report, knownVersion, e)
 }
 
 // onlyOtherAtAddress returns the only other target listed at an endpoint's address, or nil if there
@@ -130,17 +130,17 @@
 
 // updateNotice stores what an incarnation announced and applies it to all targets of that
 // incarnation.
-func (r *Router) updateNotice(o incarnation, x *Endpoint, reading TargetReport, knownVersion uint64, e *Effects) {
+func (r *Router) updateNotice(o incarnation, x *Endpoint, report TargetReport, knownVersion uint64, e *Effects) {
 	n := r.ensureNotice(o)
-	if reading.Limit.Present {
-		r.recordLimit(n, x, reading.Limit.Rate, knownVersion, e)
+	if report.Limit.Present {
+		r.recordLimit(n, x, report.Limit.Rate, knownVersion, e)
 	}
-	restBegins := reading.Rest > 0 && !n.isResting(r.now)
-	leaveBegins := reading.Leaving && !n.leaving
-	if reading.Rest > 0 {
-		n.restUntil = max(n.restUntil, r.now.Add(reading.Rest))
+	restBegins := report.Rest > 0 && !n.isResting(r.now)
+	leaveBegins := report.Leaving && !n.leaving
+	if report.Rest > 0 {
+		n.restUntil = max(n.restUntil, r.now.Add(report.Rest))
 	}
-	n.leaving = n.leaving || reading.Leaving
+	n.leaving = n.leaving || report.Leaving
 	if !restBegins && !leaveBegins && n.restUntil.Sub(n.reportedRestUntil) < minRestExtension {
 		return
 	}
@@ -290,7 +290,7 @@
 // target repeats this in all its answers. An answer without it, or a refused connection, shows that
 // the process has exited, and the notice is removed.
 func (r *Router) detectSuccessor(t *target, v *ProbeEnded, e *Effects) {
-	if !t.notice.isLeaving() || !t.lacksStartTime() || v.Reading.Leaving || !v.Refused && (!v.Answered || v.Misdirected) {
+	if !t.notice.isLeaving() || !t.lacksStartTime() || v.Report.Leaving || !v.Refused && (!v.Answered || v.Misdirected) {
 		return
 	}
 	r.removeNotice(t.notice)
--- a/pkg/core/routing/notice_random_test.go
+++ b/pkg/core/routing/notice_random_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// drawReading draws the content of an answer and records what the box is told by it.
-func (x *noticeModel) drawReading(e *Endpoint) TargetReport {
+// drawReport draws the content of an answer and records what the box is told by it.
+func (x *noticeModel) drawReport(e *Endpoint) TargetReport {
 	r := TargetReport{HasLoad: true, InFlight: float64(rapid.IntRange(0, 4).Draw(x.T, "load")), Slots: 3, Pace: 1}
 	switch rapid.IntRange(0, 5).Draw(x.T, "words") {
 	case 0:
@@ -154,14 +154,14 @@
 	v := &AttemptEnded{Call: s.Call, Attempt: s.Attempt, Endpoint: s.Endpoint}
 	v.Result = rapid.SampledFrom([]AttemptResult{Answered, Answered, Failed, Shed, Shed, Broken, NotSent, Withheld}).Draw(t, "result")
 	if v.Result != NotSent && v.Result != Withheld {
-		v.Reading = x.drawReading(s.Endpoint)
+		v.Report = x.drawReport(s.Endpoint)
 	}
 	x.dispatch(v)
 }
 
 func (x *noticeModel) startAnswer(t *rapid.T) {
 	s := removeRandom(t, &x.sends)
-	x.dispatch(&AttemptStarted{Call: s.Call, Attempt: s.Attempt, Endpoint: s.Endpoint, Reading: x.drawReading(s.Endpoint), Remaining: -1})
+	x.dispatch(&AttemptStarted{Call: s.Call, Attempt: s.Attempt, Endpoint: s.Endpoint, Report: x.drawReport(s.Endpoint), Remaining: -1})
 	x.sends = append(x.sends, s)
 }
 
@@ -170,7 +170,7 @@
 	v := &ProbeEnded{Target: p.Endpoint, Call: p.Call, Attempt: p.Attempt}
 	if rapid.Bool().Draw(t, "answered") {
 		v.Answered, v.Healthy = true, rapid.Bool().Draw(t, "healthy")
-		v.Reading = x.drawReading(p.Endpoint)
+		v.Report = x.drawReport(p.Endpoint)
 	} else {
 		v.Unreachable = rapid.Bool().Draw(t, "unreachable")
 		v.Refused = v.Unreachable && rapid.Bool().Draw(t, "refused")
--- a/pkg/core/routing/crowd_rest_test.go
+++ b/pkg/core/routing/overload_rest_test.go
@@ -20,15 +20,15 @@
 		sheds   float64
 		load    float64
 	}{
-		{"a third of the targets turn all calls away", crowdTargets / 3, 1, 0.5},
-		{"two thirds do", crowdTargets * 2 / 3, 1, 0.3},
-		{"all targets turn one call in ten away", crowdTargets, 0.1, 0.5},
-		{"all turn one in three away", crowdTargets, 0.33, 0.5},
+		{"a third of the targets turn all calls away", overloadTargets / 3, 1, 0.5},
+		{"two thirds do", overloadTargets * 2 / 3, 1, 0.3},
+		{"all targets turn one call in ten away", overloadTargets, 0.1, 0.5},
+		{"all turn one in three away", overloadTargets, 0.33, 0.5},
 	}
 	gain := 0.0
 	for _, s := range scenarios {
 		play := func(shared bool) (inAim, wasted float64) {
-			f := newCrowdSim(t)
+			f := newOverloadSim(t)
 			f.sharesNotices = shared
 			inAim = f.measure(s.load, func() {
 				for i := range s.resting {
--- a/pkg/core/routing/crowd_test.go
+++ b/pkg/core/routing/overload_test.go
@@ -11,16 +11,16 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// crowdSim simulates many boxes that receive more calls than their targets can serve in time.
+// overloadSim simulates many boxes that receive more calls than their targets can serve in time.
 // Targets have two slots, and use of the second slows both. A refused caller retries once, at the
 // time that it is told.
-type crowdSim struct {
+type overloadSim struct {
 	t       *testing.T
 	random  *rand.Rand
 	now     units.Instant
 	routers []*Router
-	targets map[units.TargetID]*crowdTarget
-	events  *container.Heap[crowdEvent]
+	targets map[units.TargetID]*overloadTarget
+	events  *container.Heap[overloadEvent]
 	inAim   int
 	callers int
 	// wasted counts the probes and sends that met an unreachable target or one that had asked for a
@@ -30,7 +30,7 @@
 	sharesNotices bool
 }
 
-type crowdTarget struct {
+type overloadTarget struct {
 	running     int
 	unreachable bool
 	// shedRate is the fraction of calls that the target sheds even with free slots.
@@ -39,34 +39,34 @@
 	rest time.Duration
 }
 
-type crowdEvent struct {
+type overloadEvent struct {
 	at  units.Instant
 	run func()
 }
 
-// crowdCaller is a caller with one call and its retries.
-type crowdCaller struct {
+// overloadCaller is a caller with one call and its retries.
+type overloadCaller struct {
 	first   units.Instant
 	retries int
 }
 
 const (
-	crowdBoxes    = 60
-	crowdTargets  = 48
-	crowdWorkTime = 60 * time.Millisecond
-	crowdAim      = 200 * time.Millisecond
-	crowdDeadline = 600 * time.Millisecond
-	// crowdCapacity is the approximate number of calls a second that all targets can serve.
-	crowdCapacity  = crowdTargets * 2 / 0.102
-	crowdRoundTrip = 2 * time.Millisecond
-	// crowdConnectTime is the time that a retrying caller takes to connect.
-	crowdConnectTime = 15 * time.Millisecond
+	overloadBoxes    = 60
+	overloadTargets  = 48
+	overloadWorkTime = 60 * time.Millisecond
+	overloadAim      = 200 * time.Millisecond
+	overloadDeadline = 600 * time.Millisecond
+	// overloadCapacity is the approximate number of calls a second that all targets can serve.
+	overloadCapacity  = overloadTargets * 2 / 0.102
+	overloadRoundTrip = 2 * time.Millisecond
+	// overloadConnectTime is the time that a retrying caller takes to connect.
+	overloadConnectTime = 15 * time.Millisecond
 )
 
-func newCrowdSim(t *testing.T, off ...Mechanism) *crowdSim {
-	f := &crowdSim{
-		t: t, random: rand.New(rand.NewPCG(3, 4)), now: units.Instant(time.Second), targets: map[units.TargetID]*crowdTarget{},
-		events: container.NewHeap(func(a, b crowdEvent) bool { return a.at < b.at }),
+func newOverloadSim(t *testing.T, off ...Mechanism) *overloadSim {
+	f := &overloadSim{
+		t: t, random: rand.New(rand.NewPCG(3, 4)), now: units.Instant(time.Second), targets: map[units.TargetID]*overloadTarget{},
+		events: container.NewHeap(func(a, b overloadEvent) bool { return a.at < b.at }),
 	}
 	x := f.newTable()
 	for i, b := range x.Boxes {
@@ -83,51 +83,51 @@
 	return f
 }
 
-func (f *crowdSim) newTable() *table.Table {
+func (f *overloadSim) newTable() *table.Table {
 	x := table.NewTable()
 	x.Revision, x.Document = 1, 1
-	for i := range crowdBoxes {
-		x.Boxes = append(x.Boxes, table.Box{ID: units.BoxID(fmt.Sprintf("b%03d", i)), Domain: crowdDomain(i)})
+	for i := range overloadBoxes {
+		x.Boxes = append(x.Boxes, table.Box{ID: units.BoxID(fmt.Sprintf("b%03d", i)), Domain: overloadDomain(i)})
 	}
 	entry := &table.Entry{Service: table.Service{
 		Name: "s", Work: table.Repeatable, Deadline: time.Second, HoldCount: 10, ProbeTargets: 2, MeasureBudget: 10,
 	}, Version: 1}
-	for i := range crowdTargets {
+	for i := range overloadTargets {
 		id := units.TargetID(fmt.Sprintf("t%03d", i))
-		f.targets[id] = &crowdTarget{}
+		f.targets[id] = &overloadTarget{}
 		entry.Rows = entry.Rows.With(table.Row{
-			Service: "s", Target: id, Address: "127.0.0.1:1", Domain: crowdDomain(i), Weight: 100, State: table.Active, Registered: true, Slots: 2,
+			Service: "s", Target: id, Address: "127.0.0.1:1", Domain: overloadDomain(i), Weight: 100, State: table.Active, Registered: true, Slots: 2,
 		})
 	}
 	x.Services["s"] = entry
 	route := &table.Route{
-		Host: "s", PathPrefix: "/", Work: table.Repeatable, Deadline: time.Second, LatencyObjective: crowdAim, MaxAttempts: 2,
+		Host: "s", PathPrefix: "/", Work: table.Repeatable, Deadline: time.Second, LatencyObjective: overloadAim, MaxAttempts: 2,
 		Services: []table.WeightedService{{Service: "s", Weight: 1}},
 	}
 	x.Routes = map[table.RouteKey]*table.Route{route.Key(): route}
 	return x
 }
 
-func crowdDomain(i int) units.Domain { return units.Domain(fmt.Sprintf("d%d", i%3)) }
+func overloadDomain(i int) units.Domain { return units.Domain(fmt.Sprintf("d%d", i%3)) }
 
 // makeUnreachable makes all targets of a domain refuse connections.
-func (f *crowdSim) makeUnreachable(d units.Domain) {
-	for i := range crowdTargets {
-		if crowdDomain(i) == d {
+func (f *overloadSim) makeUnreachable(d units.Domain) {
+	for i := range overloadTargets {
+		if overloadDomain(i) == d {
 			f.targets[units.TargetID(fmt.Sprintf("t%03d", i))].unreachable = true
 		}
 	}
 }
 
 // advance simulates a period in which calls arrive at a fraction of the capacity.
-func (f *crowdSim) advance(d time.Duration, load float64) {
-	gap := time.Duration(float64(time.Second) / (load * crowdCapacity))
+func (f *overloadSim) advance(d time.Duration, load float64) {
+	gap := time.Duration(float64(time.Second) / (load * overloadCapacity))
 	end := f.now.Add(d)
 	for at := f.now; at < end; at = at.Add(time.Duration(f.random.ExpFloat64() * float64(gap))) {
-		f.events.Push(crowdEvent{at, func() { f.callers++; f.call(&crowdCaller{first: f.now}) }})
+		f.events.Push(overloadEvent{at, func() { f.callers++; f.call(&overloadCaller{first: f.now}) }})
 	}
 	for at := f.now; at < end; at = at.Add(time.Millisecond) {
-		f.events.Push(crowdEvent{at, f.tick})
+		f.events.Push(overloadEvent{at, f.tick})
 	}
 	for {
 		x, ok := f.events.Peek()
@@ -141,11 +141,11 @@
 	}
 }
 
-func (f *crowdSim) after(d time.Duration, run func()) {
-	f.events.Push(crowdEvent{f.now.Add(d), run})
+func (f *overloadSim) after(d time.Duration, run func()) {
+	f.events.Push(overloadEvent{f.now.Add(d), run})
 }
 
-func (f *crowdSim) tick() {
+func (f *overloadSim) tick() {
 	for _, r := range f.routers {
 		if r.NextWake() <= f.now {
 			f.reduce(r, &Tick{})
@@ -153,8 +153,8 @@
 	}
 }
 
-func (f *crowdSim) call(c *crowdCaller) {
-	left := crowdDeadline - f.now.Sub(c.first)
+func (f *overloadSim) call(c *overloadCaller) {
+	left := overloadDeadline - f.now.Sub(c.first)
 	if left <= 0 {
 		return
 	}
@@ -162,7 +162,7 @@
 	f.reduce(r, &CallArrived{Owner: c, Host: []byte("s"), Path: []byte("/"), Deadline: left})
 }
 
-func (f *crowdSim) reduce(r *Router, event Event) {
+func (f *overloadSim) reduce(r *Router, event Event) {
 	var e Effects
 	r.Reduce(f.now, event, &e)
 	for _, x := range e.List {
@@ -170,76 +170,76 @@
 	}
 }
 
-func (f *crowdSim) apply(r *Router, x Effect) {
+func (f *overloadSim) apply(r *Router, x Effect) {
 	switch x.Kind {
 	case Send:
 		f.send(r, x)
 	case Probe:
 		f.probe(r, x)
 	case Deliver:
-		if c := x.Owner.(*crowdCaller); f.now.Sub(c.first) <= crowdAim {
+		if c := x.Owner.(*overloadCaller); f.now.Sub(c.first) <= overloadAim {
 			f.inAim++
 		}
 	case Refuse:
-		f.retryCaller(x.Owner.(*crowdCaller), x.Refusal.RetryAfter)
+		f.retryCaller(x.Owner.(*overloadCaller), x.Refusal.RetryAfter)
 	}
 }
 
-func (f *crowdSim) send(r *Router, x Effect) {
+func (f *overloadSim) send(r *Router, x Effect) {
 	t := f.targets[x.Endpoint.Target]
 	if t.unreachable {
 		f.wasted++
-		f.after(crowdRoundTrip, func() { f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: NotSent}) })
+		f.after(overloadRoundTrip, func() { f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: NotSent}) })
 		return
 	}
 	if f.random.Float64() < t.shedRate {
-		f.after(crowdRoundTrip, func() { f.shed(r, x, t) })
+		f.after(overloadRoundTrip, func() { f.shed(r, x, t) })
 		return
 	}
 	t.running++
-	duration := crowdWorkTime
+	duration := overloadWorkTime
 	if t.running > 1 {
 		duration = duration * 17 / 10 * time.Duration((t.running+1)/2)
 	}
 	f.after(duration, func() {
 		t.running--
-		f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: Answered, Reading: t.reading()})
+		f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: Answered, Report: t.report()})
 	})
 }
 
 // shed answers a call that the target sheds.
-func (f *crowdSim) shed(r *Router, x Effect, t *crowdTarget) {
+func (f *overloadSim) shed(r *Router, x Effect, t *overloadTarget) {
 	if t.rest > 0 {
 		f.wasted++
 	}
-	reading := t.reading()
-	reading.Rest = t.rest
-	f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Endpoint: x.Endpoint, Result: Shed, Reading: reading})
+	report := t.report()
+	report.Rest = t.rest
+	f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Endpoint: x.Endpoint, Result: Shed, Report: report})
 	if !f.sharesNotices || t.rest == 0 {
 		return
 	}
-	f.after(crowdShareDelay, func() {
+	f.after(overloadShareDelay, func() {
 		for _, o := range f.routers {
 			var e Effects
-			o.handleNotice(x.Endpoint, TargetReport{Rest: t.rest - crowdShareDelay}, false, unknownLimitVersion, &e)
+			o.handleNotice(x.Endpoint, TargetReport{Rest: t.rest - overloadShareDelay}, false, unknownLimitVersion, &e)
 		}
 	})
 }
 
-// crowdShareDelay is the time until a notice received by one box is known to all.
-const crowdShareDelay = 50 * time.Millisecond
+// overloadShareDelay is the time until a notice received by one box is known to all.
+const overloadShareDelay = 50 * time.Millisecond
 
-func (f *crowdSim) probe(r *Router, x Effect) {
+func (f *overloadSim) probe(r *Router, x Effect) {
 	t := f.targets[x.Endpoint.Target]
 	if t.unreachable {
 		f.wasted++
 	}
-	f.after(crowdRoundTrip, func() {
-		f.reduce(r, &ProbeEnded{Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Healthy: !t.unreachable, Unreachable: t.unreachable, Reading: t.reading()})
+	f.after(overloadRoundTrip, func() {
+		f.reduce(r, &ProbeEnded{Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Healthy: !t.unreachable, Unreachable: t.unreachable, Report: t.report()})
 	})
 }
 
-func (t *crowdTarget) reading() TargetReport {
+func (t *overloadTarget) report() TargetReport {
 	if t.unreachable {
 		return TargetReport{}
 	}
@@ -248,18 +248,18 @@
 
 // retryCaller schedules a refused caller's only retry: at the time that it was told, but within a
 // third of its remaining time.
-func (f *crowdSim) retryCaller(c *crowdCaller, after time.Duration) {
-	left := crowdDeadline - f.now.Sub(c.first)
+func (f *overloadSim) retryCaller(c *overloadCaller, after time.Duration) {
+	left := overloadDeadline - f.now.Sub(c.first)
 	if c.retries > 0 {
 		return
 	}
 	c.retries++
-	f.after(min(after, left/3)+crowdConnectTime, func() { f.call(c) })
+	f.after(min(after, left/3)+overloadConnectTime, func() { f.call(c) })
 }
 
 // measure simulates 2 s at half of the capacity, and then 4 s at the given load. It returns the
 // fraction of the latter calls that were answered within their aim.
-func (f *crowdSim) measure(load float64, before func()) float64 {
+func (f *overloadSim) measure(load float64, before func()) float64 {
 	f.advance(2*time.Second, 0.5)
 	before()
 	f.inAim, f.callers, f.wasted = 0, 0, 0
@@ -271,8 +271,8 @@
 
 // With a load of 1.8 times the capacity, slots are given to first tries before late retries.
 func TestFirstTriesGoBeforeLateReturns(t *testing.T) {
-	without := newCrowdSim(t, FirstTries).measure(1.8, noChange)
-	with := newCrowdSim(t).measure(1.8, noChange)
+	without := newOverloadSim(t, FirstTries).measure(1.8, noChange)
+	with := newOverloadSim(t).measure(1.8, noChange)
 	t.Logf("within aim: %.3f, and %.3f without the preference for first tries", with, without)
 	if with < 1.1*without {
 		t.Errorf("%.3f of the calls were answered within their aim, %.3f without the preference", with, without)
@@ -281,8 +281,8 @@
 
 // With a third of the targets unreachable, boxes stop trying them one by one.
 func TestADarkDomainIsLearntAsOne(t *testing.T) {
-	play := func(off ...Mechanism) *crowdSim {
-		f := newCrowdSim(t, off...)
+	play := func(off ...Mechanism) *overloadSim {
+		f := newOverloadSim(t, off...)
 		f.measure(0.5, func() { f.makeUnreachable("d1") })
 		return f
 	}
@@ -296,7 +296,7 @@
 // Where targets with free slots shed half of their calls, refused callers must retry early enough
 // for their aim. With a pause of 100 ms only 0.65 of the calls were answered within their aim.
 func TestCallersOfShedCallsComeBackInTime(t *testing.T) {
-	f := newCrowdSim(t)
+	f := newOverloadSim(t)
 	inAim := f.measure(0.4, func() {
 		for _, x := range f.targets {
 			x.shedRate = 0.55
@@ -308,4 +308,4 @@
 	}
 }
 
-func (f *crowdSim) wastedPerCall() float64 { return float64(f.wasted) / float64(f.callers) }
+func (f *overloadSim) wastedPerCall() float64 { return float64(f.wasted) / float64(f.callers) }
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -8,7 +8,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A permit allows a box to send one call or probe to a target that advertises a rate limit. A box
+// A permit allows a box to send one call or probe to a target that announces a rate limit. A box
 // requests as many permits as its calls need from the target's coordinator, uses each once, and
 // returns unused ones.
 
@@ -47,14 +47,14 @@
 
 // PermitStatus counts permits and permit requests for the dump.
 type PermitStatus struct {
-	Requested    uint64 `json:"asked"`
-	Granted  uint64 `json:"granted"`
-	Used     uint64 `json:"used"`
-	Returned uint64 `json:"returned"`
+	Requested uint64 `json:"asked"`
+	Granted   uint64 `json:"granted"`
+	Used      uint64 `json:"used"`
+	Returned  uint64 `json:"returned"`
 	// Issued is the number of permits that this box granted as a coordinator, including those to
 	// itself.
 	Issued uint64 `json:"permitted"`
-	nonce     uint64
+	nonce  uint64
 }
 
 // permitRequest is a request for permits.
@@ -83,18 +83,18 @@
 	return !x.permits.available(now) && !x.request.isPending(now) && now >= x.nextRequestAt
 }
 
-// lacksPermit reports whether the target advertises a limit and this box has no permit for it.
+// lacksPermit reports whether the target announces a limit and this box has no permit for it.
 func (t *target) lacksPermit(now units.Instant) bool {
 	return t.notice.isLimited() && !t.notice.limit.permits.available(now)
 }
 
 // takesIfPermitted reports whether a new call might go to the target now if there were a permit.
-func (t *target) takesIfPermitted(now units.Instant, anyHealth bool) bool {
-	return t.coldRateAdmits(now) && t.isAvailableWhenWarm(now, anyHealth)
+func (t *target) takesIfPermitted(now units.Instant, ignoreHealth bool) bool {
+	return t.coldRateAdmits(now) && t.isAvailableWhenWarm(now, ignoreHealth)
 }
 
 // usePermit spends a permit on a call or probe and returns the permit's expiry: zero if the target
-// advertises no limit, or if there is no permit.
+// announces no limit, or if there is no permit.
 func (r *Router) usePermit(t *target) units.Instant {
 	if !t.notice.isLimited() {
 		return 0
@@ -149,14 +149,14 @@
 	if s.limitedTargets == 0 || !r.leased() {
 		return 0
 	}
-	anyHealth := r.ignoresHealth(s, c)
+	ignoreHealth := r.ignoresHealth(s, c)
 	start := r.random.IntN(len(s.targets))
 	for k := range s.targets {
 		t := s.targets[(start+k)%len(s.targets)]
 		if requested >= maxRequests {
 			break
 		}
-		if t.notice.isLimited() && t.notice.limit.mayRequest(r.now) && fits(t) && c.mayUse(t) && t.takesIfPermitted(r.now, anyHealth) {
+		if t.notice.isLimited() && t.notice.limit.mayRequest(r.now) && fits(t) && c.mayUse(t) && t.takesIfPermitted(r.now, ignoreHealth) {
 			r.requestTargetPermits(t, min(maxPermitsHeld, 1+s.held.length+len(s.waiting)), e)
 			requested++
 		}
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -7,7 +7,7 @@
 
 // Targets' load changes faster than answers report it. Before a call is sent, the box may probe a
 // few targets and send the call to the best of them. Probes draw on the measurement budget; without
-// budget the box chooses by the readings that it has.
+// budget the box chooses by the load reports that it has.
 
 const (
 	// probeTimeout is the longest time a call waits for the answers to its probes, in addition to
@@ -18,7 +18,7 @@
 	hedgeProbeTimeout = 100 * time.Millisecond
 	// maxProbesPerSend bounds the targets that are probed for one send.
 	maxProbesPerSend = 4
-	// freshReportAge is the age up to which a reading is as good as a new one.
+	// freshReportAge is the age up to which a load report is as good as a new one.
 	freshReportAge = 30 * time.Millisecond
 	// probeBurstTime is the time for which a box may save up its share of the probe budget: probes
 	// are most useful in the seconds in which many calls arrive. minProbeBurst is the minimum size
@@ -149,14 +149,14 @@
 	return rate
 }
 
-// targetsToProbe returns up to n available targets of the lowest cost that have no recent reading
+// targetsToProbe returns up to n available targets of the lowest cost that have no recent load report
 // and no probe in flight, since probe answers are shared by all calls. The slice is reused by the
 // next call.
 func (r *Router) targetsToProbe(c *call, n int) []*target {
-	from := r.roleForCall(c.service, c)
+	role := r.roleForCall(c.service, c)
 	set := candidates{
-		service: c.service, now: r.now, call: c, ignoreHealth: r.ignoresHealth(c.service, c) && from != trialVersion, excludeTried: c.sendsSinceHeld > 0,
-		role: from,
+		service: c.service, now: r.now, call: c, ignoreHealth: r.ignoresHealth(c.service, c) && role != trialVersion, excludeTried: c.sendsSinceHeld > 0,
+		role: role,
 	}
 	r.probeCandidates = r.probeCandidates[:0]
 	// Targets of the same cost are compared in a random order, so that the boxes don't all probe
@@ -197,7 +197,7 @@
 }
 
 // probeAnswered handles the answer to a probe for a call. A suitable target ends the call's wait;
-// other answers only add readings.
+// other answers only add load reports.
 func (r *Router) probeAnswered(v *ProbeEnded, t *target, e *Effects) {
 	c := r.calls.Get(v.Call)
 	if c == nil || !c.probeRound.active || c.probeRound.number != v.Attempt {
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -48,7 +48,7 @@
 }
 
 func (r *Router) probeEnded(v *ProbeEnded, e *Effects) {
-	r.handleNotice(v.Target, v.Reading, v.Misdirected, unknownLimitVersion, e)
+	r.handleNotice(v.Target, v.Report, v.Misdirected, unknownLimitVersion, e)
 	t := r.findTarget(v.Target)
 	if t != nil && v.Refused {
 		r.recordConnectionRefused(t, e)
@@ -68,9 +68,9 @@
 	t.healthProbeInFlight = false
 	t.lastObservedAt = r.now
 	r.detectSuccessor(t, v, e)
-	t.recordReport(r.now, v.Reading)
+	t.recordReport(r.now, v.Report)
 	if v.Healthy {
-		r.updateColdState(t, v.Reading.Cold)
+		r.updateColdState(t, v.Report.Cold)
 	}
 	if !v.Healthy {
 		t.health.recordFailure(r.now)
@@ -83,17 +83,17 @@
 }
 
 // updateFromProbe updates a target's state from the answer to a probe for a call. The health that
-// the target reports counts for no more than a reading: the results of calls are better evidence.
+// the target reports counts for no more than a load report: the results of calls are better evidence.
 func (r *Router) updateFromProbe(t *target, v *ProbeEnded, e *Effects) {
 	if t == nil {
 		return
 	}
 	t.recordProbeEnd(r.now, v.Healthy)
-	t.recordReport(r.now, v.Reading)
-	t.markMissing(r.now, v.Reading, t.lastProbedAt)
+	t.recordReport(r.now, v.Report)
+	t.markMissing(r.now, v.Report, t.lastProbedAt)
 	if v.Healthy {
-		t.service.recordReport(v.Reading)
-		r.updateColdState(t, v.Reading.Cold)
+		t.service.recordReport(v.Report)
+		r.updateColdState(t, v.Report.Cold)
 	}
 	if v.Healthy || v.Unreachable {
 		t.recordReachability(r.now, v.Healthy)
--- a/pkg/core/routing/quota_fleet_test.go
+++ b/pkg/core/routing/quota_fleet_test.go
@@ -278,7 +278,7 @@
 				c.caller.slow++
 			}
 		}
-	case SendQuota:
+	case SendQuotaMessage:
 		f.messages++
 		to := f.box(x.Peer)
 		if to == nil || to.partition != b.partition || f.random.Float64() < f.loss {
@@ -296,9 +296,9 @@
 // send delivers a call to its target, which answers.
 func (f *quotaFleet) send(b *quotaBox, x Effect) {
 	incarnation, id, attempt, endpoint := b.incarnation, x.Call, x.Attempt, x.Endpoint
-	done := func(result AttemptResult, said TargetReport) {
+	done := func(result AttemptResult, report TargetReport) {
 		if b.incarnation == incarnation {
-			f.deliver(b, &AttemptEnded{Call: id, Attempt: attempt, Endpoint: endpoint, Result: result, Reading: said})
+			f.deliver(b, &AttemptEnded{Call: id, Attempt: attempt, Endpoint: endpoint, Result: result, Report: report})
 		}
 	}
 	if f.shedding != nil {
--- a/pkg/core/routing/quotaholder.go
+++ b/pkg/core/routing/quotaholder.go
@@ -201,5 +201,5 @@
 	if u := r.quotas.byWorkspace[m.Workspace]; u != nil {
 		answer.Count, answer.RetryAfter = r.grantCredits(u, m.Count)
 	}
-	e.add(Effect{Kind: SendQuota, Peer: from, Quota: answer})
+	e.add(Effect{Kind: SendQuotaMessage, Peer: from, Quota: answer})
 }
--- a/pkg/core/routing/quotas.go
+++ b/pkg/core/routing/quotas.go
@@ -246,7 +246,7 @@
 	case u.account != nil:
 		u.account.Return(r.now, 1)
 	case len(order) > 0:
-		e.add(Effect{Kind: SendQuota, Peer: order[0], Quota: &QuotaMessage{Kind: ReturnCredits, Workspace: u.name, Count: 1}})
+		e.add(Effect{Kind: SendQuotaMessage, Peer: order[0], Quota: &QuotaMessage{Kind: ReturnCredits, Workspace: u.name, Count: 1}})
 	}
 }
 
--- a/pkg/core/routing/quotausage.go
+++ b/pkg/core/routing/quotausage.go
@@ -18,9 +18,9 @@
 	Refused   int
 }
 
-// TakeQuotaUsage returns the usage to report to the leader, if a report is due; the same calls
+// DrainQuotaUsage returns the usage to report to the leader, if a report is due; the same calls
 // aren't returned again. A report lost in transit isn't repeated.
-func (r *Router) TakeQuotaUsage(now units.Instant) []QuotaUsage {
+func (r *Router) DrainQuotaUsage(now units.Instant) []QuotaUsage {
 	b := &r.quotas
 	if now < b.reportAt {
 		return nil
--- a/pkg/core/routing/quotausage_test.go
+++ b/pkg/core/routing/quotausage_test.go
@@ -15,7 +15,7 @@
 	admitted, refused := 0, 0
 	tell := func() {
 		for _, b := range f.boxes {
-			for _, u := range b.router.TakeQuotaUsage(f.now) {
+			for _, u := range b.router.DrainQuotaUsage(f.now) {
 				admitted += u.Admitted
 				refused += u.Refused
 			}
--- a/pkg/core/routing/refusal.go
+++ b/pkg/core/routing/refusal.go
@@ -46,7 +46,7 @@
 	Evacuated
 	TooLate
 	OtherVersions
-	RolloutUnsure
+	UnknownVersion
 	RegionNotAllowed
 	Quarantined
 	TargetsResting
@@ -82,13 +82,13 @@
 	Evacuated:          {"evacuated", 503, "retry later; the failure domains of all targets of this service are evacuated"},
 	TooLate:            {"too-late", 503, "retry when the load is lower; the answer would miss the aim, and first tries of other callers take precedence"},
 	OtherVersions:      {"other-versions", 503, "retry later; no target of this service runs the version of its software that is in force"},
-	RolloutUnsure:      {"rollout-unsure", 503, "try another box; this one doesn't know at present which version of the service's software is in force"},
+	UnknownVersion:     {"rollout-unsure", 503, "try another box; this one doesn't know at present which version of the service's software is in force"},
 	RegionNotAllowed:   {"region-not-allowed", 503, "retry later, or allow more regions; no target of this service is in a region that the route allows"},
 	Quarantined:        {"quarantined", 503, "change the request or find out why targets crash when they run it; it is sent to none until an operator releases it or it hasn't been sent for some time"},
 	TargetsResting:     {"targets-rest", 503, "retry after the given time; all targets of this service have asked for no calls until then"},
 	TargetsLimited:     {"targets-limited", 503, "retry after the given time; all targets of this service have rate limits, which other calls use up"},
 	UnknownKey:         {"unknown-key", 401, "send one API key of a workspace, in the documented header"},
-	StaleKeys:        {"keys-in-doubt", 503, "try another box; this one has lost contact with the control replicas and can't know which keys are valid"},
+	StaleKeys:          {"keys-in-doubt", 503, "try another box; this one has lost contact with the control replicas and can't know which keys are valid"},
 	QuotaExceeded:      {"quota-spent", 429, "retry after the given time; the workspace's calls have used up its quota"},
 	CallerDisconnected: {"caller-gone", 499, "none; the caller disconnected"},
 }
--- a/pkg/core/routing/regions_test.go
+++ b/pkg/core/routing/regions_test.go
@@ -137,7 +137,7 @@
 		f.schedule(f.roundTrip(d, x.Endpoint.Domain)+fleetProbeTime, func() {
 			dark := f.unreachable[x.Endpoint.Domain]
 			f.dispatch(d, &ProbeEnded{
-				Target: x.Endpoint, Healthy: !dark, Unreachable: dark, Call: x.Call, Attempt: x.Attempt, Reading: f.reading(x.Endpoint, !dark),
+				Target: x.Endpoint, Healthy: !dark, Unreachable: dark, Call: x.Call, Attempt: x.Attempt, Report: f.report(x.Endpoint, !dark),
 			})
 		})
 	case Send:
@@ -145,7 +145,7 @@
 	}
 }
 
-func (f *regionFleet) reading(x *Endpoint, known bool) TargetReport {
+func (f *regionFleet) report(x *Endpoint, known bool) TargetReport {
 	return TargetReport{HasLoad: known, InFlight: float64(f.load[x.Target]), Slots: fleetSlots, Pace: 1}
 }
 
@@ -165,7 +165,7 @@
 	rounds := time.Duration((f.load[x.Endpoint.Target] + fleetSlots - 1) / fleetSlots)
 	f.schedule(f.roundTrip(d, x.Endpoint.Domain)+rounds*fleetWorkTime, func() {
 		f.load[x.Endpoint.Target]--
-		f.dispatch(d, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: Answered, Reading: f.reading(x.Endpoint, true)})
+		f.dispatch(d, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: Answered, Report: f.report(x.Endpoint, true)})
 	})
 }
 
--- a/pkg/core/routing/residency.go
+++ b/pkg/core/routing/residency.go
@@ -111,7 +111,7 @@
 	if c.regions == nil {
 		return false
 	}
-	barred := false
+	excluded := false
 	for _, t := range s.targets {
 		if !t.isActiveInTable() {
 			continue
@@ -119,9 +119,9 @@
 		if c.mayUse(t) {
 			return false
 		}
-		barred = true
+		excluded = true
 	}
-	return barred
+	return excluded
 }
 
 // retryAfterFor is the retry delay of a refusal for a reason.
--- a/pkg/core/routing/residency_test.go
+++ b/pkg/core/routing/residency_test.go
@@ -206,13 +206,13 @@
 	i := rapid.IntRange(0, len(w.running)-1).Draw(w.T, "which")
 	x := w.running[i]
 	w.running = slices.Delete(w.running, i, i+1)
-	reading := TargetReport{HasLoad: true, InFlight: float64(rapid.IntRange(0, 2).Draw(w.T, "load")), Slots: 2, Pace: 1}
+	report := TargetReport{HasLoad: true, InFlight: float64(rapid.IntRange(0, 2).Draw(w.T, "load")), Slots: 2, Pace: 1}
 	if x.Kind == Probe {
-		w.reduce(&ProbeEnded{Target: x.Endpoint, Healthy: true, Reading: reading, Call: x.Call, Attempt: x.Attempt})
+		w.reduce(&ProbeEnded{Target: x.Endpoint, Healthy: true, Report: report, Call: x.Call, Attempt: x.Attempt})
 		return
 	}
 	result := rapid.SampledFrom([]AttemptResult{Answered, Answered, Failed, Shed, NotSent, Broken, Misdirected}).Draw(w.T, "result")
-	w.reduce(&AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: result, Reading: reading})
+	w.reduce(&AttemptEnded{Call: x.Call, Attempt: x.Attempt, Result: result, Report: report})
 }
 
 func (w *residencyWorld) advance() {
--- a/pkg/core/routing/routes.go
+++ b/pkg/core/routing/routes.go
@@ -140,13 +140,13 @@
 }
 
 // callDeadline returns how long a call of the route may take, given the deadline that its caller
-// asked for and the cap in the settings.
-func (x *route) callDeadline(asked, maxDeadline time.Duration) time.Duration {
-	if asked <= 0 {
+// requested and the cap in the settings.
+func (x *route) callDeadline(requested, maxDeadline time.Duration) time.Duration {
+	if requested <= 0 {
 		return x.defaultDeadline
 	}
 	if x.maxDeadline > 0 {
 		maxDeadline = x.maxDeadline
 	}
-	return min(asked, maxDeadline)
+	return min(requested, maxDeadline)
 }
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -161,13 +161,13 @@
 		return fmt.Sprintf("%.8s is to blame for %v", x.Verdict.Fingerprint, x.Verdict.Targets)
 	case TargetNotice:
 		return s.describeNotice(x)
-	case SendLoan:
+	case SendLoanMessage:
 		return fmt.Sprintf("tell %s: %s", x.Peer, describeLoan(x.Loan))
-	case SendQuota:
+	case SendQuotaMessage:
 		return fmt.Sprintf("tell %s: %s", x.Peer, describeQuota(x.Quota))
 	case SendCanaryMessage:
 		return fmt.Sprintf("tell %s: %s", x.Peer, describeCanary(x.Canary))
-	case SendLimit:
+	case SendLimitMessage:
 		return fmt.Sprintf("tell %s: %s", x.Peer, describeLimit(x.Limit))
 	}
 	return "unknown effect"
@@ -406,7 +406,7 @@
 	if err != nil {
 		d.Fatalf(s.t, "%v", err)
 	}
-	s.endProbeOf(d, ProbeEnded{Healthy: true, Reading: TargetReport{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: x, Cold: s.duration(d, "cold")}})
+	s.endProbeOf(d, ProbeEnded{Healthy: true, Report: TargetReport{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: x, Cold: s.duration(d, "cold")}})
 }
 
 // end-probe CALL TARGET how=unreachable|misdirected|healthy [rest=D] [leaving] ends a call's probe
@@ -418,7 +418,7 @@
 
 func (s *script) endProbeOf(d *datadriven.TestData, v ProbeEnded) {
 	probe := s.lastProbe[d.CmdArgs[0].Key]
-	s.setNotice(d, &v.Reading)
+	s.setNotice(d, &v.Report)
 	v.Target, v.Call, v.Attempt = s.probes[d.CmdArgs[1].Key], probe.Call, probe.Attempt
 	s.reduce(&v)
 }
@@ -460,11 +460,11 @@
 	if d.HasArg("load") {
 		var load int
 		d.ScanArgs(s.t, "load", &load)
-		v.Reading = TargetReport{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: 1}
+		v.Report = TargetReport{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: 1}
 	}
 	v.Refused = d.HasArg("refused")
 	v.Endpoint = s.sent[d.CmdArgs[0].Key][v.Attempt]
-	s.setNotice(d, &v.Reading)
+	s.setNotice(d, &v.Report)
 	s.reduce(v)
 }
 
@@ -475,7 +475,7 @@
 	d.MaybeScanArgs(s.t, "coming", &coming)
 	v := &AttemptStarted{Call: s.calls[d.CmdArgs[0].Key], Attempt: AttemptNumber(n), Remaining: coming}
 	v.Endpoint = s.sent[d.CmdArgs[0].Key][v.Attempt]
-	s.setNotice(d, &v.Reading)
+	s.setNotice(d, &v.Report)
 	s.reduce(v)
 }
 
@@ -525,7 +525,7 @@
 	v := &ProbeEnded{Target: s.probes[d.CmdArgs[0].Key], Healthy: s.word(d, "healthy") == "true"}
 	v.Answered, v.Refused = d.HasArg("answered"), d.HasArg("refused")
 	v.Unreachable = v.Refused
-	s.setNotice(d, &v.Reading)
+	s.setNotice(d, &v.Report)
 	s.reduce(v)
 }
 
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -64,7 +64,7 @@
 	crashes uint64
 	// restRequests counts the times that targets asked this box for rest.
 	restRequests uint64
-	// limitedTargets is the number of targets that advertise limits; there has been at least one
+	// limitedTargets is the number of targets that announce limits; there has been at least one
 	// since limitedSince.
 	limitedTargets int
 	limitedSince   units.Instant
@@ -176,8 +176,8 @@
 	if capacity == 0 {
 		return 0
 	}
-	waves := float64(s.held.length+1) / float64(capacity)
-	return time.Duration(waves * float64(s.latency.longTermMean()))
+	rounds := float64(s.held.length+1) / float64(capacity)
+	return time.Duration(rounds * float64(s.latency.longTermMean()))
 }
 
 // candidates presents a service's targets to a policy.
@@ -219,7 +219,7 @@
 }
 
 // excluded reports whether a target is unavailable because of the call itself. A call in flight
-// isn't also sent to a target that advertises a limit: the permit is of more use to another call.
+// isn't also sent to a target that announces a limit: the permit is of more use to another call.
 func (c *candidates) excluded(t *target) bool {
 	return !c.call.mayUse(t) || c.excludeTried && c.call.wasSentTo(t) || c.call.isInFlightAt(t) || t.notice.isLimited() && c.call.inFlight() > 0
 }
--- a/pkg/core/routing/share.go
+++ b/pkg/core/routing/share.go
@@ -67,7 +67,7 @@
 // boxes that rank before it for the target. The parts of all listed boxes add up to the limit
 // exactly. The remainder goes to the first boxes by rendezvous hashing, so that the loss of a box
 // doesn't reduce the part of any other.
-func (b boxRank) integerShare(limit, place int) int {
+func (b boxRank) integerShare(limit, rank int) int {
 	if limit == 0 {
 		return unlimited
 	}
@@ -75,7 +75,7 @@
 		return 0
 	}
 	share := limit / b.count
-	if place < limit%b.count {
+	if rank < limit%b.count {
 		share++
 	}
 	return share
--- a/pkg/core/routing/starvation_test.go
+++ b/pkg/core/routing/starvation_test.go
@@ -21,17 +21,17 @@
 // handle runs or sheds a call at a target; done receives the result.
 func (x *sheddingTargets) handle(f *quotaFleet, target units.TargetID, done func(AttemptResult, TargetReport)) {
 	if x.running[target] >= x.slots {
-		f.after(shedAfter, func() { done(Shed, x.reading(target)) })
+		f.after(shedAfter, func() { done(Shed, x.report(target)) })
 		return
 	}
 	x.running[target]++
 	f.after(x.work, func() {
 		x.running[target]--
-		done(Answered, x.reading(target))
+		done(Answered, x.report(target))
 	})
 }
 
-func (x *sheddingTargets) reading(target units.TargetID) TargetReport {
+func (x *sheddingTargets) report(target units.TargetID) TargetReport {
 	return TargetReport{HasLoad: true, InFlight: float64(x.running[target]), Slots: float64(x.slots), Pace: 1}
 }
 
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -23,7 +23,7 @@
 	// Restricted lists the routes whose calls may go to some regions only.
 	Restricted []RestrictedRoute `json:"restricted,omitempty"`
 	Loans      LoanStatus        `json:"loans"`
-	// Permits counts permits for targets that advertise limits.
+	// Permits counts permits for targets that announce limits.
 	Permits PermitStatus  `json:"permits"`
 	Inbound InboundStatus `json:"inbound"`
 	// Quotas lists the workspaces whose calls arrived here, or whose credits this box granted.
@@ -53,7 +53,7 @@
 
 // LoanStatus counts the loans between boxes.
 type LoanStatus struct {
-	Requested       uint64 `json:"asked"`
+	Requested   uint64 `json:"asked"`
 	Lent        uint64 `json:"lent"`
 	Borrowed    uint64 `json:"borrowed"`
 	LentNow     int    `json:"lentNow"`
@@ -85,7 +85,7 @@
 	Rests   uint64 `json:"rests"`
 	Resting int    `json:"resting"`
 	Leaving int    `json:"leaving"`
-	// Limited is the number of targets that advertise a limit.
+	// Limited is the number of targets that announce a limit.
 	Limited int `json:"limited"`
 	// Rollout is the state of the active rollout.
 	Rollout *RolloutStatus `json:"rollout,omitempty"`
@@ -144,9 +144,9 @@
 	// is set once it has announced its shutdown.
 	RestLeftMs  int64 `json:"restLeftMs,omitempty"`
 	SaysLeaving bool  `json:"saysLeaving,omitempty"`
-	// Limit is the rate, in calls per second for all boxes together, that the target advertises.
+	// Limit is the rate, in calls per second for all boxes together, that the target announces.
 	// PermittedBy is the box that issues the permits, Permits the number of permits that this box
-	// holds. All are empty for a target that advertises no limit.
+	// holds. All are empty for a target that announces no limit.
 	Limit       *units.CallRate `json:"limit,omitempty"`
 	Coordinator units.BoxID     `json:"permittedBy,omitempty"`
 	Permits     int             `json:"permits,omitempty"`
--- a/pkg/core/routing/subset.go
+++ b/pkg/core/routing/subset.go
@@ -35,8 +35,8 @@
 		return
 	}
 	boxes := r.ownDomainBoxes()
-	place := slices.Index(boxes, r.settings.Box)
-	if place < 0 {
+	position := slices.Index(boxes, r.settings.Box)
+	if position < 0 {
 		return
 	}
 	for _, t := range s.targets {
@@ -44,7 +44,7 @@
 		t.inSubset = t.role == trialVersion
 	}
 	slices.SortFunc(own, func(a, b *target) int { return compareByHash(s.row.Name, a.row.Target, b.row.Target) })
-	first := place * len(own) / len(boxes)
+	first := position * len(own) / len(boxes)
 	for i := range subsetSize {
 		own[(first+i)%len(own)].inSubset = true
 	}
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -12,7 +12,7 @@
 	return r.isSuitableByReport(c, t) && (t.hasFreshReport(r.now) || !r.requiresKnownFreeSlot(c))
 }
 
-// isSuitableByReport reports whether a target is suitable for a call by its current reading. A nil
+// isSuitableByReport reports whether a target is suitable for a call by its current load report. A nil
 // call stands for one that may go to any target.
 func (r *Router) isSuitableByReport(c *call, t *target) bool {
 	if t.expectedPace(r.now) >= maxGoodPace || r.isTooSlow(c, t) {
@@ -44,7 +44,7 @@
 // acceptsUnsuitable reports whether a call that can't wait any longer may go to an unsuitable
 // target: either the call may have run already, so that a refusal can't say that it hasn't, or no
 // target could be probed although the service isn't busy. While it is busy, such a call would meet
-// others at a target without a reading, and both would be late.
+// others at a target without a load report, and both would be late.
 func (r *Router) acceptsUnsuitable(c *call) bool {
 	if c.probeRound.purpose == HedgeSend || r.requiresKnownFreeSlot(c) {
 		return false
@@ -52,7 +52,7 @@
 	return c.mayHaveRun || c.probeRound.rounds == 0 && !c.service.isBusy(r.now)
 }
 
-// hasFreshReport reports whether the target's last reading is as good as a new one.
+// hasFreshReport reports whether the target's last load report is as good as a new one.
 func (t *target) hasFreshReport(now units.Instant) bool {
 	return t.report.HasLoad && now.Sub(t.report.receivedAt) <= freshReportAge
 }
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -197,17 +197,17 @@
 }
 
 // isAvailable reports whether a new call may be sent to the target now.
-func (t *target) isAvailable(now units.Instant, anyHealth bool) bool {
-	return !t.lacksPermit(now) && t.takesIfPermitted(now, anyHealth)
+func (t *target) isAvailable(now units.Instant, ignoreHealth bool) bool {
+	return !t.lacksPermit(now) && t.takesIfPermitted(now, ignoreHealth)
 }
 
 // isAvailableWhenWarm reports whether a new call could be sent to the target now if it were warm
 // and needed no permit.
-func (t *target) isAvailableWhenWarm(now units.Instant, anyHealth bool) bool {
+func (t *target) isAvailableWhenWarm(now units.Instant, ignoreHealth bool) bool {
 	if !t.isActiveInTable() || t.evacuated || t.role == inactiveVersion || t.notice.forbidsSending(now) || now < t.backoffUntil || t.mayHang(now) {
 		return false
 	}
-	if !anyHealth && !t.service.disabled[Ejection] && (!t.health.admits(now, t.inFlight) || t.health.ejected && t.row.Silent) {
+	if !ignoreHealth && !t.service.disabled[Ejection] && (!t.health.admits(now, t.inFlight) || t.health.ejected && t.row.Silent) {
 		return false
 	}
 	if !t.hasFreeSlot(now) {
@@ -270,8 +270,8 @@
 	if s.totalWeight <= 0 {
 		return 0
 	}
-	want := s.recentSends * t.weight / s.totalWeight
-	return (t.recentSends - want) / (want + 1)
+	expected := s.recentSends * t.weight / s.totalWeight
+	return (t.recentSends - expected) / (expected + 1)
 }
 
 // costFloor is added to latencies so that very short ones don't make a target nearly free:
--- a/pkg/core/routing/unanswered.go
+++ b/pkg/core/routing/unanswered.go
@@ -131,14 +131,14 @@
 	}
 }
 
-// markMissing marks the calls that a load report leaves out: when the target was asked, it had
+// markMissing marks the calls that a load report leaves out: when the probe was sent, the target had
 // fewer calls in all than this box waits for. The oldest ones are assumed to be missing.
-func (t *target) markMissing(now units.Instant, x TargetReport, asked units.Instant) {
+func (t *target) markMissing(now units.Instant, x TargetReport, probeSentAt units.Instant) {
 	if !x.HasLoad || now < t.service.unanswered.reportsUntrustedUntil {
 		return
 	}
 	missing := -int(x.InFlight)
-	for a := t.oldestAttempt; a != nil && a.sent < asked; a = a.next {
+	for a := t.oldestAttempt; a != nil && a.sent < probeSentAt; a = a.next {
 		missing++
 	}
 	for a := t.oldestAttempt; a != nil && missing > 0; a = a.next {
--- a/pkg/core/routing/unanswered_test.go
+++ b/pkg/core/routing/unanswered_test.go
@@ -115,7 +115,7 @@
 		delete(w.targets[x.Endpoint.Target].inFlight, attemptName(name, x.Attempt))
 	case Probe:
 		w.pending.Push(pendingEvent{at: w.now.Add(hangProbeDelay), router: r, event: &ProbeEnded{
-			Target: x.Endpoint, Healthy: true, Reading: w.targets[x.Endpoint.Target].reading(), Call: x.Call, Attempt: x.Attempt,
+			Target: x.Endpoint, Healthy: true, Report: w.targets[x.Endpoint.Target].report(), Call: x.Call, Attempt: x.Attempt,
 		}})
 	case Deliver:
 		w.delivered++
@@ -135,7 +135,7 @@
 
 func attemptName(call string, n AttemptNumber) string { return fmt.Sprintf("%s #%d", call, n) }
 
-func (x *hangingTarget) reading() TargetReport {
+func (x *hangingTarget) report() TargetReport {
 	return TargetReport{HasLoad: true, InFlight: float64(len(x.inFlight)), Slots: float64(x.slots), Pace: 1}
 }
 
@@ -185,7 +185,7 @@
 				continue
 			}
 			delete(next.target.inFlight, next.attempt)
-			ended.Reading = next.target.reading()
+			ended.Report = next.target.report()
 		}
 		w.dispatch(next.router, next.event)
 	}
--- a/pkg/core/routing/waiting.go
+++ b/pkg/core/routing/waiting.go
@@ -86,7 +86,7 @@
 }
 
 // isBusy reports whether many recent calls found no suitable target. Targets without a recent
-// reading are likely to be full as well then.
+// load report are likely to be full as well then.
 func (s *service) isBusy(now units.Instant) bool {
 	return s.busyFraction > busyThreshold && now.Sub(s.busyUpdatedAt) < busyDuration
 }
--- a/pkg/entry/call.go
+++ b/pkg/entry/call.go
@@ -134,10 +134,10 @@
 	c.note(c.endStep(e.Clock.Now(), s, result))
 	e.lock.Unlock()
 	if streaming {
-		e.reduce(&routing.AttemptStarted{Call: id, Attempt: number, Endpoint: a.Endpoint(), Reading: a.Reading, Remaining: a.Coming()})
+		e.reduce(&routing.AttemptStarted{Call: id, Attempt: number, Endpoint: a.Endpoint(), Report: a.Reading, Remaining: a.Coming()})
 	} else {
 		e.reduce(&routing.AttemptEnded{
-			Call: id, Attempt: number, Endpoint: a.Endpoint(), Result: result, Reading: a.Reading, Refused: a.Refused,
+			Call: id, Attempt: number, Endpoint: a.Endpoint(), Result: result, Report: a.Reading, Refused: a.Refused,
 		})
 	}
 	if e.settle(c, number, a) {
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -232,11 +232,11 @@
 		e.logBlamed(&x)
 	case routing.TargetNotice:
 		e.takeNotice(&x)
-	case routing.SendLoan:
+	case routing.SendLoanMessage:
 		e.peers.send(x.Peer, &wire.Envelope{Body: &wire.Envelope_Loan{Loan: wire.FromLoan(x.Loan)}})
-	case routing.SendLimit:
+	case routing.SendLimitMessage:
 		e.peers.send(x.Peer, &wire.Envelope{Body: &wire.Envelope_Limit{Limit: wire.FromLimit(x.Limit)}})
-	case routing.SendQuota:
+	case routing.SendQuotaMessage:
 		e.peers.send(x.Peer, &wire.Envelope{Body: &wire.Envelope_Quota{Quota: wire.FromQuota(x.Quota)}})
 	case routing.SendCanaryMessage:
 		e.peers.send(x.Peer, &wire.Envelope{Body: &wire.Envelope_Canary{Canary: wire.FromCanary(x.Canary)}})
--- a/pkg/entry/trace.go
+++ b/pkg/entry/trace.go
@@ -260,10 +260,10 @@
 		f["load"], f["pace"], f["slowdown"] = round(s.evidence.Load), round(s.evidence.Pace), round(s.evidence.Slowdown)
 		f["readingAgeMs"], f["revision"] = millis(s.evidence.ReportAge), s.evidence.Revision
 	case stepProbed:
-		f["known"], f["healthy"], f["unreachable"] = s.probed.Reading.HasLoad, s.probed.Healthy, s.probed.Unreachable
-		f["misdirected"], f["load"], f["pace"] = s.probed.Misdirected, s.probed.Reading.InFlight, round(s.probed.Reading.Pace)
-		f["coldMs"] = millis(s.probed.Reading.Cold)
-		addNotice(f, &s.probed.Reading)
+		f["known"], f["healthy"], f["unreachable"] = s.probed.Report.HasLoad, s.probed.Healthy, s.probed.Unreachable
+		f["misdirected"], f["load"], f["pace"] = s.probed.Misdirected, s.probed.Report.InFlight, round(s.probed.Report.Pace)
+		f["coldMs"] = millis(s.probed.Report.Cold)
+		addNotice(f, &s.probed.Report)
 	case stepEnded:
 		f["result"] = s.result.String()
 		addNotice(f, &s.said)
--- a/pkg/replay/simulation.go
+++ b/pkg/replay/simulation.go
@@ -198,7 +198,7 @@
 		s.cancelAttempt(x)
 	case routing.Probe:
 		s.probe(b, x)
-	case routing.SendLoan:
+	case routing.SendLoanMessage:
 		s.sendPeer(b, x)
 	}
 }
--- a/pkg/replay/target.go
+++ b/pkg/replay/target.go
@@ -116,11 +116,11 @@
 	s.after(s.delay(t.row.Domain, j.box.domain), func() {
 		j.done = true
 		if j.probe {
-			s.give(j.box, &routing.ProbeEnded{Target: j.endpoint, Healthy: result == routing.Answered, Reading: reading})
+			s.give(j.box, &routing.ProbeEnded{Target: j.endpoint, Healthy: result == routing.Answered, Report: reading})
 			return
 		}
 		j.box.idle[t.row.Target]++
-		s.give(j.box, &routing.AttemptEnded{Call: j.call.id, Attempt: j.attempt, Result: result, Reading: reading})
+		s.give(j.box, &routing.AttemptEnded{Call: j.call.id, Attempt: j.attempt, Result: result, Report: reading})
 	})
 }
 
--- a/pkg/target/rest_test.go
+++ b/pkg/target/rest_test.go
@@ -24,7 +24,7 @@
 		}
 		if d.Cmd == "probe" {
 			v := pools.Probe(x)
-			return fmt.Sprintf("rest %s, leaving %t%s, healthy %t\n", v.Reading.Rest, v.Reading.Leaving, describeLimit(v.Reading.Limit, ""), v.Healthy)
+			return fmt.Sprintf("rest %s, leaving %t%s, healthy %t\n", v.Report.Rest, v.Report.Leaving, describeLimit(v.Report.Limit, ""), v.Healthy)
 		}
 		a := pools.NewAttempt(x)
 		defer a.Release()
