--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// admitAfterCanary continues with a call that needn't wait for a canary turn: it takes a credit of
+// admitAfterCanary continues with a call that needn't wait for a canary grant: it takes a credit of
 // the workspace's quota first.
 func (r *Router) admitAfterCanary(id CallID, c *call, e *Effects) {
 	if !r.blockedByQuota(id, c, e) {
@@ -125,8 +125,9 @@
 	return len(r.table.Services) == 0 && r.table.Document == 0
 }
 
-// choose picks a target for a call, or returns nil when no target accepts calls now. A call for a
-// rollout's new version that finds no room there falls back to the other targets.
+// choose picks a target for a call, or returns nil when no target accepts calls now. A call
+// selected for a rollout's new version falls back to the other targets if none of that version
+// accepts it.
 func (r *Router) choose(s *service, c *call) *target {
 	if c.onNewVersion {
 		if t := r.chooseByRole(s, c, r.roleForCall(s, c)); t != nil {
@@ -137,7 +138,7 @@
 	return r.chooseByRole(s, c, r.defaultRole(s))
 }
 
-// chooseByRole picks a target on one side of a rollout.
+// chooseByRole picks a target among those with a version role.
 func (r *Router) chooseByRole(s *service, c *call, role versionRole) *target {
 	// The set is stored in the router because passing it to a policy would otherwise allocate it on
 	// the heap.
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -254,8 +254,8 @@
 	case Shed:
 		t.sheds++
 		if t.row.Registered && r.enabled(FailingTargets) && t.hasReportedFreeSlot(r.now) {
-			// The target has room, so avoiding it for longer than it asked to be avoided would help
-			// nobody.
+			// The target has free slots, so avoiding it for longer than the rest that it asked for
+			// would help nobody.
 			t.updateFailureRate(r.now, 1)
 			break
 		}
--- a/pkg/core/routing/borrowing.go
+++ b/pkg/core/routing/borrowing.go
@@ -86,8 +86,8 @@
 	return r.table.Boxes[i].ID
 }
 
-// acceptOffer adds an offered slot to the borrowed ones. It returns the slot if the request is unknown
-// or the offer arrives too late.
+// acceptOffer adds an offered slot to the borrowed ones. It returns the slot if the request is
+// unknown or the offer arrives too late.
 func (r *Router) acceptOffer(from units.BoxID, m LoanMessage, e *Effects) {
 	sentAt, known := r.loans.requests[m.Nonce]
 	s := r.services[m.Service]
@@ -129,7 +129,8 @@
 	l.target.borrowedSlots = slices.DeleteFunc(l.target.borrowedSlots, func(o *loan) bool { return o == l })
 }
 
-// extendLoans extends the loans that a lender has confirmed, counted from when the renewal was sent.
+// extendLoans extends the loans that a lender has confirmed, counted from when the renewal was
+// sent.
 func (r *Router) extendLoans(from units.BoxID, m LoanMessage) {
 	sentAt, known := r.loans.renewals[m.Nonce]
 	if !known {
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -89,8 +89,8 @@
 	workspace *table.Workspace
 	// requestedDeadline is the deadline that the caller requested, as a duration; zero for none.
 	requestedDeadline time.Duration
-	// awaitsCanaryGrant is set while the call waits for its turn to be sent as a canary of a
-	// suspected request.
+	// awaitsCanaryGrant is set while a call of a suspected request waits for the grant to be sent
+	// as a canary.
 	awaitsCanaryGrant bool
 	// awaitsCredit is set while the call waits for a credit of its workspace. creditValidUntil is
 	// when the credit that it took would have expired; zero for none.
@@ -112,7 +112,7 @@
 	// mayHaveRun is set once a byte may have reached a target that didn't report the call as shed.
 	mayHaveRun bool
 	held       bool
-	// permitRequests counts the coordinators that were asked for a permit for the call.
+	// permitRequests counts the coordinators that were sent a permit request for the call.
 	permitRequests int
 	// awaitsTable is set while the call is held for the box's first table.
 	awaitsTable bool
@@ -121,7 +121,8 @@
 	overdueTimerSet bool
 	// kept is a failed answer that is delivered to the caller if no better one comes.
 	kept keptAnswer
-	// quarantineTrial admits the call once although it is in quarantine; its number is zero for other calls.
+	// quarantineTrial admits the call once although it is in quarantine; its number is zero for
+	// other calls.
 	quarantineTrial quarantineTrial
 	// onNewVersion is set while the call is to go to the new version of a rollout.
 	onNewVersion bool
@@ -232,7 +233,7 @@
 	overdueTimer
 	// crashTimer fires when a target whose calls broke off is to be probed again.
 	crashTimer
-	// canaryTimer fires when a call that waits for a canary turn tries again.
+	// canaryTimer fires when a call that waits for a canary grant requests one again.
 	canaryTimer
 )
 
--- a/pkg/core/routing/canary.go
+++ b/pkg/core/routing/canary.go
@@ -16,8 +16,8 @@
 // harmless request is delayed for about as long as one call of it takes.
 
 const (
-	// suspicionDuration is for how long after a crash the requests that were in flight are suspected:
-	// three crashes, one after the other, are enough for a quarantine and take less.
+	// suspicionDuration is for how long after a crash the requests that were in flight are
+	// suspected: three crashes, one after the other, are enough for a quarantine and take less.
 	suspicionDuration = 750 * time.Millisecond
 	// canaryTimeout is how long a canary's coordinator waits for its result: an answer, or a crash,
 	// which is detected once the target's host has refused two probes.
@@ -26,15 +26,15 @@
 	// the leader, which may have enough of them, and for its decision to come back, between
 	// regions.
 	verdictDelay = 100 * time.Millisecond
-	// canaryPollInterval is the time between two requests for a canary turn: a round trip between
+	// canaryPollInterval is the time between two requests for a canary grant: a round trip between
 	// regions.
 	canaryPollInterval = 25 * time.Millisecond
-	// maxCanaryWait is the longest time a call waits for a canary turn. It is sent without one
+	// maxCanaryWait is the longest time a call waits for a canary grant. It is sent without one
 	// then.
 	maxCanaryWait = 600 * time.Millisecond
-	// callerYieldTime is for how long after a crash the caller of the call yields its turn to other
-	// callers: a crash under another caller's call shows that the request is the cause, whoever
-	// sends it.
+	// callerYieldTime is for how long after a crash the caller of the call requests no grant, so
+	// that other callers get it: a crash during another caller's call shows that the request is the
+	// cause, whoever sends it.
 	callerYieldTime = 250 * time.Millisecond
 	// maxSuspicions bounds the requests that are suspected at a time. With more of them, targets
 	// crash for another reason.
@@ -59,9 +59,9 @@
 	SuspectCalls CanaryKind = iota + 1
 	// ClearCall reports a request that a target has answered.
 	ClearCall
-	// RequestCanary asks the coordinator for a turn to send a call of a request.
+	// RequestCanary requests a grant to send a call of a request from its coordinator.
 	RequestCanary
-	// GrantCanary grants that turn.
+	// GrantCanary is that grant.
 	GrantCanary
 )
 
@@ -88,10 +88,10 @@
 type suspicion struct {
 	call  crash.Fingerprint
 	until units.Instant
-	// canaryUntil is the time until which the coordinator grants no other turn.
+	// canaryUntil is the time until which the coordinator grants no other canary.
 	canaryUntil units.Instant
 	// lastCrashed is the call of the request that was in flight at the last crash, crashedAt when
-	// this box was told of that crash.
+	// this box was informed of that crash.
 	lastCrashed crash.Fingerprint
 	crashedAt   units.Instant
 }
@@ -111,8 +111,8 @@
 	// cleared.
 	Suspected uint64 `json:"suspected"`
 	Cleared   uint64 `json:"cleared"`
-	// Held counts the calls that waited for a turn, Sent the canaries, TimedOut the calls that were
-	// sent without a turn after maxCanaryWait.
+	// Held counts the calls that waited for a grant, Sent the canaries, TimedOut the calls that
+	// were sent without a grant after maxCanaryWait.
 	Held     uint64 `json:"held"`
 	Sent     uint64 `json:"sent"`
 	TimedOut uint64 `json:"unsure"`
@@ -227,8 +227,8 @@
 	return b.set.match(c.identity)
 }
 
-// holdForCanary holds a new call of a suspected request until it gets a turn. It returns false if
-// the call may be sent now.
+// holdForCanary holds a new call of a suspected request until it gets a canary grant. It returns
+// false if the call may be sent now.
 func (r *Router) holdForCanary(id CallID, c *call, e *Effects) bool {
 	f, found := r.findSuspicion(c)
 	if !found {
@@ -244,8 +244,8 @@
 	return true
 }
 
-// takeCanaryGrant reports whether a call gets a turn now by this box's own decision as the coordinator,
-// and takes the turn.
+// takeCanaryGrant lets a call be sent as a canary now if this box is the coordinator of its request
+// and the call needn't wait. It reports whether it did.
 func (r *Router) takeCanaryGrant(f crash.Fingerprint, c *call) bool {
 	b := &r.crashes.canaries
 	if r.canaryCoordinator(f) != r.settings.Box || b.yieldsToOtherCallers(f, c, r.now) || !b.grantCanary(f, r.now) {
@@ -255,13 +255,14 @@
 	return true
 }
 
-// yieldsToOtherCallers reports whether a call should let those of other callers go first.
+// yieldsToOtherCallers reports whether calls of other callers come first, since this call's own
+// caller had one in flight at the last crash.
 func (b *canaryState) yieldsToOtherCallers(f crash.Fingerprint, c *call, now units.Instant) bool {
 	s := b.find(f)
 	return s != nil && now.Sub(s.crashedAt) < callerYieldTime && s.lastCrashed.Matches(c.identity)
 }
 
-// requestCanaryGrant asks the coordinator for a turn, and schedules the next request.
+// requestCanaryGrant requests a grant from the coordinator, and schedules the next request.
 func (r *Router) requestCanaryGrant(id CallID, c *call, f crash.Fingerprint, e *Effects) {
 	r.timers.Push(timer{at: r.now.Add(canaryPollInterval), call: id, kind: canaryTimer})
 	coordinator := r.canaryCoordinator(f)
@@ -272,8 +273,8 @@
 	}
 }
 
-// canaryTimerFired sends a waiting call if its request is no longer suspected, if it gets a turn,
-// or if it has waited for maxCanaryWait. Otherwise it asks for a turn again.
+// canaryTimerFired sends a waiting call if its request is no longer suspected, if it gets a grant,
+// or if it has waited for maxCanaryWait. Otherwise it requests a grant again.
 func (r *Router) canaryTimerFired(id CallID, c *call, e *Effects) {
 	if !c.awaitsCanaryGrant {
 		return
@@ -297,13 +298,15 @@
 	r.admitAfterCanary(id, c, e)
 }
 
-// canaryCoordinator returns the box that grants the turns of a request: the first by hash of the
-// boxes that aren't leaving, so that all boxes ask the same one; this box where there is none.
+// canaryCoordinator returns the box that grants the canaries of a request: the first by rendezvous
+// hashing of the boxes that aren't leaving, so that all boxes determine the same one; this box
+// where there is none.
 func (r *Router) canaryCoordinator(f crash.Fingerprint) units.BoxID {
 	return cmp.Or(rendezvousOwner(f.String(), withoutLeaving(r.rank.boxes)), r.settings.Box)
 }
 
-// grantCanary takes the request's turn, and reports false if a canary is still out.
+// grantCanary grants a canary of a request, and reports false if another one may still be in
+// flight.
 func (b *canaryState) grantCanary(f crash.Fingerprint, now units.Instant) bool {
 	s := b.find(f)
 	if s == nil || now < s.canaryUntil {
@@ -336,8 +339,9 @@
 	}
 }
 
-// grantCanaryToPeer grants a turn to another box's call if the turn is free. A coordinator that hasn't
-// been told of the crash trusts the requesting box. A refusal isn't sent: the box asks again.
+// grantCanaryToPeer grants a canary to another box's call if no other one is in flight. A
+// coordinator that hasn't been informed of the crash trusts the requesting box. It sends no
+// refusal, since the box repeats its request.
 func (r *Router) grantCanaryToPeer(from units.BoxID, f crash.Fingerprint, id CallID, e *Effects) {
 	b := &r.crashes.canaries
 	b.dropExpired(r.now)
@@ -349,8 +353,8 @@
 	}
 }
 
-// acceptCanaryGrant sends the call that was granted a turn. If the call has ended, the turn is unused
-// until it times out.
+// acceptCanaryGrant sends the call that was granted a canary. If the call has ended, the grant is
+// unused until it times out.
 func (r *Router) acceptCanaryGrant(f crash.Fingerprint, id CallID, e *Effects) {
 	if c := r.calls.Get(id); c != nil && c.awaitsCanaryGrant && f.Matches(c.identity) {
 		r.crashes.canaries.status.Sent++
--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -345,8 +345,8 @@
 	}
 }
 
-// If the coordinator of canary turns is isolated from the other boxes, calls of a suspected request
-// are sent without a turn after a while, and a harmless request is still answered.
+// If the coordinator of canaries is isolated from the other boxes, calls of a suspected request are
+// sent without a grant after a while, and a harmless request is still answered.
 func TestASilentCoordinatorHoldsNothingUpForLong(t *testing.T) {
 	f := newCanaryFleet(t, 3)
 	f.isolated = f.routers[0].canaryCoordinator(crash.FingerprintOf(canaryRequest{content: crashingRequest}).AnyCaller())
@@ -359,7 +359,7 @@
 	for _, r := range f.routers {
 		r.calls.Each(func(_ CallID, c *call) {
 			if c.awaitsCanaryGrant && f.now.Sub(c.arrived) > maxCanaryWait+canaryPollInterval {
-				t.Errorf("a call has waited for a canary turn for %s", f.now.Sub(c.arrived))
+				t.Errorf("a call has waited for a canary grant for %s", f.now.Sub(c.arrived))
 			}
 		})
 	}
--- a/pkg/core/routing/clientretry.go
+++ b/pkg/core/routing/clientretry.go
@@ -15,7 +15,8 @@
 
 const (
 	// clientRetryFraction is the fraction of callers that request less than the usual deadline
-	// while there is room: those that retry after a failure, and a few with unusual deadlines.
+	// while the service isn't busy: those that retry after a failure, and a few with unusual
+	// deadlines.
 	clientRetryFraction = 0.1
 	// deadlineStep is how far the estimate moves with each call, as a fraction of it. One call in
 	// ten with a shorter deadline leaves it unchanged on average.
@@ -27,14 +28,14 @@
 	// retry: the deadlines of first tries vary a little between callers.
 	clientRetryThreshold = 0.9
 	// overloadThreshold is the fraction of calls without an immediate target from which on late
-	// retries are refused. overloadDuration is how long that remains valid, since a box may get only
-	// one call of a service each second.
+	// retries are refused. overloadDuration is how long that remains valid, since a box may get
+	// only one call of a service each second.
 	overloadThreshold = 0.25
 	overloadDuration  = 2 * time.Second
 )
 
 // deadlineEstimate estimates the deadline that a route's callers request at their first try: nearly
-// all of them request this much or more. It is updated while the service has room, when few calls
+// all of them request this much or more. It is updated while the service isn't busy, when few calls
 // are retries.
 type deadlineEstimate struct {
 	estimate time.Duration
@@ -75,8 +76,9 @@
 	return u.estimate - requested
 }
 
-// isOverloaded reports whether many recent calls found no target at once, so that a slot given to one
-// call is missing for another.
+// isOverloaded reports whether many recent calls found no target at once, so that a slot given to
+// one call is missing for another. It is the weaker condition beside isBusy, which requires a
+// larger fraction of such calls, and a more recent one.
 func (s *service) isOverloaded(now units.Instant) bool {
 	return s.busyFraction >= overloadThreshold && now.Sub(s.busyUpdatedAt) < overloadDuration
 }
--- a/pkg/core/routing/coordinator.go
+++ b/pkg/core/routing/coordinator.go
@@ -98,8 +98,8 @@
 	return first
 }
 
-// sendLimitMessage sends a message about a target's limit, or handles it directly if this box is the
-// recipient.
+// sendLimitMessage sends a message about a target's limit, or handles it directly if this box is
+// the recipient.
 func (r *Router) sendLimitMessage(to units.BoxID, t *target, m LimitMessage, e *Effects) {
 	m.Service, m.Target, m.Born = t.row.Service, t.row.Target, t.row.Born
 	m.LimitState = t.limitState()
@@ -118,8 +118,8 @@
 	return t.notice.limit.current
 }
 
-// receiveLimitMessage handles a message. A message about another incarnation of the target is ignored: the
-// next table updates whichever of the two boxes is behind.
+// receiveLimitMessage handles a message. A message about another incarnation of the target is
+// ignored: the next table updates whichever of the two boxes is behind.
 func (r *Router) receiveLimitMessage(from units.BoxID, m LimitMessage, e *Effects) {
 	t := r.services[m.Service].target(m.Target)
 	if t == nil || t.row.Born != m.Born {
--- a/pkg/core/routing/crash.go
+++ b/pkg/core/routing/crash.go
@@ -9,9 +9,9 @@
 )
 
 // A target's process may crash while it runs a call. Its calls break off then, and its host refuses
-// connections until the process is back. Neither is conclusive alone: connections are also reset by
-// targets that stay up, and hosts refuse connections after a planned stop. Both within a short time
-// are recorded as a crash, and the calls that broke off are its suspects.
+// connections until the process has been restarted. Neither is conclusive alone: connections are
+// also reset by targets that stay up, and hosts refuse connections after a planned stop. Both
+// within a short time are recorded as a crash, and the calls that broke off are its suspects.
 
 const (
 	// crashWindow is the longest time between a target's calls breaking off and its host's first
--- a/pkg/core/routing/creditrequests.go
+++ b/pkg/core/routing/creditrequests.go
@@ -13,8 +13,8 @@
 const (
 	// creditRequestTimeout is when an unanswered request is considered lost.
 	creditRequestTimeout = 100 * time.Millisecond
-	// unresponsiveHolderBackoff is how long no request is sent to a holder that didn't answer the last
-	// one.
+	// unresponsiveHolderBackoff is how long no request is sent to a holder that didn't answer the
+	// last one.
 	unresponsiveHolderBackoff = 500 * time.Millisecond
 	// creditPrefetch is the time whose expected calls are added to a request beyond the calls that
 	// already wait; maxCreditsPerRequest caps the credits of a request.
--- a/pkg/core/routing/distance.go
+++ b/pkg/core/routing/distance.go
@@ -12,9 +12,9 @@
 // to other regions only if it is still answered sooner there.
 
 const (
-	// minTimeWindow is how long a minimum probe time is used at least, and twice that at most: network
-	// paths rarely change, and within some seconds at least one probe meets no queue and measures the
-	// round trip alone.
+	// minTimeWindow is how long a minimum probe time is used at least, and twice that at most:
+	// network paths rarely change, and within some seconds at least one probe meets no queue and
+	// measures the round trip alone.
 	minTimeWindow = 10 * time.Second
 	// defaultSameRegionRoundTrip and defaultOtherRegionRoundTrip are assumed as the extra round
 	// trip to a domain of the same region, and of another or an unknown region, until it has been
--- a/pkg/core/routing/evacuation.go
+++ b/pkg/core/routing/evacuation.go
@@ -59,7 +59,7 @@
 // refuseUnservable refuses the waiting calls of a service that has no target for them: none will
 // become free.
 func (r *Router) refuseUnservable(s *service, e *Effects) {
-	if len(s.held.waiting())+len(s.waiting) == 0 || s.hasOpenTarget(r.now) && !r.routes.restrictsRegions {
+	if len(s.held.waiting())+len(s.waiting) == 0 || s.hasUnblockedTarget(r.now) && !r.routes.restrictsRegions {
 		return
 	}
 	var unservable []CallID
@@ -94,9 +94,9 @@
 	return s.hasActiveTarget(c) && !s.isBlockedTooLong(c, now)
 }
 
-// hasOpenTarget reports whether a target may serve calls, regardless of its health and the limits
-// of the table, and isn't closed.
-func (s *service) hasOpenTarget(now units.Instant) bool {
+// hasUnblockedTarget reports whether a target may serve calls, regardless of its health and the
+// limits of the table, and isn't blocked.
+func (s *service) hasUnblockedTarget(now units.Instant) bool {
 	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.isEligible() && !t.isBlocked(now) })
 }
 
--- a/pkg/core/routing/events.go
+++ b/pkg/core/routing/events.go
@@ -141,8 +141,8 @@
 	Broken
 	// Canceled: the router itself canceled the attempt.
 	Canceled
-	// Withheld: nothing was sent, because after its selection the target asked for rest, announced
-	// its shutdown or announced a limit.
+	// Withheld: nothing was sent, because after its selection the target asked for a rest,
+	// announced its shutdown or announced a limit.
 	Withheld
 )
 
@@ -156,7 +156,7 @@
 
 // TargetReport is what a target reports about itself in an answer.
 type TargetReport struct {
-	// HasLoad is set if the answer reports the target's load: InFlight, Slots and Pace.
+	// HasLoad is set if the answer has a load report: InFlight, Slots and Pace.
 	HasLoad bool
 	// InFlight is the number of calls in flight at the target.
 	InFlight float64
@@ -168,7 +168,7 @@
 	// Cold is how long the target will still be slow after its start; zero if it is warm or doesn't
 	// report it.
 	Cold time.Duration
-	// Rest is how long this box should send the target nothing; zero if it doesn't ask for rest.
+	// Rest is how long this box should send the target nothing; zero if it doesn't ask for a rest.
 	Rest time.Duration
 	// Leaving is set if the target announces that it is about to shut down.
 	Leaving bool
@@ -241,7 +241,7 @@
 	Cancel
 	// Probe Endpoint.
 	Probe
-	// EjectionChanged reports, for the log, that Endpoint was ejected or reinstated.
+	// EjectionChanged reports, for the log, that Endpoint was ejected or readmitted.
 	EjectionChanged
 	// ServiceHangs reports, for the log, that targets of Endpoint's service were found to leave
 	// calls unanswered instead of queueing them.
--- a/pkg/core/routing/hedging.go
+++ b/pkg/core/routing/hedging.go
@@ -31,7 +31,7 @@
 }
 
 // hedge sends a call a second time if it is still unanswered, the budget allows it and another
-// target has room. Otherwise it tries again later: a target that has stopped answering would keep
+// target accepts it. Otherwise it tries again later: a target that has stopped answering would keep
 // the call until its deadline.
 func (r *Router) hedge(id CallID, c *call, e *Effects) {
 	for i := range c.attempts {
--- a/pkg/core/routing/limit_fleet_test.go
+++ b/pkg/core/routing/limit_fleet_test.go
@@ -346,7 +346,7 @@
 		return r
 	}
 	r.Limit = ReportedLimit{Present: true, Rate: units.CallRate(t.rate)}
-	if _, told := t.informedAt[b]; !told {
+	if _, informed := t.informedAt[b]; !informed {
 		t.informedAt[b] = f.now
 	}
 	return r
@@ -378,7 +378,7 @@
 // arrive counts a call or probe and checks the rule.
 func (t *limitTarget) arrive(f *limitFleet, b *limitBox) {
 	t.total++
-	if told, ok := t.informedAt[b]; !t.limited || !ok || f.now.Sub(told) < informedGrace {
+	if informed, ok := t.informedAt[b]; !t.limited || !ok || f.now.Sub(informed) < informedGrace {
 		return
 	}
 	begin := f.now.Add(-limitWindow)
@@ -535,8 +535,8 @@
 	f.publishTable()
 }
 
-// Whatever faults occur in boxes, targets and messages, no incarnation of a target receives more calls
-// than its limit allows from the boxes that it has informed.
+// Whatever faults occur in boxes, targets and messages, no incarnation of a target receives more
+// calls than its limit allows from the boxes that it has informed.
 func TestLimitsHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
--- a/pkg/core/routing/mechanism.go
+++ b/pkg/core/routing/mechanism.go
@@ -33,13 +33,13 @@
 	OwnDomain Mechanism = "own-domain"
 	// Concurrency keeps the last slots of targets free where filling them slows all calls.
 	Concurrency Mechanism = "concurrency"
-	// Subsetting has a box prefer a subset of a service's targets, so that it has recent load reports
-	// of those.
+	// Subsetting has a box prefer a subset of a service's targets, so that it has recent load
+	// reports of those.
 	Subsetting Mechanism = "subsetting"
 	// EarlyCalls holds calls that arrive before a box's first table.
 	EarlyCalls Mechanism = "early-calls"
-	// DomainAvailability estimates targets without recent load reports from the other targets of their failure
-	// domain.
+	// DomainAvailability estimates whether targets without recent load reports are available from
+	// the other targets of their failure domain.
 	DomainAvailability Mechanism = "outlook"
 	// FirstTries prefers first tries over late retries of callers while a service is overloaded.
 	FirstTries Mechanism = "first-tries"
--- a/pkg/core/routing/notice_random_test.go
+++ b/pkg/core/routing/notice_random_test.go
@@ -12,37 +12,37 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// targetStart identifies one start of a target.
-type targetStart struct {
+// targetIncarnation identifies one incarnation of a target.
+type targetIncarnation struct {
 	id   units.TargetID
 	born units.WallTime
 }
 
-// statedNotice is what a target has announced to the box since a start.
-type statedNotice struct {
+// announcedNotice is what an incarnation of a target has announced to the box.
+type announcedNotice struct {
 	restUntil units.Instant
 	leaving   bool
 }
 
 // noticeModel is a box whose targets ask for rests and announce that they leave, in answers of all
-// kinds, while rows are added, removed and changed to new starts. It checks each send and probe
-// against what the target had announced.
+// kinds, while rows are added, removed and changed to new incarnations. It checks each send and
+// probe against what the target had announced.
 type noticeModel struct {
 	*rapid.T
 	router   *Router
 	now      units.Instant
 	revision units.Revision
-	// rows are the registered targets; listed tells which of them the table contains now.
-	rows   []table.Row
-	listed []bool
-	stated map[targetStart]statedNotice
+	// rows are the registered targets; listed is set for those that the table contains now.
+	rows      []table.Row
+	listed    []bool
+	announced map[targetIncarnation]announcedNotice
 	// sends and probes are in flight; calls are those that may have some.
 	sends, probes []Effect
 	calls         []CallID
 }
 
 func newNoticeModel(t *rapid.T) *noticeModel {
-	x := &noticeModel{T: t, now: units.Instant(time.Second), stated: map[targetStart]statedNotice{}}
+	x := &noticeModel{T: t, now: units.Instant(time.Second), announced: map[targetIncarnation]announcedNotice{}}
 	router, err := NewRouter(Settings{
 		Box: "me", Seed: rapid.Uint64().Draw(t, "seed"), ServeStale: true, ShareDelay: time.Second, ProbeCost: DefaultProbeCost, MaxDeadline: time.Minute,
 	}, x.now)
@@ -105,7 +105,7 @@
 // checkAllowed checks that nothing is sent to a target that doesn't accept it.
 func (x *noticeModel) checkAllowed(effect Effect, probe bool) {
 	e := effect.Endpoint
-	h := x.stated[targetStart{e.Target, e.Born}]
+	h := x.announced[targetIncarnation{e.Target, e.Born}]
 	if x.now < h.restUntil {
 		x.Fatalf("%s was sent something %s before the end of its rest (probe: %t)", e.Target, h.restUntil.Sub(x.now), probe)
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-// drawReport draws the content of an answer and records what the box is told by it.
+// drawReport draws the content of an answer and records what it announces to the box.
 func (x *noticeModel) drawReport(e *Endpoint) TargetReport {
 	r := TargetReport{HasLoad: true, InFlight: float64(rapid.IntRange(0, 4).Draw(x.T, "load")), Slots: 3, Pace: 1}
 	switch rapid.IntRange(0, 5).Draw(x.T, "words") {
@@ -123,13 +123,13 @@
 	case 1:
 		r.Leaving = rapid.IntRange(0, 3).Draw(x.T, "leaving") == 0
 	}
-	key := targetStart{e.Target, e.Born}
-	h := x.stated[key]
+	key := targetIncarnation{e.Target, e.Born}
+	h := x.announced[key]
 	h.leaving = h.leaving || r.Leaving
 	if r.Rest > 0 {
 		h.restUntil = max(h.restUntil, x.now.Add(r.Rest))
 	}
-	x.stated[key] = h
+	x.announced[key] = h
 	return r
 }
 
@@ -194,7 +194,7 @@
 	x.now = end
 }
 
-// editRow removes a row, restores it, changes its address or state, or gives it a new start.
+// editRow removes a row, restores it, changes its address or state, or gives it a new incarnation.
 func (x *noticeModel) editRow(t *rapid.T) {
 	i := rapid.IntRange(0, len(x.rows)-1).Draw(t, "row")
 	switch rapid.IntRange(0, 3).Draw(t, "edit") {
@@ -211,15 +211,15 @@
 }
 
 // Whatever the order of events, nothing may be sent to a target before the end of its rests, or
-// after it has announced that it leaves, until it starts again.
+// after it has announced that it leaves, until its next incarnation starts.
 func TestNothingReachesTargetsThatWantNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newNoticeModel(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"call": x.arrive, "call again": x.arrive, "answer": x.endAttempt, "begin": x.startAnswer, "probed": x.endProbe, "leave": x.abandonCall, "pass": x.advance, "edit": x.editRow,
 		})
-		if n := len(x.router.notices); n > len(x.stated) {
-			t.Fatalf("%d notices are kept although only %d starts sent any", n, len(x.stated))
+		if n := len(x.router.notices); n > len(x.announced) {
+			t.Fatalf("%d notices are kept although only %d incarnations sent any", n, len(x.announced))
 		}
 	})
 }
--- a/pkg/core/routing/overload_test.go
+++ b/pkg/core/routing/overload_test.go
@@ -26,7 +26,7 @@
 	// wasted counts the probes and sends that met an unreachable target or one that had asked for a
 	// rest.
 	wasted int
-	// sharesNotices passes what a target tells one box on to all boxes.
+	// sharesNotices passes a notice that one box receives on to all boxes.
 	sharesNotices bool
 }
 
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -45,13 +45,14 @@
 	maxPermitRequestsPerCall = 4
 )
 
-// PermitStatus counts permits and permit requests for the dump.
+// PermitStatus counts permit requests, and the permits that were granted to this box, used and
+// returned, for the dump.
 type PermitStatus struct {
 	Requested uint64 `json:"asked"`
 	Granted   uint64 `json:"granted"`
 	Used      uint64 `json:"used"`
 	Returned  uint64 `json:"returned"`
-	// Issued is the number of permits that this box granted as a coordinator, including those to
+	// Issued is the number of permits that this box issued as a coordinator, including those to
 	// itself.
 	Issued uint64 `json:"permitted"`
 	nonce  uint64
@@ -143,8 +144,8 @@
 	r.requestPermitsFromSome(s, c, 1, func(t *target) bool { return t.inSubset }, e)
 }
 
-// requestPermitsFromSome requests permits of at most maxRequests limited targets that suit a call and
-// satisfy fits, and returns the number of requests.
+// requestPermitsFromSome requests permits of at most maxRequests limited targets that suit a call
+// and satisfy fits, and returns the number of requests.
 func (r *Router) requestPermitsFromSome(s *service, c *call, maxRequests int, fits func(*target) bool, e *Effects) (requested int) {
 	if s.limitedTargets == 0 || !r.leased() {
 		return 0
@@ -220,7 +221,7 @@
 		r.freedServices = append(r.freedServices, t.service)
 		return
 	}
-	// Other coordinators are asked at the end of the event.
+	// Requests to other coordinators are sent at the end of the event.
 	r.declinedServices = append(r.declinedServices, t.service)
 }
 
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -149,9 +149,9 @@
 	return rate
 }
 
-// targetsToProbe returns up to n available targets of the lowest cost that have no recent load report
-// and no probe in flight, since probe answers are shared by all calls. The slice is reused by the
-// next call.
+// targetsToProbe returns up to n available targets of the lowest cost that have no recent load
+// report and no probe in flight, since probe answers are shared by all calls. The slice is reused
+// by the next call.
 func (r *Router) targetsToProbe(c *call, n int) []*target {
 	role := r.roleForCall(c.service, c)
 	set := candidates{
@@ -254,8 +254,8 @@
 	r.refuse(id, c, Refusal{Reason: TargetsBusy, Outcome: c.outcome(), RetryAfter: r.busyRetryAfter(c.service)}, e)
 }
 
-// leaveNewVersion sends a call that finds no room at a rollout's new version to the other targets,
-// like a new call.
+// leaveNewVersion sends a call that finds no suitable target of a rollout's new version to the
+// other targets, like a new call.
 func (r *Router) leaveNewVersion(id CallID, c *call, e *Effects) {
 	c.onNewVersion = false
 	if t := r.choose(c.service, c); t != nil && t.hasFreshReport(r.now) && r.isSuitable(c, t) || !r.sendProbes(id, c, e) {
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// healthProbeDelay is how long nothing must have been heard from an ejected target before
-	// it is probed.
+	// healthProbeDelay is the time since the last call or health probe of an ejected target ended,
+	// after which it is probed.
 	healthProbeDelay = 200 * time.Millisecond
 	// defaultSlots is the assumed capacity of a target without a limit, in calls.
 	defaultSlots = 3
@@ -83,7 +83,8 @@
 }
 
 // updateFromProbe updates a target's state from the answer to a probe for a call. The health that
-// the target reports counts for no more than a load report: the results of calls are better evidence.
+// the target reports counts for no more than a load report: the results of calls are better
+// evidence.
 func (r *Router) updateFromProbe(t *target, v *ProbeEnded, e *Effects) {
 	if t == nil {
 		return
--- a/pkg/core/routing/quarantine.go
+++ b/pkg/core/routing/quarantine.go
@@ -17,16 +17,16 @@
 	// quarantineRetryAfter is the retry delay for a call in quarantine. It will be refused again
 	// until the target's software is fixed, so the delay is as long as callers honour.
 	quarantineRetryAfter = time.Minute
-	// localQuarantineDuration is how long a call stays in quarantine by the decision of a box that is
-	// cut off from the leader. Up to three more targets may crash after it, so it is long compared
-	// with the seconds in which a target starts; it is short compared with a wrong decision that
-	// nobody can correct meanwhile.
+	// localQuarantineDuration is how long a call stays in quarantine by the decision of a box that
+	// is cut off from the leader. Up to three more targets may crash after it, so it is long
+	// compared with the seconds in which a target starts; it is short compared with a wrong
+	// decision that nobody can correct meanwhile.
 	localQuarantineDuration = time.Minute
-	// quarantineTrialDuration is how long a box may use a trial: a call that is still being sent arrives within
-	// that time.
+	// quarantineTrialDuration is how long a box may use a trial: if callers still send the call,
+	// one arrives within that time.
 	quarantineTrialDuration = 5 * time.Second
-	// localWatchDuration is for how long a box records answers to the calls that it has itself recorded
-	// as suspects. A call that is sent often is answered within seconds.
+	// localWatchDuration is for how long a box records answers to the calls that it has itself
+	// recorded as suspects. A call that is sent often is answered within seconds.
 	localWatchDuration = time.Minute
 	// maxRecordedAnswers bounds the answers that are recorded between two grants, which come a few
 	// times a second.
@@ -52,7 +52,8 @@
 	until units.Instant
 }
 
-// quarantineTrial permits the box to send a call in quarantine once.
+// quarantineTrial permits the box to send a call in quarantine once. It is unrelated to a rollout's
+// trial.
 type quarantineTrial struct {
 	call   crash.Fingerprint
 	number int
@@ -141,8 +142,8 @@
 	return used
 }
 
-// returnQuarantineTrial returns the trial of a call that ends without having been sent: nothing was learned
-// from it, and the next trial may be granted only minutes later.
+// returnQuarantineTrial returns the trial of a call that ends without having been sent: it gave no
+// result, and the next trial may be granted only minutes later.
 func (r *Router) returnQuarantineTrial(c *call) {
 	if c.isQuarantineTrial() && c.sends == 0 {
 		r.crashes.trials = append(r.crashes.trials, c.quarantineTrial)
--- a/pkg/core/routing/quotausage_test.go
+++ b/pkg/core/routing/quotausage_test.go
@@ -13,7 +13,7 @@
 	f.run(8 * time.Second)
 	f.setCallRate(w, 100)
 	admitted, refused := 0, 0
-	tell := func() {
+	collect := func() {
 		for _, b := range f.boxes {
 			for _, u := range b.router.DrainQuotaUsage(f.now) {
 				admitted += u.Admitted
@@ -23,11 +23,11 @@
 	}
 	for range 100 {
 		f.run(100 * time.Millisecond)
-		tell()
+		collect()
 	}
 	w.perSecond = 1e-9
 	f.run(quotaReportInterval)
-	tell()
+	collect()
 	if admitted != len(w.runs) || refused != w.refused {
 		t.Errorf("boxes reported %d calls admitted and %d refused; %d ran and %d were refused", admitted, refused, len(w.runs), w.refused)
 	}
--- a/pkg/core/routing/residency.go
+++ b/pkg/core/routing/residency.go
@@ -132,8 +132,8 @@
 	return s.retryAfter(now)
 }
 
-// ignoresHealth reports whether more than half of the targets that a call may use are ejected; their
-// health is ignored then.
+// ignoresHealth reports whether more than half of the targets that a call may use are ejected;
+// their health is ignored then.
 func (r *Router) ignoresHealth(s *service, c *call) bool {
 	if c.regions == nil {
 		return s.mostlyEjected
@@ -152,7 +152,8 @@
 }
 
 // isBehindHeld reports whether held calls come before this one. A held call that is restricted to
-// regions blocks only calls with the same restriction: others have room elsewhere.
+// regions blocks only calls with the same restriction: others may find free targets in other
+// regions.
 func (r *Router) isBehindHeld(s *service, c *call) bool {
 	return slices.ContainsFunc(s.held.waiting(), func(id CallID) bool {
 		h := r.calls.Get(id)
--- a/pkg/core/routing/retrying.go
+++ b/pkg/core/routing/retrying.go
@@ -35,8 +35,8 @@
 	r.refuse(id, c, Refusal{Reason: reason, Outcome: c.outcome(), RetryAfter: r.resendRetryAfter(c.service, reason)}, e)
 }
 
-// shedRetryAfter is the retry delay for a call that was shed although targets have room: the next
-// target may accept it, and a longer delay would only make the answer late.
+// shedRetryAfter is the retry delay for a call that was shed although targets have free slots: the
+// next target may accept it, and a longer delay would only make the answer late.
 const shedRetryAfter = 5 * time.Millisecond
 
 // resendRetryAfter is the retry delay for a call that no target accepted.
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -100,7 +100,7 @@
 	calls            *container.Slab[call]
 	timers           *container.Heap[timer]
 	loans            loanState
-	// domainAvailabilities are the shares of recently usable targets, by failure domain.
+	// domainAvailabilities are the estimated shares of usable targets, by failure domain.
 	domainAvailabilities map[units.Domain]*domainAvailability
 	// startedAt is when the router was created; earlyCalls are calls that arrived before its first
 	// table.
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -195,9 +195,9 @@
 }
 
 // setTable applies a table: lines of "boxes NAME[@DOMAIN[,leaving]]...", "service NAME
-// COLUMN=VALUE...", "row SERVICE TARGET COLUMN=VALUE...", "registered SERVICE TARGET
-// [DOMAIN] [leaving] [silent] [cold=TIME] [software=V]", "in-force SERVICE V", "rollout SERVICE
-// FROM TO STAGE ORDER SINCE SHARE [TARGET,TARGET...]", "evacuated DOMAIN", "restored DOMAIN REVISION" and
+// COLUMN=VALUE...", "row SERVICE TARGET COLUMN=VALUE...", "registered SERVICE TARGET [DOMAIN]
+// [leaving] [silent] [cold=TIME] [software=V]", "in-force SERVICE V", "rollout SERVICE FROM TO
+// STAGE ORDER SINCE SHARE [TARGET,TARGET...]", "evacuated DOMAIN", "restored DOMAIN REVISION" and
 // "route NAME COLUMN=VALUE...", with commas in place of spaces; "keys" where calls need one, and
 // "workspace NAME [priority=N] [rate=N] KEY...", with a burst of a second.
 func (s *script) setTable(d *datadriven.TestData) {
@@ -329,7 +329,7 @@
 		r.Cold = cold
 		return
 	}
-	if v, told := strings.CutPrefix(word, "born="); told {
+	if v, hasBorn := strings.CutPrefix(word, "born="); hasBorn {
 		born, err := strconv.ParseInt(v, 10, 64)
 		if err != nil {
 			s.t.Fatal(err)
@@ -468,7 +468,8 @@
 	s.reduce(v)
 }
 
-// start NAME attempt=N [coming=N] [leaving] starts the answer of an attempt, with the bytes still to come.
+// start NAME attempt=N [coming=N] [leaving] starts the answer of an attempt, with the bytes still
+// to come.
 func (s *script) start(d *datadriven.TestData) {
 	var n, coming int
 	d.ScanArgs(s.t, "attempt", &n)
@@ -499,7 +500,8 @@
 	s.reduce(&LeaseChanged{Until: s.now.Add(s.duration(d, "for")), At: s.now})
 }
 
-// peer BOX kind=K service=S [target=T] [loan=N] [nonce=N] [free=N] [term=D] is a message of another box about loans.
+// peer BOX kind=K service=S [target=T] [loan=N] [nonce=N] [free=N] [term=D] is a message of another
+// box about loans.
 func (s *script) peer(d *datadriven.TestData) {
 	m := LoanMessage{Service: units.ServiceName(s.word(d, "service")), Count: 1}
 	for k, w := range loanKindNames {
@@ -520,7 +522,8 @@
 	s.reduce(&PeerLoan{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
 }
 
-// probed TARGET healthy=true|false [answered] [refused] [rest=D] [leaving] ends a probe that no call waits for.
+// probed TARGET healthy=true|false [answered] [refused] [rest=D] [leaving] ends a probe that no
+// call waits for.
 func (s *script) probed(d *datadriven.TestData) {
 	v := &ProbeEnded{Target: s.probes[d.CmdArgs[0].Key], Healthy: s.word(d, "healthy") == "true"}
 	v.Answered, v.Refused = d.HasArg("answered"), d.HasArg("refused")
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -18,7 +18,7 @@
 	// nearly full, or cold.
 	nearFullSlowdown slowdownEstimate
 	coldSlowdown     slowdownEstimate
-	// unanswered is the state on calls that were never answered.
+	// unanswered tracks the calls that targets left unanswered.
 	unanswered unansweredStats
 	// disabled are the mechanisms that are switched off.
 	disabled mechanismSet
@@ -62,7 +62,7 @@
 	refused uint64
 	// crashes counts the crashes of targets while they ran calls of this box.
 	crashes uint64
-	// restRequests counts the times that targets asked this box for rest.
+	// restRequests counts the times that targets asked this box for a rest.
 	restRequests uint64
 	// limitedTargets is the number of targets that announce limits; there has been at least one
 	// since limitedSince.
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -80,7 +80,7 @@
 	Unanswered uint64  `json:"unanswered"`
 	Hangs      bool    `json:"hangs"`
 	HangsFrom  float64 `json:"hangsFrom,omitempty"`
-	// Rests counts the times that targets asked this box for rest. Resting and Leaving are the
+	// Rests counts the times that targets asked this box for a rest. Resting and Leaving are the
 	// numbers of targets that rest now, and that have announced their shutdown.
 	Rests   uint64 `json:"rests"`
 	Resting int    `json:"resting"`
@@ -145,7 +145,7 @@
 	RestLeftMs  int64 `json:"restLeftMs,omitempty"`
 	SaysLeaving bool  `json:"saysLeaving,omitempty"`
 	// Limit is the rate, in calls per second for all boxes together, that the target announces.
-	// PermittedBy is the box that issues the permits, Permits the number of permits that this box
+	// Coordinator is the box that issues the permits, Permits the number of permits that this box
 	// holds. All are empty for a target that announces no limit.
 	Limit       *units.CallRate `json:"limit,omitempty"`
 	Coordinator units.BoxID     `json:"permittedBy,omitempty"`
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -6,14 +6,14 @@
 // its usual pace there, and a slot is free.
 func (r *Router) isSuitable(c *call, t *target) bool {
 	if !c.service.probesTargets() || t.notice.isLimited() {
-		// A target with an announced rate limit has room for each call that it issues a permit for.
+		// A target that announces a rate limit is expected to serve each call that has a permit.
 		return true
 	}
 	return r.isSuitableByReport(c, t) && (t.hasFreshReport(r.now) || !r.requiresKnownFreeSlot(c))
 }
 
-// isSuitableByReport reports whether a target is suitable for a call by its current load report. A nil
-// call stands for one that may go to any target.
+// isSuitableByReport reports whether a target is suitable for a call by its current load report. A
+// nil call stands for one that may go to any target.
 func (r *Router) isSuitableByReport(c *call, t *target) bool {
 	if t.expectedPace(r.now) >= maxGoodPace || r.isTooSlow(c, t) {
 		return false
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -67,7 +67,7 @@
 	backoffUntil units.Instant
 	// cancelingSlots counts the slots of canceled calls that the target may still be working on.
 	cancelingSlots int
-	// weight is the effective weight as of the last weigh.
+	// weight is the effective weight as of the last updateWeights.
 	weight float64
 	// recentSends counts the calls sent lately; it is halved from time to time by countSend.
 	recentSends   float64
@@ -78,8 +78,7 @@
 	role      versionRole
 	cold      coldState
 	crash     crashEvidence
-	// coordination names the box that grants permits for the target while the target announces a
-	// limit.
+	// coordination caches which box issues the permits for the target while it announces a limit.
 	coordination cachedCoordinator
 	// notice holds the rest, departure or limit that the target's current incarnation announced;
 	// nil if none is in force.
@@ -110,8 +109,8 @@
 	}
 }
 
-// isRestartedIn reports whether a row belongs to a later start of the target. The new process has
-// none of the calls, connections and faults of the previous one.
+// isRestartedIn reports whether a row belongs to a later incarnation of the target. The new process
+// has none of the calls, connections and faults of the previous one.
 func (t *target) isRestartedIn(row table.Row) bool {
 	return t.row.Born != 0 && row.Born != 0 && t.row.Born != row.Born
 }
--- a/pkg/core/routing/targetlimit.go
+++ b/pkg/core/routing/targetlimit.go
@@ -33,7 +33,7 @@
 	loggedAt units.Instant
 	// permits are the unused permits held by this box.
 	permits allowances
-	// request is the request in flight, nextAskAt the earliest useful time for the next one.
+	// request is the last permit request, nextRequestAt the earliest useful time for the next one.
 	request       permitRequest
 	nextRequestAt units.Instant
 	// account is the token bucket of the limit, kept by the target's coordinator only; nil before
@@ -68,7 +68,8 @@
 
 // recordNoLimit processes a good answer that announces no limit. It ends the limit only if the call
 // was sent when the current version was known and after this box last received a limit; otherwise
-// the answer may be older than the limit. The coordinator informs the other boxes when they ask.
+// the answer may be older than the limit. The coordinator informs the other boxes when they request
+// permits.
 func (r *Router) recordNoLimit(a *attempt, announced ReportedLimit, e *Effects) {
 	t := a.target
 	if announced.Present || announced.Malformed || !t.notice.isLimited() {
--- a/pkg/core/routing/unanswered.go
+++ b/pkg/core/routing/unanswered.go
@@ -36,9 +36,9 @@
 	// minOvertakes is how many later calls the target must have answered. A single one may have
 	// been shorter work in another slot.
 	minOvertakes = 2
-	// unansweredHalfLife is the age at which an unanswered call has half its weight as evidence that
-	// its service hangs when full: overload lasts for seconds and recurs within minutes. It is also
-	// how long a target's reports aren't trusted after they left out a call that was answered.
+	// unansweredHalfLife is the age at which an unanswered call has half its weight as evidence
+	// that its service hangs when full: overload lasts for seconds and recurs within minutes. It is
+	// also how long a target's reports aren't trusted after they left out a call that was answered.
 	unansweredHalfLife = time.Minute
 	// hangThreshold is the weight of unanswered calls from which on a service is considered to
 	// hang: a single one may be an answer that was lost.
@@ -131,8 +131,8 @@
 	}
 }
 
-// markMissing marks the calls that a load report leaves out: when the probe was sent, the target had
-// fewer calls in all than this box waits for. The oldest ones are assumed to be missing.
+// markMissing marks the calls that a load report leaves out: when the probe was sent, the target
+// had fewer calls in all than this box waits for. The oldest ones are assumed to be missing.
 func (t *target) markMissing(now units.Instant, x TargetReport, probeSentAt units.Instant) {
 	if !x.HasLoad || now < t.service.unanswered.reportsUntrustedUntil {
 		return
--- a/pkg/core/routing/waiting.go
+++ b/pkg/core/routing/waiting.go
@@ -85,8 +85,9 @@
 	return float64(now.Sub(c.arrived)) / c.aim()
 }
 
-// isBusy reports whether many recent calls found no suitable target. Targets without a recent
-// load report are likely to be full as well then.
+// isBusy reports whether most recent calls found no suitable target. Targets without a recent load
+// report are likely to be full as well then. A service that is overloaded (isOverloaded) needn't be
+// busy: a smaller fraction is enough there, and it remains valid for longer.
 func (s *service) isBusy(now units.Instant) bool {
 	return s.busyFraction > busyThreshold && now.Sub(s.busyUpdatedAt) < busyDuration
 }
@@ -121,18 +122,18 @@
 	c.onNewVersion = false
 	c.probeRound.pending = 0
 	c.probeRound.number++
-	missed := r.isOverdue(c)
+	overdue := r.isOverdue(c)
 	if !c.probeRound.queued {
 		c.probeRound.queued = true
 		w := waitingCall{id: id, urgency: c.urgency()}
-		w.urgency.overdue = missed
-		if !missed {
+		w.urgency.overdue = overdue
+		if !overdue {
 			c.service.recordTargetFound(r.now, false)
 		}
 		c.service.enqueueWaiting(w)
 	}
 	pause := probeRetryInterval
-	if missed {
+	if overdue {
 		pause = overdueCheckInterval
 	}
 	r.timers.Push(timer{at: r.now.Add(pause), call: id, kind: probeTimer, probeRound: c.probeRound.number})
@@ -156,7 +157,7 @@
 }
 
 // serveWaiting sends waiting calls, in order, while there is a suitable target. It is called when
-// an answer has shown that a target has room.
+// an answer has shown that a target has a free slot.
 func (r *Router) serveWaiting(s *service, e *Effects) {
 	for {
 		r.dropFinishedWaiting(s)
