--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -71,7 +71,7 @@
 	if !s.isBusy(r.now) {
 		c.route.callerDeadline.observe(c.requestedDeadline)
 	}
-	if r.wouldMissAim(c, c.requestedDeadline) {
+	if r.wouldMissObjective(c, c.requestedDeadline) {
 		r.refuse(id, c, Refusal{Reason: TooLate, Outcome: NotRun, RetryAfter: r.busyRetryAfter(s)}, e)
 		return
 	}
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -44,7 +44,7 @@
 	e.add(Effect{
 		Kind: Send, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint,
 		Deadline: c.deadline, NotAfter: r.targetSelectionExpiry(t), Connections: t.maxConnections, AtMostOnce: c.route.work == table.AtMostOnce,
-		PermitUntil: a.permitUntil, Purpose: why, Selection: evidence, Aim: c.route.aim, LargeAnswer: c.route.largeAnswers,
+		PermitUntil: a.permitUntil, Purpose: why, Selection: evidence, LatencyObjective: c.route.latencyObjective, LargeAnswer: c.route.largeAnswers,
 		Workspace: c.workspaceName(),
 	})
 	hedged := !hedge && r.isHedged(c)
--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -326,7 +326,7 @@
 // for one caller and then for all, and one more target may be lost to a call that was already in
 // flight.
 func TestARequestOfManyCallersEndsFewTargets(t *testing.T) {
-	const aim, seeds = 4, 8
+	const maxCrashes, seeds = 4, 8
 	total, without := 0, 0
 	for seed := range uint64(seeds) {
 		with, plain := newCanaryFleet(t, seed), newCanaryFleet(t, seed, Canaries)
@@ -340,8 +340,8 @@
 		}
 	}
 	t.Logf("%.1f targets crashed on average, %.1f without canaries", float64(total)/seeds, float64(without)/seeds)
-	if total > aim*seeds {
-		t.Errorf("%d targets crashed in %d runs, want at most %d", total, seeds, aim*seeds)
+	if total > maxCrashes*seeds {
+		t.Errorf("%d targets crashed in %d runs, want at most %d", total, seeds, maxCrashes*seeds)
 	}
 }
 
--- a/pkg/core/routing/clientretry.go
+++ b/pkg/core/routing/clientretry.go
@@ -9,9 +9,9 @@
 // Under overload, callers whose calls were refused retry, and the answer to a retry comes late.
 // Each slot that a retry takes is one in which a first try would have been answered in time. With
 // calls at 1.8 times the capacity over 60 boxes and callers that retry once, refusing late retries
-// raised the calls answered within their aim from 29 in 100 to 35. The time since a caller's first
-// try is estimated from the deadline that it requests, compared with those of the route's first
-// tries.
+// raised the calls answered within their latency objective from 29 in 100 to 35. The time since a
+// caller's first try is estimated from the deadline that it requests, compared with those of the
+// route's first tries.
 
 const (
 	// clientRetryFraction is the fraction of callers that request less than the usual deadline
@@ -83,13 +83,13 @@
 	return s.busyFraction >= overloadThreshold && now.Sub(s.busyUpdatedAt) < overloadDuration
 }
 
-// wouldMissAim reports whether a call should be refused at once because it is such a late retry
-// that its answer would miss the aim, and first tries need the slots.
-func (r *Router) wouldMissAim(c *call, requested time.Duration) bool {
+// wouldMissObjective reports whether a call should be refused at once because it is such a late
+// retry that its answer would miss the latency objective, and first tries need the slots.
+func (r *Router) wouldMissObjective(c *call, requested time.Duration) bool {
 	x := c.route
-	if !r.enabled(FirstTries) || x.aim == 0 || !c.service.isOverloaded(r.now) {
+	if !r.enabled(FirstTries) || x.latencyObjective == 0 || !c.service.isOverloaded(r.now) {
 		return false
 	}
 	elapsed := x.callerDeadline.elapsedSinceFirstTry(requested)
-	return elapsed > 0 && elapsed+time.Duration(x.knownTypicalTime()) > x.aim
+	return elapsed > 0 && elapsed+time.Duration(x.knownTypicalTime()) > x.latencyObjective
 }
--- a/pkg/core/routing/closed.go
+++ b/pkg/core/routing/closed.go
@@ -92,14 +92,14 @@
 }
 
 // waitDeadline returns until when a call may wait for a target. A patient call may wait for the
-// service's hold limit, any other for a fraction of its aim, and only briefly if it waits for a
-// permit.
+// service's hold limit, any other for a fraction of its latency objective, and only briefly if it
+// waits for a permit.
 func (c *call) waitDeadline(s *service) units.Instant {
 	held := min(c.deadline, c.arrived.Add(s.row.HoldLimit))
 	if c.route.work == table.Patient {
 		return held
 	}
-	wait := time.Duration(normalWaitFraction * c.aim())
+	wait := time.Duration(normalWaitFraction * c.latencyObjective())
 	if s.allLimited(c) {
 		wait = min(wait, maxPermitWait)
 	}
--- a/pkg/core/routing/events.go
+++ b/pkg/core/routing/events.go
@@ -293,10 +293,10 @@
 	// Workspace is the workspace whose key admitted the call that is sent or refused; empty if
 	// there is none.
 	Workspace units.WorkspaceName
-	// Aim is the latency objective of the call's route, zero for none; LargeAnswer is set if the
+	// LatencyObjective is that of the call's route, zero for none; LargeAnswer is set if the
 	// route's answers are large. Both are set for a Send.
-	Aim         time.Duration
-	LargeAnswer bool
+	LatencyObjective time.Duration
+	LargeAnswer      bool
 	// ProbePath is the path that a probe requests; empty means the box's default.
 	ProbePath string
 	// Ejected is set for an EjectionChanged if the target was ejected. Failures is the number of
--- a/pkg/core/routing/expectation_test.go
+++ b/pkg/core/routing/expectation_test.go
@@ -110,7 +110,7 @@
 				x.recordReport(testNow, TargetReport{HasLoad: true, Slots: 3, Pace: 1})
 				v.targets = append(v.targets, x)
 			}
-			c := &call{service: v, route: &route{aim: time.Second}, arrived: testNow}
+			c := &call{service: v, route: &route{latencyObjective: time.Second}, arrived: testNow}
 			for i, want := range s.suits {
 				if got := r.isSuitable(c, v.targets[i]); got != want {
 					t.Errorf("target %d with a slowdown of %.1f is suitable: %t, want %t", i, s.slowdowns[i], got, want)
--- a/pkg/core/routing/hedging.go
+++ b/pkg/core/routing/hedging.go
@@ -15,17 +15,18 @@
 	return c.route.work == table.Repeatable && r.enabled(Hedging) && c.service.row.HedgeBudget > 0 && c.route.maxAttempts > 1
 }
 
-// hedgeDelay is how long a call may be unanswered before it is hedged: half of its aim, so that the
-// hedge may still meet the aim, or longer than nearly all calls take where the route has none.
+// hedgeDelay is how long a call may be unanswered before it is hedged: half of its latency
+// objective, so that the hedge may still meet it, or longer than nearly all calls take where the
+// route has none.
 func (c *call) hedgeDelay() time.Duration {
-	if c.route.aim > 0 {
-		return max(minHedgeDelay, c.route.aim/2)
+	if c.route.latencyObjective > 0 {
+		return max(minHedgeDelay, c.route.latencyObjective/2)
 	}
 	return c.service.hedgeDelay()
 }
 
-// hedgeDelay is the hedge delay without an aim, from the latency of the service's answers alone:
-// longer than nearly all calls take.
+// hedgeDelay is the hedge delay without a latency objective, from the latency of the service's
+// answers alone: longer than nearly all calls take.
 func (s *service) hedgeDelay() time.Duration {
 	return max(minHedgeDelay, s.latency.quantile())
 }
--- a/pkg/core/routing/inbound.go
+++ b/pkg/core/routing/inbound.go
@@ -12,13 +12,13 @@
 // targets.
 
 const (
-	// inboundAimFraction bounds the transfer time of the large answers in flight, as a fraction of
-	// the aim of the next call with a large answer. With more of them, each would use much of the
-	// others' aims, and all small answers would wait behind them.
-	inboundAimFraction = 0.25
-	// inboundWaitFraction bounds how long such a call waits, as a fraction of its aim or its
-	// deadline, whichever is shorter: enough to receive an average answer, and most of the aim is
-	// left for its own.
+	// inboundObjectiveFraction bounds the transfer time of the large answers in flight, as a
+	// fraction of the latency objective of the next call with a large answer. With more of them,
+	// each would use much of the others' objectives, and all small answers would wait behind them.
+	inboundObjectiveFraction = 0.25
+	// inboundWaitFraction bounds how long such a call waits, as a fraction of its latency objective
+	// or its deadline, whichever is shorter: enough to receive an average answer, and most of the
+	// objective is left for its own.
 	inboundWaitFraction = 0.125
 	// minInboundWait is the least time between two checks of the link for a waiting call, so that
 	// many waiting calls don't use up the box's processor time.
@@ -213,13 +213,13 @@
 // reports whether it does. A call without an eligible target isn't delayed, so that it is refused
 // at once.
 func (r *Router) waitForLink(id CallID, c *call, e *Effects) bool {
-	if !c.route.largeAnswers || !r.enabled(SharedLink) || c.route.aim == 0 || !c.service.hasActiveTarget(c) {
+	if !c.route.largeAnswers || !r.enabled(SharedLink) || c.route.latencyObjective == 0 || !c.service.hasActiveTarget(c) {
 		return false
 	}
 	coming := r.inbound.remaining(r.now) + r.inbound.transferTime(r.expectedBytes)
-	allowed := time.Duration(inboundAimFraction * float64(c.route.aim))
+	allowed := time.Duration(inboundObjectiveFraction * float64(c.route.latencyObjective))
 	waited := r.now.Sub(c.arrived)
-	maxWait := time.Duration(inboundWaitFraction * float64(min(c.route.aim, c.deadline.Sub(c.arrived))))
+	maxWait := time.Duration(inboundWaitFraction * float64(min(c.route.latencyObjective, c.deadline.Sub(c.arrived))))
 	if coming <= allowed || waited >= maxWait {
 		return false
 	}
--- a/pkg/core/routing/overload_rest_test.go
+++ b/pkg/core/routing/overload_rest_test.go
@@ -27,23 +27,23 @@
 	}
 	gain := 0.0
 	for _, s := range scenarios {
-		play := func(shared bool) (inAim, wasted float64) {
+		play := func(shared bool) (withinObjective, wasted float64) {
 			f := newOverloadSim(t)
 			f.sharesNotices = shared
-			inAim = f.measure(s.load, func() {
+			withinObjective = f.measure(s.load, func() {
 				for i := range s.resting {
 					x := f.targets[units.TargetID(fmt.Sprintf("t%03d", i))]
 					x.shedRate, x.rest = s.sheds, time.Second
 				}
 			})
-			return inAim, f.wastedPerCall()
+			return withinObjective, f.wastedPerCall()
 		}
 		alone, wasted := play(false)
 		shared, wastedShared := play(true)
-		t.Logf("%s: within aim %.3f without sharing, %.3f with it; shed per call: %.3f and %.3f", s.testName, alone, shared, wasted, wastedShared)
+		t.Logf("%s: within objective %.3f without sharing, %.3f with it; shed per call: %.3f and %.3f", s.testName, alone, shared, wasted, wastedShared)
 		gain += shared - alone
 	}
 	if gain > 0 {
-		t.Errorf("sharing rests raises the fraction of calls within their aim by %.3f, summed over these loads", gain)
+		t.Errorf("sharing rests raises the fraction of calls within their latency objective by %.3f, summed over these loads", gain)
 	}
 }
--- a/pkg/core/routing/overload_test.go
+++ b/pkg/core/routing/overload_test.go
@@ -15,14 +15,14 @@
 // Targets have two slots, and use of the second slows both. A refused caller retries once, at the
 // time that it is told.
 type overloadSim struct {
-	t       *testing.T
-	random  *rand.Rand
-	now     units.Instant
-	routers []*Router
-	targets map[units.TargetID]*overloadTarget
-	events  *container.Heap[overloadEvent]
-	inAim   int
-	callers int
+	t               *testing.T
+	random          *rand.Rand
+	now             units.Instant
+	routers         []*Router
+	targets         map[units.TargetID]*overloadTarget
+	events          *container.Heap[overloadEvent]
+	withinObjective int
+	callers         int
 	// wasted counts the probes and sends that met an unreachable target or one that had asked for a
 	// rest.
 	wasted int
@@ -51,11 +51,11 @@
 }
 
 const (
-	overloadBoxes    = 60
-	overloadTargets  = 48
-	overloadWorkTime = 60 * time.Millisecond
-	overloadAim      = 200 * time.Millisecond
-	overloadDeadline = 600 * time.Millisecond
+	overloadBoxes     = 60
+	overloadTargets   = 48
+	overloadWorkTime  = 60 * time.Millisecond
+	overloadObjective = 200 * time.Millisecond
+	overloadDeadline  = 600 * time.Millisecond
 	// overloadCapacity is the approximate number of calls a second that all targets can serve.
 	overloadCapacity  = overloadTargets * 2 / 0.102
 	overloadRoundTrip = 2 * time.Millisecond
@@ -101,7 +101,7 @@
 	}
 	x.Services["s"] = entry
 	route := &table.Route{
-		Host: "s", PathPrefix: "/", Work: table.Repeatable, Deadline: time.Second, LatencyObjective: overloadAim, MaxAttempts: 2,
+		Host: "s", PathPrefix: "/", Work: table.Repeatable, Deadline: time.Second, LatencyObjective: overloadObjective, MaxAttempts: 2,
 		Services: []table.WeightedService{{Service: "s", Weight: 1}},
 	}
 	x.Routes = map[table.RouteKey]*table.Route{route.Key(): route}
@@ -177,8 +177,8 @@
 	case Probe:
 		f.probe(r, x)
 	case Deliver:
-		if c := x.Owner.(*overloadCaller); f.now.Sub(c.first) <= overloadAim {
-			f.inAim++
+		if c := x.Owner.(*overloadCaller); f.now.Sub(c.first) <= overloadObjective {
+			f.withinObjective++
 		}
 	case Refuse:
 		f.retryCaller(x.Owner.(*overloadCaller), x.Refusal.RetryAfter)
@@ -258,13 +258,13 @@
 }
 
 // measure simulates 2 s at half of the capacity, and then 4 s at the given load. It returns the
-// fraction of the latter calls that were answered within their aim.
+// fraction of the latter calls that were answered within their latency objective.
 func (f *overloadSim) measure(load float64, before func()) float64 {
 	f.advance(2*time.Second, 0.5)
 	before()
-	f.inAim, f.callers, f.wasted = 0, 0, 0
+	f.withinObjective, f.callers, f.wasted = 0, 0, 0
 	f.advance(4*time.Second, load)
-	return float64(f.inAim) / float64(f.callers)
+	return float64(f.withinObjective) / float64(f.callers)
 }
 
 func noChange() {}
@@ -273,9 +273,9 @@
 func TestFirstTriesGoBeforeLateReturns(t *testing.T) {
 	without := newOverloadSim(t, FirstTries).measure(1.8, noChange)
 	with := newOverloadSim(t).measure(1.8, noChange)
-	t.Logf("within aim: %.3f, and %.3f without the preference for first tries", with, without)
+	t.Logf("within objective: %.3f, and %.3f without the preference for first tries", with, without)
 	if with < 1.1*without {
-		t.Errorf("%.3f of the calls were answered within their aim, %.3f without the preference", with, without)
+		t.Errorf("%.3f of the calls were answered within their latency objective, %.3f without the preference", with, without)
 	}
 }
 
@@ -294,17 +294,17 @@
 }
 
 // Where targets with free slots shed half of their calls, refused callers must retry early enough
-// for their aim. With a pause of 100 ms only 0.65 of the calls were answered within their aim.
+// for their latency objective. With a pause of 100 ms only 0.65 of the calls were answered within their latency objective.
 func TestCallersOfShedCallsComeBackInTime(t *testing.T) {
 	f := newOverloadSim(t)
-	inAim := f.measure(0.4, func() {
+	withinObjective := f.measure(0.4, func() {
 		for _, x := range f.targets {
 			x.shedRate = 0.55
 		}
 	})
-	t.Logf("within aim: %.3f", inAim)
-	if inAim < 0.69 {
-		t.Errorf("only %.3f of the calls were answered within their aim", inAim)
+	t.Logf("within objective: %.3f", withinObjective)
+	if withinObjective < 0.69 {
+		t.Errorf("only %.3f of the calls were answered within their latency objective", withinObjective)
 	}
 }
 
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -229,7 +229,7 @@
 	if c.probeRound.purpose != FirstSend && t != nil && !r.isSuitable(c, t) {
 		t = cmp.Or(r.bestSuitable(c), t)
 	}
-	late := c.aimFractionUsed(r.now) >= c.service.waitFraction(r.now) || !r.enabled(Waiting)
+	late := c.objectiveFractionUsed(r.now) >= c.service.waitFraction(r.now) || !r.enabled(Waiting)
 	if t != nil && (r.isSuitable(c, t) || late && r.acceptsUnsuitable(c)) {
 		c.probeRound.active = false
 		if !c.probeRound.queued {
--- a/pkg/core/routing/routes.go
+++ b/pkg/core/routing/routes.go
@@ -25,10 +25,10 @@
 	// maxDeadline caps the deadline that a caller may set; zero means the cap in the settings.
 	maxDeadline time.Duration
 	// defaultDeadline applies to calls without a deadline.
-	defaultDeadline time.Duration
-	aim             time.Duration
-	maxAttempts     int
-	priority        int
+	defaultDeadline  time.Duration
+	latencyObjective time.Duration
+	maxAttempts      int
+	priority         int
 	// largeAnswers is set if answers are large, so that calls wait while the box's link is
 	// occupied.
 	largeAnswers bool
@@ -65,7 +65,7 @@
 // no calls.
 func (r *Router) newRoute(row *table.Route) *route {
 	x := &route{
-		host: row.Host, prefix: row.PathPrefix, work: row.Work, maxDeadline: row.Deadline, defaultDeadline: row.Deadline, aim: row.LatencyObjective,
+		host: row.Host, prefix: row.PathPrefix, work: row.Work, maxDeadline: row.Deadline, defaultDeadline: row.Deadline, latencyObjective: row.LatencyObjective,
 		maxAttempts: maxSends, priority: row.Priority, largeAnswers: row.LargeResponses, public: row.Public, regions: row.Regions,
 	}
 	if row.MaxAttempts > 0 {
--- a/pkg/core/routing/unanswered.go
+++ b/pkg/core/routing/unanswered.go
@@ -101,8 +101,8 @@
 		return max(minAnswerTimeout, answerTimeoutFactor*usual)
 	case c.service.latency.count >= minTimeSamples && t.latency.count >= minTimeSamples:
 		return c.overtakenTimeout(t, now)
-	case c.route.aim > 0:
-		return max(minAnswerTimeout, answerTimeoutFactor*c.route.aim)
+	case c.route.latencyObjective > 0:
+		return max(minAnswerTimeout, answerTimeoutFactor*c.route.latencyObjective)
 	}
 	return c.deadline.Sub(now)
 }
--- a/pkg/core/routing/unanswered_test.go
+++ b/pkg/core/routing/unanswered_test.go
@@ -49,10 +49,10 @@
 }
 
 const (
-	hangWorkTime = 20 * time.Millisecond
-	hangAim      = 200 * time.Millisecond
-	hangDeadline = time.Second
-	hangStep     = time.Millisecond
+	hangWorkTime  = 20 * time.Millisecond
+	hangObjective = 200 * time.Millisecond
+	hangDeadline  = time.Second
+	hangStep      = time.Millisecond
 	// hangProbeDelay is the age of a probe's answer on arrival.
 	hangProbeDelay = 4 * time.Millisecond
 	hangSeed       = 20261202
@@ -79,7 +79,7 @@
 	}
 	next.Services["shop"] = entry
 	route := &table.Route{
-		Name: "shop", Host: "shop", PathPrefix: "/", Work: work, Deadline: hangDeadline, LatencyObjective: hangAim,
+		Name: "shop", Host: "shop", PathPrefix: "/", Work: work, Deadline: hangDeadline, LatencyObjective: hangObjective,
 		Services: []table.WeightedService{{Service: "shop", Weight: 1}},
 	}
 	next.Routes = map[table.RouteKey]*table.Route{route.Key(): route}
@@ -119,7 +119,7 @@
 		}})
 	case Deliver:
 		w.delivered++
-		if w.now.Sub(w.started[name]) > hangAim {
+		if w.now.Sub(w.started[name]) > hangObjective {
 			w.late++
 		}
 	case Refuse:
--- a/pkg/core/routing/waiting.go
+++ b/pkg/core/routing/waiting.go
@@ -32,15 +32,16 @@
 const (
 	// probeRetryInterval is the time between two rounds of probes of a call that found no target.
 	probeRetryInterval = 15 * time.Millisecond
-	// normalWaitFraction is the fraction of its aim after which a waiting call is sent or refused;
-	// one that is sent then usually still ends within its aim. busyWaitFraction replaces it while
-	// the service is busy: a target that becomes free later is better used for a call that has just
-	// arrived.
+	// normalWaitFraction is the fraction of its latency objective after which a waiting call is
+	// sent or refused; one that is sent then usually still meets the objective. busyWaitFraction
+	// replaces it while the service is busy: a target that becomes free later is better used for a
+	// call that has just arrived.
 	normalWaitFraction = 0.45
 	busyWaitFraction   = 0.25
-	// defaultAimFraction is the fraction of a call's deadline that is used as the aim on a route
-	// without one, so that such a call also leaves most of its time for the answer.
-	defaultAimFraction = 0.25
+	// defaultObjectiveFraction is the fraction of a call's deadline that is used as the latency
+	// objective on a route without one, so that such a call also leaves most of its time for the
+	// answer.
+	defaultObjectiveFraction = 0.25
 	// minBusyRetryAfter and maxBusyRetryAfter bound the retry delay that is reported when all
 	// targets are busy. Few callers wait longer than the maximum with most of their time left.
 	minBusyRetryAfter = 60 * time.Millisecond
@@ -50,7 +51,8 @@
 	retryAfterJitter = 0.25
 )
 
-// waitFraction is the fraction of its aim after which a waiting call is sent or refused.
+// waitFraction is the fraction of its latency objective after which a waiting call is sent or
+// refused.
 func (s *service) waitFraction(now units.Instant) float64 {
 	if s.isBusy(now) {
 		return busyWaitFraction
@@ -71,18 +73,18 @@
 	return time.Duration(jitter * float64(after)).Round(time.Millisecond)
 }
 
-// aim returns the aim of the call's route, or a fraction of the call's deadline where the route has
-// none.
-func (c *call) aim() float64 {
-	if c.route.aim > 0 {
-		return float64(c.route.aim)
+// latencyObjective returns that of the call's route, or a fraction of the call's deadline where the
+// route has none, in nanoseconds.
+func (c *call) latencyObjective() float64 {
+	if c.route.latencyObjective > 0 {
+		return float64(c.route.latencyObjective)
 	}
-	return defaultAimFraction * float64(c.deadline.Sub(c.arrived))
+	return defaultObjectiveFraction * float64(c.deadline.Sub(c.arrived))
 }
 
-// aimFractionUsed is the fraction of its aim that the call has used up so far.
-func (c *call) aimFractionUsed(now units.Instant) float64 {
-	return float64(now.Sub(c.arrived)) / c.aim()
+// objectiveFractionUsed is the fraction of its latency objective that the call has used up so far.
+func (c *call) objectiveFractionUsed(now units.Instant) float64 {
+	return float64(now.Sub(c.arrived)) / c.latencyObjective()
 }
 
 // isBusy reports whether most recent calls found no suitable target. Targets without a recent load
--- a/pkg/target/attempt.go
+++ b/pkg/target/attempt.go
@@ -66,7 +66,7 @@
 	}
 	return &Attempt{
 		pools: p, idleLimit: idleLimit, endpoint: x.Endpoint, deadline: x.Deadline, notAfter: x.NotAfter, permitUntil: x.PermitUntil, limit: x.Connections,
-		Aim: x.Aim, largeAnswer: x.LargeAnswer,
+		Aim: x.LatencyObjective, largeAnswer: x.LargeAnswer,
 		Request: fasthttp.AcquireRequest(), Response: fasthttp.AcquireResponse(),
 	}
 }
