--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -198,7 +198,7 @@
 	if s.held.length >= s.row.HoldCount {
 		return TooManyHeld
 	}
-	if !s.hasActiveTarget(c) && c.route.work != table.Patient {
+	if !s.hasEligibleTarget(c) && c.route.work != table.Patient {
 		return s.noTargetReason(c, r.now)
 	}
 	if r.defaultRole(s) == noVersion && c.route.work != table.Patient {
@@ -231,9 +231,9 @@
 	return 0
 }
 
-// hasActiveTarget reports whether a target of the service may serve the call, regardless of its
+// hasEligibleTarget reports whether a target of the service may serve the call, regardless of its
 // health and limits.
-func (s *service) hasActiveTarget(c *call) bool {
+func (s *service) hasEligibleTarget(c *call) bool {
 	for _, t := range s.targets {
 		if t.isEligible() && c.mayUse(t) {
 			return true
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -7,9 +7,9 @@
 )
 
 // send starts an attempt of a call at a target.
-func (r *Router) send(id CallID, c *call, t *target, why Purpose, e *Effects) {
-	hedge := why == HedgeSend
-	evidence := r.evidenceFor(t)
+func (r *Router) send(id CallID, c *call, t *target, purpose Purpose, e *Effects) {
+	hedge := purpose == HedgeSend
+	selection := r.selectionFor(t)
 	a := c.freeAttempt()
 	c.sends++
 	c.possibleArrivals++
@@ -44,7 +44,7 @@
 	e.add(Effect{
 		Kind: Send, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint,
 		Deadline: c.deadline, NotAfter: r.targetSelectionExpiry(t), Connections: t.maxConnections, AtMostOnce: c.route.work == table.AtMostOnce,
-		PermitUntil: a.permitUntil, Purpose: why, Selection: evidence, LatencyObjective: c.route.latencyObjective, LargeAnswer: c.route.largeAnswers,
+		PermitUntil: a.permitUntil, Purpose: purpose, Selection: selection, LatencyObjective: c.route.latencyObjective, LargeAnswer: c.route.largeAnswers,
 		Workspace: c.workspaceName(),
 	})
 	hedged := !hedge && r.isHedged(c)
@@ -56,8 +56,8 @@
 	}
 }
 
-// evidenceFor returns the estimates of a target's state on which a send is based.
-func (r *Router) evidenceFor(t *target) Selection {
+// selectionFor returns the estimates of a target's state on which a send is based.
+func (r *Router) selectionFor(t *target) Selection {
 	x := Selection{
 		Load: t.load(r.now), Pace: t.expectedPace(r.now), Slowdown: t.currentSlowdown(r.now), ReportAge: -1,
 		Revision: r.table.Revision,
@@ -255,7 +255,7 @@
 		t.sheds++
 		if t.row.Registered && r.enabled(FailingTargets) && t.hasReportedFreeSlot(r.now) {
 			// The target has free slots, so avoiding it for longer than the rest that it asked for
-			// would help nobody.
+			// would not help.
 			t.updateFailureRate(r.now, 1)
 			break
 		}
@@ -307,8 +307,8 @@
 	e.add(Effect{Kind: Keep, Call: v.Call, Owner: c.owner, Attempt: v.Attempt, Endpoint: t.endpoint})
 }
 
-// deliverKept ends a call with the failed answer that was kept: it tells the caller more than a
-// refusal would.
+// deliverKept ends a call with the failed answer that was kept: it has more information for the
+// caller than a refusal.
 func (r *Router) deliverKept(id CallID, c *call, e *Effects) {
 	e.add(Effect{Kind: Deliver, Call: id, Owner: c.owner, Attempt: c.kept.attempt, Endpoint: c.kept.endpoint})
 	r.finish(id, c, e)
--- a/pkg/core/routing/bench_test.go
+++ b/pkg/core/routing/bench_test.go
@@ -234,7 +234,7 @@
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
 			r, now := newBenchRouter(b, 1, targets, 0)
 			var e Effects
-			for i, t := range r.order[0].targets {
+			for i, t := range r.sortedServices[0].targets {
 				t.row.Address = fmt.Sprintf("10.0.0.1:%d", i)
 				t.endpoint.Address = t.row.Address
 				if i%2 == 0 {
--- a/pkg/core/routing/canary.go
+++ b/pkg/core/routing/canary.go
@@ -96,13 +96,13 @@
 	crashedAt   units.Instant
 }
 
-// canaryState is what a box knows of requests that were in flight at recent crashes.
+// canaryState is a box's state on requests that were in flight at recent crashes.
 type canaryState struct {
 	suspicions []suspicion
-	// set indexes the calls of suspicions.
-	set        fingerprintSet
-	broadcasts tokenBucket
-	status     CanaryStatus
+	// fingerprints indexes the calls of suspicions.
+	fingerprints fingerprintSet
+	broadcasts   tokenBucket
+	status       CanaryStatus
 }
 
 // CanaryStatus holds the counters that the dump and the metrics show.
@@ -143,7 +143,7 @@
 			b.drop(b.suspicions[0].call)
 		}
 		b.suspicions = append(b.suspicions, suspicion{call: f})
-		b.set.add(f)
+		b.fingerprints.add(f)
 		b.status.Suspected++
 		s = &b.suspicions[len(b.suspicions)-1]
 	}
@@ -166,9 +166,9 @@
 	if len(b.suspicions) == before {
 		return
 	}
-	b.set.clear()
+	b.fingerprints.clear()
 	for _, s := range b.suspicions {
-		b.set.add(s.call)
+		b.fingerprints.add(s.call)
 	}
 }
 
@@ -208,7 +208,7 @@
 // clearSuspicion ends the suspicion of a request that a target has answered.
 func (r *Router) clearSuspicion(c *call, e *Effects) {
 	b := &r.crashes.canaries
-	f, found := b.set.match(c.identity)
+	f, found := b.fingerprints.match(c.identity)
 	if !found {
 		return
 	}
@@ -224,7 +224,7 @@
 		return f, false
 	}
 	b.dropExpired(r.now)
-	return b.set.match(c.identity)
+	return b.fingerprints.match(c.identity)
 }
 
 // holdForCanary holds a new call of a suspected request until it gets a canary grant. It returns
--- a/pkg/core/routing/clientretry.go
+++ b/pkg/core/routing/clientretry.go
@@ -24,8 +24,8 @@
 	// minDeadlineSamples is the number of samples before the estimate is used; a box may get only a
 	// few calls of a route each second.
 	minDeadlineSamples = 4
-	// clientRetryThreshold is the fraction of the usual deadline below which a call is taken for a
-	// retry: the deadlines of first tries vary a little between callers.
+	// clientRetryThreshold is the fraction of the usual deadline below which a call is classified
+	// as a retry: the deadlines of first tries vary a little between callers.
 	clientRetryThreshold = 0.9
 	// overloadThreshold is the fraction of calls without an immediate target from which on late
 	// retries are refused. overloadDuration is how long that remains valid, since a box may get
--- a/pkg/core/routing/closed.go
+++ b/pkg/core/routing/closed.go
@@ -8,19 +8,19 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A target is blocked while it takes no calls because of its own notice: it asked for a rest, or it
-// announces a limit and this box holds no permit. If all targets that a call may use are blocked
-// for longer than the call can wait, the caller is refused immediately and told when to retry.
+// A target is blocked while it accepts no calls because of its own notice: it asked for a rest, or
+// it announces a limit and this box holds no permit. If all targets that a call may use are blocked
+// for longer than the call can wait, the caller is refused immediately with a time to retry after.
 
 const (
 	// minRestSpread is the least time over which retries of callers who were refused because of
-	// rests are spread: the first retries then show whether the targets take calls again.
+	// rests are spread: the first retries then show whether the targets accept calls again.
 	minRestSpread = 100 * time.Millisecond
 	// restSpreadFactor is that spread as a fraction of the remaining rest, so that callers who were
 	// refused during a long rest don't all retry at its end.
 	restSpreadFactor = 0.25
 	// maxPermitWait is how long a call that isn't patient waits for a permit, so that callers who
-	// can't be served are told quickly.
+	// can't be served are refused quickly.
 	maxPermitWait = 150 * time.Millisecond
 	// minLimitRetryFactor and maxLimitRetryFactor bound the random factor applied to the retry time
 	// after a refusal because of limits.
@@ -28,12 +28,12 @@
 	maxLimitRetryFactor = 1.5
 )
 
-// isBlocked reports whether the target takes no calls at present because of its own notice.
+// isBlocked reports whether the target accepts no calls at present because of its own notice.
 func (t *target) isBlocked(now units.Instant) bool {
 	return t.notice.isResting(now) || t.lacksPermit(now)
 }
 
-// blockedUntil returns when a blocked target may take calls again, as far as this box knows.
+// blockedUntil returns when a blocked target may accept calls again, as far as this box knows.
 func (t *target) blockedUntil(now units.Instant) units.Instant {
 	at := max(now, t.notice.restUntil)
 	if t.lacksPermit(now) {
@@ -42,7 +42,7 @@
 	return at
 }
 
-// blockedUntil returns when the first of the targets that a call may use takes calls again. It
+// blockedUntil returns when the first of the targets that a call may use accepts calls again. It
 // returns false if one of them isn't blocked, or if there are none.
 func (s *service) blockedUntil(c *call, now units.Instant) (units.Instant, bool) {
 	var first units.Instant
@@ -120,7 +120,7 @@
 }
 
 // limitRetryAfter returns when a caller whose call was refused because of limits should retry. As
-// for a busy service, the state is expected to last as long again as it has lasted so far. The time
+// for a busy service, the state is expected to last for as long as it has lasted already. The time
 // is randomized, so that callers don't all compete for the next permits.
 func (r *Router) limitRetryAfter(s *service, first units.Instant) time.Duration {
 	elapsed := min(r.now.Sub(s.limitedSince), maxBusyRetryAfter)
--- a/pkg/core/routing/cold.go
+++ b/pkg/core/routing/cold.go
@@ -50,7 +50,7 @@
 	return t.service.row.ColdRate > 0 && (now < t.cold.until || now < t.cold.possibleUntil)
 }
 
-// acceptsColdCalls reports whether the target is cold but takes calls from this box.
+// acceptsColdCalls reports whether the target is cold but accepts calls from this box.
 func (t *target) acceptsColdCalls(now units.Instant) bool {
 	return t.isCold(now) && t.cold.share > 0
 }
--- a/pkg/core/routing/coordinator.go
+++ b/pkg/core/routing/coordinator.go
@@ -207,7 +207,7 @@
 	if len(r.notices) == 0 {
 		return
 	}
-	for _, s := range r.order {
+	for _, s := range r.sortedServices {
 		for _, t := range s.targets {
 			if t.account() == nil {
 				continue
--- a/pkg/core/routing/crash.go
+++ b/pkg/core/routing/crash.go
@@ -47,7 +47,7 @@
 }
 
 // recordBrokenCall records a call that broke off. Calls at targets that are about to stop as
-// planned, or are gone, are ignored: that they break off says nothing about the call.
+// planned, or are gone, are ignored: that they break off is no evidence about the call.
 func (r *Router) recordBrokenCall(c *call, a *attempt, e *Effects) {
 	t := a.target
 	if !r.enabled(CrashSuspects) || c.identity == nil || !t.isActiveInTable() || t.notice.isLeaving() {
@@ -158,8 +158,8 @@
 	r.requestNotesSend()
 }
 
-// recordAlive records an answer of a target, whatever it says: the target hasn't crashed. An answer
-// that was in transit when the calls broke off proves nothing and is ignored.
+// recordAlive records an answer of a target, whatever its content: the target hasn't crashed. An
+// answer that was in transit when the calls broke off proves nothing and is ignored.
 func (t *target) recordAlive(now units.Instant) {
 	w := &t.crash
 	if n := len(w.broken); n > 0 && now.Sub(w.broken[n-1].at) >= crashCheckInterval {
--- a/pkg/core/routing/domainavailability.go
+++ b/pkg/core/routing/domainavailability.go
@@ -33,7 +33,7 @@
 	updatedAt        units.Instant
 }
 
-// record adds an observation of a target: usable means that it could be reached and takes calls
+// record adds an observation of a target: usable means that it could be reached and accepts calls
 // from this box.
 func (o *domainAvailability) record(now units.Instant, usable bool) {
 	decay := o.decay(now)
--- a/pkg/core/routing/evacuation.go
+++ b/pkg/core/routing/evacuation.go
@@ -44,7 +44,7 @@
 	if s.isExcludedByRegion(c) {
 		return RegionNotAllowed
 	}
-	if s.hasActiveTarget(c) {
+	if s.hasEligibleTarget(c) {
 		return s.blockedReason(c, now)
 	}
 	if slices.ContainsFunc(s.targets, func(t *target) bool { return t.evacuated && t.isActiveInTable() && c.mayUse(t) }) {
@@ -91,7 +91,7 @@
 // canServe reports whether the service has a target for a call, regardless of its health and
 // limits, that accepts calls before the call's time to wait is over.
 func (s *service) canServe(c *call, now units.Instant) bool {
-	return s.hasActiveTarget(c) && !s.isBlockedTooLong(c, now)
+	return s.hasEligibleTarget(c) && !s.isBlockedTooLong(c, now)
 }
 
 // hasUnblockedTarget reports whether a target may serve calls, regardless of its health and the
--- a/pkg/core/routing/events.go
+++ b/pkg/core/routing/events.go
@@ -197,7 +197,7 @@
 	Born units.WallTime
 }
 
-// Notice is what a target has asked of the box or announced to it.
+// Notice is what a target has requested from the box or announced to it.
 type Notice struct {
 	// RestUntil is until when nothing may be sent to the target; Leaving is set if it is shutting
 	// down and nothing may be sent any more.
--- a/pkg/core/routing/health.go
+++ b/pkg/core/routing/health.go
@@ -6,7 +6,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// health tracks whether a target takes calls normally. A target that fails several calls in a row
+// health tracks whether a target serves calls normally. A target that fails several calls in a row
 // is ejected for a while, then tried with one call at a time, and returns with a gradually
 // increasing weight.
 type health struct {
--- a/pkg/core/routing/inbound.go
+++ b/pkg/core/routing/inbound.go
@@ -93,17 +93,17 @@
 	x.meanAnswerBytes, x.hasAnswerSize = bytes, true
 }
 
-// recordAnswerStart records that an answer starts being streamed to the caller; coming is how many
-// bytes follow. If that is negative, thus unknown, the route's expected size is used.
-func (r *Router) recordAnswerStart(c *call, a *attempt, coming int) {
+// recordAnswerStart records that an answer starts being streamed to the caller; remaining is how
+// many bytes follow. If that is negative, thus unknown, the route's expected size is used.
+func (r *Router) recordAnswerStart(c *call, a *attempt, remaining int) {
 	a.timeToAnswer = r.timeAtTarget(c, a)
 	a.answerStarted = true
 	r.clearExpected(a)
-	if coming < 0 {
+	if remaining < 0 {
 		a.linkTime = r.inbound.start(r.now, c.route.meanAnswerBytes)
 		return
 	}
-	bytes := min(float64(coming), r.inbound.bytesPerSecond*maxOccupancy.Seconds())
+	bytes := min(float64(remaining), r.inbound.bytesPerSecond*maxOccupancy.Seconds())
 	c.route.updateSize(bytes)
 	a.linkTime = r.inbound.start(r.now, bytes)
 }
@@ -154,11 +154,11 @@
 		return a.timeToAnswer
 	}
 	took := r.now.Sub(a.sent)
-	hidden := r.linkBusySince(a)
-	if hidden <= 0 {
+	linkBusy := r.linkBusySince(a)
+	if linkBusy <= 0 {
 		return took
 	}
-	return max(min(took, time.Duration(c.route.typicalLatency)), took-hidden)
+	return max(min(took, time.Duration(c.route.typicalLatency)), took-linkBusy)
 }
 
 // isInconclusive reports whether an attempt that wasn't answered in time is no evidence about its
@@ -213,19 +213,19 @@
 // reports whether it does. A call without an eligible target isn't delayed, so that it is refused
 // at once.
 func (r *Router) waitForLink(id CallID, c *call, e *Effects) bool {
-	if !c.route.largeAnswers || !r.enabled(SharedLink) || c.route.latencyObjective == 0 || !c.service.hasActiveTarget(c) {
+	if !c.route.largeAnswers || !r.enabled(SharedLink) || c.route.latencyObjective == 0 || !c.service.hasEligibleTarget(c) {
 		return false
 	}
-	coming := r.inbound.remaining(r.now) + r.inbound.transferTime(r.expectedBytes)
+	expectedBusy := r.inbound.remaining(r.now) + r.inbound.transferTime(r.expectedBytes)
 	allowed := time.Duration(inboundObjectiveFraction * float64(c.route.latencyObjective))
 	waited := r.now.Sub(c.arrived)
 	maxWait := time.Duration(inboundWaitFraction * float64(min(c.route.latencyObjective, c.deadline.Sub(c.arrived))))
-	if coming <= allowed || waited >= maxWait {
+	if expectedBusy <= allowed || waited >= maxWait {
 		return false
 	}
 	r.linkWaits++
 	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.deadline})
-	wait := max(minInboundWait, min(coming-allowed, maxWait-waited))
+	wait := max(minInboundWait, min(expectedBusy-allowed, maxWait-waited))
 	r.timers.Push(timer{at: r.now.Add(wait), call: id, kind: linkTimer})
 	return true
 }
--- a/pkg/core/routing/keys.go
+++ b/pkg/core/routing/keys.go
@@ -68,7 +68,7 @@
 	return false
 }
 
-// keysStale reports whether a key may have been revoked without this box having learned of it in
+// keysStale reports whether a key may have been revoked without this box having been informed in
 // time.
 func (r *Router) keysStale() bool {
 	return r.settings.MaxKeyStaleness > 0 && r.now > r.leaseConfirmedAt.Add(r.settings.MaxKeyStaleness)
--- a/pkg/core/routing/lending.go
+++ b/pkg/core/routing/lending.go
@@ -104,7 +104,7 @@
 
 // canLend reports whether the target has a free slot that belongs to this box.
 func (t *target) canLend(now units.Instant) bool {
-	return t.inFlightShare.value < unlimited && t.hasOwnFreeSlot() && t.takesIfPermitted(now, false)
+	return t.inFlightShare.value < unlimited && t.hasOwnFreeSlot() && t.isAvailableWithPermit(now, false)
 }
 
 // lendFreedSlots lends slots that have become free to boxes with pending requests, unless calls are
--- a/pkg/core/routing/mechanism.go
+++ b/pkg/core/routing/mechanism.go
@@ -27,7 +27,7 @@
 	FailingTargets Mechanism = "failing-targets"
 	// Ejection stops sending calls for a while to targets that fail several in a row.
 	Ejection Mechanism = "ejection"
-	// Ramping gives targets that join or come back an increasing share of the calls.
+	// Ramping gives targets that join or are readmitted an increasing share of the calls.
 	Ramping Mechanism = "ramping"
 	// OwnDomain prefers targets in the box's own failure domain.
 	OwnDomain Mechanism = "own-domain"
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -8,14 +8,14 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A target may tell a box in an answer that it wants no calls for some time (a rest), that it is
-// about to exit (leaving), or how many calls it accepts from all boxes together (targetlimit.go).
-// Such a notice applies to everything that the box could send to the target: first sends, retries,
-// hedges, calls that were held or are waiting, borrowed slots, attempts at an ejected target,
-// probes and checks. A notice belongs to one incarnation of the target, which is one run of its
-// process. It is kept apart from the target's row, so that neither a new row nor a load report ends
-// it. It applies even if the target appears to have free slots: a target may reject calls while it
-// reports some.
+// A target may announce in an answer that it accepts no calls for some time (a rest), that it is
+// about to exit (leaving), or how many calls a second it accepts from all boxes together
+// (targetlimit.go). Such a notice applies to everything that the box could send to the target:
+// first sends, retries, hedges, calls that were held or are waiting, borrowed slots, attempts at an
+// ejected target, probes and checks. A notice belongs to one incarnation of the target, which is
+// one run of its process. It is kept apart from the target's row, so that neither a new row nor a
+// load report ends it. It applies even if the target appears to have free slots: a target may
+// reject calls while it reports some.
 
 const (
 	// noticeRetention is how long the notice of an incarnation without a row is kept: after a late
@@ -73,7 +73,7 @@
 // referred to within noticeRetention.
 type noticeMap map[incarnation]*notice
 
-// isResting reports whether the target wants no calls at present.
+// isResting reports whether the target is in a rest that it asked for.
 func (n *notice) isResting(now units.Instant) bool { return n != nil && now < n.restUntil }
 
 // isLeaving reports whether the target has announced that it is about to exit.
@@ -114,7 +114,7 @@
 // is none or more than one.
 func (r *Router) onlyOtherAtAddress(x *Endpoint) *target {
 	var other *target
-	for _, s := range r.order {
+	for _, s := range r.sortedServices {
 		for _, t := range s.targets {
 			if t.row.Address != x.Address || t.row.Target == x.Target {
 				continue
@@ -178,7 +178,7 @@
 // services.
 func (r *Router) applyToServices(n *notice, x *Endpoint, e *Effects) []*service {
 	var bound []*service
-	for _, s := range r.order {
+	for _, s := range r.sortedServices {
 		// A registered target belongs to one service; a process configured by operators may serve
 		// several.
 		if (!x.Registered || s.row.Name == x.Service) && r.applyToService(s, n, x, e) {
@@ -242,7 +242,7 @@
 	if len(r.notices) == 0 {
 		return
 	}
-	for _, s := range r.order {
+	for _, s := range r.sortedServices {
 		for _, t := range s.targets {
 			if t.notice == nil {
 				continue
@@ -261,7 +261,7 @@
 // removeNotice ends a notice early.
 func (r *Router) removeNotice(n *notice) {
 	delete(r.notices, n.incarnation)
-	for _, s := range r.order {
+	for _, s := range r.sortedServices {
 		for _, t := range s.targets {
 			if t.notice == n {
 				t.notice = nil
--- a/pkg/core/routing/overload_test.go
+++ b/pkg/core/routing/overload_test.go
@@ -294,7 +294,8 @@
 }
 
 // Where targets with free slots shed half of their calls, refused callers must retry early enough
-// for their latency objective. With a pause of 100 ms only 0.65 of the calls were answered within their latency objective.
+// for their latency objective. With a pause of 100 ms only 0.65 of the calls were answered within
+// their latency objective.
 func TestCallersOfShedCallsComeBackInTime(t *testing.T) {
 	f := newOverloadSim(t)
 	withinObjective := f.measure(0.4, func() {
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -22,7 +22,7 @@
 	// or that isn't the coordinator according to its own list of boxes.
 	permitRetryInterval = 100 * time.Millisecond
 	// maxPermitRetryInterval caps how long a box waits after a coordinator without permits has
-	// answered, and so how late it learns that the limit has ended.
+	// answered, and so how late it is informed that the limit has ended.
 	maxPermitRetryInterval = time.Second
 	// permitRetryJitter is the maximum random extension of a wait, as a fraction of it, so that
 	// boxes don't all send their request when the next permit becomes available.
@@ -34,14 +34,14 @@
 	// there rather than to a better target, because only an answer shows that the limit has ended.
 	limitCheckAfter = time.Second
 	// limitCheckInterval is the least time between two permit requests of a service whose calls
-	// have other targets, so that these calls cost hardly more than without limits.
+	// have other targets, so that these calls cost little more than without limits.
 	limitCheckInterval = 20 * time.Millisecond
 	// parallelPermitRequests is the number of coordinators that are sent a request at once for a
 	// call that has no other target. Most permits beyond what a call needs are returned unused.
 	parallelPermitRequests = 2
 	// maxPermitRequestsPerCall is the maximum number of coordinators that are sent a request for
-	// one call. If that many have no permits, others hardly have any, and the messages would cost
-	// the boxes more than the call.
+	// one call. If that many have no permits, few others have any, and the messages would cost the
+	// boxes more than the call.
 	maxPermitRequestsPerCall = 4
 )
 
@@ -89,8 +89,9 @@
 	return t.notice.isLimited() && !t.notice.limit.permits.available(now)
 }
 
-// takesIfPermitted reports whether a new call might go to the target now if there were a permit.
-func (t *target) takesIfPermitted(now units.Instant, ignoreHealth bool) bool {
+// isAvailableWithPermit reports whether a new call could be sent to the target now if there were a
+// permit.
+func (t *target) isAvailableWithPermit(now units.Instant, ignoreHealth bool) bool {
 	return t.coldRateAdmits(now) && t.isAvailableWhenWarm(now, ignoreHealth)
 }
 
@@ -144,8 +145,8 @@
 	r.requestPermitsFromSome(s, c, 1, func(t *target) bool { return t.inSubset }, e)
 }
 
-// requestPermitsFromSome requests permits of at most maxRequests limited targets that suit a call
-// and satisfy fits, and returns the number of requests.
+// requestPermitsFromSome requests permits of at most maxRequests limited targets that a call may be
+// sent to and that satisfy fits, and returns the number of requests.
 func (r *Router) requestPermitsFromSome(s *service, c *call, maxRequests int, fits func(*target) bool, e *Effects) (requested int) {
 	if s.limitedTargets == 0 || !r.leased() {
 		return 0
@@ -157,7 +158,7 @@
 		if requested >= maxRequests {
 			break
 		}
-		if t.notice.isLimited() && t.notice.limit.mayRequest(r.now) && fits(t) && c.mayUse(t) && t.takesIfPermitted(r.now, ignoreHealth) {
+		if t.notice.isLimited() && t.notice.limit.mayRequest(r.now) && fits(t) && c.mayUse(t) && t.isAvailableWithPermit(r.now, ignoreHealth) {
 			r.requestTargetPermits(t, min(maxPermitsHeld, 1+s.held.length+len(s.waiting)), e)
 			requested++
 		}
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -56,24 +56,24 @@
 }
 
 // sendOrProbe sends a call to the target that seems best, or probes a few targets first.
-func (r *Router) sendOrProbe(id CallID, c *call, best *target, why Purpose, e *Effects) {
+func (r *Router) sendOrProbe(id CallID, c *call, best *target, purpose Purpose, e *Effects) {
 	if !r.enabled(Probing) || !c.service.probesTargets() || best.notice.isLimited() || best.hasFreshReport(r.now) && r.isSuitable(c, best) || r.maySkipProbes(c, best) {
-		r.send(id, c, best, why, e)
+		r.send(id, c, best, purpose, e)
 		return
 	}
-	c.probeRound.purpose = why
+	c.probeRound.purpose = purpose
 	c.probeRound.queued = false
 	r.dropFinishedWaiting(c.service)
 	if len(c.service.waiting) >= maxProbingCalls || !r.sendProbes(id, c, e) {
 		if !c.service.isBusy(r.now) && !best.hasFreshReport(r.now) && !r.requiresKnownFreeSlot(c) {
-			r.send(id, c, best, why, e)
+			r.send(id, c, best, purpose, e)
 			return
 		}
 		c.probeRound.active = true
 		r.waitForTarget(id, c)
 		r.requestPermits(c.service, c, 1, e)
 	}
-	if why == FirstSend {
+	if purpose == FirstSend {
 		e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.deadline})
 	}
 }
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -83,8 +83,7 @@
 }
 
 // updateFromProbe updates a target's state from the answer to a probe for a call. The health that
-// the target reports counts for no more than a load report: the results of calls are better
-// evidence.
+// the target reports doesn't change its ejection: the results of calls are better evidence.
 func (r *Router) updateFromProbe(t *target, v *ProbeEnded, e *Effects) {
 	if t == nil {
 		return
--- a/pkg/core/routing/quarantine.go
+++ b/pkg/core/routing/quarantine.go
@@ -60,7 +60,7 @@
 	until  units.Instant
 }
 
-// crashState is what a box knows of crashes and of the calls suspected to cause them.
+// crashState is a box's state on crashes and the calls suspected to cause them.
 type crashState struct {
 	notes    crashNotes
 	canaries canaryState
--- a/pkg/core/routing/refusal.go
+++ b/pkg/core/routing/refusal.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Outcome tells a refused caller whether its call may have been run.
+// Outcome is what a refused caller is informed of: whether its call may have been run.
 type Outcome uint8
 
 // The outcomes that a refusal can name.
--- a/pkg/core/routing/residency.go
+++ b/pkg/core/routing/residency.go
@@ -83,7 +83,7 @@
 	for d, x := range r.domainDistances {
 		r.updateSameRegion(d, x)
 	}
-	for _, s := range r.order {
+	for _, s := range r.sortedServices {
 		r.assignRegions(s, e)
 		r.recheckWaitingCalls(s, e)
 	}
@@ -98,7 +98,7 @@
 		return s
 	}
 	for _, p := range c.route.parts {
-		if p.service.hasActiveTarget(c) {
+		if p.service.hasEligibleTarget(c) {
 			return p.service
 		}
 	}
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -65,11 +65,11 @@
 	probeCandidates []*target
 	table           *table.Table
 	services        map[units.ServiceName]*service
-	// order lists the services sorted by name.
-	order  []*service
-	routes routeIndex
-	keys   keyRing
-	rank   boxRank
+	// sortedServices lists the services sorted by name.
+	sortedServices []*service
+	routes         routeIndex
+	keys           keyRing
+	rank           boxRank
 	// boxListVersion numbers the lists of boxes applied; domainBoxes caches, for the current list,
 	// the boxes near each failure domain's targets that aren't leaving.
 	boxListVersion int
@@ -250,7 +250,7 @@
 		return
 	}
 	r.sweepAt = r.now.Add(idleSweepPeriod)
-	for _, s := range r.order {
+	for _, s := range r.sortedServices {
 		r.sweep(s, e)
 		r.sweepAt = min(r.sweepAt, s.sweepAt)
 	}
--- a/pkg/core/routing/routes.go
+++ b/pkg/core/routing/routes.go
@@ -101,7 +101,7 @@
 		x.restrictsRegions = x.restrictsRegions || added.regions != nil
 		x.byHost[row.Host] = append(x.byHost[row.Host], added)
 	}
-	for _, s := range r.order {
+	for _, s := range r.sortedServices {
 		for _, h := range ownHosts(&s.row) {
 			x.byHost[h] = append(x.byHost[h], serviceRoute(s, h))
 		}
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -140,8 +140,8 @@
 	Measured time.Duration `json:"measured"`
 	// ProbeRate is the number of probes per second that this box may send to the target.
 	ProbeRate float64 `json:"probeRate"`
-	// RestLeftMs is how long, in milliseconds, the target wants no calls from this box. SaysLeaving
-	// is set once it has announced its shutdown.
+	// RestLeftMs is how long, in milliseconds, the rest that the target asked for still lasts.
+	// SaysLeaving is set once it has announced its shutdown.
 	RestLeftMs  int64 `json:"restLeftMs,omitempty"`
 	SaysLeaving bool  `json:"saysLeaving,omitempty"`
 	// Limit is the rate, in calls per second for all boxes together, that the target announces.
@@ -150,7 +150,7 @@
 	Limit       *units.CallRate `json:"limit,omitempty"`
 	Coordinator units.BoxID     `json:"permittedBy,omitempty"`
 	Permits     int             `json:"permits,omitempty"`
-	// Bound names what currently keeps calls away from the target; empty if nothing does.
+	// Bound names why the target currently receives no new calls; empty if it may receive some.
 	Bound string `json:"bound,omitempty"`
 }
 
@@ -171,7 +171,7 @@
 			s.Refusals[reason.String()] = n
 		}
 	}
-	for _, x := range r.order {
+	for _, x := range r.sortedServices {
 		s.Services = append(s.Services, r.serviceStatus(x, now))
 	}
 	return s
@@ -227,7 +227,7 @@
 		InFlight: t.inFlight, Share: share, Lent: t.lentSlots, Borrowed: len(t.borrowedSlots),
 		Ejected: t.health.ejected, Ramp: t.health.rampFactor(now), Latency: t.latency.mean(),
 		Sends: t.sends, Answers: t.answers, Failures: t.failures, Sheds: t.sheds, Unanswered: t.unansweredCalls, Probes: t.probesSent,
-		Measured: time.Duration(t.probesSent) * r.settings.ProbeCost, ProbeRate: r.probeRate(t.service, t), Bound: t.blockedBy(now),
+		Measured: time.Duration(t.probesSent) * r.settings.ProbeCost, ProbeRate: r.probeRate(t.service, t), Bound: t.unavailableReason(now),
 		SaysLeaving: t.notice.isLeaving(),
 	}
 	if t.notice.isResting(now) {
@@ -242,9 +242,9 @@
 	return status
 }
 
-// blockedBy returns the first reason for which the target receives no new calls; empty if there is
-// none.
-func (t *target) blockedBy(now units.Instant) string {
+// unavailableReason returns the first reason for which the target receives no new calls; empty if
+// there is none.
+func (t *target) unavailableReason(now units.Instant) string {
 	switch {
 	case t.row.State.String() != "active":
 		return "leaving"
@@ -291,7 +291,7 @@
 
 // hasLimits reports whether any target has a limit that is divided among the boxes.
 func (r *Router) hasLimits() bool {
-	for _, s := range r.order {
+	for _, s := range r.sortedServices {
 		for _, t := range s.targets {
 			if !t.row.Registered && (t.row.MaxInFlight > 0 || t.row.MaxConnections > 0 || t.row.MaxRate > 0) {
 				return true
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -25,8 +25,8 @@
 }
 
 // isTooSlow reports whether calls take much longer at a target than elsewhere. If that holds for
-// all targets of the service that the call may use, none is too slow: refusing calls would help
-// nobody.
+// all targets of the service that the call may use, none is too slow: refusing calls would not
+// help.
 func (r *Router) isTooSlow(c *call, t *target) bool {
 	slowdown := t.currentSlowdown(r.now)
 	if !r.enabled(SlowTargets) || slowdown < slowTargetThreshold {
@@ -42,7 +42,7 @@
 }
 
 // acceptsUnsuitable reports whether a call that can't wait any longer may go to an unsuitable
-// target: either the call may have run already, so that a refusal can't say that it hasn't, or no
+// target: either the call may have run already, so that a refusal can't state that it hasn't, or no
 // target could be probed although the service isn't busy. While it is busy, such a call would meet
 // others at a target without a load report, and both would be late.
 func (r *Router) acceptsUnsuitable(c *call) bool {
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -33,10 +33,10 @@
 		r.changedServices = append(r.changedServices, r.applyService(entry, e))
 	}
 	if routesChanged {
-		slices.SortFunc(r.order, compareServices)
+		slices.SortFunc(r.sortedServices, compareServices)
 		r.indexRoutes()
 		if r.rebindCalls() {
-			r.changedServices = append(r.changedServices[:0], r.order...)
+			r.changedServices = append(r.changedServices[:0], r.sortedServices...)
 		}
 	}
 	if quarantinesChanged {
@@ -89,16 +89,16 @@
 // dropMissingServices removes the services that aren't in the table any more, and reports whether
 // there were any.
 func (r *Router) dropMissingServices(t *table.Table, e *Effects) bool {
-	kept := r.order[:0]
-	for _, s := range r.order {
+	kept := r.sortedServices[:0]
+	for _, s := range r.sortedServices {
 		if t.Services[s.row.Name] != nil {
 			kept = append(kept, s)
 			continue
 		}
 		r.dropService(s, e)
 	}
-	dropped := len(kept) < len(r.order)
-	r.order = kept
+	dropped := len(kept) < len(r.sortedServices)
+	r.sortedServices = kept
 	return dropped
 }
 
@@ -115,7 +115,7 @@
 		s.domain = r.settings.Domain
 		s.disabled = r.disabled
 		r.services[entry.Service.Name] = s
-		r.order = append(r.order, s)
+		r.sortedServices = append(r.sortedServices, s)
 	}
 	if s.entry != entry {
 		s.update(entry, r.now)
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -128,8 +128,8 @@
 	t.removed = false
 }
 
-// effectiveWeight returns the weight used for load balancing now: zero if the target may not take
-// calls, reduced while it ramps up.
+// effectiveWeight returns the weight used for load balancing now: zero if the target may not
+// receive calls, reduced while it ramps up.
 func (t *target) effectiveWeight(now units.Instant) float64 {
 	if t.row.State != table.Active || t.evacuated || t.role != currentVersion || t.notice.isLeaving() {
 		return 0
@@ -184,20 +184,20 @@
 	return nil
 }
 
-// isActiveInTable reports whether the table lets the target take calls.
+// isActiveInTable reports whether the table allows calls to the target.
 func (t *target) isActiveInTable() bool {
 	return !t.removed && t.row.State == table.Active && t.row.Weight > 0
 }
 
-// isEligible reports whether the target may take the service's calls, regardless of its health, its
-// limits and rests.
+// isEligible reports whether the target may receive the service's calls, regardless of its health,
+// its limits and rests.
 func (t *target) isEligible() bool {
 	return t.isActiveInTable() && !t.evacuated && t.role == currentVersion && !t.notice.isLeaving()
 }
 
 // isAvailable reports whether a new call may be sent to the target now.
 func (t *target) isAvailable(now units.Instant, ignoreHealth bool) bool {
-	return !t.lacksPermit(now) && t.takesIfPermitted(now, ignoreHealth)
+	return !t.lacksPermit(now) && t.isAvailableWithPermit(now, ignoreHealth)
 }
 
 // isAvailableWhenWarm reports whether a new call could be sent to the target now if it were warm
--- a/pkg/core/routing/unanswered.go
+++ b/pkg/core/routing/unanswered.go
@@ -11,8 +11,8 @@
 // on that connection. Such an unanswered call is distinguished from a slow one by what the target
 // does meanwhile: it answers later calls, or reports fewer calls in flight than this box has sent
 // it. The target is then treated as full rather than as failed. A repeatable call is sent to
-// another target. Any other call is left until its deadline, and its caller is told that it may
-// have run.
+// another target. Any other call is left until its deadline, and is then refused with the outcome
+// that it may have run.
 //
 // An answer is overdue once the call has been in flight for longer than its answer timeout.
 
--- a/pkg/core/routing/waiting.go
+++ b/pkg/core/routing/waiting.go
@@ -61,7 +61,7 @@
 }
 
 // busyRetryAfter is the retry delay for a call that found all targets busy. A busy period is
-// expected to last as long again as it has lasted so far. A caller that retries before its end adds
+// expected to last for as long as it has lasted already. A caller that retries before its end adds
 // to the load, and is answered late all the same.
 func (r *Router) busyRetryAfter(s *service) time.Duration {
 	lasted := r.now.Sub(s.busySince)
