--- a/pkg/core/routing/canary.go
+++ b/pkg/core/routing/canary.go
@@ -234,7 +234,7 @@
 	if !found {
 		return false
 	}
-	if r.takeCanaryGrant(f, c) {
+	if r.grantOwnCanary(f, c) {
 		return false
 	}
 	r.crashes.canaries.status.Held++
@@ -244,9 +244,9 @@
 	return true
 }
 
-// takeCanaryGrant lets a call be sent as a canary now if this box is the coordinator of its request
-// and the call needn't wait. It reports whether it did.
-func (r *Router) takeCanaryGrant(f crash.Fingerprint, c *call) bool {
+// grantOwnCanary grants a canary to one of this box's own calls if this box is the coordinator of
+// the request and the call needn't wait. It reports whether it did.
+func (r *Router) grantOwnCanary(f crash.Fingerprint, c *call) bool {
 	b := &r.crashes.canaries
 	if r.canaryCoordinator(f) != r.settings.Box || b.yieldsToOtherCallers(f, c, r.now) || !b.grantCanary(f, r.now) {
 		return false
@@ -286,7 +286,7 @@
 	case r.now.Sub(c.arrived) >= maxCanaryWait:
 		r.crashes.canaries.status.TimedOut++
 		r.endCanaryWait(id, c, e)
-	case r.takeCanaryGrant(f, c):
+	case r.grantOwnCanary(f, c):
 		r.endCanaryWait(id, c, e)
 	default:
 		r.requestCanaryGrant(id, c, f, e)
--- a/pkg/core/routing/notice.go
+++ b/pkg/core/routing/notice.go
@@ -9,20 +9,20 @@
 )
 
 // A target may announce in an answer that it accepts no calls for some time (a rest), that it is
-// about to exit (leaving), or how many calls a second it accepts from all boxes together
+// about to shut down (leaving), or how many calls a second it accepts from all boxes together
 // (targetlimit.go). Such a notice applies to everything that the box could send to the target:
 // first sends, retries, hedges, calls that were held or are waiting, borrowed slots, attempts at an
 // ejected target, probes and checks. A notice belongs to one incarnation of the target, which is
 // one run of its process. It is kept apart from the target's row, so that neither a new row nor a
-// load report ends it. It applies even if the target appears to have free slots: a target may
-// reject calls while it reports some.
+// load report ends it. It applies even if the target appears to have free slots: a target may shed
+// calls while it reports some.
 
 const (
 	// noticeRetention is how long the notice of an incarnation without a row is kept: after a late
 	// report the row reappears within seconds.
 	noticeRetention = time.Minute
 	// minRestExtension is by how much a rest must have been extended for the shell to be informed
-	// again: each call that a target rejects extends its rest slightly.
+	// again: each call that a target sheds extends its rest slightly.
 	minRestExtension = 100 * time.Millisecond
 )
 
@@ -59,7 +59,7 @@
 	// restUntil is the latest end of the rests that it asked for; a later request for a shorter
 	// rest doesn't end it earlier.
 	restUntil units.Instant
-	// leaving is set once the target has announced that it is about to exit.
+	// leaving is set once the target has announced its shutdown.
 	leaving bool
 	// reportedRestUntil is the value of restUntil that the shell was last informed of.
 	reportedRestUntil units.Instant
@@ -76,7 +76,7 @@
 // isResting reports whether the target is in a rest that it asked for.
 func (n *notice) isResting(now units.Instant) bool { return n != nil && now < n.restUntil }
 
-// isLeaving reports whether the target has announced that it is about to exit.
+// isLeaving reports whether the target has announced its shutdown.
 func (n *notice) isLeaving() bool { return n != nil && n.leaving }
 
 // forbidsSending reports whether nothing may be sent to the target now.
@@ -177,18 +177,18 @@
 // applyToServices applies a changed notice to all targets of its incarnation and returns their
 // services.
 func (r *Router) applyToServices(n *notice, x *Endpoint, e *Effects) []*service {
-	var bound []*service
+	var affected []*service
 	for _, s := range r.sortedServices {
 		// A registered target belongs to one service; a process configured by operators may serve
 		// several.
 		if (!x.Registered || s.row.Name == x.Service) && r.applyToService(s, n, x, e) {
-			bound = append(bound, s)
+			affected = append(affected, s)
 		}
 	}
-	for _, s := range bound {
+	for _, s := range affected {
 		r.updateAfterNotice(s, e)
 	}
-	return bound
+	return affected
 }
 
 // applyToService attaches a notice to a service's targets of its incarnation and reports whether
@@ -208,8 +208,8 @@
 	return found
 }
 
-// updateAfterNotice updates a service after one of its targets started a rest, announced that it
-// leaves, or began or ceased to announce a limit.
+// updateAfterNotice updates a service after one of its targets started a rest, announced its
+// shutdown, or began or ceased to announce a limit.
 func (r *Router) updateAfterNotice(s *service, e *Effects) {
 	s.updateWeights(r.now)
 	r.scheduleSweep(s, r.now)
@@ -275,7 +275,7 @@
 func (t *target) lacksStartTime() bool { return t.row.Born == 0 }
 
 // needsHealthProbe reports whether a target without calls should be probed: if it is ejected, or if
-// it announced that it leaves and only a probe can show that a new process has replaced it.
+// it announced its shutdown and only a probe can show that a new process has replaced it.
 func (t *target) needsHealthProbe(now units.Instant) bool {
 	switch {
 	case t.notice.isResting(now):
@@ -286,7 +286,7 @@
 	return t.health.ejected
 }
 
-// detectSuccessor processes the result of a probe of a target that announced that it leaves. Such a
+// detectSuccessor processes the result of a probe of a target that announced its shutdown. Such a
 // target repeats this in all its answers. An answer without it, or a refused connection, shows that
 // the process has exited, and the notice is removed.
 func (r *Router) detectSuccessor(t *target, v *ProbeEnded, e *Effects) {
--- a/pkg/core/routing/notice_random_test.go
+++ b/pkg/core/routing/notice_random_test.go
@@ -24,7 +24,7 @@
 	leaving   bool
 }
 
-// noticeModel is a box whose targets ask for rests and announce that they leave, in answers of all
+// noticeModel is a box whose targets ask for rests and announce their shutdown, in answers of all
 // kinds, while rows are added, removed and changed to new incarnations. It checks each send and
 // probe against what the target had announced.
 type noticeModel struct {
@@ -110,7 +110,7 @@
 		x.Fatalf("%s was sent something %s before the end of its rest (probe: %t)", e.Target, h.restUntil.Sub(x.now), probe)
 	}
 	if h.leaving {
-		x.Fatalf("%s was sent something after it had announced that it leaves (probe: %t)", e.Target, probe)
+		x.Fatalf("%s was sent something after it had announced its shutdown (probe: %t)", e.Target, probe)
 	}
 }
 
@@ -211,7 +211,7 @@
 }
 
 // Whatever the order of events, nothing may be sent to a target before the end of its rests, or
-// after it has announced that it leaves, until its next incarnation starts.
+// after it has announced its shutdown, until its next incarnation starts.
 func TestNothingReachesTargetsThatWantNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newNoticeModel(t)
--- a/pkg/core/routing/overload_rest_test.go
+++ b/pkg/core/routing/overload_rest_test.go
@@ -27,7 +27,7 @@
 	}
 	gain := 0.0
 	for _, s := range scenarios {
-		play := func(shared bool) (withinObjective, wasted float64) {
+		simulate := func(shared bool) (withinObjective, wasted float64) {
 			f := newOverloadSim(t)
 			f.sharesNotices = shared
 			withinObjective = f.measure(s.load, func() {
@@ -38,8 +38,8 @@
 			})
 			return withinObjective, f.wastedPerCall()
 		}
-		alone, wasted := play(false)
-		shared, wastedShared := play(true)
+		alone, wasted := simulate(false)
+		shared, wastedShared := simulate(true)
 		t.Logf("%s: within objective %.3f without sharing, %.3f with it; shed per call: %.3f and %.3f", s.testName, alone, shared, wasted, wastedShared)
 		gain += shared - alone
 	}
--- a/pkg/core/routing/overload_test.go
+++ b/pkg/core/routing/overload_test.go
@@ -281,12 +281,12 @@
 
 // With a third of the targets unreachable, boxes stop trying them one by one.
 func TestADarkDomainIsLearntAsOne(t *testing.T) {
-	play := func(off ...Mechanism) *overloadSim {
+	simulate := func(off ...Mechanism) *overloadSim {
 		f := newOverloadSim(t, off...)
 		f.measure(0.5, func() { f.makeUnreachable("d1") })
 		return f
 	}
-	with, without := play(), play(DomainAvailability)
+	with, without := simulate(), simulate(DomainAvailability)
 	t.Logf("wasted sends and probes per call: %.3f, and %.3f without the estimate of domain availability", with.wastedPerCall(), without.wastedPerCall())
 	if 2*with.wastedPerCall() > without.wastedPerCall() {
 		t.Errorf("%.3f sends and probes per call met unreachable targets, %.3f without the estimate", with.wastedPerCall(), without.wastedPerCall())
--- a/pkg/core/routing/regions_test.go
+++ b/pkg/core/routing/regions_test.go
@@ -62,7 +62,7 @@
 
 var fleetDomains = []units.Domain{"south-a", "south-b", "west-a", "west-b", "east-a", "east-b"}
 
-func newRegionFleet(t *testing.T, dark ...units.Domain) *regionFleet {
+func newRegionFleet(t *testing.T, unreachable ...units.Domain) *regionFleet {
 	f := &regionFleet{
 		t: t, now: units.Instant(time.Second), random: rand.New(rand.NewPCG(1, 5)), routers: map[units.Domain]*Router{},
 		unreachable: map[units.Domain]bool{}, load: map[units.TargetID]int{}, table: table.NewTable(),
@@ -86,7 +86,7 @@
 		Name: "rates", Host: "rates", PathPrefix: "/", Work: table.Repeatable, Deadline: time.Second, LatencyObjective: 300 * time.Millisecond,
 		Services: []table.WeightedService{{Service: "rates", Weight: 1}},
 	}}
-	for _, d := range dark {
+	for _, d := range unreachable {
 		f.unreachable[d] = true
 	}
 	for i, d := range fleetDomains {
@@ -135,9 +135,9 @@
 		f.countSouth(d, &f.refused)
 	case Probe:
 		f.schedule(f.roundTrip(d, x.Endpoint.Domain)+fleetProbeTime, func() {
-			dark := f.unreachable[x.Endpoint.Domain]
+			unreachable := f.unreachable[x.Endpoint.Domain]
 			f.dispatch(d, &ProbeEnded{
-				Target: x.Endpoint, Healthy: !dark, Unreachable: dark, Call: x.Call, Attempt: x.Attempt, Report: f.report(x.Endpoint, !dark),
+				Target: x.Endpoint, Healthy: !unreachable, Unreachable: unreachable, Call: x.Call, Attempt: x.Attempt, Report: f.report(x.Endpoint, !unreachable),
 			})
 		})
 	case Send:
--- a/pkg/core/routing/residency.go
+++ b/pkg/core/routing/residency.go
@@ -38,18 +38,18 @@
 // rebindCalls applies the present routes to the calls in the box, and reports whether that changes
 // the allowed regions of any of them. A call that no route matches any more keeps its restriction.
 func (r *Router) rebindCalls() bool {
-	bound := false
+	changed := false
 	r.calls.Each(func(_ CallID, c *call) {
 		if c.route == nil {
 			return
 		}
 		if x := r.routes.find(c.host, c.path); x != nil {
-			bound = bound || !c.regions.Equal(x.regions)
+			changed = changed || !c.regions.Equal(x.regions)
 			c.regions = x.regions
 		}
 		r.routes.restrictsRegions = r.routes.restrictsRegions || c.regions != nil
 	})
-	return bound
+	return changed
 }
 
 // assignRegions sets the region and distance of a service's targets from their failure domains.
--- a/pkg/core/routing/script_rollout_test.go
+++ b/pkg/core/routing/script_rollout_test.go
@@ -12,7 +12,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-var stageWords = map[string]table.RolloutStage{
+var stagesByName = map[string]table.RolloutStage{
 	"trial": table.RolloutTrial, "shifted": table.RolloutShifted, "completed": table.RolloutCompleted,
 	"rolled-back": table.RolloutRolledBack,
 }
@@ -23,7 +23,7 @@
 
 func (s *script) addRollout(t *table.Table, words []string) {
 	x := table.Rollout{
-		Service: units.ServiceName(words[0]), From: units.SoftwareVersion(words[1]), To: units.SoftwareVersion(words[2]), Stage: stageWords[words[3]],
+		Service: units.ServiceName(words[0]), From: units.SoftwareVersion(words[1]), To: units.SoftwareVersion(words[2]), Stage: stagesByName[words[3]],
 		Order: units.Revision(s.number(words[4])), Since: units.Revision(s.number(words[5])), Share: units.Percent(s.number(words[6])),
 	}
 	if len(words) > 7 {
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -57,7 +57,7 @@
 	"regions":   (*script).regions,
 	"limit":     (*script).peerLimit,
 
-	"key-doubt": (*script).keyDoubt,
+	"key-doubt": (*script).setMaxKeyStaleness,
 	"quota":     (*script).quota,
 	"canary":    (*script).canary,
 }
@@ -440,9 +440,9 @@
 // stale lets the router serve without a lease.
 func (s *script) stale(*datadriven.TestData) { s.router.settings.ServeStale = true }
 
-// keyDoubt limit=D sets for how long a box without contact to the control replicas accepts API
-// keys.
-func (s *script) keyDoubt(d *datadriven.TestData) {
+// key-doubt limit=D sets for how long a box without contact to the control replicas
+// accepts API keys.
+func (s *script) setMaxKeyStaleness(d *datadriven.TestData) {
 	s.router.settings.MaxKeyStaleness = s.duration(d, "limit")
 }
 
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -28,7 +28,7 @@
 	Inbound InboundStatus `json:"inbound"`
 	// Quotas lists the workspaces whose calls arrived here, or whose credits this box granted.
 	Quotas []QuotaStatus `json:"quotas,omitempty"`
-	// Canaries is the state on requests under which targets have recently crashed.
+	// Canaries is the state on requests that were in flight at recent crashes of targets.
 	Canaries CanaryStatus `json:"canaries"`
 }
 
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -80,8 +80,8 @@
 	crash     crashEvidence
 	// coordination caches which box issues the permits for the target while it announces a limit.
 	coordination cachedCoordinator
-	// notice holds the rest, departure or limit that the target's current incarnation announced;
-	// nil if none is in force.
+	// notice holds the rest, shutdown or limit that the target's current incarnation announced; nil
+	// if none is in force.
 	notice *notice
 	// availability estimates the usable fraction of the targets in the same failure domain; nil if
 	// that mechanism is off.
