--- a/pkg/core/routing/arrival.go
+++ b/pkg/core/routing/arrival.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// admitAfterCanary continues with a call that needn't wait for a canary turn: it takes a credit of
+// admitAfterCanary continues with a call that needn't wait for a canary grant: it takes a credit of
 // the workspace's quota first.
 func (r *Router) admitAfterCanary(id CallID, c *call, e *Effects) {
 	if !r.blockedByQuota(id, c, e) {
@@ -71,7 +71,7 @@
 	if !s.isBusy(r.now) {
 		c.route.callerDeadline.observe(c.requestedDeadline)
 	}
-	if r.wouldMissAim(c, c.requestedDeadline) {
+	if r.wouldMissObjective(c, c.requestedDeadline) {
 		r.refuse(id, c, Refusal{Reason: TooLate, Outcome: NotRun, RetryAfter: r.busyRetryAfter(s)}, e)
 		return
 	}
@@ -105,11 +105,11 @@
 // mayOutlastBox reports whether a call might still be in flight at the planned stop of this box.
 // Its connection should have been closed by then, so the caller is better served by opening another
 // one elsewhere now than by losing its answer.
-func (r *Router) mayOutlastBox(x *route, asked time.Duration) bool {
+func (r *Router) mayOutlastBox(x *route, requested time.Duration) bool {
 	if r.stopsAt == 0 || r.now < r.stopsAdmittingAt {
 		return false
 	}
-	return r.now.Add(x.callDeadline(asked, r.settings.MaxDeadline)) > r.stopsAt
+	return r.now.Add(x.callDeadline(requested, r.settings.MaxDeadline)) > r.stopsAt
 }
 
 // noRouteRefusal returns the refusal of a call for which the table has no route. A box whose table
@@ -125,24 +125,25 @@
 	return len(r.table.Services) == 0 && r.table.Document == 0
 }
 
-// choose picks a target for a call, or returns nil when no target accepts calls now. A call for a
-// rollout's new version that finds no room there falls back to the other targets.
+// choose picks a target for a call, or returns nil when no target accepts calls now. A call
+// selected for a rollout's new version falls back to the other targets if none of that version
+// accepts it.
 func (r *Router) choose(s *service, c *call) *target {
 	if c.onNewVersion {
-		if t := r.chooseFromSide(s, c, r.roleForCall(s, c)); t != nil {
+		if t := r.chooseByRole(s, c, r.roleForCall(s, c)); t != nil {
 			return t
 		}
 		c.onNewVersion = false
 	}
-	return r.chooseFromSide(s, c, r.defaultRole(s))
+	return r.chooseByRole(s, c, r.defaultRole(s))
 }
 
-// chooseFromSide picks a target on one side of a rollout.
-func (r *Router) chooseFromSide(s *service, c *call, from versionRole) *target {
+// chooseByRole picks a target among those with a version role.
+func (r *Router) chooseByRole(s *service, c *call, role versionRole) *target {
 	// The set is stored in the router because passing it to a policy would otherwise allocate it on
 	// the heap.
 	set := &r.candidates
-	*set = candidates{service: s, now: r.now, call: c, anyHealth: r.anyHealth(s, c) && from != trialVersion, excludeTried: c.sendsSinceHeld > 0, role: from}
+	*set = candidates{service: s, now: r.now, call: c, ignoreHealth: r.ignoresHealth(s, c) && role != trialVersion, excludeTried: c.sendsSinceHeld > 0, role: role}
 	if t := set.limitCheckTarget(); t != nil {
 		return t
 	}
@@ -197,11 +198,11 @@
 	if s.held.length >= s.row.HoldCount {
 		return TooManyHeld
 	}
-	if !s.hasActiveTarget(c) && c.route.work != table.Patient {
+	if !s.hasEligibleTarget(c) && c.route.work != table.Patient {
 		return s.noTargetReason(c, r.now)
 	}
 	if r.defaultRole(s) == noVersion && c.route.work != table.Patient {
-		return RolloutUnsure
+		return UnknownVersion
 	}
 	if s.isBlockedTooLong(c, r.now) {
 		return s.blockedReason(c, r.now)
@@ -210,8 +211,8 @@
 	if r.isBehindHeld(s, c) {
 		wait = max(wait, r.oldestHeldAge(s))
 	}
-	room := time.Duration(holdMargin * float64(until.Sub(r.now)))
-	if wait > room || r.now.Add(wait+s.latency.longTermMean()) > c.deadline {
+	maxWait := time.Duration(holdMargin * float64(until.Sub(r.now)))
+	if wait > maxWait || r.now.Add(wait+s.latency.longTermMean()) > c.deadline {
 		return WaitTooLong
 	}
 	return 0
@@ -230,9 +231,9 @@
 	return 0
 }
 
-// hasActiveTarget reports whether a target of the service may serve the call, regardless of its
+// hasEligibleTarget reports whether a target of the service may serve the call, regardless of its
 // health and limits.
-func (s *service) hasActiveTarget(c *call) bool {
+func (s *service) hasEligibleTarget(c *call) bool {
 	for _, t := range s.targets {
 		if t.isEligible() && c.mayUse(t) {
 			return true
--- a/pkg/core/routing/attempts.go
+++ b/pkg/core/routing/attempts.go
@@ -7,9 +7,9 @@
 )
 
 // send starts an attempt of a call at a target.
-func (r *Router) send(id CallID, c *call, t *target, why Purpose, e *Effects) {
-	hedge := why == HedgeSend
-	evidence := r.evidenceFor(t)
+func (r *Router) send(id CallID, c *call, t *target, purpose Purpose, e *Effects) {
+	hedge := purpose == HedgeSend
+	selection := r.selectionFor(t)
 	a := c.freeAttempt()
 	c.sends++
 	c.possibleArrivals++
@@ -44,7 +44,7 @@
 	e.add(Effect{
 		Kind: Send, Call: id, Owner: c.owner, Attempt: a.number, Endpoint: t.endpoint,
 		Deadline: c.deadline, NotAfter: r.targetSelectionExpiry(t), Connections: t.maxConnections, AtMostOnce: c.route.work == table.AtMostOnce,
-		PermitUntil: a.permitUntil, Purpose: why, Selection: evidence, Aim: c.route.aim, LargeAnswer: c.route.largeAnswers,
+		PermitUntil: a.permitUntil, Purpose: purpose, Selection: selection, LatencyObjective: c.route.latencyObjective, LargeAnswer: c.route.largeAnswers,
 		Workspace: c.workspaceName(),
 	})
 	hedged := !hedge && r.isHedged(c)
@@ -56,14 +56,14 @@
 	}
 }
 
-// evidenceFor returns the estimates of a target's state on which a send is based.
-func (r *Router) evidenceFor(t *target) Selection {
+// selectionFor returns the estimates of a target's state on which a send is based.
+func (r *Router) selectionFor(t *target) Selection {
 	x := Selection{
-		Load: t.load(r.now), Pace: t.expectedPace(r.now), Slowdown: t.currentSlowdown(r.now), ReadingAge: -1,
+		Load: t.load(r.now), Pace: t.expectedPace(r.now), Slowdown: t.currentSlowdown(r.now), ReportAge: -1,
 		Revision: r.table.Revision,
 	}
 	if t.report.HasLoad {
-		x.ReadingAge = r.now.Sub(t.report.receivedAt)
+		x.ReportAge = r.now.Sub(t.report.receivedAt)
 	}
 	return x
 }
@@ -112,16 +112,16 @@
 // other attempts.
 func (r *Router) attemptStarted(v *AttemptStarted, e *Effects) {
 	c, a := r.findAttempt(v.Call, v.Attempt)
-	r.handleNotice(v.Endpoint, v.Reading, false, a.limitVersionAtSend(), e)
+	r.handleNotice(v.Endpoint, v.Report, false, a.limitVersionAtSend(), e)
 	if a == nil || c.streaming {
 		return
 	}
 	c.streaming = true
 	// The shell may release the request once its answer is streamed.
 	c.identity = nil
-	r.recordNoLimit(a, v.Reading.Limit, e)
+	r.recordNoLimit(a, v.Report.Limit, e)
 	r.recordAnswerStart(c, a, v.Remaining)
-	a.target.recordReport(r.now, v.Reading)
+	a.target.recordReport(r.now, v.Report)
 	e.add(Effect{Kind: Deliver, Call: v.Call, Owner: c.owner, Attempt: v.Attempt, Endpoint: a.target.endpoint})
 	r.cancelOthers(v.Call, c, a, e)
 	c.endProbing()
@@ -159,7 +159,7 @@
 // answer or continues with the call.
 func (r *Router) attemptEnded(v *AttemptEnded, e *Effects) {
 	c, a := r.findAttempt(v.Call, v.Attempt)
-	r.handleNotice(v.Endpoint, v.Reading, v.Result == Misdirected, a.limitVersionAtSend(), e)
+	r.handleNotice(v.Endpoint, v.Report, v.Result == Misdirected, a.limitVersionAtSend(), e)
 	if a == nil {
 		return
 	}
@@ -172,7 +172,7 @@
 		t.recordAnswerTime(r.now, c.route, took, a)
 	}
 	if v.Result == Answered {
-		r.recordNoLimit(a, v.Reading.Limit, e)
+		r.recordNoLimit(a, v.Report.Limit, e)
 	}
 	if v.Result == NotSent || v.Result == Withheld {
 		r.restorePermit(t, a.permitUntil, e)
@@ -224,38 +224,38 @@
 	if v.Result == Withheld {
 		return
 	}
-	t.recordReport(r.now, v.Reading)
-	if v.Reading.Cold > 0 {
-		r.markCold(t, v.Reading.Cold)
+	t.recordReport(r.now, v.Report)
+	if v.Report.Cold > 0 {
+		r.markCold(t, v.Report.Cold)
 	}
 	t.lastObservedAt = r.now
-	turned := false
+	changed := false
 	switch v.Result {
 	case Answered:
 		t.recordReachability(r.now, true)
 		t.answers++
 		t.updateFailureRate(r.now, 0)
-		t.service.recordReport(v.Reading)
+		t.service.recordReport(v.Report)
 		t.latency.add(took)
 		t.service.latency.add(took)
 		t.growWindow()
-		turned = t.health.recordSuccess(r.now)
+		changed = t.health.recordSuccess(r.now)
 	case Failed, Broken:
 		t.failures++
 		t.updateFailureRate(r.now, 1)
-		turned = t.health.recordFailure(r.now)
+		changed = t.health.recordFailure(r.now)
 	case NotSent:
 		t.recordReachability(r.now, false)
 		t.failures++
-		turned = t.health.recordUnreachable(r.now)
+		changed = t.health.recordUnreachable(r.now)
 	case Misdirected:
 		t.sheds++
-		turned = t.health.recordMisdirected(r.now)
+		changed = t.health.recordMisdirected(r.now)
 	case Shed:
 		t.sheds++
 		if t.row.Registered && r.enabled(FailingTargets) && t.hasReportedFreeSlot(r.now) {
-			// The target has room, so avoiding it for longer than it asked to be avoided would help
-			// nobody.
+			// The target has free slots, so avoiding it for longer than the rest that it asked for
+			// would not help.
 			t.updateFailureRate(r.now, 1)
 			break
 		}
@@ -263,7 +263,7 @@
 		t.shrinkWindow()
 		t.backoffUntil = max(t.backoffUntil, r.now.Add(t.latency.mean()/2))
 	}
-	if turned {
+	if changed {
 		r.healthChanged(t, e)
 	}
 }
@@ -307,8 +307,8 @@
 	e.add(Effect{Kind: Keep, Call: v.Call, Owner: c.owner, Attempt: v.Attempt, Endpoint: t.endpoint})
 }
 
-// deliverKept ends a call with the failed answer that was kept: it tells the caller more than a
-// refusal would.
+// deliverKept ends a call with the failed answer that was kept: it has more information for the
+// caller than a refusal.
 func (r *Router) deliverKept(id CallID, c *call, e *Effects) {
 	e.add(Effect{Kind: Deliver, Call: id, Owner: c.owner, Attempt: c.kept.attempt, Endpoint: c.kept.endpoint})
 	r.finish(id, c, e)
--- a/pkg/core/routing/bench_test.go
+++ b/pkg/core/routing/bench_test.go
@@ -220,25 +220,25 @@
 
 // BenchmarkCallBesideRests measures a call at a service of which every second target rests.
 // BenchmarkCall is the same without any rest.
-func BenchmarkCallBesideRests(b *testing.B) { benchCallsBeside(b, Reading{Rest: time.Hour}) }
+func BenchmarkCallBesideRests(b *testing.B) { benchCallsBeside(b, TargetReport{Rest: time.Hour}) }
 
 // BenchmarkCallBesideLimits measures a call at a service of which every second target announces a
 // limit, with permits that this box grants itself. BenchmarkCall is the same without any limit.
 func BenchmarkCallBesideLimits(b *testing.B) {
-	benchCallsBeside(b, Reading{Limit: ReportedLimit{Present: true, Rate: 2}})
+	benchCallsBeside(b, TargetReport{Limit: ReportedLimit{Present: true, Rate: 2}})
 }
 
 // benchCallsBeside measures calls at a service of which every second target has sent a notice.
-func benchCallsBeside(b *testing.B, reading Reading) {
+func benchCallsBeside(b *testing.B, report TargetReport) {
 	for _, targets := range []int{20, 500} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
 			r, now := newBenchRouter(b, 1, targets, 0)
 			var e Effects
-			for i, t := range r.order[0].targets {
+			for i, t := range r.sortedServices[0].targets {
 				t.row.Address = fmt.Sprintf("10.0.0.1:%d", i)
 				t.endpoint.Address = t.row.Address
 				if i%2 == 0 {
-					r.handleNotice(t.endpoint, reading, false, unknownLimitVersion, &e)
+					r.handleNotice(t.endpoint, report, false, unknownLimitVersion, &e)
 				}
 			}
 			benchCalls(b, r, now, &CallArrived{Owner: r, Host: []byte("s0"), Path: []byte("/")})
--- a/pkg/core/routing/call.go
+++ b/pkg/core/routing/call.go
@@ -89,9 +89,9 @@
 	workspace *table.Workspace
 	// requestedDeadline is the deadline that the caller requested, as a duration; zero for none.
 	requestedDeadline time.Duration
-	// awaitsCanaryTurn is set while the call waits for its turn to be sent as a canary of a
-	// suspected request.
-	awaitsCanaryTurn bool
+	// awaitsCanaryGrant is set while a call of a suspected request waits for the grant to be sent
+	// as a canary.
+	awaitsCanaryGrant bool
 	// awaitsCredit is set while the call waits for a credit of its workspace. creditValidUntil is
 	// when the credit that it took would have expired; zero for none.
 	awaitsCredit     bool
@@ -112,17 +112,18 @@
 	// mayHaveRun is set once a byte may have reached a target that didn't report the call as shed.
 	mayHaveRun bool
 	held       bool
-	// permitRequests counts the coordinators that were asked for a permit for the call.
+	// permitRequests counts the coordinators that were sent a permit request for the call.
 	permitRequests int
 	// awaitsTable is set while the call is held for the box's first table.
 	awaitsTable bool
 	probeRound  probeRound
-	// silenceTimerSet is set while a silenceTimer is pending for the call.
-	silenceTimerSet bool
+	// overdueTimerSet is set while an overdueTimer is pending for the call.
+	overdueTimerSet bool
 	// kept is a failed answer that is delivered to the caller if no better one comes.
 	kept keptAnswer
-	// trial admits the call once although it is in quarantine; its number is zero for other calls.
-	trial quarantineTrial
+	// quarantineTrial admits the call once although it is in quarantine; its number is zero for
+	// other calls.
+	quarantineTrial quarantineTrial
 	// onNewVersion is set while the call is to go to the new version of a rollout.
 	onNewVersion bool
 	// streaming is set once the head of an answer has been delivered to the caller.
@@ -228,11 +229,11 @@
 	firstTableTimer
 	// linkTimer ends a call's wait for large answers that are being received.
 	linkTimer
-	// silenceTimer fires when an attempt's answer is overdue.
-	silenceTimer
+	// overdueTimer fires when an attempt's answer is overdue.
+	overdueTimer
 	// crashTimer fires when a target whose calls broke off is to be probed again.
 	crashTimer
-	// canaryTimer fires when a call that waits for a canary turn tries again.
+	// canaryTimer fires when a call that waits for a canary grant requests one again.
 	canaryTimer
 )
 
@@ -283,7 +284,7 @@
 		r.hedge(t.call, c, e)
 	case linkTimer:
 		r.resumeAfterLinkWait(t.call, c, e)
-	case silenceTimer:
+	case overdueTimer:
 		r.checkOverdue(t.call, c, e)
 	case canaryTimer:
 		r.canaryTimerFired(t.call, c, e)
--- a/pkg/core/routing/canary.go
+++ b/pkg/core/routing/canary.go
@@ -16,8 +16,8 @@
 // harmless request is delayed for about as long as one call of it takes.
 
 const (
-	// suspicionDuration is for how long after a crash the requests that were in flight are suspected:
-	// three crashes, one after the other, are enough for a quarantine and take less.
+	// suspicionDuration is for how long after a crash the requests that were in flight are
+	// suspected: three crashes, one after the other, are enough for a quarantine and take less.
 	suspicionDuration = 750 * time.Millisecond
 	// canaryTimeout is how long a canary's coordinator waits for its result: an answer, or a crash,
 	// which is detected once the target's host has refused two probes.
@@ -26,15 +26,15 @@
 	// the leader, which may have enough of them, and for its decision to come back, between
 	// regions.
 	verdictDelay = 100 * time.Millisecond
-	// canaryPollInterval is the time between two requests for a canary turn: a round trip between
+	// canaryPollInterval is the time between two requests for a canary grant: a round trip between
 	// regions.
 	canaryPollInterval = 25 * time.Millisecond
-	// maxCanaryWait is the longest time a call waits for a canary turn. It is sent without one
+	// maxCanaryWait is the longest time a call waits for a canary grant. It is sent without one
 	// then.
 	maxCanaryWait = 600 * time.Millisecond
-	// callerYieldTime is for how long after a crash the caller of the call yields its turn to other
-	// callers: a crash under another caller's call shows that the request is the cause, whoever
-	// sends it.
+	// callerYieldTime is for how long after a crash the caller of the call requests no grant, so
+	// that other callers get it: a crash during another caller's call shows that the request is the
+	// cause, whoever sends it.
 	callerYieldTime = 250 * time.Millisecond
 	// maxSuspicions bounds the requests that are suspected at a time. With more of them, targets
 	// crash for another reason.
@@ -59,9 +59,9 @@
 	SuspectCalls CanaryKind = iota + 1
 	// ClearCall reports a request that a target has answered.
 	ClearCall
-	// RequestCanary asks the coordinator for a turn to send a call of a request.
+	// RequestCanary requests a grant to send a call of a request from its coordinator.
 	RequestCanary
-	// GrantCanary grants that turn.
+	// GrantCanary is that grant.
 	GrantCanary
 )
 
@@ -88,21 +88,21 @@
 type suspicion struct {
 	call  crash.Fingerprint
 	until units.Instant
-	// canaryUntil is the time until which the coordinator grants no other turn.
+	// canaryUntil is the time until which the coordinator grants no other canary.
 	canaryUntil units.Instant
 	// lastCrashed is the call of the request that was in flight at the last crash, crashedAt when
-	// this box was told of that crash.
+	// this box was informed of that crash.
 	lastCrashed crash.Fingerprint
 	crashedAt   units.Instant
 }
 
-// canaryState is what a box knows of requests that were in flight at recent crashes.
+// canaryState is a box's state on requests that were in flight at recent crashes.
 type canaryState struct {
 	suspicions []suspicion
-	// set indexes the calls of suspicions.
-	set        fingerprintSet
-	broadcasts tokenBucket
-	status     CanaryStatus
+	// fingerprints indexes the calls of suspicions.
+	fingerprints fingerprintSet
+	broadcasts   tokenBucket
+	status       CanaryStatus
 }
 
 // CanaryStatus holds the counters that the dump and the metrics show.
@@ -111,8 +111,8 @@
 	// cleared.
 	Suspected uint64 `json:"suspected"`
 	Cleared   uint64 `json:"cleared"`
-	// Held counts the calls that waited for a turn, Sent the canaries, TimedOut the calls that were
-	// sent without a turn after maxCanaryWait.
+	// Held counts the calls that waited for a grant, Sent the canaries, TimedOut the calls that
+	// were sent without a grant after maxCanaryWait.
 	Held     uint64 `json:"held"`
 	Sent     uint64 `json:"sent"`
 	TimedOut uint64 `json:"unsure"`
@@ -143,7 +143,7 @@
 			b.drop(b.suspicions[0].call)
 		}
 		b.suspicions = append(b.suspicions, suspicion{call: f})
-		b.set.add(f)
+		b.fingerprints.add(f)
 		b.status.Suspected++
 		s = &b.suspicions[len(b.suspicions)-1]
 	}
@@ -166,9 +166,9 @@
 	if len(b.suspicions) == before {
 		return
 	}
-	b.set.clear()
+	b.fingerprints.clear()
 	for _, s := range b.suspicions {
-		b.set.add(s.call)
+		b.fingerprints.add(s.call)
 	}
 }
 
@@ -208,7 +208,7 @@
 // clearSuspicion ends the suspicion of a request that a target has answered.
 func (r *Router) clearSuspicion(c *call, e *Effects) {
 	b := &r.crashes.canaries
-	f, found := b.set.match(c.identity)
+	f, found := b.fingerprints.match(c.identity)
 	if !found {
 		return
 	}
@@ -224,58 +224,59 @@
 		return f, false
 	}
 	b.dropExpired(r.now)
-	return b.set.match(c.identity)
+	return b.fingerprints.match(c.identity)
 }
 
-// holdForCanary holds a new call of a suspected request until it gets a turn. It returns false if
-// the call may be sent now.
+// holdForCanary holds a new call of a suspected request until it gets a canary grant. It returns
+// false if the call may be sent now.
 func (r *Router) holdForCanary(id CallID, c *call, e *Effects) bool {
 	f, found := r.findSuspicion(c)
 	if !found {
 		return false
 	}
-	if r.takeTurn(f, c) {
+	if r.grantOwnCanary(f, c) {
 		return false
 	}
 	r.crashes.canaries.status.Held++
-	c.awaitsCanaryTurn = true
+	c.awaitsCanaryGrant = true
 	e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.arrived.Add(c.route.callDeadline(c.requestedDeadline, r.settings.MaxDeadline))})
-	r.requestTurn(id, c, f, e)
+	r.requestCanaryGrant(id, c, f, e)
 	return true
 }
 
-// takeTurn reports whether a call gets a turn now by this box's own decision as the coordinator,
-// and takes the turn.
-func (r *Router) takeTurn(f crash.Fingerprint, c *call) bool {
+// grantOwnCanary grants a canary to one of this box's own calls if this box is the coordinator of
+// the request and the call needn't wait. It reports whether it did.
+func (r *Router) grantOwnCanary(f crash.Fingerprint, c *call) bool {
 	b := &r.crashes.canaries
-	if r.canaryCoordinator(f) != r.settings.Box || b.yieldsTurn(f, c, r.now) || !b.grantTurn(f, r.now) {
+	if r.canaryCoordinator(f) != r.settings.Box || b.yieldsToOtherCallers(f, c, r.now) || !b.grantCanary(f, r.now) {
 		return false
 	}
 	b.status.Sent++
 	return true
 }
 
-// yieldsTurn reports whether a call should let those of other callers go first.
-func (b *canaryState) yieldsTurn(f crash.Fingerprint, c *call, now units.Instant) bool {
+// yieldsToOtherCallers reports whether calls of other callers come first, since this call's own
+// caller had one in flight at the last crash.
+func (b *canaryState) yieldsToOtherCallers(f crash.Fingerprint, c *call, now units.Instant) bool {
 	s := b.find(f)
 	return s != nil && now.Sub(s.crashedAt) < callerYieldTime && s.lastCrashed.Matches(c.identity)
 }
 
-// requestTurn asks the coordinator for a turn, and schedules the next request.
-func (r *Router) requestTurn(id CallID, c *call, f crash.Fingerprint, e *Effects) {
+// requestCanaryGrant requests a grant from the coordinator, and schedules the next request.
+func (r *Router) requestCanaryGrant(id CallID, c *call, f crash.Fingerprint, e *Effects) {
 	r.timers.Push(timer{at: r.now.Add(canaryPollInterval), call: id, kind: canaryTimer})
 	coordinator := r.canaryCoordinator(f)
-	if coordinator != r.settings.Box && !r.crashes.canaries.yieldsTurn(f, c, r.now) {
+	if coordinator != r.settings.Box && !r.crashes.canaries.yieldsToOtherCallers(f, c, r.now) {
 		e.add(Effect{Kind: SendCanaryMessage, Peer: coordinator, Canary: &CanaryMessage{
 			Kind: RequestCanary, Calls: []crash.Fingerprint{f}, Call: id,
 		}})
 	}
 }
 
-// canaryTimerFired sends a waiting call if its request is no longer suspected, if it gets a turn,
-// or if it has waited for maxCanaryWait. Otherwise it asks for a turn again.
+// canaryTimerFired sends a waiting call if its request is no longer suspected, if it gets a grant,
+// or if it has waited for maxCanaryWait. Otherwise it requests a grant again.
 func (r *Router) canaryTimerFired(id CallID, c *call, e *Effects) {
-	if !c.awaitsCanaryTurn {
+	if !c.awaitsCanaryGrant {
 		return
 	}
 	f, found := r.findSuspicion(c)
@@ -285,26 +286,28 @@
 	case r.now.Sub(c.arrived) >= maxCanaryWait:
 		r.crashes.canaries.status.TimedOut++
 		r.endCanaryWait(id, c, e)
-	case r.takeTurn(f, c):
+	case r.grantOwnCanary(f, c):
 		r.endCanaryWait(id, c, e)
 	default:
-		r.requestTurn(id, c, f, e)
+		r.requestCanaryGrant(id, c, f, e)
 	}
 }
 
 func (r *Router) endCanaryWait(id CallID, c *call, e *Effects) {
-	c.awaitsCanaryTurn = false
+	c.awaitsCanaryGrant = false
 	r.admitAfterCanary(id, c, e)
 }
 
-// canaryCoordinator returns the box that grants the turns of a request: the first by hash of the
-// boxes that aren't leaving, so that all boxes ask the same one; this box where there is none.
+// canaryCoordinator returns the box that grants the canaries of a request: the first by rendezvous
+// hashing of the boxes that aren't leaving, so that all boxes determine the same one; this box
+// where there is none.
 func (r *Router) canaryCoordinator(f crash.Fingerprint) units.BoxID {
 	return cmp.Or(rendezvousOwner(f.String(), withoutLeaving(r.rank.boxes)), r.settings.Box)
 }
 
-// grantTurn takes the request's turn, and reports false if a canary is still out.
-func (b *canaryState) grantTurn(f crash.Fingerprint, now units.Instant) bool {
+// grantCanary grants a canary of a request, and reports false if another one may still be in
+// flight.
+func (b *canaryState) grantCanary(f crash.Fingerprint, now units.Instant) bool {
 	s := b.find(f)
 	if s == nil || now < s.canaryUntil {
 		return false
@@ -326,9 +329,9 @@
 		case ClearCall:
 			b.drop(f)
 		case RequestCanary:
-			r.grantPeerTurn(from, f, m.Call, e)
+			r.grantCanaryToPeer(from, f, m.Call, e)
 		case GrantCanary:
-			r.receiveTurn(f, m.Call, e)
+			r.acceptCanaryGrant(f, m.Call, e)
 		}
 	}
 	if m.Kind == SuspectCalls || m.Kind == ClearCall {
@@ -336,23 +339,24 @@
 	}
 }
 
-// grantPeerTurn grants a turn to another box's call if the turn is free. A coordinator that hasn't
-// been told of the crash trusts the requesting box. A refusal isn't sent: the box asks again.
-func (r *Router) grantPeerTurn(from units.BoxID, f crash.Fingerprint, id CallID, e *Effects) {
+// grantCanaryToPeer grants a canary to another box's call if no other one is in flight. A
+// coordinator that hasn't been informed of the crash trusts the requesting box. It sends no
+// refusal, since the box repeats its request.
+func (r *Router) grantCanaryToPeer(from units.BoxID, f crash.Fingerprint, id CallID, e *Effects) {
 	b := &r.crashes.canaries
 	b.dropExpired(r.now)
 	if b.find(f) == nil {
 		b.suspect(f, r.now)
 	}
-	if b.grantTurn(f, r.now) {
+	if b.grantCanary(f, r.now) {
 		e.add(Effect{Kind: SendCanaryMessage, Peer: from, Canary: &CanaryMessage{Kind: GrantCanary, Calls: []crash.Fingerprint{f}, Call: id}})
 	}
 }
 
-// receiveTurn sends the call that was granted a turn. If the call has ended, the turn is unused
-// until it times out.
-func (r *Router) receiveTurn(f crash.Fingerprint, id CallID, e *Effects) {
-	if c := r.calls.Get(id); c != nil && c.awaitsCanaryTurn && f.Matches(c.identity) {
+// acceptCanaryGrant sends the call that was granted a canary. If the call has ended, the grant is
+// unused until it times out.
+func (r *Router) acceptCanaryGrant(f crash.Fingerprint, id CallID, e *Effects) {
+	if c := r.calls.Get(id); c != nil && c.awaitsCanaryGrant && f.Matches(c.identity) {
 		r.crashes.canaries.status.Sent++
 		r.endCanaryWait(id, c, e)
 	}
--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -252,7 +252,7 @@
 	f.after(workTime, func() {
 		if !ended {
 			ended = true
-			f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Endpoint: x.Endpoint, Result: Answered, Reading: f.reading(t)})
+			f.reduce(r, &AttemptEnded{Call: x.Call, Attempt: x.Attempt, Endpoint: x.Endpoint, Result: Answered, Report: f.report(t)})
 		}
 	})
 }
@@ -274,19 +274,19 @@
 		t := f.targets[x.Endpoint.Target]
 		down := f.now < t.downUntil
 		f.reduce(r, &ProbeEnded{
-			Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Healthy: !down, Unreachable: down, Refused: down, Answered: !down, Reading: f.reading(t),
+			Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Healthy: !down, Unreachable: down, Refused: down, Answered: !down, Report: f.report(t),
 		})
 	})
 }
 
-func (f *canaryFleet) reading(t *canaryTarget) Reading {
+func (f *canaryFleet) report(t *canaryTarget) TargetReport {
 	n := 0
 	for _, x := range t.running {
 		if !*x.ended {
 			n++
 		}
 	}
-	return Reading{HasLoad: f.now >= t.downUntil, InFlight: float64(n), Slots: 4, Pace: 1}
+	return TargetReport{HasLoad: f.now >= t.downUntil, InFlight: float64(n), Slots: 4, Pace: 1}
 }
 
 // call schedules random calls of a request at a mean rate, each of a different caller, until a
@@ -326,7 +326,7 @@
 // for one caller and then for all, and one more target may be lost to a call that was already in
 // flight.
 func TestARequestOfManyCallersEndsFewTargets(t *testing.T) {
-	const aim, seeds = 4, 8
+	const maxCrashes, seeds = 4, 8
 	total, without := 0, 0
 	for seed := range uint64(seeds) {
 		with, plain := newCanaryFleet(t, seed), newCanaryFleet(t, seed, Canaries)
@@ -340,13 +340,13 @@
 		}
 	}
 	t.Logf("%.1f targets crashed on average, %.1f without canaries", float64(total)/seeds, float64(without)/seeds)
-	if total > aim*seeds {
-		t.Errorf("%d targets crashed in %d runs, want at most %d", total, seeds, aim*seeds)
+	if total > maxCrashes*seeds {
+		t.Errorf("%d targets crashed in %d runs, want at most %d", total, seeds, maxCrashes*seeds)
 	}
 }
 
-// If the coordinator of canary turns is isolated from the other boxes, calls of a suspected request
-// are sent without a turn after a while, and a harmless request is still answered.
+// If the coordinator of canaries is isolated from the other boxes, calls of a suspected request are
+// sent without a grant after a while, and a harmless request is still answered.
 func TestASilentCoordinatorHoldsNothingUpForLong(t *testing.T) {
 	f := newCanaryFleet(t, 3)
 	f.isolated = f.routers[0].canaryCoordinator(crash.FingerprintOf(canaryRequest{content: crashingRequest}).AnyCaller())
@@ -358,8 +358,8 @@
 	}
 	for _, r := range f.routers {
 		r.calls.Each(func(_ CallID, c *call) {
-			if c.awaitsCanaryTurn && f.now.Sub(c.arrived) > maxCanaryWait+canaryPollInterval {
-				t.Errorf("a call has waited for a canary turn for %s", f.now.Sub(c.arrived))
+			if c.awaitsCanaryGrant && f.now.Sub(c.arrived) > maxCanaryWait+canaryPollInterval {
+				t.Errorf("a call has waited for a canary grant for %s", f.now.Sub(c.arrived))
 			}
 		})
 	}
--- a/pkg/core/routing/clientretry.go
+++ b/pkg/core/routing/clientretry.go
@@ -9,13 +9,14 @@
 // Under overload, callers whose calls were refused retry, and the answer to a retry comes late.
 // Each slot that a retry takes is one in which a first try would have been answered in time. With
 // calls at 1.8 times the capacity over 60 boxes and callers that retry once, refusing late retries
-// raised the calls answered within their aim from 29 in 100 to 35. The time since a caller's first
-// try is estimated from the deadline that it requests, compared with those of the route's first
-// tries.
+// raised the calls answered within their latency objective from 29 in 100 to 35. The time since a
+// caller's first try is estimated from the deadline that it requests, compared with those of the
+// route's first tries.
 
 const (
 	// clientRetryFraction is the fraction of callers that request less than the usual deadline
-	// while there is room: those that retry after a failure, and a few with unusual deadlines.
+	// while the service isn't busy: those that retry after a failure, and a few with unusual
+	// deadlines.
 	clientRetryFraction = 0.1
 	// deadlineStep is how far the estimate moves with each call, as a fraction of it. One call in
 	// ten with a shorter deadline leaves it unchanged on average.
@@ -23,18 +24,18 @@
 	// minDeadlineSamples is the number of samples before the estimate is used; a box may get only a
 	// few calls of a route each second.
 	minDeadlineSamples = 4
-	// clientRetryThreshold is the fraction of the usual deadline below which a call is taken for a
-	// retry: the deadlines of first tries vary a little between callers.
+	// clientRetryThreshold is the fraction of the usual deadline below which a call is classified
+	// as a retry: the deadlines of first tries vary a little between callers.
 	clientRetryThreshold = 0.9
-	// crowdedThreshold is the fraction of calls without an immediate target from which on late
-	// retries are refused. crowdedDuration is how long that remains valid, since a box may get only
-	// one call of a service each second.
-	crowdedThreshold = 0.25
-	crowdedDuration  = 2 * time.Second
+	// overloadThreshold is the fraction of calls without an immediate target from which on late
+	// retries are refused. overloadDuration is how long that remains valid, since a box may get
+	// only one call of a service each second.
+	overloadThreshold = 0.25
+	overloadDuration  = 2 * time.Second
 )
 
 // deadlineEstimate estimates the deadline that a route's callers request at their first try: nearly
-// all of them request this much or more. It is updated while the service has room, when few calls
+// all of them request this much or more. It is updated while the service isn't busy, when few calls
 // are retries.
 type deadlineEstimate struct {
 	estimate time.Duration
@@ -75,19 +76,20 @@
 	return u.estimate - requested
 }
 
-// isCrowded reports whether many recent calls found no target at once, so that a slot given to one
-// call is missing for another.
-func (s *service) isCrowded(now units.Instant) bool {
-	return s.busyFraction >= crowdedThreshold && now.Sub(s.busyUpdatedAt) < crowdedDuration
+// isOverloaded reports whether many recent calls found no target at once, so that a slot given to
+// one call is missing for another. It is the weaker condition beside isBusy, which requires a
+// larger fraction of such calls, and a more recent one.
+func (s *service) isOverloaded(now units.Instant) bool {
+	return s.busyFraction >= overloadThreshold && now.Sub(s.busyUpdatedAt) < overloadDuration
 }
 
-// wouldMissAim reports whether a call should be refused at once because it is such a late retry
-// that its answer would miss the aim, and first tries need the slots.
-func (r *Router) wouldMissAim(c *call, requested time.Duration) bool {
+// wouldMissObjective reports whether a call should be refused at once because it is such a late
+// retry that its answer would miss the latency objective, and first tries need the slots.
+func (r *Router) wouldMissObjective(c *call, requested time.Duration) bool {
 	x := c.route
-	if !r.enabled(FirstTries) || x.aim == 0 || !c.service.isCrowded(r.now) {
+	if !r.enabled(FirstTries) || x.latencyObjective == 0 || !c.service.isOverloaded(r.now) {
 		return false
 	}
 	elapsed := x.callerDeadline.elapsedSinceFirstTry(requested)
-	return elapsed > 0 && elapsed+time.Duration(x.knownTypicalTime()) > x.aim
+	return elapsed > 0 && elapsed+time.Duration(x.knownTypicalTime()) > x.latencyObjective
 }
--- a/pkg/core/routing/coordinator.go
+++ b/pkg/core/routing/coordinator.go
@@ -10,7 +10,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// While a target advertises a rate limit, one box, its coordinator, issues the permits for calls to
+// While a target announces a rate limit, one box, its coordinator, issues the permits for calls to
 // it. The coordinator is the first box by rendezvous hashing among those in the target's failure
 // domain that aren't leaving. A box that becomes coordinator issues no permits while another box
 // may still act on a list that names a different coordinator, unless the previous coordinator has
@@ -27,18 +27,18 @@
 	GrantPermits
 	// ReturnPermits returns Count unused permits.
 	ReturnPermits
-	// ReportLimitEnd reports that the target no longer advertises a limit.
+	// ReportLimitEnd reports that the target no longer announces a limit.
 	ReportLimitEnd
 	// HandOver reports that the sender, the previous coordinator, issues no more permits.
 	HandOver
 )
 
-// LimitMessage is a message between two boxes about the limit of one instance of a target.
+// LimitMessage is a message between two boxes about the limit of one incarnation of a target.
 type LimitMessage struct {
 	Kind    LimitKind
 	Service units.ServiceName
 	Target  units.TargetID
-	// Born is when the target's instance started.
+	// Born is when the target's incarnation started.
 	Born units.WallTime
 	// Nonce matches a grant to its request.
 	Nonce uint64
@@ -98,16 +98,16 @@
 	return first
 }
 
-// sendLimit sends a message about a target's limit, or handles it directly if this box is the
-// recipient.
-func (r *Router) sendLimit(to units.BoxID, t *target, m LimitMessage, e *Effects) {
+// sendLimitMessage sends a message about a target's limit, or handles it directly if this box is
+// the recipient.
+func (r *Router) sendLimitMessage(to units.BoxID, t *target, m LimitMessage, e *Effects) {
 	m.Service, m.Target, m.Born = t.row.Service, t.row.Target, t.row.Born
 	m.LimitState = t.limitState()
 	if to == r.settings.Box {
-		r.receiveLimit(to, m, e)
+		r.receiveLimitMessage(to, m, e)
 		return
 	}
-	e.add(Effect{Kind: SendLimit, Peer: to, Limit: &m})
+	e.add(Effect{Kind: SendLimitMessage, Peer: to, Limit: &m})
 }
 
 // limitState is the newest known state of a target's limit.
@@ -118,9 +118,9 @@
 	return t.notice.limit.current
 }
 
-// receiveLimit handles a message. A message about another instance of the target is ignored: the
-// next table updates whichever of the two boxes is behind.
-func (r *Router) receiveLimit(from units.BoxID, m LimitMessage, e *Effects) {
+// receiveLimitMessage handles a message. A message about another incarnation of the target is
+// ignored: the next table updates whichever of the two boxes is behind.
+func (r *Router) receiveLimitMessage(from units.BoxID, m LimitMessage, e *Effects) {
 	t := r.services[m.Service].target(m.Target)
 	if t == nil || t.row.Born != m.Born {
 		return
@@ -163,9 +163,9 @@
 		}
 		answer.Count = x.account.Permit(r.now, min(m.Count, maxPermitsHeld))
 		answer.RetryAfter = x.account.WaitTime(r.now)
-		r.permits.Permitted += uint64(answer.Count)
+		r.permits.Issued += uint64(answer.Count)
 	}
-	r.sendLimit(from, t, answer, e)
+	r.sendLimitMessage(from, t, answer, e)
 }
 
 // coordinationStart is when this box, as a target's coordinator, may begin to issue permits. This
@@ -207,7 +207,7 @@
 	if len(r.notices) == 0 {
 		return
 	}
-	for _, s := range r.order {
+	for _, s := range r.sortedServices {
 		for _, t := range s.targets {
 			if t.account() == nil {
 				continue
@@ -215,7 +215,7 @@
 			if to, known := r.coordinatorOf(t); to != r.settings.Box {
 				t.notice.limit.account = nil
 				if known {
-					r.sendLimit(to, t, LimitMessage{Kind: HandOver}, e)
+					r.sendLimitMessage(to, t, LimitMessage{Kind: HandOver}, e)
 				}
 			}
 		}
--- a/pkg/core/routing/domainavailability.go
+++ b/pkg/core/routing/domainavailability.go
@@ -33,7 +33,7 @@
 	updatedAt        units.Instant
 }
 
-// record adds an observation of a target: usable means that it could be reached and takes calls
+// record adds an observation of a target: usable means that it could be reached and accepts calls
 // from this box.
 func (o *domainAvailability) record(now units.Instant, usable bool) {
 	decay := o.decay(now)
@@ -61,10 +61,10 @@
 
 // availabilityOf returns the estimate of a failure domain, which all targets in it share.
 func (r *Router) availabilityOf(d units.Domain) *domainAvailability {
-	o := r.outlooks[d]
+	o := r.domainAvailabilities[d]
 	if o == nil {
 		o = &domainAvailability{}
-		r.outlooks[d] = o
+		r.domainAvailabilities[d] = o
 	}
 	return o
 }
--- a/pkg/core/routing/evacuation.go
+++ b/pkg/core/routing/evacuation.go
@@ -28,7 +28,7 @@
 func (r *Router) applyEvacuations(s *service) {
 	for _, t := range s.targets {
 		t.evacuated = r.table.Evacuated(t.row.Domain)
-		if t.availability == nil && t.row.Domain != "" && r.enabled(Outlook) {
+		if t.availability == nil && t.row.Domain != "" && r.enabled(DomainAvailability) {
 			t.availability = r.availabilityOf(t.row.Domain)
 		}
 		if r.wasRestored(t.row.Domain) {
@@ -44,7 +44,7 @@
 	if s.isExcludedByRegion(c) {
 		return RegionNotAllowed
 	}
-	if s.hasActiveTarget(c) {
+	if s.hasEligibleTarget(c) {
 		return s.blockedReason(c, now)
 	}
 	if slices.ContainsFunc(s.targets, func(t *target) bool { return t.evacuated && t.isActiveInTable() && c.mayUse(t) }) {
@@ -59,7 +59,7 @@
 // refuseUnservable refuses the waiting calls of a service that has no target for them: none will
 // become free.
 func (r *Router) refuseUnservable(s *service, e *Effects) {
-	if len(s.held.waiting())+len(s.waiting) == 0 || s.hasOpenTarget(r.now) && !r.routes.restrictsRegions {
+	if len(s.held.waiting())+len(s.waiting) == 0 || s.hasUnblockedTarget(r.now) && !r.routes.restrictsRegions {
 		return
 	}
 	var unservable []CallID
@@ -91,12 +91,12 @@
 // canServe reports whether the service has a target for a call, regardless of its health and
 // limits, that accepts calls before the call's time to wait is over.
 func (s *service) canServe(c *call, now units.Instant) bool {
-	return s.hasActiveTarget(c) && !s.isBlockedTooLong(c, now)
+	return s.hasEligibleTarget(c) && !s.isBlockedTooLong(c, now)
 }
 
-// hasOpenTarget reports whether a target may serve calls, regardless of its health and the limits
-// of the table, and isn't closed.
-func (s *service) hasOpenTarget(now units.Instant) bool {
+// hasUnblockedTarget reports whether a target may serve calls, regardless of its health and the
+// limits of the table, and isn't blocked.
+func (s *service) hasUnblockedTarget(now units.Instant) bool {
 	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.isEligible() && !t.isBlocked(now) })
 }
 
--- a/pkg/core/routing/events.go
+++ b/pkg/core/routing/events.go
@@ -64,12 +64,12 @@
 type AttemptEnded struct {
 	Call    CallID
 	Attempt AttemptNumber
-	// Endpoint is where the call was sent; the reading is used even if the call is over. It is nil
+	// Endpoint is where the call was sent; the report is used even if the call is over. It is nil
 	// for the end of a streamed answer.
 	Endpoint *Endpoint
 	Result   AttemptResult
-	// Reading is the target's report on itself, if the answer had one.
-	Reading Reading
+	// Report is the target's report on itself, if the answer had one.
+	Report TargetReport
 	// Refused is set if the target's host refused the connection, so that no process listens there.
 	Refused bool
 }
@@ -80,7 +80,7 @@
 	Call     CallID
 	Attempt  AttemptNumber
 	Endpoint *Endpoint
-	Reading  Reading
+	Report   TargetReport
 	// Remaining is the number of body bytes still to come; negative if the answer doesn't give its
 	// length.
 	Remaining int
@@ -90,7 +90,7 @@
 type ProbeEnded struct {
 	Target  *Endpoint
 	Healthy bool
-	Reading Reading
+	Report  TargetReport
 	// Call and Attempt are copied from the Probe effect; zero if no call waits for the probe.
 	Call    CallID
 	Attempt AttemptNumber
@@ -141,8 +141,8 @@
 	Broken
 	// Canceled: the router itself canceled the attempt.
 	Canceled
-	// Withheld: nothing was sent, because after its selection the target asked for rest, announced
-	// its shutdown or advertised a limit.
+	// Withheld: nothing was sent, because after its selection the target asked for a rest,
+	// announced its shutdown or announced a limit.
 	Withheld
 )
 
@@ -154,9 +154,9 @@
 // String returns the result's name in the log.
 func (r AttemptResult) String() string { return resultNames[r] }
 
-// Reading is what a target reports about itself in an answer.
-type Reading struct {
-	// HasLoad is set if the answer reports the target's load: InFlight, Slots and Pace.
+// TargetReport is what a target reports about itself in an answer.
+type TargetReport struct {
+	// HasLoad is set if the answer has a load report: InFlight, Slots and Pace.
 	HasLoad bool
 	// InFlight is the number of calls in flight at the target.
 	InFlight float64
@@ -168,7 +168,7 @@
 	// Cold is how long the target will still be slow after its start; zero if it is warm or doesn't
 	// report it.
 	Cold time.Duration
-	// Rest is how long this box should send the target nothing; zero if it doesn't ask for rest.
+	// Rest is how long this box should send the target nothing; zero if it doesn't ask for a rest.
 	Rest time.Duration
 	// Leaving is set if the target announces that it is about to shut down.
 	Leaving bool
@@ -197,13 +197,13 @@
 	Born units.WallTime
 }
 
-// Notice is what a target has asked of the box or announced to it.
+// Notice is what a target has requested from the box or announced to it.
 type Notice struct {
 	// RestUntil is until when nothing may be sent to the target; Leaving is set if it is shutting
 	// down and nothing may be sent any more.
 	RestUntil units.Instant
 	Leaving   bool
-	// Limited is set if the target advertises a limit, of Rate: nothing may be sent without a
+	// Limited is set if the target announces a limit, of Rate: nothing may be sent without a
 	// permit.
 	Limited bool
 	Rate    units.CallRate
@@ -217,9 +217,9 @@
 	// there divided by the usual one. Slowdown is the measured ratio of call times there to those
 	// at other targets.
 	Load, Pace, Slowdown float64
-	// ReadingAge is the age of the target's last load report; negative if there is none.
-	ReadingAge time.Duration
-	Revision   units.Revision
+	// ReportAge is the age of the target's last load report; negative if there is none.
+	ReportAge time.Duration
+	Revision  units.Revision
 }
 
 // EffectKind is the kind of an Effect.
@@ -241,7 +241,7 @@
 	Cancel
 	// Probe Endpoint.
 	Probe
-	// EjectionChanged reports, for the log, that Endpoint was ejected or reinstated.
+	// EjectionChanged reports, for the log, that Endpoint was ejected or readmitted.
 	EjectionChanged
 	// ServiceHangs reports, for the log, that targets of Endpoint's service were found to leave
 	// calls unanswered instead of queueing them.
@@ -255,12 +255,12 @@
 	// TargetNotice reports that the notice of the target at Endpoint is now Notice. It also applies
 	// to calls that have been selected for the target and not yet sent.
 	TargetNotice
-	// SendLoan sends Loan to the box Peer.
-	SendLoan
-	// SendLimit sends Limit to the box Peer.
-	SendLimit
-	// SendQuota sends Quota to the box Peer.
-	SendQuota
+	// SendLoanMessage sends Loan to the box Peer.
+	SendLoanMessage
+	// SendLimitMessage sends Limit to the box Peer.
+	SendLimitMessage
+	// SendQuotaMessage sends Quota to the box Peer.
+	SendQuotaMessage
 	// SendCanaryMessage sends Canary to the box Peer.
 	SendCanaryMessage
 	// ExposureSwitched reports, for the log, that the box's exposure to a new version began or
@@ -278,7 +278,7 @@
 	Owner    any
 	Attempt  AttemptNumber
 	Endpoint *Endpoint
-	// PermitUntil is when the permit of a Send or Probe expires; zero if the target advertised no
+	// PermitUntil is when the permit of a Send or Probe expires; zero if the target announced no
 	// limit when it was selected.
 	PermitUntil units.Instant
 	// Deadline is when the call must be answered.
@@ -293,10 +293,10 @@
 	// Workspace is the workspace whose key admitted the call that is sent or refused; empty if
 	// there is none.
 	Workspace units.WorkspaceName
-	// Aim is the latency objective of the call's route, zero for none; LargeAnswer is set if the
+	// LatencyObjective is that of the call's route, zero for none; LargeAnswer is set if the
 	// route's answers are large. Both are set for a Send.
-	Aim         time.Duration
-	LargeAnswer bool
+	LatencyObjective time.Duration
+	LargeAnswer      bool
 	// ProbePath is the path that a probe requests; empty means the box's default.
 	ProbePath string
 	// Ejected is set for an EjectionChanged if the target was ejected. Failures is the number of
--- a/pkg/core/routing/keys.go
+++ b/pkg/core/routing/keys.go
@@ -57,7 +57,7 @@
 		return false
 	}
 	if r.keysStale() {
-		r.refuse(id, c, Refusal{Reason: KeysInDoubt, Outcome: NotRun, RetryAfter: staleKeysRetryAfter}, e)
+		r.refuse(id, c, Refusal{Reason: StaleKeys, Outcome: NotRun, RetryAfter: staleKeysRetryAfter}, e)
 		return true
 	}
 	c.workspace = r.keys.owner(presented)
@@ -68,7 +68,7 @@
 	return false
 }
 
-// keysStale reports whether a key may have been revoked without this box having learned of it in
+// keysStale reports whether a key may have been revoked without this box having been informed in
 // time.
 func (r *Router) keysStale() bool {
 	return r.settings.MaxKeyStaleness > 0 && r.now > r.leaseConfirmedAt.Add(r.settings.MaxKeyStaleness)
--- a/pkg/core/routing/mechanism.go
+++ b/pkg/core/routing/mechanism.go
@@ -27,20 +27,20 @@
 	FailingTargets Mechanism = "failing-targets"
 	// Ejection stops sending calls for a while to targets that fail several in a row.
 	Ejection Mechanism = "ejection"
-	// Ramping gives targets that join or come back an increasing share of the calls.
+	// Ramping gives targets that join or are readmitted an increasing share of the calls.
 	Ramping Mechanism = "ramping"
 	// OwnDomain prefers targets in the box's own failure domain.
 	OwnDomain Mechanism = "own-domain"
 	// Concurrency keeps the last slots of targets free where filling them slows all calls.
 	Concurrency Mechanism = "concurrency"
-	// Subsetting has a box prefer a subset of a service's targets, so that it has recent readings
-	// of those.
+	// Subsetting has a box prefer a subset of a service's targets, so that it has recent load
+	// reports of those.
 	Subsetting Mechanism = "subsetting"
 	// EarlyCalls holds calls that arrive before a box's first table.
 	EarlyCalls Mechanism = "early-calls"
-	// Outlook estimates targets without recent readings from the other targets of their failure
-	// domain.
-	Outlook Mechanism = "outlook"
+	// DomainAvailability estimates whether targets without recent load reports are available from
+	// the other targets of their failure domain.
+	DomainAvailability Mechanism = "outlook"
 	// FirstTries prefers first tries over late retries of callers while a service is overloaded.
 	FirstTries Mechanism = "first-tries"
 	// SharedLink delays calls with large answers while others are being received on the box's link,
@@ -58,7 +58,7 @@
 // Mechanisms lists all mechanisms.
 var Mechanisms = []Mechanism{
 	Probing, Waiting, Hedging, Retrying, SlowTargets, FailingTargets, Ejection, Ramping, OwnDomain, Concurrency, Subsetting,
-	EarlyCalls, Outlook, FirstTries, SharedLink, UnansweredCalls, CrashSuspects, Canaries,
+	EarlyCalls, DomainAvailability, FirstTries, SharedLink, UnansweredCalls, CrashSuspects, Canaries,
 }
 
 // mechanismSet is a set of mechanisms that are switched off.
--- a/pkg/core/routing/crowd_rest_test.go
+++ b/pkg/core/routing/overload_rest_test.go
@@ -20,30 +20,30 @@
 		sheds   float64
 		load    float64
 	}{
-		{"a third of the targets turn all calls away", crowdTargets / 3, 1, 0.5},
-		{"two thirds do", crowdTargets * 2 / 3, 1, 0.3},
-		{"all targets turn one call in ten away", crowdTargets, 0.1, 0.5},
-		{"all turn one in three away", crowdTargets, 0.33, 0.5},
+		{"a third of the targets turn all calls away", overloadTargets / 3, 1, 0.5},
+		{"two thirds do", overloadTargets * 2 / 3, 1, 0.3},
+		{"all targets turn one call in ten away", overloadTargets, 0.1, 0.5},
+		{"all turn one in three away", overloadTargets, 0.33, 0.5},
 	}
 	gain := 0.0
 	for _, s := range scenarios {
-		play := func(shared bool) (inAim, wasted float64) {
-			f := newCrowdSim(t)
+		simulate := func(shared bool) (withinObjective, wasted float64) {
+			f := newOverloadSim(t)
 			f.sharesNotices = shared
-			inAim = f.measure(s.load, func() {
+			withinObjective = f.measure(s.load, func() {
 				for i := range s.resting {
 					x := f.targets[units.TargetID(fmt.Sprintf("t%03d", i))]
 					x.shedRate, x.rest = s.sheds, time.Second
 				}
 			})
-			return inAim, f.wastedPerCall()
+			return withinObjective, f.wastedPerCall()
 		}
-		alone, wasted := play(false)
-		shared, wastedShared := play(true)
-		t.Logf("%s: within aim %.3f without sharing, %.3f with it; shed per call: %.3f and %.3f", s.testName, alone, shared, wasted, wastedShared)
+		alone, wasted := simulate(false)
+		shared, wastedShared := simulate(true)
+		t.Logf("%s: within objective %.3f without sharing, %.3f with it; shed per call: %.3f and %.3f", s.testName, alone, shared, wasted, wastedShared)
 		gain += shared - alone
 	}
 	if gain > 0 {
-		t.Errorf("sharing rests raises the fraction of calls within their aim by %.3f, summed over these loads", gain)
+		t.Errorf("sharing rests raises the fraction of calls within their latency objective by %.3f, summed over these loads", gain)
 	}
 }
--- a/pkg/core/routing/permits.go
+++ b/pkg/core/routing/permits.go
@@ -8,7 +8,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A permit allows a box to send one call or probe to a target that advertises a rate limit. A box
+// A permit allows a box to send one call or probe to a target that announces a rate limit. A box
 // requests as many permits as its calls need from the target's coordinator, uses each once, and
 // returns unused ones.
 
@@ -22,7 +22,7 @@
 	// or that isn't the coordinator according to its own list of boxes.
 	permitRetryInterval = 100 * time.Millisecond
 	// maxPermitRetryInterval caps how long a box waits after a coordinator without permits has
-	// answered, and so how late it learns that the limit has ended.
+	// answered, and so how late it is informed that the limit has ended.
 	maxPermitRetryInterval = time.Second
 	// permitRetryJitter is the maximum random extension of a wait, as a fraction of it, so that
 	// boxes don't all send their request when the next permit becomes available.
@@ -34,27 +34,28 @@
 	// there rather than to a better target, because only an answer shows that the limit has ended.
 	limitCheckAfter = time.Second
 	// limitCheckInterval is the least time between two permit requests of a service whose calls
-	// have other targets, so that these calls cost hardly more than without limits.
+	// have other targets, so that these calls cost little more than without limits.
 	limitCheckInterval = 20 * time.Millisecond
 	// parallelPermitRequests is the number of coordinators that are sent a request at once for a
 	// call that has no other target. Most permits beyond what a call needs are returned unused.
 	parallelPermitRequests = 2
 	// maxPermitRequestsPerCall is the maximum number of coordinators that are sent a request for
-	// one call. If that many have no permits, others hardly have any, and the messages would cost
-	// the boxes more than the call.
+	// one call. If that many have no permits, few others have any, and the messages would cost the
+	// boxes more than the call.
 	maxPermitRequestsPerCall = 4
 )
 
-// PermitStatus counts permits and permit requests for the dump.
+// PermitStatus counts permit requests, and the permits that were granted to this box, used and
+// returned, for the dump.
 type PermitStatus struct {
-	Asked    uint64 `json:"asked"`
-	Granted  uint64 `json:"granted"`
-	Used     uint64 `json:"used"`
-	Returned uint64 `json:"returned"`
-	// Permitted is the number of permits that this box granted as a coordinator, including those to
+	Requested uint64 `json:"asked"`
+	Granted   uint64 `json:"granted"`
+	Used      uint64 `json:"used"`
+	Returned  uint64 `json:"returned"`
+	// Issued is the number of permits that this box issued as a coordinator, including those to
 	// itself.
-	Permitted uint64 `json:"permitted"`
-	nonce     uint64
+	Issued uint64 `json:"permitted"`
+	nonce  uint64
 }
 
 // permitRequest is a request for permits.
@@ -71,30 +72,31 @@
 
 // nextPermitAt is the earliest time at which a permit may arrive, as far as this box knows.
 func (x *targetLimit) nextPermitAt(now units.Instant) units.Instant {
-	if x.ask.isPending(now) {
+	if x.request.isPending(now) {
 		return now
 	}
-	return max(now, x.nextAskAt)
+	return max(now, x.nextRequestAt)
 }
 
 // mayRequest reports whether a request for permits may be sent now: the box holds no permit, no
 // request is pending, and the wait after the last one is over.
 func (x *targetLimit) mayRequest(now units.Instant) bool {
-	return !x.permits.available(now) && !x.ask.isPending(now) && now >= x.nextAskAt
+	return !x.permits.available(now) && !x.request.isPending(now) && now >= x.nextRequestAt
 }
 
-// lacksPermit reports whether the target advertises a limit and this box has no permit for it.
+// lacksPermit reports whether the target announces a limit and this box has no permit for it.
 func (t *target) lacksPermit(now units.Instant) bool {
 	return t.notice.isLimited() && !t.notice.limit.permits.available(now)
 }
 
-// takesIfPermitted reports whether a new call might go to the target now if there were a permit.
-func (t *target) takesIfPermitted(now units.Instant, anyHealth bool) bool {
-	return t.coldRateAdmits(now) && t.isAvailableWhenWarm(now, anyHealth)
+// isAvailableWithPermit reports whether a new call could be sent to the target now if there were a
+// permit.
+func (t *target) isAvailableWithPermit(now units.Instant, ignoreHealth bool) bool {
+	return t.coldRateAdmits(now) && t.isAvailableWhenWarm(now, ignoreHealth)
 }
 
 // usePermit spends a permit on a call or probe and returns the permit's expiry: zero if the target
-// advertises no limit, or if there is no permit.
+// announces no limit, or if there is no permit.
 func (r *Router) usePermit(t *target) units.Instant {
 	if !t.notice.isLimited() {
 		return 0
@@ -143,20 +145,20 @@
 	r.requestPermitsFromSome(s, c, 1, func(t *target) bool { return t.inSubset }, e)
 }
 
-// requestPermitsFromSome requests permits of at most maxRequests limited targets that suit a call and
-// satisfy fits, and returns the number of requests.
+// requestPermitsFromSome requests permits of at most maxRequests limited targets that a call may be
+// sent to and that satisfy fits, and returns the number of requests.
 func (r *Router) requestPermitsFromSome(s *service, c *call, maxRequests int, fits func(*target) bool, e *Effects) (requested int) {
 	if s.limitedTargets == 0 || !r.leased() {
 		return 0
 	}
-	anyHealth := r.anyHealth(s, c)
+	ignoreHealth := r.ignoresHealth(s, c)
 	start := r.random.IntN(len(s.targets))
 	for k := range s.targets {
 		t := s.targets[(start+k)%len(s.targets)]
 		if requested >= maxRequests {
 			break
 		}
-		if t.notice.isLimited() && t.notice.limit.mayRequest(r.now) && fits(t) && c.mayUse(t) && t.takesIfPermitted(r.now, anyHealth) {
+		if t.notice.isLimited() && t.notice.limit.mayRequest(r.now) && fits(t) && c.mayUse(t) && t.isAvailableWithPermit(r.now, ignoreHealth) {
 			r.requestTargetPermits(t, min(maxPermitsHeld, 1+s.held.length+len(s.waiting)), e)
 			requested++
 		}
@@ -182,21 +184,21 @@
 
 // hasPendingPermitRequest reports whether a coordinator may still answer a request.
 func (s *service) hasPendingPermitRequest(now units.Instant) bool {
-	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.notice.isLimited() && t.notice.limit.ask.isPending(now) })
+	return slices.ContainsFunc(s.targets, func(t *target) bool { return t.notice.isLimited() && t.notice.limit.request.isPending(now) })
 }
 
 // requestTargetPermits requests permits of one target from its coordinator.
 func (r *Router) requestTargetPermits(t *target, count int, e *Effects) {
 	to, known := r.coordinatorOf(t)
 	if !known {
-		t.notice.limit.nextAskAt = r.now.Add(permitRetryInterval)
+		t.notice.limit.nextRequestAt = r.now.Add(permitRetryInterval)
 		return
 	}
 	r.permits.nonce++
-	r.permits.Asked++
-	t.notice.limit.ask = permitRequest{nonce: r.permits.nonce, at: r.now, pending: true}
+	r.permits.Requested++
+	t.notice.limit.request = permitRequest{nonce: r.permits.nonce, at: r.now, pending: true}
 	r.scheduleSweep(t.service, r.now.Add(permitRequestTimeout))
-	r.sendLimit(to, t, LimitMessage{Kind: RequestPermits, Nonce: r.permits.nonce, Count: count}, e)
+	r.sendLimitMessage(to, t, LimitMessage{Kind: RequestPermits, Nonce: r.permits.nonce, Count: count}, e)
 }
 
 // acceptPermits handles a coordinator's answer. Permits that arrive too late are returned.
@@ -205,13 +207,13 @@
 		return
 	}
 	x := t.notice.limit
-	if m.Nonce != x.ask.nonce || !x.ask.isPending(r.now) {
+	if m.Nonce != x.request.nonce || !x.request.isPending(r.now) {
 		r.returnPermitsTo(from, t, m.Count, e)
 		return
 	}
-	x.ask.pending = false
+	x.request.pending = false
 	pause := min(m.RetryAfter, maxPermitRetryInterval)
-	x.nextAskAt = r.now.Add(pause + time.Duration(permitRetryJitter*r.random.Float64()*float64(pause)))
+	x.nextRequestAt = r.now.Add(pause + time.Duration(permitRetryJitter*r.random.Float64()*float64(pause)))
 	if m.Count > 0 {
 		r.permits.Granted += uint64(m.Count)
 		until := r.now.Add(permitLifetime)
@@ -220,7 +222,7 @@
 		r.freedServices = append(r.freedServices, t.service)
 		return
 	}
-	// Other coordinators are asked at the end of the event.
+	// Requests to other coordinators are sent at the end of the event.
 	r.declinedServices = append(r.declinedServices, t.service)
 }
 
@@ -247,7 +249,7 @@
 		return
 	}
 	r.permits.Returned += uint64(n)
-	r.sendLimit(to, t, LimitMessage{Kind: ReturnPermits, Count: n}, e)
+	r.sendLimitMessage(to, t, LimitMessage{Kind: ReturnPermits, Count: n}, e)
 }
 
 // sweepPermits returns expired permits and records requests that timed out.
@@ -263,17 +265,17 @@
 		if n := x.permits.dropExpired(r.now); n > 0 {
 			r.returnPermits(t, n, e)
 			// No call here needed the permit, so other boxes may request theirs first.
-			x.nextAskAt = max(x.nextAskAt, r.now.Add(permitLifetime))
+			x.nextRequestAt = max(x.nextRequestAt, r.now.Add(permitLifetime))
 		}
-		if x.ask.pending && !x.ask.isPending(r.now) {
-			x.ask.pending = false
-			x.nextAskAt = r.now.Add(permitRetryInterval)
+		if x.request.pending && !x.request.isPending(r.now) {
+			x.request.pending = false
+			x.nextRequestAt = r.now.Add(permitRetryInterval)
 		}
 		if len(x.permits) > 0 {
 			r.scheduleSweep(s, x.permits[0])
 		}
-		if x.ask.pending {
-			r.scheduleSweep(s, x.ask.at.Add(permitRequestTimeout))
+		if x.request.pending {
+			r.scheduleSweep(s, x.request.at.Add(permitRequestTimeout))
 		}
 	}
 	r.requestPermitsForHeld(s, e)
--- a/pkg/core/routing/probefirst.go
+++ b/pkg/core/routing/probefirst.go
@@ -7,7 +7,7 @@
 
 // Targets' load changes faster than answers report it. Before a call is sent, the box may probe a
 // few targets and send the call to the best of them. Probes draw on the measurement budget; without
-// budget the box chooses by the readings that it has.
+// budget the box chooses by the load reports that it has.
 
 const (
 	// probeTimeout is the longest time a call waits for the answers to its probes, in addition to
@@ -18,8 +18,8 @@
 	hedgeProbeTimeout = 100 * time.Millisecond
 	// maxProbesPerSend bounds the targets that are probed for one send.
 	maxProbesPerSend = 4
-	// freshReadingAge is the age up to which a reading is as good as a new one.
-	freshReadingAge = 30 * time.Millisecond
+	// freshReportAge is the age up to which a load report is as good as a new one.
+	freshReportAge = 30 * time.Millisecond
 	// probeBurstTime is the time for which a box may save up its share of the probe budget: probes
 	// are most useful in the seconds in which many calls arrive. minProbeBurst is the minimum size
 	// of that token bucket, in probes.
@@ -56,24 +56,24 @@
 }
 
 // sendOrProbe sends a call to the target that seems best, or probes a few targets first.
-func (r *Router) sendOrProbe(id CallID, c *call, best *target, why Purpose, e *Effects) {
-	if !r.enabled(Probing) || !c.service.probesTargets() || best.notice.isLimited() || best.hasFreshReading(r.now) && r.isSuitable(c, best) || r.mayGoUnprobed(c, best) {
-		r.send(id, c, best, why, e)
+func (r *Router) sendOrProbe(id CallID, c *call, best *target, purpose Purpose, e *Effects) {
+	if !r.enabled(Probing) || !c.service.probesTargets() || best.notice.isLimited() || best.hasFreshReport(r.now) && r.isSuitable(c, best) || r.maySkipProbes(c, best) {
+		r.send(id, c, best, purpose, e)
 		return
 	}
-	c.probeRound.purpose = why
+	c.probeRound.purpose = purpose
 	c.probeRound.queued = false
 	r.dropFinishedWaiting(c.service)
 	if len(c.service.waiting) >= maxProbingCalls || !r.sendProbes(id, c, e) {
-		if !c.service.isBusy(r.now) && !best.hasFreshReading(r.now) && !r.requiresKnownFreeSlot(c) {
-			r.send(id, c, best, why, e)
+		if !c.service.isBusy(r.now) && !best.hasFreshReport(r.now) && !r.requiresKnownFreeSlot(c) {
+			r.send(id, c, best, purpose, e)
 			return
 		}
 		c.probeRound.active = true
 		r.waitForTarget(id, c)
 		r.requestPermits(c.service, c, 1, e)
 	}
-	if why == FirstSend {
+	if purpose == FirstSend {
 		e.add(Effect{Kind: Hold, Call: id, Owner: c.owner, Deadline: c.deadline})
 	}
 }
@@ -83,7 +83,7 @@
 const maxUnreported = 8
 
 // recordReport records whether an answer carried a load report.
-func (s *service) recordReport(x Reading) {
+func (s *service) recordReport(x TargetReport) {
 	if x.HasLoad {
 		s.answersWithoutReport = 0
 		return
@@ -142,21 +142,21 @@
 func (r *Router) probeBudgetRate(s *service) float64 {
 	rate := 0.0
 	for _, t := range s.targets {
-		if t.side <= trialVersion {
+		if t.role <= trialVersion {
 			rate += r.probeRate(s, t)
 		}
 	}
 	return rate
 }
 
-// targetsToProbe returns up to n available targets of the lowest cost that have no recent reading
-// and no probe in flight, since probe answers are shared by all calls. The slice is reused by the
-// next call.
+// targetsToProbe returns up to n available targets of the lowest cost that have no recent load
+// report and no probe in flight, since probe answers are shared by all calls. The slice is reused
+// by the next call.
 func (r *Router) targetsToProbe(c *call, n int) []*target {
-	from := r.roleForCall(c.service, c)
+	role := r.roleForCall(c.service, c)
 	set := candidates{
-		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c) && from != trialVersion, excludeTried: c.sendsSinceHeld > 0,
-		role: from,
+		service: c.service, now: r.now, call: c, ignoreHealth: r.ignoresHealth(c.service, c) && role != trialVersion, excludeTried: c.sendsSinceHeld > 0,
+		role: role,
 	}
 	r.probeCandidates = r.probeCandidates[:0]
 	// Targets of the same cost are compared in a random order, so that the boxes don't all probe
@@ -167,7 +167,7 @@
 		i := (start + k) % len(targets)
 		t := targets[i]
 		// At a target with an announced rate limit a probe would cost as much as the call.
-		if t.notice.isLimited() || !set.Available(i) && !set.availableIfWarm(i) || t.hasFreshReading(r.now) || t.hasProbeInFlight(r.now) {
+		if t.notice.isLimited() || !set.Available(i) && !set.availableIfWarm(i) || t.hasFreshReport(r.now) || t.hasProbeInFlight(r.now) {
 			continue
 		}
 		if t.lastProbedAt != 0 && r.now.Sub(t.lastProbedAt) < t.probeTimeout() {
@@ -197,7 +197,7 @@
 }
 
 // probeAnswered handles the answer to a probe for a call. A suitable target ends the call's wait;
-// other answers only add readings.
+// other answers only add load reports.
 func (r *Router) probeAnswered(v *ProbeEnded, t *target, e *Effects) {
 	c := r.calls.Get(v.Call)
 	if c == nil || !c.probeRound.active || c.probeRound.number != v.Attempt {
@@ -208,7 +208,7 @@
 		return
 	}
 	c.probeRound.pending--
-	if c.probeRound.pending == 0 || t != nil && t.hasFreshReading(r.now) && r.isSuitable(c, t) {
+	if c.probeRound.pending == 0 || t != nil && t.hasFreshReport(r.now) && r.isSuitable(c, t) {
 		r.concludeProbing(v.Call, c, e)
 	}
 }
@@ -229,7 +229,7 @@
 	if c.probeRound.purpose != FirstSend && t != nil && !r.isSuitable(c, t) {
 		t = cmp.Or(r.bestSuitable(c), t)
 	}
-	late := c.aimFractionUsed(r.now) >= c.service.waitFraction(r.now) || !r.enabled(Waiting)
+	late := c.objectiveFractionUsed(r.now) >= c.service.waitFraction(r.now) || !r.enabled(Waiting)
 	if t != nil && (r.isSuitable(c, t) || late && r.acceptsUnsuitable(c)) {
 		c.probeRound.active = false
 		if !c.probeRound.queued {
@@ -254,11 +254,11 @@
 	r.refuse(id, c, Refusal{Reason: TargetsBusy, Outcome: c.outcome(), RetryAfter: r.busyRetryAfter(c.service)}, e)
 }
 
-// leaveNewVersion sends a call that finds no room at a rollout's new version to the other targets,
-// like a new call.
+// leaveNewVersion sends a call that finds no suitable target of a rollout's new version to the
+// other targets, like a new call.
 func (r *Router) leaveNewVersion(id CallID, c *call, e *Effects) {
 	c.onNewVersion = false
-	if t := r.choose(c.service, c); t != nil && t.hasFreshReading(r.now) && r.isSuitable(c, t) || !r.sendProbes(id, c, e) {
+	if t := r.choose(c.service, c); t != nil && t.hasFreshReport(r.now) && r.isSuitable(c, t) || !r.sendProbes(id, c, e) {
 		r.concludeProbing(id, c, e)
 	}
 }
@@ -267,7 +267,7 @@
 // late is sent to a nearly full target with a known load rather than wait for a better one.
 func (r *Router) bestSuitable(c *call) *target {
 	set := candidates{
-		service: c.service, now: r.now, call: c, anyHealth: r.anyHealth(c.service, c), excludeTried: true, role: r.roleForCall(c.service, c),
+		service: c.service, now: r.now, call: c, ignoreHealth: r.ignoresHealth(c.service, c), excludeTried: true, role: r.roleForCall(c.service, c),
 	}
 	var best *target
 	for i, t := range c.service.targets {
--- a/pkg/core/routing/probing.go
+++ b/pkg/core/routing/probing.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// minSilenceBeforeProbe is how long nothing must have been heard from an ejected target before
-	// it is probed.
-	minSilenceBeforeProbe = 200 * time.Millisecond
+	// healthProbeDelay is the time since the last call or health probe of an ejected target ended,
+	// after which it is probed.
+	healthProbeDelay = 200 * time.Millisecond
 	// defaultSlots is the assumed capacity of a target without a limit, in calls.
 	defaultSlots = 3
 	// probeBurst is the number of probes that a box may save up, the size of the token bucket.
@@ -30,7 +30,7 @@
 // probeIfDue probes a target that gets no calls. Targets that get calls are measured by these and
 // need no probe.
 func (r *Router) probeIfDue(s *service, t *target, e *Effects) {
-	if !t.needsHealthProbe(r.now) || t.evacuated || t.side > trialVersion || t.healthProbeInFlight || r.now.Sub(t.lastObservedAt) < minSilenceBeforeProbe || !r.leased() {
+	if !t.needsHealthProbe(r.now) || t.evacuated || t.role > trialVersion || t.healthProbeInFlight || r.now.Sub(t.lastObservedAt) < healthProbeDelay || !r.leased() {
 		return
 	}
 	if t.lacksPermit(r.now) {
@@ -48,7 +48,7 @@
 }
 
 func (r *Router) probeEnded(v *ProbeEnded, e *Effects) {
-	r.handleNotice(v.Target, v.Reading, v.Misdirected, unknownLimitVersion, e)
+	r.handleNotice(v.Target, v.Report, v.Misdirected, unknownLimitVersion, e)
 	t := r.findTarget(v.Target)
 	if t != nil && v.Refused {
 		r.recordConnectionRefused(t, e)
@@ -68,9 +68,9 @@
 	t.healthProbeInFlight = false
 	t.lastObservedAt = r.now
 	r.detectSuccessor(t, v, e)
-	t.recordReport(r.now, v.Reading)
+	t.recordReport(r.now, v.Report)
 	if v.Healthy {
-		r.updateColdState(t, v.Reading.Cold)
+		r.updateColdState(t, v.Report.Cold)
 	}
 	if !v.Healthy {
 		t.health.recordFailure(r.now)
@@ -83,17 +83,17 @@
 }
 
 // updateFromProbe updates a target's state from the answer to a probe for a call. The health that
-// the target reports counts for no more than a reading: the results of calls are better evidence.
+// the target reports doesn't change its ejection: the results of calls are better evidence.
 func (r *Router) updateFromProbe(t *target, v *ProbeEnded, e *Effects) {
 	if t == nil {
 		return
 	}
 	t.recordProbeEnd(r.now, v.Healthy)
-	t.recordReport(r.now, v.Reading)
-	t.markMissing(r.now, v.Reading, t.lastProbedAt)
+	t.recordReport(r.now, v.Report)
+	t.markMissing(r.now, v.Report, t.lastProbedAt)
 	if v.Healthy {
-		t.service.recordReport(v.Reading)
-		r.updateColdState(t, v.Reading.Cold)
+		t.service.recordReport(v.Report)
+		r.updateColdState(t, v.Report.Cold)
 	}
 	if v.Healthy || v.Unreachable {
 		t.recordReachability(r.now, v.Healthy)
@@ -120,7 +120,7 @@
 // shareProbeAnswer makes a probe's answer available to the waiting calls if the call that probed no
 // longer needs it.
 func (r *Router) shareProbeAnswer(t *target) {
-	if t != nil && len(t.service.waiting) > 0 && t.hasFreshReading(r.now) && r.isSuitableByReading(nil, t) {
+	if t != nil && len(t.service.waiting) > 0 && t.hasFreshReport(r.now) && r.isSuitableByReport(nil, t) {
 		r.freedServices = append(r.freedServices, t.service)
 	}
 }
--- a/pkg/core/routing/quotas.go
+++ b/pkg/core/routing/quotas.go
@@ -246,7 +246,7 @@
 	case u.account != nil:
 		u.account.Return(r.now, 1)
 	case len(order) > 0:
-		e.add(Effect{Kind: SendQuota, Peer: order[0], Quota: &QuotaMessage{Kind: ReturnCredits, Workspace: u.name, Count: 1}})
+		e.add(Effect{Kind: SendQuotaMessage, Peer: order[0], Quota: &QuotaMessage{Kind: ReturnCredits, Workspace: u.name, Count: 1}})
 	}
 }
 
@@ -319,7 +319,7 @@
 		u.requests = slices.DeleteFunc(u.requests, func(a creditRequest) bool {
 			lost := r.now.Sub(a.at) >= creditRequestTimeout
 			if lost {
-				u.unavailableUntil[a.holder] = r.now.Add(silentHolderBackoff)
+				u.unavailableUntil[a.holder] = r.now.Add(unresponsiveHolderBackoff)
 			}
 			return lost
 		})
--- a/pkg/core/routing/refusal.go
+++ b/pkg/core/routing/refusal.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Outcome tells a refused caller whether its call may have been run.
+// Outcome is what a refused caller is informed of: whether its call may have been run.
 type Outcome uint8
 
 // The outcomes that a refusal can name.
@@ -46,20 +46,20 @@
 	Evacuated
 	TooLate
 	OtherVersions
-	RolloutUnsure
+	UnknownVersion
 	RegionNotAllowed
 	Quarantined
 	TargetsResting
 	TargetsLimited
 	UnknownKey
-	KeysInDoubt
+	StaleKeys
 	QuotaExceeded
 	reasonCount
 )
 
 // reasonInfo is what callers and operators see of a reason.
 type reasonInfo struct {
-	word string
+	name string
 	// status is the HTTP status of the refusal.
 	status int
 	remedy string
@@ -82,19 +82,19 @@
 	Evacuated:          {"evacuated", 503, "retry later; the failure domains of all targets of this service are evacuated"},
 	TooLate:            {"too-late", 503, "retry when the load is lower; the answer would miss the aim, and first tries of other callers take precedence"},
 	OtherVersions:      {"other-versions", 503, "retry later; no target of this service runs the version of its software that is in force"},
-	RolloutUnsure:      {"rollout-unsure", 503, "try another box; this one doesn't know at present which version of the service's software is in force"},
+	UnknownVersion:     {"rollout-unsure", 503, "try another box; this one doesn't know at present which version of the service's software is in force"},
 	RegionNotAllowed:   {"region-not-allowed", 503, "retry later, or allow more regions; no target of this service is in a region that the route allows"},
 	Quarantined:        {"quarantined", 503, "change the request or find out why targets crash when they run it; it is sent to none until an operator releases it or it hasn't been sent for some time"},
 	TargetsResting:     {"targets-rest", 503, "retry after the given time; all targets of this service have asked for no calls until then"},
 	TargetsLimited:     {"targets-limited", 503, "retry after the given time; all targets of this service have rate limits, which other calls use up"},
 	UnknownKey:         {"unknown-key", 401, "send one API key of a workspace, in the documented header"},
-	KeysInDoubt:        {"keys-in-doubt", 503, "try another box; this one has lost contact with the control replicas and can't know which keys are valid"},
+	StaleKeys:          {"keys-in-doubt", 503, "try another box; this one has lost contact with the control replicas and can't know which keys are valid"},
 	QuotaExceeded:      {"quota-spent", 429, "retry after the given time; the workspace's calls have used up its quota"},
 	CallerDisconnected: {"caller-gone", 499, "none; the caller disconnected"},
 }
 
 // String returns the reason as it is shown to callers and operators.
-func (r Reason) String() string { return reasonTable[r].word }
+func (r Reason) String() string { return reasonTable[r].name }
 
 // Status returns the HTTP status of a refusal for this reason.
 func (r Reason) Status() int { return reasonTable[r].status }
--- a/pkg/core/routing/residency.go
+++ b/pkg/core/routing/residency.go
@@ -38,18 +38,18 @@
 // rebindCalls applies the present routes to the calls in the box, and reports whether that changes
 // the allowed regions of any of them. A call that no route matches any more keeps its restriction.
 func (r *Router) rebindCalls() bool {
-	bound := false
+	changed := false
 	r.calls.Each(func(_ CallID, c *call) {
 		if c.route == nil {
 			return
 		}
 		if x := r.routes.find(c.host, c.path); x != nil {
-			bound = bound || !c.regions.Equal(x.regions)
+			changed = changed || !c.regions.Equal(x.regions)
 			c.regions = x.regions
 		}
 		r.routes.restrictsRegions = r.routes.restrictsRegions || c.regions != nil
 	})
-	return bound
+	return changed
 }
 
 // assignRegions sets the region and distance of a service's targets from their failure domains.
@@ -83,7 +83,7 @@
 	for d, x := range r.domainDistances {
 		r.updateSameRegion(d, x)
 	}
-	for _, s := range r.order {
+	for _, s := range r.sortedServices {
 		r.assignRegions(s, e)
 		r.recheckWaitingCalls(s, e)
 	}
@@ -98,7 +98,7 @@
 		return s
 	}
 	for _, p := range c.route.parts {
-		if p.service.hasActiveTarget(c) {
+		if p.service.hasEligibleTarget(c) {
 			return p.service
 		}
 	}
@@ -111,7 +111,7 @@
 	if c.regions == nil {
 		return false
 	}
-	barred := false
+	excluded := false
 	for _, t := range s.targets {
 		if !t.isActiveInTable() {
 			continue
@@ -119,9 +119,9 @@
 		if c.mayUse(t) {
 			return false
 		}
-		barred = true
+		excluded = true
 	}
-	return barred
+	return excluded
 }
 
 // retryAfterFor is the retry delay of a refusal for a reason.
@@ -132,9 +132,9 @@
 	return s.retryAfter(now)
 }
 
-// anyHealth reports whether more than half of the targets that a call may use are ejected; their
-// health is ignored then.
-func (r *Router) anyHealth(s *service, c *call) bool {
+// ignoresHealth reports whether more than half of the targets that a call may use are ejected;
+// their health is ignored then.
+func (r *Router) ignoresHealth(s *service, c *call) bool {
 	if c.regions == nil {
 		return s.mostlyEjected
 	}
@@ -152,7 +152,8 @@
 }
 
 // isBehindHeld reports whether held calls come before this one. A held call that is restricted to
-// regions blocks only calls with the same restriction: others have room elsewhere.
+// regions blocks only calls with the same restriction: others may find free targets in other
+// regions.
 func (r *Router) isBehindHeld(s *service, c *call) bool {
 	return slices.ContainsFunc(s.held.waiting(), func(id CallID) bool {
 		h := r.calls.Get(id)
--- a/pkg/core/routing/router.go
+++ b/pkg/core/routing/router.go
@@ -65,11 +65,11 @@
 	probeCandidates []*target
 	table           *table.Table
 	services        map[units.ServiceName]*service
-	// order lists the services sorted by name.
-	order  []*service
-	routes routeIndex
-	keys   keyRing
-	rank   boxRank
+	// sortedServices lists the services sorted by name.
+	sortedServices []*service
+	routes         routeIndex
+	keys           keyRing
+	rank           boxRank
 	// boxListVersion numbers the lists of boxes applied; domainBoxes caches, for the current list,
 	// the boxes near each failure domain's targets that aren't leaving.
 	boxListVersion int
@@ -100,8 +100,8 @@
 	calls            *container.Slab[call]
 	timers           *container.Heap[timer]
 	loans            loanState
-	// outlooks are the shares of recently usable targets, by failure domain.
-	outlooks map[units.Domain]*domainAvailability
+	// domainAvailabilities are the estimated shares of usable targets, by failure domain.
+	domainAvailabilities map[units.Domain]*domainAvailability
 	// startedAt is when the router was created; earlyCalls are calls that arrived before its first
 	// table.
 	startedAt  units.Instant
@@ -156,28 +156,28 @@
 		return nil, err
 	}
 	return &Router{
-		settings:        s,
-		random:          rand.New(rand.NewPCG(s.Seed, 1)),
-		policy:          policy,
-		table:           table.NewTable(),
-		services:        map[units.ServiceName]*service{},
-		calls:           container.NewSlab[call](),
-		timers:          container.NewHeap(timerBefore),
-		loans:           newLoanState(),
-		outlooks:        map[units.Domain]*domainAvailability{},
-		boxListVersion:  1,
-		noBoxesSeen:     true,
-		domainBoxes:     map[units.Domain][]table.Box{},
-		inbound:         inboundLink{bytesPerSecond: s.LinkRate},
-		domainDistances: map[units.Domain]*domainDistance{},
-		unknownRegions:  map[units.Domain]bool{},
-		now:             now,
-		startedAt:       now,
-		disabled:        off,
-		sweepAt:         now,
-		crashes:         newCrashState(),
-		notices:         noticeMap{},
-		quotas:          newQuotaState(),
+		settings:             s,
+		random:               rand.New(rand.NewPCG(s.Seed, 1)),
+		policy:               policy,
+		table:                table.NewTable(),
+		services:             map[units.ServiceName]*service{},
+		calls:                container.NewSlab[call](),
+		timers:               container.NewHeap(timerBefore),
+		loans:                newLoanState(),
+		domainAvailabilities: map[units.Domain]*domainAvailability{},
+		boxListVersion:       1,
+		noBoxesSeen:          true,
+		domainBoxes:          map[units.Domain][]table.Box{},
+		inbound:              inboundLink{bytesPerSecond: s.LinkRate},
+		domainDistances:      map[units.Domain]*domainDistance{},
+		unknownRegions:       map[units.Domain]bool{},
+		now:                  now,
+		startedAt:            now,
+		disabled:             off,
+		sweepAt:              now,
+		crashes:              newCrashState(),
+		notices:              noticeMap{},
+		quotas:               newQuotaState(),
 	}, nil
 }
 
@@ -213,11 +213,11 @@
 	case *ProbeEnded:
 		r.probeEnded(v, e)
 	case *PeerLoan:
-		r.receiveLoan(v.From, v.Message, e)
+		r.receiveLoanMessage(v.From, v.Message, e)
 	case *PeerLimit:
-		r.receiveLimit(v.From, v.Message, e)
+		r.receiveLimitMessage(v.From, v.Message, e)
 	case *PeerQuota:
-		r.receiveQuota(v.From, &v.Message, e)
+		r.receiveQuotaMessage(v.From, &v.Message, e)
 	case *PeerCanary:
 		r.receiveCanaryMessage(v.From, &v.Message, e)
 	}
@@ -250,7 +250,7 @@
 		return
 	}
 	r.sweepAt = r.now.Add(idleSweepPeriod)
-	for _, s := range r.order {
+	for _, s := range r.sortedServices {
 		r.sweep(s, e)
 		r.sweepAt = min(r.sweepAt, s.sweepAt)
 	}
@@ -331,7 +331,7 @@
 		return
 	}
 	r.explainBlocked(c, &refusal)
-	r.returnTrial(c)
+	r.returnQuarantineTrial(c)
 	e.add(Effect{Kind: Refuse, Call: id, Owner: c.owner, Refusal: refusal, Workspace: c.workspaceName()})
 	r.refusals[refusal.Reason]++
 	if c.service != nil {
--- a/pkg/core/routing/routes.go
+++ b/pkg/core/routing/routes.go
@@ -25,10 +25,10 @@
 	// maxDeadline caps the deadline that a caller may set; zero means the cap in the settings.
 	maxDeadline time.Duration
 	// defaultDeadline applies to calls without a deadline.
-	defaultDeadline time.Duration
-	aim             time.Duration
-	maxAttempts     int
-	priority        int
+	defaultDeadline  time.Duration
+	latencyObjective time.Duration
+	maxAttempts      int
+	priority         int
 	// largeAnswers is set if answers are large, so that calls wait while the box's link is
 	// occupied.
 	largeAnswers bool
@@ -65,7 +65,7 @@
 // no calls.
 func (r *Router) newRoute(row *table.Route) *route {
 	x := &route{
-		host: row.Host, prefix: row.PathPrefix, work: row.Work, maxDeadline: row.Deadline, defaultDeadline: row.Deadline, aim: row.LatencyObjective,
+		host: row.Host, prefix: row.PathPrefix, work: row.Work, maxDeadline: row.Deadline, defaultDeadline: row.Deadline, latencyObjective: row.LatencyObjective,
 		maxAttempts: maxSends, priority: row.Priority, largeAnswers: row.LargeResponses, public: row.Public, regions: row.Regions,
 	}
 	if row.MaxAttempts > 0 {
@@ -101,7 +101,7 @@
 		x.restrictsRegions = x.restrictsRegions || added.regions != nil
 		x.byHost[row.Host] = append(x.byHost[row.Host], added)
 	}
-	for _, s := range r.order {
+	for _, s := range r.sortedServices {
 		for _, h := range ownHosts(&s.row) {
 			x.byHost[h] = append(x.byHost[h], serviceRoute(s, h))
 		}
@@ -140,13 +140,13 @@
 }
 
 // callDeadline returns how long a call of the route may take, given the deadline that its caller
-// asked for and the cap in the settings.
-func (x *route) callDeadline(asked, maxDeadline time.Duration) time.Duration {
-	if asked <= 0 {
+// requested and the cap in the settings.
+func (x *route) callDeadline(requested, maxDeadline time.Duration) time.Duration {
+	if requested <= 0 {
 		return x.defaultDeadline
 	}
 	if x.maxDeadline > 0 {
 		maxDeadline = x.maxDeadline
 	}
-	return min(asked, maxDeadline)
+	return min(requested, maxDeadline)
 }
--- a/pkg/core/routing/script_test.go
+++ b/pkg/core/routing/script_test.go
@@ -57,7 +57,7 @@
 	"regions":   (*script).regions,
 	"limit":     (*script).peerLimit,
 
-	"key-doubt": (*script).keyDoubt,
+	"key-doubt": (*script).setMaxKeyStaleness,
 	"quota":     (*script).quota,
 	"canary":    (*script).canary,
 }
@@ -161,13 +161,13 @@
 		return fmt.Sprintf("%.8s is to blame for %v", x.Verdict.Fingerprint, x.Verdict.Targets)
 	case TargetNotice:
 		return s.describeNotice(x)
-	case SendLoan:
+	case SendLoanMessage:
 		return fmt.Sprintf("tell %s: %s", x.Peer, describeLoan(x.Loan))
-	case SendQuota:
+	case SendQuotaMessage:
 		return fmt.Sprintf("tell %s: %s", x.Peer, describeQuota(x.Quota))
 	case SendCanaryMessage:
 		return fmt.Sprintf("tell %s: %s", x.Peer, describeCanary(x.Canary))
-	case SendLimit:
+	case SendLimitMessage:
 		return fmt.Sprintf("tell %s: %s", x.Peer, describeLimit(x.Limit))
 	}
 	return "unknown effect"
@@ -195,9 +195,9 @@
 }
 
 // setTable applies a table: lines of "boxes NAME[@DOMAIN[,leaving]]...", "service NAME
-// COLUMN=VALUE...", "row SERVICE TARGET COLUMN=VALUE...", "registered SERVICE TARGET
-// [DOMAIN] [leaving] [silent] [cold=TIME] [software=V]", "in-force SERVICE V", "rollout SERVICE
-// FROM TO STAGE ORDER SINCE SHARE [TARGET,TARGET...]", "evacuated DOMAIN", "restored DOMAIN REVISION" and
+// COLUMN=VALUE...", "row SERVICE TARGET COLUMN=VALUE...", "registered SERVICE TARGET [DOMAIN]
+// [leaving] [silent] [cold=TIME] [software=V]", "in-force SERVICE V", "rollout SERVICE FROM TO
+// STAGE ORDER SINCE SHARE [TARGET,TARGET...]", "evacuated DOMAIN", "restored DOMAIN REVISION" and
 // "route NAME COLUMN=VALUE...", with commas in place of spaces; "keys" where calls need one, and
 // "workspace NAME [priority=N] [rate=N] KEY...", with a burst of a second.
 func (s *script) setTable(d *datadriven.TestData) {
@@ -329,7 +329,7 @@
 		r.Cold = cold
 		return
 	}
-	if v, told := strings.CutPrefix(word, "born="); told {
+	if v, hasBorn := strings.CutPrefix(word, "born="); hasBorn {
 		born, err := strconv.ParseInt(v, 10, 64)
 		if err != nil {
 			s.t.Fatal(err)
@@ -406,7 +406,7 @@
 	if err != nil {
 		d.Fatalf(s.t, "%v", err)
 	}
-	s.endProbeOf(d, ProbeEnded{Healthy: true, Reading: Reading{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: x, Cold: s.duration(d, "cold")}})
+	s.endProbeOf(d, ProbeEnded{Healthy: true, Report: TargetReport{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: x, Cold: s.duration(d, "cold")}})
 }
 
 // end-probe CALL TARGET how=unreachable|misdirected|healthy [rest=D] [leaving] ends a call's probe
@@ -418,7 +418,7 @@
 
 func (s *script) endProbeOf(d *datadriven.TestData, v ProbeEnded) {
 	probe := s.lastProbe[d.CmdArgs[0].Key]
-	s.setNotice(d, &v.Reading)
+	s.setNotice(d, &v.Report)
 	v.Target, v.Call, v.Attempt = s.probes[d.CmdArgs[1].Key], probe.Call, probe.Attempt
 	s.reduce(&v)
 }
@@ -440,9 +440,9 @@
 // stale lets the router serve without a lease.
 func (s *script) stale(*datadriven.TestData) { s.router.settings.ServeStale = true }
 
-// keyDoubt limit=D sets for how long a box without contact to the control replicas accepts API
-// keys.
-func (s *script) keyDoubt(d *datadriven.TestData) {
+// key-doubt limit=D sets for how long a box without contact to the control replicas
+// accepts API keys.
+func (s *script) setMaxKeyStaleness(d *datadriven.TestData) {
 	s.router.settings.MaxKeyStaleness = s.duration(d, "limit")
 }
 
@@ -460,22 +460,23 @@
 	if d.HasArg("load") {
 		var load int
 		d.ScanArgs(s.t, "load", &load)
-		v.Reading = Reading{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: 1}
+		v.Report = TargetReport{HasLoad: true, InFlight: float64(load), Slots: 3, Pace: 1}
 	}
 	v.Refused = d.HasArg("refused")
 	v.Endpoint = s.sent[d.CmdArgs[0].Key][v.Attempt]
-	s.setNotice(d, &v.Reading)
+	s.setNotice(d, &v.Report)
 	s.reduce(v)
 }
 
-// start NAME attempt=N [coming=N] [leaving] starts the answer of an attempt, with the bytes still to come.
+// start NAME attempt=N [coming=N] [leaving] starts the answer of an attempt, with the bytes still
+// to come.
 func (s *script) start(d *datadriven.TestData) {
 	var n, coming int
 	d.ScanArgs(s.t, "attempt", &n)
 	d.MaybeScanArgs(s.t, "coming", &coming)
 	v := &AttemptStarted{Call: s.calls[d.CmdArgs[0].Key], Attempt: AttemptNumber(n), Remaining: coming}
 	v.Endpoint = s.sent[d.CmdArgs[0].Key][v.Attempt]
-	s.setNotice(d, &v.Reading)
+	s.setNotice(d, &v.Report)
 	s.reduce(v)
 }
 
@@ -499,7 +500,8 @@
 	s.reduce(&LeaseChanged{Until: s.now.Add(s.duration(d, "for")), At: s.now})
 }
 
-// peer BOX kind=K service=S [target=T] [loan=N] [nonce=N] [free=N] [term=D] is a message of another box about loans.
+// peer BOX kind=K service=S [target=T] [loan=N] [nonce=N] [free=N] [term=D] is a message of another
+// box about loans.
 func (s *script) peer(d *datadriven.TestData) {
 	m := LoanMessage{Service: units.ServiceName(s.word(d, "service")), Count: 1}
 	for k, w := range loanKindNames {
@@ -520,12 +522,13 @@
 	s.reduce(&PeerLoan{From: units.BoxID(d.CmdArgs[0].Key), Message: m})
 }
 
-// probed TARGET healthy=true|false [answered] [refused] [rest=D] [leaving] ends a probe that no call waits for.
+// probed TARGET healthy=true|false [answered] [refused] [rest=D] [leaving] ends a probe that no
+// call waits for.
 func (s *script) probed(d *datadriven.TestData) {
 	v := &ProbeEnded{Target: s.probes[d.CmdArgs[0].Key], Healthy: s.word(d, "healthy") == "true"}
 	v.Answered, v.Refused = d.HasArg("answered"), d.HasArg("refused")
 	v.Unreachable = v.Refused
-	s.setNotice(d, &v.Reading)
+	s.setNotice(d, &v.Report)
 	s.reduce(v)
 }
 
--- a/pkg/core/routing/service.go
+++ b/pkg/core/routing/service.go
@@ -18,8 +18,8 @@
 	// nearly full, or cold.
 	nearFullSlowdown slowdownEstimate
 	coldSlowdown     slowdownEstimate
-	// silence is the state on calls that were never answered.
-	silence unansweredStats
+	// unanswered tracks the calls that targets left unanswered.
+	unanswered unansweredStats
 	// disabled are the mechanisms that are switched off.
 	disabled mechanismSet
 	// domain is the box's own failure domain.
@@ -62,9 +62,9 @@
 	refused uint64
 	// crashes counts the crashes of targets while they ran calls of this box.
 	crashes uint64
-	// restRequests counts the times that targets asked this box for rest.
+	// restRequests counts the times that targets asked this box for a rest.
 	restRequests uint64
-	// limitedTargets is the number of targets that advertise limits; there has been at least one
+	// limitedTargets is the number of targets that announce limits; there has been at least one
 	// since limitedSince.
 	limitedTargets int
 	limitedSince   units.Instant
@@ -176,8 +176,8 @@
 	if capacity == 0 {
 		return 0
 	}
-	waves := float64(s.held.length+1) / float64(capacity)
-	return time.Duration(waves * float64(s.latency.longTermMean()))
+	rounds := float64(s.held.length+1) / float64(capacity)
+	return time.Duration(rounds * float64(s.latency.longTermMean()))
 }
 
 // candidates presents a service's targets to a policy.
@@ -186,8 +186,8 @@
 	now     units.Instant
 	// call is the call to send; targets that it is already in flight at are unavailable.
 	call *call
-	// anyHealth makes ejected targets available.
-	anyHealth bool
+	// ignoreHealth makes ejected targets available.
+	ignoreHealth bool
 	// excludeTried makes targets unavailable that the call has been sent to before.
 	excludeTried bool
 	// role is the version role of available targets.
@@ -208,18 +208,18 @@
 
 func (c *candidates) Available(i int) bool {
 	t := c.service.targets[i]
-	return t.side == c.role && t.isAvailable(c.now, c.anyHealth) && !c.excluded(t)
+	return t.role == c.role && t.isAvailable(c.now, c.ignoreHealth) && !c.excluded(t)
 }
 
 // availableIfWarm reports whether a target that may be cold would be available if a probe showed it
 // to be warm.
 func (c *candidates) availableIfWarm(i int) bool {
 	t := c.service.targets[i]
-	return t.side == c.role && t.isPossiblyCold(c.now) && !t.lacksPermit(c.now) && t.isAvailableWhenWarm(c.now, c.anyHealth) && !c.excluded(t)
+	return t.role == c.role && t.isPossiblyCold(c.now) && !t.lacksPermit(c.now) && t.isAvailableWhenWarm(c.now, c.ignoreHealth) && !c.excluded(t)
 }
 
 // excluded reports whether a target is unavailable because of the call itself. A call in flight
-// isn't also sent to a target that advertises a limit: the permit is of more use to another call.
+// isn't also sent to a target that announces a limit: the permit is of more use to another call.
 func (c *candidates) excluded(t *target) bool {
 	return !c.call.mayUse(t) || c.excludeTried && c.call.wasSentTo(t) || c.call.isInFlightAt(t) || t.notice.isLimited() && c.call.inFlight() > 0
 }
--- a/pkg/core/routing/status.go
+++ b/pkg/core/routing/status.go
@@ -23,12 +23,12 @@
 	// Restricted lists the routes whose calls may go to some regions only.
 	Restricted []RestrictedRoute `json:"restricted,omitempty"`
 	Loans      LoanStatus        `json:"loans"`
-	// Permits counts permits for targets that advertise limits.
+	// Permits counts permits for targets that announce limits.
 	Permits PermitStatus  `json:"permits"`
 	Inbound InboundStatus `json:"inbound"`
 	// Quotas lists the workspaces whose calls arrived here, or whose credits this box granted.
 	Quotas []QuotaStatus `json:"quotas,omitempty"`
-	// Canaries is the state on requests under which targets have recently crashed.
+	// Canaries is the state on requests that were in flight at recent crashes of targets.
 	Canaries CanaryStatus `json:"canaries"`
 }
 
@@ -53,7 +53,7 @@
 
 // LoanStatus counts the loans between boxes.
 type LoanStatus struct {
-	Asked       uint64 `json:"asked"`
+	Requested   uint64 `json:"asked"`
 	Lent        uint64 `json:"lent"`
 	Borrowed    uint64 `json:"borrowed"`
 	LentNow     int    `json:"lentNow"`
@@ -80,12 +80,12 @@
 	Unanswered uint64  `json:"unanswered"`
 	Hangs      bool    `json:"hangs"`
 	HangsFrom  float64 `json:"hangsFrom,omitempty"`
-	// Rests counts the times that targets asked this box for rest. Resting and Leaving are the
+	// Rests counts the times that targets asked this box for a rest. Resting and Leaving are the
 	// numbers of targets that rest now, and that have announced their shutdown.
 	Rests   uint64 `json:"rests"`
 	Resting int    `json:"resting"`
 	Leaving int    `json:"leaving"`
-	// Limited is the number of targets that advertise a limit.
+	// Limited is the number of targets that announce a limit.
 	Limited int `json:"limited"`
 	// Rollout is the state of the active rollout.
 	Rollout *RolloutStatus `json:"rollout,omitempty"`
@@ -140,17 +140,17 @@
 	Measured time.Duration `json:"measured"`
 	// ProbeRate is the number of probes per second that this box may send to the target.
 	ProbeRate float64 `json:"probeRate"`
-	// RestLeftMs is how long, in milliseconds, the target wants no calls from this box. SaysLeaving
-	// is set once it has announced its shutdown.
+	// RestLeftMs is how long, in milliseconds, the rest that the target asked for still lasts.
+	// SaysLeaving is set once it has announced its shutdown.
 	RestLeftMs  int64 `json:"restLeftMs,omitempty"`
 	SaysLeaving bool  `json:"saysLeaving,omitempty"`
-	// Limit is the rate, in calls per second for all boxes together, that the target advertises.
-	// PermittedBy is the box that issues the permits, Permits the number of permits that this box
-	// holds. All are empty for a target that advertises no limit.
+	// Limit is the rate, in calls per second for all boxes together, that the target announces.
+	// Coordinator is the box that issues the permits, Permits the number of permits that this box
+	// holds. All are empty for a target that announces no limit.
 	Limit       *units.CallRate `json:"limit,omitempty"`
-	PermittedBy units.BoxID     `json:"permittedBy,omitempty"`
+	Coordinator units.BoxID     `json:"permittedBy,omitempty"`
 	Permits     int             `json:"permits,omitempty"`
-	// Bound names what currently keeps calls away from the target; empty if nothing does.
+	// Bound names why the target currently receives no new calls; empty if it may receive some.
 	Bound string `json:"bound,omitempty"`
 }
 
@@ -162,7 +162,7 @@
 		Evacuated: r.table.EvacuatedDomains(), Region: r.settings.Regions[r.settings.Domain], Restricted: r.restrictedRoutes(),
 		Inbound: r.inboundStatus(now), Permits: r.permits, Quotas: r.quotaStatuses(), Canaries: r.crashes.canaries.status,
 		Loans: LoanStatus{
-			Asked: r.loans.requestTotal, Lent: r.loans.lentTotal, Borrowed: r.loans.borrowedTotal,
+			Requested: r.loans.requestTotal, Lent: r.loans.lentTotal, Borrowed: r.loans.borrowedTotal,
 			LentNow: len(r.loans.lent), BorrowedNow: len(r.loans.borrowed),
 		},
 	}
@@ -171,7 +171,7 @@
 			s.Refusals[reason.String()] = n
 		}
 	}
-	for _, x := range r.order {
+	for _, x := range r.sortedServices {
 		s.Services = append(s.Services, r.serviceStatus(x, now))
 	}
 	return s
@@ -181,7 +181,7 @@
 	status := ServiceStatus{
 		Service: s.row.Name, Version: s.entry.Version, Calls: s.calls, Refused: s.refused, Held: s.held.length,
 		Retries: s.retries.spent, Hedges: s.hedges.spent, Latency: s.latency.mean(), HedgeDelay: s.hedgeDelay(),
-		Crashes: s.crashes, Rests: s.restRequests, Unanswered: s.silence.total, Hangs: s.silence.hangs(now), HangsFrom: s.silence.hangLoad,
+		Crashes: s.crashes, Rests: s.restRequests, Unanswered: s.unanswered.total, Hangs: s.unanswered.hangs(now), HangsFrom: s.unanswered.hangLoad,
 	}
 	if s.rollout != nil {
 		status.Rollout = s.rollout.status(now)
@@ -227,7 +227,7 @@
 		InFlight: t.inFlight, Share: share, Lent: t.lentSlots, Borrowed: len(t.borrowedSlots),
 		Ejected: t.health.ejected, Ramp: t.health.rampFactor(now), Latency: t.latency.mean(),
 		Sends: t.sends, Answers: t.answers, Failures: t.failures, Sheds: t.sheds, Unanswered: t.unansweredCalls, Probes: t.probesSent,
-		Measured: time.Duration(t.probesSent) * r.settings.ProbeCost, ProbeRate: r.probeRate(t.service, t), Bound: t.blockedBy(now),
+		Measured: time.Duration(t.probesSent) * r.settings.ProbeCost, ProbeRate: r.probeRate(t.service, t), Bound: t.unavailableReason(now),
 		SaysLeaving: t.notice.isLeaving(),
 	}
 	if t.notice.isResting(now) {
@@ -236,15 +236,15 @@
 	if t.notice.isLimited() {
 		x := t.notice.limit
 		status.Limit = &x.current.Rate
-		status.PermittedBy, _ = r.coordinatorOf(t)
+		status.Coordinator, _ = r.coordinatorOf(t)
 		status.Permits = len(x.permits)
 	}
 	return status
 }
 
-// blockedBy returns the first reason for which the target receives no new calls; empty if there is
-// none.
-func (t *target) blockedBy(now units.Instant) string {
+// unavailableReason returns the first reason for which the target receives no new calls; empty if
+// there is none.
+func (t *target) unavailableReason(now units.Instant) string {
 	switch {
 	case t.row.State.String() != "active":
 		return "leaving"
@@ -256,7 +256,7 @@
 		return "named-limit"
 	case t.evacuated:
 		return "evacuated"
-	case t.side > trialVersion:
+	case t.role > trialVersion:
 		return "version"
 	case t.row.Weight == 0:
 		return "weight"
@@ -291,7 +291,7 @@
 
 // hasLimits reports whether any target has a limit that is divided among the boxes.
 func (r *Router) hasLimits() bool {
-	for _, s := range r.order {
+	for _, s := range r.sortedServices {
 		for _, t := range s.targets {
 			if !t.row.Registered && (t.row.MaxInFlight > 0 || t.row.MaxConnections > 0 || t.row.MaxRate > 0) {
 				return true
--- a/pkg/core/routing/subset.go
+++ b/pkg/core/routing/subset.go
@@ -35,16 +35,16 @@
 		return
 	}
 	boxes := r.ownDomainBoxes()
-	place := slices.Index(boxes, r.settings.Box)
-	if place < 0 {
+	position := slices.Index(boxes, r.settings.Box)
+	if position < 0 {
 		return
 	}
 	for _, t := range s.targets {
 		// All boxes send calls to the few targets of a rollout's new version.
-		t.inSubset = t.side == trialVersion
+		t.inSubset = t.role == trialVersion
 	}
 	slices.SortFunc(own, func(a, b *target) int { return compareByHash(s.row.Name, a.row.Target, b.row.Target) })
-	first := place * len(own) / len(boxes)
+	first := position * len(own) / len(boxes)
 	for i := range subsetSize {
 		own[(first+i)%len(own)].inSubset = true
 	}
@@ -55,7 +55,7 @@
 func (r *Router) ownDomainTargets(s *service) []*target {
 	var own, all []*target
 	for _, t := range s.targets {
-		if t.row.State != table.Active || t.row.Silent || t.evacuated || t.side != currentVersion {
+		if t.row.State != table.Active || t.row.Silent || t.evacuated || t.role != currentVersion {
 			continue
 		}
 		all = append(all, t)
--- a/pkg/core/routing/suitability.go
+++ b/pkg/core/routing/suitability.go
@@ -6,15 +6,15 @@
 // its usual pace there, and a slot is free.
 func (r *Router) isSuitable(c *call, t *target) bool {
 	if !c.service.probesTargets() || t.notice.isLimited() {
-		// A target with an announced rate limit has room for each call that it issues a permit for.
+		// A target that announces a rate limit is expected to serve each call that has a permit.
 		return true
 	}
-	return r.isSuitableByReading(c, t) && (t.hasFreshReading(r.now) || !r.requiresKnownFreeSlot(c))
+	return r.isSuitableByReport(c, t) && (t.hasFreshReport(r.now) || !r.requiresKnownFreeSlot(c))
 }
 
-// isSuitableByReading reports whether a target is suitable for a call by its current reading. A nil
-// call stands for one that may go to any target.
-func (r *Router) isSuitableByReading(c *call, t *target) bool {
+// isSuitableByReport reports whether a target is suitable for a call by its current load report. A
+// nil call stands for one that may go to any target.
+func (r *Router) isSuitableByReport(c *call, t *target) bool {
 	if t.expectedPace(r.now) >= maxGoodPace || r.isTooSlow(c, t) {
 		return false
 	}
@@ -25,8 +25,8 @@
 }
 
 // isTooSlow reports whether calls take much longer at a target than elsewhere. If that holds for
-// all targets of the service that the call may use, none is too slow: refusing calls would help
-// nobody.
+// all targets of the service that the call may use, none is too slow: refusing calls would not
+// help.
 func (r *Router) isTooSlow(c *call, t *target) bool {
 	slowdown := t.currentSlowdown(r.now)
 	if !r.enabled(SlowTargets) || slowdown < slowTargetThreshold {
@@ -34,7 +34,7 @@
 	}
 	least := slowdown
 	for _, o := range t.service.targets {
-		if o.side == t.side && c.mayUse(o) && o.isAvailable(r.now, t.service.mostlyEjected) {
+		if o.role == t.role && c.mayUse(o) && o.isAvailable(r.now, t.service.mostlyEjected) {
 			least = min(least, o.currentSlowdown(r.now))
 		}
 	}
@@ -42,9 +42,9 @@
 }
 
 // acceptsUnsuitable reports whether a call that can't wait any longer may go to an unsuitable
-// target: either the call may have run already, so that a refusal can't say that it hasn't, or no
+// target: either the call may have run already, so that a refusal can't state that it hasn't, or no
 // target could be probed although the service isn't busy. While it is busy, such a call would meet
-// others at a target without a reading, and both would be late.
+// others at a target without a load report, and both would be late.
 func (r *Router) acceptsUnsuitable(c *call) bool {
 	if c.probeRound.purpose == HedgeSend || r.requiresKnownFreeSlot(c) {
 		return false
@@ -52,7 +52,7 @@
 	return c.mayHaveRun || c.probeRound.rounds == 0 && !c.service.isBusy(r.now)
 }
 
-// hasFreshReading reports whether the target's last reading is as good as a new one.
-func (t *target) hasFreshReading(now units.Instant) bool {
-	return t.report.HasLoad && now.Sub(t.report.receivedAt) <= freshReadingAge
+// hasFreshReport reports whether the target's last load report is as good as a new one.
+func (t *target) hasFreshReport(now units.Instant) bool {
+	return t.report.HasLoad && now.Sub(t.report.receivedAt) <= freshReportAge
 }
--- a/pkg/core/routing/tables.go
+++ b/pkg/core/routing/tables.go
@@ -33,10 +33,10 @@
 		r.changedServices = append(r.changedServices, r.applyService(entry, e))
 	}
 	if routesChanged {
-		slices.SortFunc(r.order, compareServices)
+		slices.SortFunc(r.sortedServices, compareServices)
 		r.indexRoutes()
 		if r.rebindCalls() {
-			r.changedServices = append(r.changedServices[:0], r.order...)
+			r.changedServices = append(r.changedServices[:0], r.sortedServices...)
 		}
 	}
 	if quarantinesChanged {
@@ -89,16 +89,16 @@
 // dropMissingServices removes the services that aren't in the table any more, and reports whether
 // there were any.
 func (r *Router) dropMissingServices(t *table.Table, e *Effects) bool {
-	kept := r.order[:0]
-	for _, s := range r.order {
+	kept := r.sortedServices[:0]
+	for _, s := range r.sortedServices {
 		if t.Services[s.row.Name] != nil {
 			kept = append(kept, s)
 			continue
 		}
 		r.dropService(s, e)
 	}
-	dropped := len(kept) < len(r.order)
-	r.order = kept
+	dropped := len(kept) < len(r.sortedServices)
+	r.sortedServices = kept
 	return dropped
 }
 
@@ -115,7 +115,7 @@
 		s.domain = r.settings.Domain
 		s.disabled = r.disabled
 		r.services[entry.Service.Name] = s
-		r.order = append(r.order, s)
+		r.sortedServices = append(r.sortedServices, s)
 	}
 	if s.entry != entry {
 		s.update(entry, r.now)
@@ -155,7 +155,7 @@
 		r.shareRegistered(t)
 		return
 	}
-	r.updatePlace(t)
+	r.updateRank(t)
 	limit := r.rank.integerShare(t.row.MaxInFlight, t.rank)
 	connections := r.rank.integerShare(t.row.MaxConnections, t.rank)
 	t.maxConnections = connections
@@ -199,9 +199,9 @@
 	return r.domainBoxCounts
 }
 
-// updatePlace computes how many boxes rank before this one for a target. After the first time only
+// updateRank computes how many boxes rank before this one for a target. After the first time only
 // the boxes that joined and left are counted.
-func (r *Router) updatePlace(t *target) {
+func (r *Router) updateRank(t *target) {
 	if !t.ranked {
 		t.ranked = true
 		t.rank = r.rank.countBefore(t.row.Target, r.rank.boxes)
--- a/pkg/core/routing/target.go
+++ b/pkg/core/routing/target.go
@@ -67,7 +67,7 @@
 	backoffUntil units.Instant
 	// cancelingSlots counts the slots of canceled calls that the target may still be working on.
 	cancelingSlots int
-	// weight is the effective weight as of the last weigh.
+	// weight is the effective weight as of the last updateWeights.
 	weight float64
 	// recentSends counts the calls sent lately; it is halved from time to time by countSend.
 	recentSends   float64
@@ -75,14 +75,13 @@
 	borrowedSlots []*loan
 	// evacuated is set while the target's failure domain is evacuated.
 	evacuated bool
-	side      versionRole
+	role      versionRole
 	cold      coldState
 	crash     crashEvidence
-	// coordination names the box that grants permits for the target while the target announces a
-	// limit.
+	// coordination caches which box issues the permits for the target while it announces a limit.
 	coordination cachedCoordinator
-	// notice holds the rest, departure or limit that the target's current incarnation announced;
-	// nil if none is in force.
+	// notice holds the rest, shutdown or limit that the target's current incarnation announced; nil
+	// if none is in force.
 	notice *notice
 	// availability estimates the usable fraction of the targets in the same failure domain; nil if
 	// that mechanism is off.
@@ -110,8 +109,8 @@
 	}
 }
 
-// isRestartedIn reports whether a row belongs to a later start of the target. The new process has
-// none of the calls, connections and faults of the previous one.
+// isRestartedIn reports whether a row belongs to a later incarnation of the target. The new process
+// has none of the calls, connections and faults of the previous one.
 func (t *target) isRestartedIn(row table.Row) bool {
 	return t.row.Born != 0 && row.Born != 0 && t.row.Born != row.Born
 }
@@ -129,10 +128,10 @@
 	t.removed = false
 }
 
-// effectiveWeight returns the weight used for load balancing now: zero if the target may not take
-// calls, reduced while it ramps up.
+// effectiveWeight returns the weight used for load balancing now: zero if the target may not
+// receive calls, reduced while it ramps up.
 func (t *target) effectiveWeight(now units.Instant) float64 {
-	if t.row.State != table.Active || t.evacuated || t.side != currentVersion || t.notice.isLeaving() {
+	if t.row.State != table.Active || t.evacuated || t.role != currentVersion || t.notice.isLeaving() {
 		return 0
 	}
 	if t.service.disabled[Ramping] {
@@ -185,29 +184,29 @@
 	return nil
 }
 
-// isActiveInTable reports whether the table lets the target take calls.
+// isActiveInTable reports whether the table allows calls to the target.
 func (t *target) isActiveInTable() bool {
 	return !t.removed && t.row.State == table.Active && t.row.Weight > 0
 }
 
-// isEligible reports whether the target may take the service's calls, regardless of its health, its
-// limits and rests.
+// isEligible reports whether the target may receive the service's calls, regardless of its health,
+// its limits and rests.
 func (t *target) isEligible() bool {
-	return t.isActiveInTable() && !t.evacuated && t.side == currentVersion && !t.notice.isLeaving()
+	return t.isActiveInTable() && !t.evacuated && t.role == currentVersion && !t.notice.isLeaving()
 }
 
 // isAvailable reports whether a new call may be sent to the target now.
-func (t *target) isAvailable(now units.Instant, anyHealth bool) bool {
-	return !t.lacksPermit(now) && t.takesIfPermitted(now, anyHealth)
+func (t *target) isAvailable(now units.Instant, ignoreHealth bool) bool {
+	return !t.lacksPermit(now) && t.isAvailableWithPermit(now, ignoreHealth)
 }
 
 // isAvailableWhenWarm reports whether a new call could be sent to the target now if it were warm
 // and needed no permit.
-func (t *target) isAvailableWhenWarm(now units.Instant, anyHealth bool) bool {
-	if !t.isActiveInTable() || t.evacuated || t.side == inactiveVersion || t.notice.forbidsSending(now) || now < t.backoffUntil || t.mayHang(now) {
+func (t *target) isAvailableWhenWarm(now units.Instant, ignoreHealth bool) bool {
+	if !t.isActiveInTable() || t.evacuated || t.role == inactiveVersion || t.notice.forbidsSending(now) || now < t.backoffUntil || t.mayHang(now) {
 		return false
 	}
-	if !anyHealth && !t.service.disabled[Ejection] && (!t.health.admits(now, t.inFlight) || t.health.ejected && t.row.Silent) {
+	if !ignoreHealth && !t.service.disabled[Ejection] && (!t.health.admits(now, t.inFlight) || t.health.ejected && t.row.Silent) {
 		return false
 	}
 	if !t.hasFreeSlot(now) {
@@ -270,8 +269,8 @@
 	if s.totalWeight <= 0 {
 		return 0
 	}
-	want := s.recentSends * t.weight / s.totalWeight
-	return (t.recentSends - want) / (want + 1)
+	expected := s.recentSends * t.weight / s.totalWeight
+	return (t.recentSends - expected) / (expected + 1)
 }
 
 // costFloor is added to latencies so that very short ones don't make a target nearly free:
--- a/pkg/core/routing/unanswered.go
+++ b/pkg/core/routing/unanswered.go
@@ -11,8 +11,8 @@
 // on that connection. Such an unanswered call is distinguished from a slow one by what the target
 // does meanwhile: it answers later calls, or reports fewer calls in flight than this box has sent
 // it. The target is then treated as full rather than as failed. A repeatable call is sent to
-// another target. Any other call is left until its deadline, and its caller is told that it may
-// have run.
+// another target. Any other call is left until its deadline, and is then refused with the outcome
+// that it may have run.
 //
 // An answer is overdue once the call has been in flight for longer than its answer timeout.
 
@@ -36,9 +36,9 @@
 	// minOvertakes is how many later calls the target must have answered. A single one may have
 	// been shorter work in another slot.
 	minOvertakes = 2
-	// unansweredHalfLife is the age at which an unanswered call has half its weight as evidence that
-	// its service hangs when full: overload lasts for seconds and recurs within minutes. It is also
-	// how long a target's reports aren't trusted after they left out a call that was answered.
+	// unansweredHalfLife is the age at which an unanswered call has half its weight as evidence
+	// that its service hangs when full: overload lasts for seconds and recurs within minutes. It is
+	// also how long a target's reports aren't trusted after they left out a call that was answered.
 	unansweredHalfLife = time.Minute
 	// hangThreshold is the weight of unanswered calls from which on a service is considered to
 	// hang: a single one may be an answer that was lost.
@@ -89,7 +89,7 @@
 
 // mayHang reports whether the target might never answer one more call.
 func (t *target) mayHang(now units.Instant) bool {
-	x := &t.service.silence
+	x := &t.service.unanswered
 	return x.hangLoad > 0 && x.hangs(now) && t.load(now)+1 >= x.hangLoad
 }
 
@@ -101,8 +101,8 @@
 		return max(minAnswerTimeout, answerTimeoutFactor*usual)
 	case c.service.latency.count >= minTimeSamples && t.latency.count >= minTimeSamples:
 		return c.overtakenTimeout(t, now)
-	case c.route.aim > 0:
-		return max(minAnswerTimeout, answerTimeoutFactor*c.route.aim)
+	case c.route.latencyObjective > 0:
+		return max(minAnswerTimeout, answerTimeoutFactor*c.route.latencyObjective)
 	}
 	return c.deadline.Sub(now)
 }
@@ -131,14 +131,14 @@
 	}
 }
 
-// markMissing marks the calls that a load report leaves out: when the target was asked, it had
-// fewer calls in all than this box waits for. The oldest ones are assumed to be missing.
-func (t *target) markMissing(now units.Instant, x Reading, asked units.Instant) {
-	if !x.HasLoad || now < t.service.silence.reportsUntrustedUntil {
+// markMissing marks the calls that a load report leaves out: when the probe was sent, the target
+// had fewer calls in all than this box waits for. The oldest ones are assumed to be missing.
+func (t *target) markMissing(now units.Instant, x TargetReport, probeSentAt units.Instant) {
+	if !x.HasLoad || now < t.service.unanswered.reportsUntrustedUntil {
 		return
 	}
 	missing := -int(x.InFlight)
-	for a := t.oldestAttempt; a != nil && a.sent < asked; a = a.next {
+	for a := t.oldestAttempt; a != nil && a.sent < probeSentAt; a = a.next {
 		missing++
 	}
 	for a := t.oldestAttempt; a != nil && missing > 0; a = a.next {
@@ -152,7 +152,7 @@
 func (t *target) recordAnswer(now units.Instant, a *attempt) {
 	t.countOvertaken(a)
 	if a.missingFromReport {
-		t.service.silence.reportsUntrustedUntil = now.Add(unansweredHalfLife)
+		t.service.unanswered.reportsUntrustedUntil = now.Add(unansweredHalfLife)
 	}
 }
 
@@ -160,26 +160,26 @@
 // before that is checked only from its hedge on: few calls take that long, and each timer has a
 // cost.
 func (r *Router) scheduleOverdueCheck(id CallID, c *call, a *attempt) {
-	if c.silenceTimerSet || a.target == nil || !r.enabled(UnansweredCalls) {
+	if c.overdueTimerSet || a.target == nil || !r.enabled(UnansweredCalls) {
 		return
 	}
 	at := max(r.now, a.sent.Add(a.answerTimeout))
 	if at >= c.deadline {
 		return
 	}
-	c.silenceTimerSet = true
-	r.timers.Push(timer{at: at, call: id, kind: silenceTimer})
+	c.overdueTimerSet = true
+	r.timers.Push(timer{at: at, call: id, kind: overdueTimer})
 }
 
 // checkOverdue checks an overdue call and schedules the next check. If it can't decide whether the
 // target will answer, it sends the target a probe.
 func (r *Router) checkOverdue(id CallID, c *call, e *Effects) {
-	c.silenceTimerSet = false
+	c.overdueTimerSet = false
 	if c.held || c.streaming || c.inFlight() == 0 {
 		return
 	}
-	c.silenceTimerSet = true
-	r.timers.Push(timer{at: r.now.Add(overdueCheckInterval), call: id, kind: silenceTimer})
+	c.overdueTimerSet = true
+	r.timers.Push(timer{at: r.now.Add(overdueCheckInterval), call: id, kind: overdueTimer})
 	if r.abandonUnanswered(id, c, e) {
 		return
 	}
@@ -276,12 +276,12 @@
 	if a.callsAhead+1 > t.knownSlots() {
 		n = max(minHangLoad, a.callsAhead+1)
 	}
-	if t.service.silence.record(r.now, n) {
+	if t.service.unanswered.record(r.now, n) {
 		e.add(Effect{
-			Kind: ServiceHangs, Endpoint: t.endpoint, Failures: int(t.service.silence.total),
+			Kind: ServiceHangs, Endpoint: t.endpoint, Failures: int(t.service.unanswered.total),
 			Selection: Selection{
 				Load: a.callsAhead, Pace: t.expectedPace(r.now), Slowdown: float64(r.now.Sub(a.sent)) / float64(max(1, a.answerTimeout)),
-				ReadingAge: -1, Revision: r.table.Revision,
+				ReportAge: -1, Revision: r.table.Revision,
 			},
 		})
 	}
@@ -299,5 +299,5 @@
 // requiresKnownFreeSlot reports whether a call may go only to a target that is known to have a free
 // slot: the call can't be sent twice, so it would be lost if it were never answered.
 func (r *Router) requiresKnownFreeSlot(c *call) bool {
-	return r.enabled(UnansweredCalls) && c.route.work != table.Repeatable && c.service.silence.hangs(r.now)
+	return r.enabled(UnansweredCalls) && c.route.work != table.Repeatable && c.service.unanswered.hangs(r.now)
 }
--- a/pkg/core/routing/unanswered_test.go
+++ b/pkg/core/routing/unanswered_test.go
@@ -49,10 +49,10 @@
 }
 
 const (
-	hangWorkTime = 20 * time.Millisecond
-	hangAim      = 200 * time.Millisecond
-	hangDeadline = time.Second
-	hangStep     = time.Millisecond
+	hangWorkTime  = 20 * time.Millisecond
+	hangObjective = 200 * time.Millisecond
+	hangDeadline  = time.Second
+	hangStep      = time.Millisecond
 	// hangProbeDelay is the age of a probe's answer on arrival.
 	hangProbeDelay = 4 * time.Millisecond
 	hangSeed       = 20261202
@@ -79,7 +79,7 @@
 	}
 	next.Services["shop"] = entry
 	route := &table.Route{
-		Name: "shop", Host: "shop", PathPrefix: "/", Work: work, Deadline: hangDeadline, LatencyObjective: hangAim,
+		Name: "shop", Host: "shop", PathPrefix: "/", Work: work, Deadline: hangDeadline, LatencyObjective: hangObjective,
 		Services: []table.WeightedService{{Service: "shop", Weight: 1}},
 	}
 	next.Routes = map[table.RouteKey]*table.Route{route.Key(): route}
@@ -115,11 +115,11 @@
 		delete(w.targets[x.Endpoint.Target].inFlight, attemptName(name, x.Attempt))
 	case Probe:
 		w.pending.Push(pendingEvent{at: w.now.Add(hangProbeDelay), router: r, event: &ProbeEnded{
-			Target: x.Endpoint, Healthy: true, Reading: w.targets[x.Endpoint.Target].reading(), Call: x.Call, Attempt: x.Attempt,
+			Target: x.Endpoint, Healthy: true, Report: w.targets[x.Endpoint.Target].report(), Call: x.Call, Attempt: x.Attempt,
 		}})
 	case Deliver:
 		w.delivered++
-		if w.now.Sub(w.started[name]) > hangAim {
+		if w.now.Sub(w.started[name]) > hangObjective {
 			w.late++
 		}
 	case Refuse:
@@ -135,8 +135,8 @@
 
 func attemptName(call string, n AttemptNumber) string { return fmt.Sprintf("%s #%d", call, n) }
 
-func (x *hangingTarget) reading() Reading {
-	return Reading{HasLoad: true, InFlight: float64(len(x.inFlight)), Slots: float64(x.slots), Pace: 1}
+func (x *hangingTarget) report() TargetReport {
+	return TargetReport{HasLoad: true, InFlight: float64(len(x.inFlight)), Slots: float64(x.slots), Pace: 1}
 }
 
 // receive accepts a call or drops it.
@@ -185,7 +185,7 @@
 				continue
 			}
 			delete(next.target.inFlight, next.attempt)
-			ended.Reading = next.target.reading()
+			ended.Report = next.target.report()
 		}
 		w.dispatch(next.router, next.event)
 	}
--- a/pkg/core/routing/waiting.go
+++ b/pkg/core/routing/waiting.go
@@ -32,15 +32,16 @@
 const (
 	// probeRetryInterval is the time between two rounds of probes of a call that found no target.
 	probeRetryInterval = 15 * time.Millisecond
-	// normalWaitFraction is the fraction of its aim after which a waiting call is sent or refused;
-	// one that is sent then usually still ends within its aim. busyWaitFraction replaces it while
-	// the service is busy: a target that becomes free later is better used for a call that has just
-	// arrived.
+	// normalWaitFraction is the fraction of its latency objective after which a waiting call is
+	// sent or refused; one that is sent then usually still meets the objective. busyWaitFraction
+	// replaces it while the service is busy: a target that becomes free later is better used for a
+	// call that has just arrived.
 	normalWaitFraction = 0.45
 	busyWaitFraction   = 0.25
-	// defaultAimFraction is the fraction of a call's deadline that is used as the aim on a route
-	// without one, so that such a call also leaves most of its time for the answer.
-	defaultAimFraction = 0.25
+	// defaultObjectiveFraction is the fraction of a call's deadline that is used as the latency
+	// objective on a route without one, so that such a call also leaves most of its time for the
+	// answer.
+	defaultObjectiveFraction = 0.25
 	// minBusyRetryAfter and maxBusyRetryAfter bound the retry delay that is reported when all
 	// targets are busy. Few callers wait longer than the maximum with most of their time left.
 	minBusyRetryAfter = 60 * time.Millisecond
@@ -50,7 +51,8 @@
 	retryAfterJitter = 0.25
 )
 
-// waitFraction is the fraction of its aim after which a waiting call is sent or refused.
+// waitFraction is the fraction of its latency objective after which a waiting call is sent or
+// refused.
 func (s *service) waitFraction(now units.Instant) float64 {
 	if s.isBusy(now) {
 		return busyWaitFraction
@@ -59,7 +61,7 @@
 }
 
 // busyRetryAfter is the retry delay for a call that found all targets busy. A busy period is
-// expected to last as long again as it has lasted so far. A caller that retries before its end adds
+// expected to last for as long as it has lasted already. A caller that retries before its end adds
 // to the load, and is answered late all the same.
 func (r *Router) busyRetryAfter(s *service) time.Duration {
 	lasted := r.now.Sub(s.busySince)
@@ -71,22 +73,23 @@
 	return time.Duration(jitter * float64(after)).Round(time.Millisecond)
 }
 
-// aim returns the aim of the call's route, or a fraction of the call's deadline where the route has
-// none.
-func (c *call) aim() float64 {
-	if c.route.aim > 0 {
-		return float64(c.route.aim)
+// latencyObjective returns that of the call's route, or a fraction of the call's deadline where the
+// route has none, in nanoseconds.
+func (c *call) latencyObjective() float64 {
+	if c.route.latencyObjective > 0 {
+		return float64(c.route.latencyObjective)
 	}
-	return defaultAimFraction * float64(c.deadline.Sub(c.arrived))
+	return defaultObjectiveFraction * float64(c.deadline.Sub(c.arrived))
 }
 
-// aimFractionUsed is the fraction of its aim that the call has used up so far.
-func (c *call) aimFractionUsed(now units.Instant) float64 {
-	return float64(now.Sub(c.arrived)) / c.aim()
+// objectiveFractionUsed is the fraction of its latency objective that the call has used up so far.
+func (c *call) objectiveFractionUsed(now units.Instant) float64 {
+	return float64(now.Sub(c.arrived)) / c.latencyObjective()
 }
 
-// isBusy reports whether many recent calls found no suitable target. Targets without a recent
-// reading are likely to be full as well then.
+// isBusy reports whether most recent calls found no suitable target. Targets without a recent load
+// report are likely to be full as well then. A service that is overloaded (isOverloaded) needn't be
+// busy: a smaller fraction is enough there, and it remains valid for longer.
 func (s *service) isBusy(now units.Instant) bool {
 	return s.busyFraction > busyThreshold && now.Sub(s.busyUpdatedAt) < busyDuration
 }
@@ -121,18 +124,18 @@
 	c.onNewVersion = false
 	c.probeRound.pending = 0
 	c.probeRound.number++
-	missed := r.isOverdue(c)
+	overdue := r.isOverdue(c)
 	if !c.probeRound.queued {
 		c.probeRound.queued = true
 		w := waitingCall{id: id, urgency: c.urgency()}
-		w.urgency.overdue = missed
-		if !missed {
+		w.urgency.overdue = overdue
+		if !overdue {
 			c.service.recordTargetFound(r.now, false)
 		}
 		c.service.enqueueWaiting(w)
 	}
 	pause := probeRetryInterval
-	if missed {
+	if overdue {
 		pause = overdueCheckInterval
 	}
 	r.timers.Push(timer{at: r.now.Add(pause), call: id, kind: probeTimer, probeRound: c.probeRound.number})
@@ -156,7 +159,7 @@
 }
 
 // serveWaiting sends waiting calls, in order, while there is a suitable target. It is called when
-// an answer has shown that a target has room.
+// an answer has shown that a target has a free slot.
 func (r *Router) serveWaiting(s *service, e *Effects) {
 	for {
 		r.dropFinishedWaiting(s)
@@ -182,7 +185,7 @@
 		if c == nil || !c.probeRound.active || c.service != s || blocked != nil && blocked.Equal(c.regions) {
 			continue
 		}
-		if t := r.choose(s, c); t != nil && (t.hasFreshReading(r.now) || t.notice.isLimited()) && r.isSuitable(c, t) {
+		if t := r.choose(s, c); t != nil && (t.hasFreshReport(r.now) || t.notice.isLimited()) && r.isSuitable(c, t) {
 			return i, t
 		}
 		if c.regions == nil {
--- a/pkg/entry/trace.go
+++ b/pkg/entry/trace.go
@@ -42,7 +42,7 @@
 	probe     routing.ProbeEnded
 	// reading is the load report in a target's answer. unreadRest and unreadLimit are the values it
 	// sent for its rest and its limit if they couldn't be parsed.
-	reading                 routing.Reading
+	reading                 routing.TargetReport
 	unreadRest, unreadLimit string
 	// fingerprint is set for an attempt that broke off and for a call in quarantine. request and
 	// caller are set for the latter only; operators need them to find out who sends the call.
@@ -263,12 +263,12 @@
 	case stepSent:
 		f["purpose"] = s.purpose.String()
 		f["load"], f["pace"], f["slowdown"] = roundToHundredths(s.evidence.Load), roundToHundredths(s.evidence.Pace), roundToHundredths(s.evidence.Slowdown)
-		f["readingAgeMs"], f["revision"] = millis(s.evidence.ReadingAge), s.evidence.Revision
+		f["readingAgeMs"], f["revision"] = millis(s.evidence.ReportAge), s.evidence.Revision
 	case stepProbeAnswered:
-		f["known"], f["healthy"], f["unreachable"] = s.probe.Reading.HasLoad, s.probe.Healthy, s.probe.Unreachable
-		f["misdirected"], f["load"], f["pace"] = s.probe.Misdirected, s.probe.Reading.InFlight, roundToHundredths(s.probe.Reading.Pace)
-		f["coldMs"] = millis(s.probe.Reading.Cold)
-		addReadingFields(f, &s.probe.Reading)
+		f["known"], f["healthy"], f["unreachable"] = s.probe.Report.HasLoad, s.probe.Healthy, s.probe.Unreachable
+		f["misdirected"], f["load"], f["pace"] = s.probe.Misdirected, s.probe.Report.InFlight, roundToHundredths(s.probe.Report.Pace)
+		f["coldMs"] = millis(s.probe.Report.Cold)
+		addReadingFields(f, &s.probe.Report)
 	case stepEnded:
 		f["result"] = s.result.String()
 		addReadingFields(f, &s.reading)
@@ -292,7 +292,7 @@
 
 // addReadingFields adds the rest, the leaving and the limit that a target reported, if any, to a
 // log line.
-func addReadingFields(f logrus.Fields, reading *routing.Reading) {
+func addReadingFields(f logrus.Fields, reading *routing.TargetReport) {
 	if reading.Rest > 0 {
 		f["restMs"] = millis(reading.Rest)
 	}
--- a/pkg/replay/target.go
+++ b/pkg/replay/target.go
@@ -44,11 +44,11 @@
 }
 
 // load is what the target says of itself.
-func (t *target) load() routing.Reading {
+func (t *target) load() routing.TargetReport {
 	if t.lies {
-		return routing.Reading{HasLoad: true}
+		return routing.TargetReport{HasLoad: true}
 	}
-	return routing.Reading{HasLoad: true, InFlight: float64(len(t.busy) + len(t.queue))}
+	return routing.TargetReport{HasLoad: true, InFlight: float64(len(t.busy) + len(t.queue))}
 }
 
 // arrive takes a job in, or sheds it.
@@ -116,11 +116,11 @@
 	s.after(s.delay(t.row.Domain, j.box.domain), func() {
 		j.done = true
 		if j.probe {
-			s.give(j.box, &routing.ProbeEnded{Target: j.endpoint, Healthy: result == routing.Answered, Reading: reading})
+			s.give(j.box, &routing.ProbeEnded{Target: j.endpoint, Healthy: result == routing.Answered, Report: reading})
 			return
 		}
 		j.box.idle[t.row.Target]++
-		s.give(j.box, &routing.AttemptEnded{Call: j.call.id, Attempt: j.attempt, Result: result, Reading: reading})
+		s.give(j.box, &routing.AttemptEnded{Call: j.call.id, Attempt: j.attempt, Result: result, Report: reading})
 	})
 }
 
--- a/pkg/target/attempt.go
+++ b/pkg/target/attempt.go
@@ -36,7 +36,7 @@
 	Request  *fasthttp.Request
 	Response *fasthttp.Response
 	// Reading is the load and notice that the target reported.
-	Reading routing.Reading
+	Reading routing.TargetReport
 	// UnreadableRest is the header value of a request for rest that couldn't be parsed.
 	UnreadableRest string
 	// UnreadableLimit is the header value of a limit that couldn't be parsed.
@@ -69,7 +69,7 @@
 	}
 	return &Attempt{
 		pools: p, idleTimeout: idleTimeout, endpoint: x.Endpoint, deadline: x.Deadline, notAfter: x.NotAfter, permitUntil: x.PermitUntil, maxConnections: x.Connections,
-		LatencyObjective: x.Aim, largeResponse: x.LargeAnswer,
+		LatencyObjective: x.LatencyObjective, largeResponse: x.LargeAnswer,
 		Request: fasthttp.AcquireRequest(), Response: fasthttp.AcquireResponse(),
 	}
 }
--- a/pkg/target/reading.go
+++ b/pkg/target/reading.go
@@ -14,15 +14,15 @@
 // parseReading parses the load that a target reports, as numbers separated by commas: its calls
 // in flight alone, or the calls running, the calls waiting, the slots, and how long work takes
 // now in percent of the usual. A value that can't be parsed is ignored as a whole.
-func parseReading(text string) routing.Reading {
+func parseReading(text string) routing.TargetReport {
 	if text == "" {
-		return routing.Reading{}
+		return routing.TargetReport{}
 	}
-	reading := routing.Reading{HasLoad: true, Pace: 1}
+	reading := routing.TargetReport{HasLoad: true, Pace: 1}
 	for i, field := range strings.Split(text, ",") {
 		x, err := strconv.ParseFloat(strings.TrimSpace(field), 64)
 		if err != nil || x < 0 {
-			return routing.Reading{}
+			return routing.TargetReport{}
 		}
 		switch i {
 		case 0, 1:
