--- a/pkg/sheet/diff.go
+++ b/pkg/sheet/diff.go
@@ -42,7 +42,7 @@
 		}
 	}
 	if prune {
-		operations = append(operations, pruned(t, s)...)
+		operations = append(operations, deletions(t, s)...)
 	}
 	return operations
 }
@@ -55,8 +55,8 @@
 	return reflect.DeepEqual(x, y)
 }
 
-// pruned returns the deletions of what the sheets leave out.
-func pruned(t *table.Table, s Sheets) []table.Operation {
+// deletions returns the deletions of what the sheets leave out.
+func deletions(t *table.Table, s Sheets) []table.Operation {
 	var operations []table.Operation
 	for _, n := range t.ServiceNames() {
 		entry := t.Services[n]
--- a/pkg/sheet/routes.go
+++ b/pkg/sheet/routes.go
@@ -20,33 +20,33 @@
 		func(r *table.Route) string { return r.PathPrefix }},
 	{"work", true, func(r *table.Route, c string) error { return r.Work.UnmarshalText([]byte(c)) },
 		func(r *table.Route) string { return r.Work.String() }},
-	{"services", true, func(r *table.Route, c string) error { return readParts(&r.Services, c) },
-		func(r *table.Route) string { return writeParts(r.Services) }},
-	{"deadline", false, func(r *table.Route, c string) error { return readDuration(&r.Deadline, c) },
+	{"services", true, func(r *table.Route, c string) error { return parseWeightedServices(&r.Services, c) },
+		func(r *table.Route) string { return formatWeightedServices(r.Services) }},
+	{"deadline", false, func(r *table.Route, c string) error { return parseDuration(&r.Deadline, c) },
 		func(r *table.Route) string { return r.Deadline.String() }},
-	{"aim", false, func(r *table.Route, c string) error { return readDuration(&r.LatencyObjective, c) },
+	{"aim", false, func(r *table.Route, c string) error { return parseDuration(&r.LatencyObjective, c) },
 		func(r *table.Route) string { return r.LatencyObjective.String() }},
-	{"max_attempts", false, func(r *table.Route, c string) error { return readInt(&r.MaxAttempts, c) },
+	{"max_attempts", false, func(r *table.Route, c string) error { return parseInt(&r.MaxAttempts, c) },
 		func(r *table.Route) string { return strconv.Itoa(r.MaxAttempts) }},
-	{"large_answers", false, func(r *table.Route, c string) error { return readBool(&r.LargeResponses, c) },
+	{"large_answers", false, func(r *table.Route, c string) error { return parseBool(&r.LargeResponses, c) },
 		func(r *table.Route) string { return strconv.FormatBool(r.LargeResponses) }},
-	{"public", false, func(r *table.Route, c string) error { return readBool(&r.Public, c) },
+	{"public", false, func(r *table.Route, c string) error { return parseBool(&r.Public, c) },
 		func(r *table.Route) string { return strconv.FormatBool(r.Public) }},
-	{"priority", false, func(r *table.Route, c string) error { return readInt(&r.Priority, c) },
+	{"priority", false, func(r *table.Route, c string) error { return parseInt(&r.Priority, c) },
 		func(r *table.Route) string { return strconv.Itoa(r.Priority) }},
-	{"regions", false, readRegions, writeRegions},
+	{"regions", false, parseRegions, formatRegions},
 }
 
-// noRegion stands for a list that allows no region; an empty cell allows all.
-const noRegion = "none"
+// noRegions stands for a list that allows no region; an empty cell allows all.
+const noRegions = "none"
 
-func readRegions(r *table.Route, cell string) error {
+func parseRegions(r *table.Route, cell string) error {
 	if cell == "" {
 		r.Regions = nil
 		return nil
 	}
 	r.Regions = &table.AllowedRegions{}
-	if cell == noRegion {
+	if cell == noRegions {
 		return nil
 	}
 	for _, name := range strings.Fields(cell) {
@@ -55,12 +55,12 @@
 	return nil
 }
 
-func writeRegions(r *table.Route) string {
+func formatRegions(r *table.Route) string {
 	if r.Regions == nil {
 		return ""
 	}
 	if len(r.Regions.Names) == 0 {
-		return noRegion
+		return noRegions
 	}
 	words := make([]string, 0, len(r.Regions.Names))
 	for _, n := range r.Regions.Names {
@@ -92,9 +92,9 @@
 // weightSeparator stands between a service and its weight.
 const weightSeparator = ":"
 
-// readParts reads services with their weights, as in "old:90 new:10"; a service alone
+// parseWeightedServices reads services with their weights, as in "old:90 new:10"; a service alone
 // has the weight 1.
-func readParts(into *[]table.WeightedService, cell string) error {
+func parseWeightedServices(into *[]table.WeightedService, cell string) error {
 	var parts []table.WeightedService
 	for _, word := range strings.Fields(cell) {
 		name, weight, weighted := strings.Cut(word, weightSeparator)
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func writeParts(parts []table.WeightedService) string {
+func formatWeightedServices(parts []table.WeightedService) string {
 	words := make([]string, 0, len(parts))
 	for _, p := range parts {
 		words = append(words, fmt.Sprintf("%s%s%d", p.Service, weightSeparator, p.Weight))
--- a/pkg/sheet/sheet.go
+++ b/pkg/sheet/sheet.go
@@ -20,8 +20,8 @@
 type column[T any] struct {
 	name     string
 	required bool
-	read     func(*T, string) error
-	write    func(*T) string
+	parse    func(*T, string) error
+	format   func(*T) string
 }
 
 // listSeparator stands between the host names of a cell.
@@ -36,27 +36,27 @@
 		func(s *table.Service) string { return strings.Join(s.Hosts, listSeparator) }},
 	{"path_prefix", false, func(s *table.Service, c string) error { s.PathPrefix = c; return nil },
 		func(s *table.Service) string { return s.PathPrefix }},
-	{"deadline", false, func(s *table.Service, c string) error { return readDuration(&s.Deadline, c) },
+	{"deadline", false, func(s *table.Service, c string) error { return parseDuration(&s.Deadline, c) },
 		func(s *table.Service) string { return s.Deadline.String() }},
-	{"hold_limit", false, func(s *table.Service, c string) error { return readDuration(&s.HoldLimit, c) },
+	{"hold_limit", false, func(s *table.Service, c string) error { return parseDuration(&s.HoldLimit, c) },
 		func(s *table.Service) string { return s.HoldLimit.String() }},
-	{"hold_count", false, func(s *table.Service, c string) error { return readInt(&s.HoldCount, c) },
+	{"hold_count", false, func(s *table.Service, c string) error { return parseInt(&s.HoldCount, c) },
 		func(s *table.Service) string { return strconv.Itoa(s.HoldCount) }},
-	{"retry_budget", false, func(s *table.Service, c string) error { return readPercent(&s.RetryBudget, c) },
-		func(s *table.Service) string { return writePercent(s.RetryBudget) }},
-	{"hedge_budget", false, func(s *table.Service, c string) error { return readPercent(&s.HedgeBudget, c) },
-		func(s *table.Service) string { return writePercent(s.HedgeBudget) }},
-	{"measure_budget", false, func(s *table.Service, c string) error { return readPercent(&s.MeasureBudget, c) },
-		func(s *table.Service) string { return writePercent(s.MeasureBudget) }},
-	{"extra_burst", false, func(s *table.Service, c string) error { return readInt(&s.ExtraBurst, c) },
+	{"retry_budget", false, func(s *table.Service, c string) error { return parsePercent(&s.RetryBudget, c) },
+		func(s *table.Service) string { return formatPercent(s.RetryBudget) }},
+	{"hedge_budget", false, func(s *table.Service, c string) error { return parsePercent(&s.HedgeBudget, c) },
+		func(s *table.Service) string { return formatPercent(s.HedgeBudget) }},
+	{"measure_budget", false, func(s *table.Service, c string) error { return parsePercent(&s.MeasureBudget, c) },
+		func(s *table.Service) string { return formatPercent(s.MeasureBudget) }},
+	{"extra_burst", false, func(s *table.Service, c string) error { return parseInt(&s.ExtraBurst, c) },
 		func(s *table.Service) string { return strconv.Itoa(s.ExtraBurst) }},
-	{"target_connections", false, func(s *table.Service, c string) error { return readInt(&s.TargetConnections, c) },
+	{"target_connections", false, func(s *table.Service, c string) error { return parseInt(&s.TargetConnections, c) },
 		func(s *table.Service) string { return strconv.Itoa(s.TargetConnections) }},
-	{"probe_targets", false, func(s *table.Service, c string) error { return readInt(&s.ProbeTargets, c) },
+	{"probe_targets", false, func(s *table.Service, c string) error { return parseInt(&s.ProbeTargets, c) },
 		func(s *table.Service) string { return strconv.Itoa(s.ProbeTargets) }},
 	{"probe_path", false, func(s *table.Service, c string) error { s.ProbePath = c; return nil },
 		func(s *table.Service) string { return s.ProbePath }},
-	{"cold_rate", false, func(s *table.Service, c string) error { return readFloat(&s.ColdRate, c) },
+	{"cold_rate", false, func(s *table.Service, c string) error { return parseFloat(&s.ColdRate, c) },
 		func(s *table.Service) string { return strconv.FormatFloat(s.ColdRate, 'f', -1, 64) }},
 }
 
@@ -69,13 +69,13 @@
 		func(r *table.Row) string { return r.Address }},
 	{"domain", false, func(r *table.Row, c string) error { r.Domain = units.Domain(c); return nil },
 		func(r *table.Row) string { return string(r.Domain) }},
-	{"weight", false, func(r *table.Row, c string) error { return readInt(&r.Weight, c) },
+	{"weight", false, func(r *table.Row, c string) error { return parseInt(&r.Weight, c) },
 		func(r *table.Row) string { return strconv.Itoa(r.Weight) }},
-	{"max_in_flight", false, func(r *table.Row, c string) error { return readInt(&r.MaxInFlight, c) },
+	{"max_in_flight", false, func(r *table.Row, c string) error { return parseInt(&r.MaxInFlight, c) },
 		func(r *table.Row) string { return strconv.Itoa(r.MaxInFlight) }},
-	{"max_connections", false, func(r *table.Row, c string) error { return readInt(&r.MaxConnections, c) },
+	{"max_connections", false, func(r *table.Row, c string) error { return parseInt(&r.MaxConnections, c) },
 		func(r *table.Row) string { return strconv.Itoa(r.MaxConnections) }},
-	{"max_rate", false, func(r *table.Row, c string) error { return readFloat(&r.MaxRate, c) },
+	{"max_rate", false, func(r *table.Row, c string) error { return parseFloat(&r.MaxRate, c) },
 		func(r *table.Row) string { return strconv.FormatFloat(r.MaxRate, 'g', -1, 64) }},
 	{"state", false, func(r *table.Row, c string) error { return r.State.UnmarshalText([]byte(c)) },
 		func(r *table.Row) string { return r.State.String() }},
@@ -133,13 +133,13 @@
 func setCell[T any](columns []column[T], v *T, name, value string) error {
 	for _, c := range columns {
 		if c.name == name {
-			return c.read(v, value)
+			return c.parse(v, value)
 		}
 	}
-	return fault.New(fault.Invalid, fmt.Sprintf("use one of %q", namesOf(columns)), "there is no column %q", name)
+	return fault.New(fault.Invalid, fmt.Sprintf("use one of %q", columnNames(columns)), "there is no column %q", name)
 }
 
-func namesOf[T any](columns []column[T]) []string {
+func columnNames[T any](columns []column[T]) []string {
 	names := make([]string, 0, len(columns))
 	for _, c := range columns {
 		names = append(names, c.name)
@@ -148,30 +148,30 @@
 }
 
 // ServiceCells returns a service's cells in the order of ServiceHeader.
-func ServiceCells(s *table.Service) []string { return cellsOf(serviceColumns, s) }
+func ServiceCells(s *table.Service) []string { return formatCells(serviceColumns, s) }
 
 // RowCells returns a row's cells in the order of RowHeader.
-func RowCells(r *table.Row) []string { return cellsOf(rowColumns, r) }
+func RowCells(r *table.Row) []string { return formatCells(rowColumns, r) }
 
 // ServiceHeader returns the names of a service's columns.
-func ServiceHeader() []string { return namesOf(serviceColumns) }
+func ServiceHeader() []string { return columnNames(serviceColumns) }
 
 // RowHeader returns the names of a row's columns.
-func RowHeader() []string { return namesOf(rowColumns) }
+func RowHeader() []string { return columnNames(rowColumns) }
 
-func cellsOf[T any](columns []column[T], v *T) []string {
+func formatCells[T any](columns []column[T], v *T) []string {
 	cells := make([]string, 0, len(columns))
 	for _, c := range columns {
-		cells = append(cells, c.write(v))
+		cells = append(cells, c.format(v))
 	}
 	return cells
 }
 
 func write[T any](w io.Writer, columns []column[T], values []T) error {
 	out := csv.NewWriter(w)
-	out.Write(namesOf(columns))
+	out.Write(columnNames(columns))
 	for i := range values {
-		out.Write(cellsOf(columns, &values[i]))
+		out.Write(formatCells(columns, &values[i]))
 	}
 	out.Flush()
 	return out.Error()
@@ -186,7 +186,7 @@
 	in.FieldsPerRecord = -1
 	header, err := in.Read()
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Invalid, fmt.Sprintf("begin the sheet with a header of these columns: %q", namesOf(columns)), "the sheet has no header")
+		return nil, fault.Wrap(err, fault.Invalid, fmt.Sprintf("begin the sheet with a header of these columns: %q", columnNames(columns)), "the sheet has no header")
 	}
 	order, problems := matchHeader(header, columns)
 	var values []T
@@ -201,7 +201,7 @@
 		}
 		line, _ := in.FieldPos(0)
 		v := make()
-		found := readCells(&v, cells, order, line)
+		found := parseCells(&v, cells, order, line)
 		if len(found) == 0 {
 			for _, p := range check(&v) {
 				found = append(found, fmt.Sprintf("line %d, %s", line, p))
@@ -223,7 +223,7 @@
 		c := findColumn(columns, name)
 		switch {
 		case c == nil:
-			problems = append(problems, fmt.Sprintf("line 1, column %s: there is no such column; use %q", name, namesOf(columns)))
+			problems = append(problems, fmt.Sprintf("line 1, column %s: there is no such column; use %q", name, columnNames(columns)))
 		case seen[name]:
 			problems = append(problems, fmt.Sprintf("line 1, column %s: it stands there twice; remove one", name))
 		}
@@ -247,7 +247,7 @@
 	return nil
 }
 
-func readCells[T any](v *T, cells []string, order []*column[T], line int) []string {
+func parseCells[T any](v *T, cells []string, order []*column[T], line int) []string {
 	if len(cells) != len(order) {
 		return []string{fmt.Sprintf("line %d: it has %d cells, the header has %d; write one cell for each column", line, len(cells), len(order))}
 	}
@@ -257,14 +257,14 @@
 		if c == nil || cell == "" && !c.required {
 			continue
 		}
-		if err := c.read(v, cell); err != nil {
+		if err := c.parse(v, cell); err != nil {
 			problems = append(problems, fmt.Sprintf("line %d, column %s: %v", line, c.name, err))
 		}
 	}
 	return problems
 }
 
-func readDuration(into *time.Duration, cell string) error {
+func parseDuration(into *time.Duration, cell string) error {
 	d, err := time.ParseDuration(cell)
 	if err != nil {
 		return fault.New(fault.Invalid, "write it as in 250ms or 2s", "%q is no duration", cell)
@@ -273,7 +273,7 @@
 	return nil
 }
 
-func readInt(into *int, cell string) error {
+func parseInt(into *int, cell string) error {
 	n, err := strconv.Atoi(cell)
 	if err != nil {
 		return fault.New(fault.Invalid, "write it as in 120", "%q is no whole number", cell)
@@ -282,7 +282,7 @@
 	return nil
 }
 
-func readBool(into *bool, cell string) error {
+func parseBool(into *bool, cell string) error {
 	b, err := strconv.ParseBool(cell)
 	if err != nil {
 		return fault.New(fault.Invalid, "write true or false", "%q is neither", cell)
@@ -291,7 +291,7 @@
 	return nil
 }
 
-func readFloat(into *float64, cell string) error {
+func parseFloat(into *float64, cell string) error {
 	x, err := strconv.ParseFloat(cell, 64)
 	if err != nil {
 		return fault.New(fault.Invalid, "write it as in 12.5", "%q is no number", cell)
@@ -300,15 +300,15 @@
 	return nil
 }
 
-func readPercent(into *units.Percent, cell string) error {
+func parsePercent(into *units.Percent, cell string) error {
 	var x float64
-	if err := readFloat(&x, strings.TrimSuffix(cell, "%")); err != nil {
+	if err := parseFloat(&x, strings.TrimSuffix(cell, "%")); err != nil {
 		return err
 	}
 	*into = units.Percent(x)
 	return nil
 }
 
-func writePercent(p units.Percent) string {
+func formatPercent(p units.Percent) string {
 	return strconv.FormatFloat(float64(p), 'g', -1, 64)
 }
