--- a/pkg/ctl/ctl.go
+++ b/pkg/ctl/ctl.go
@@ -38,17 +38,17 @@
 	fault.Unauthorized: ExitUnauthorized,
 }
 
-// errDifferent says that diff has found something; it isn't a failure.
-var errDifferent = errors.New("the sheets and the table differ")
+// errTableDiffers says that diff has found something; it isn't a failure.
+var errTableDiffers = errors.New("the sheets and the table differ")
 
 // Options are the flags that all commands share.
 type Options struct {
-	Servers   []string      `short:"s" long:"server" value-name:"IP:PORT" env:"MADDERPOND_SERVERS" env-delim:"," description:"a control replica's administration address; may be given several times"`
-	TokenFile string        `long:"token-file" value-name:"FILE" env:"MADDERPOND_TOKEN_FILE" description:"the file that holds the bearer token"`
-	JSON      bool          `long:"json" description:"print JSON for scripts"`
-	Operator  string        `long:"operator" value-name:"NAME" env:"USER" description:"who makes the edit, for the history"`
-	ID        string        `long:"id" value-name:"ID" description:"the edit's id; give the same one to send an edit again"`
-	Patience  time.Duration `long:"patience" default:"15s" value-name:"DURATION" description:"how long an edit without an answer is sent again"`
+	Servers      []string      `short:"s" long:"server" value-name:"IP:PORT" env:"MADDERPOND_SERVERS" env-delim:"," description:"a control replica's administration address; may be given several times"`
+	TokenFile    string        `long:"token-file" value-name:"FILE" env:"MADDERPOND_TOKEN_FILE" description:"the file that holds the bearer token"`
+	JSON         bool          `long:"json" description:"print JSON for scripts"`
+	Operator     string        `long:"operator" value-name:"NAME" env:"USER" description:"who makes the edit, for the history"`
+	ID           string        `long:"id" value-name:"ID" description:"the edit's id; give the same one to send an edit again"`
+	RetryTimeout time.Duration `long:"patience" default:"15s" value-name:"DURATION" description:"how long an edit without an answer is sent again"`
 }
 
 // Tool is one run of the command line.
@@ -112,12 +112,12 @@
 	}
 }
 
-// adder is what a parser and a command have in common.
-type adder interface {
+// commandAdder is what a parser and a command have in common.
+type commandAdder interface {
 	AddCommand(command, shortDescription, longDescription string, data any) (*flags.Command, error)
 }
 
-func add(to adder, commands []command) error {
+func addCommands(to commandAdder, commands []command) error {
 	for _, c := range commands {
 		long := c.long
 		if long == "" {
@@ -127,7 +127,7 @@
 		if err != nil {
 			return err
 		}
-		if err := add(added, c.subcommands); err != nil {
+		if err := addCommands(added, c.subcommands); err != nil {
 			return err
 		}
 	}
@@ -142,19 +142,19 @@
 		fmt.Fprintln(errOut, err)
 		return ExitFailed
 	}
-	if err := add(parser, t.commands()); err != nil {
+	if err := addCommands(parser, t.commands()); err != nil {
 		fmt.Fprintln(errOut, err)
 		return ExitFailed
 	}
 	_, err := parser.ParseArgs(arguments)
-	return report(err, out, errOut)
+	return reportError(err, out, errOut)
 }
 
-func report(err error, out, errOut io.Writer) int {
+func reportError(err error, out, errOut io.Writer) int {
 	if err == nil {
 		return ExitDone
 	}
-	if errors.Is(err, errDifferent) {
+	if errors.Is(err, errTableDiffers) {
 		return ExitDifferent
 	}
 	var usage *flags.Error
@@ -175,7 +175,7 @@
 
 // connect returns a client as the options say.
 func (t *Tool) connect() (*client.Client, error) {
-	return client.NewClient(t.options.Servers, t.options.TokenFile, t.options.Patience)
+	return client.NewClient(t.options.Servers, t.options.TokenFile, t.options.RetryTimeout)
 }
 
 func (t *Tool) printJSON(v any) error {
--- a/pkg/ctl/quarantine.go
+++ b/pkg/ctl/quarantine.go
@@ -30,14 +30,14 @@
 			refused = q.SinceRefusal.Round(time.Second).String() + " ago"
 		}
 		rows = append(rows, []string{
-			q.Name, string(q.Service), namesOf(&q.Quarantine), time.UnixMilli(int64(q.At)).UTC().Format(time.RFC3339),
+			q.Name, string(q.Service), targetNames(&q.Quarantine), time.UnixMilli(int64(q.At)).UTC().Format(time.RFC3339),
 			strconv.FormatBool(q.Doubtful), strconv.Itoa(q.Trials), refused,
 		})
 	}
 	return c.tool.printTable([]string{"call", "service", "crashed targets", "since", "doubtful", "trials", "last refused"}, rows)
 }
 
-func namesOf(q *table.Quarantine) string {
+func targetNames(q *table.Quarantine) string {
 	names := make([]string, 0, len(q.Targets))
 	for _, t := range q.Targets {
 		names = append(names, string(t))
--- a/pkg/ctl/rollout.go
+++ b/pkg/ctl/rollout.go
@@ -78,12 +78,12 @@
 	for _, r := range list {
 		rows = append(rows, []string{
 			string(r.Service), string(r.From), string(r.To), r.Stage.String(), fmt.Sprintf("%g %%", float64(r.Share)),
-			r.ElapsedNow.Round(time.Second).String() + " of " + r.Duration.String(), answers(r.New), answers(r.Old), r.Operator, r.Reason,
+			r.ElapsedNow.Round(time.Second).String() + " of " + r.Duration.String(), formatCounts(r.New), formatCounts(r.Old), r.Operator, r.Reason,
 		})
 	}
 	return c.tool.printTable([]string{"service", "from", "to", "stage", "share", "time", "new good/bad", "old good/bad", "operator", "reason"}, rows)
 }
 
-func answers(c control.AnswerCounts) string {
+func formatCounts(c control.AnswerCounts) string {
 	return strconv.FormatUint(c.Good, 10) + "/" + strconv.FormatUint(c.Bad, 10)
 }
--- a/pkg/ctl/rows.go
+++ b/pkg/ctl/rows.go
@@ -10,17 +10,17 @@
 
 // changeRow changes one row as f says, from its present state.
 func (t *Tool) changeRow(service, target string, f func(*table.Row)) error {
-	present, err := t.fetch()
+	present, err := t.fetchTable()
 	if err != nil {
 		return err
 	}
 	entry := present.Services[units.ServiceName(service)]
 	if entry == nil || entry.Row(units.TargetID(target)) == nil {
-		return noRow(service, target)
+		return rowNotFound(service, target)
 	}
 	row := *entry.Row(units.TargetID(target))
 	f(&row)
-	return t.edit(present, []table.Operation{{Kind: table.PutRow, Row: &row}})
+	return t.submitEdit(present, []table.Operation{{Kind: table.PutRow, Row: &row}})
 }
 
 type setWeight struct {
--- a/pkg/ctl/show.go
+++ b/pkg/ctl/show.go
@@ -18,7 +18,7 @@
 
 // Execute lists the services.
 func (c *listServices) Execute([]string) error {
-	t, err := c.tool.fetch()
+	t, err := c.tool.fetchTable()
 	if err != nil {
 		return err
 	}
--- a/pkg/ctl/table.go
+++ b/pkg/ctl/table.go
@@ -68,7 +68,7 @@
 
 // Execute prints the table or writes its sheets.
 func (c *tableGet) Execute([]string) error {
-	t, err := c.tool.fetch()
+	t, err := c.tool.fetchTable()
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 	return cells
 }
 
-func (t *Tool) fetch() (*table.Table, error) {
+func (t *Tool) fetchTable() (*table.Table, error) {
 	c, err := t.connect()
 	if err != nil {
 		return nil, err
@@ -109,9 +109,9 @@
 	return c.Table()
 }
 
-// edit sends operations that were worked out from a table, and prints what
+// submitEdit sends operations that were worked out from a table, and prints what
 // became of them.
-func (t *Tool) edit(from *table.Table, operations []table.Operation) error {
+func (t *Tool) submitEdit(from *table.Table, operations []table.Operation) error {
 	if len(operations) == 0 {
 		t.print("nothing to change; the table is at revision %d\n", from.Revision)
 		return nil
@@ -156,19 +156,19 @@
 
 // Execute makes the table what the sheets say.
 func (c *tableApply) Execute([]string) error {
-	t, operations, err := c.tool.compare(&c.sheetFiles, c.Prune)
+	t, operations, err := c.tool.diffSheets(&c.sheetFiles, c.Prune)
 	if err != nil {
 		return err
 	}
-	return c.tool.edit(t, operations)
+	return c.tool.submitEdit(t, operations)
 }
 
-func (t *Tool) compare(f *sheetFiles, prune bool) (*table.Table, []table.Operation, error) {
+func (t *Tool) diffSheets(f *sheetFiles, prune bool) (*table.Table, []table.Operation, error) {
 	s, err := f.read()
 	if err != nil {
 		return nil, nil, err
 	}
-	present, err := t.fetch()
+	present, err := t.fetchTable()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -183,7 +183,7 @@
 
 // Execute shows what apply would change.
 func (c *tableDiff) Execute([]string) error {
-	t, operations, err := c.tool.compare(&c.sheetFiles, c.Prune)
+	t, operations, err := c.tool.diffSheets(&c.sheetFiles, c.Prune)
 	if err != nil {
 		return err
 	}
@@ -195,7 +195,7 @@
 		c.tool.printOperations(t, operations)
 	}
 	if len(operations) > 0 {
-		return errDifferent
+		return errTableDiffers
 	}
 	return nil
 }
@@ -268,21 +268,21 @@
 
 // Execute changes single cells in one edit.
 func (c *tableEdit) Execute([]string) error {
-	t, err := c.tool.fetch()
+	t, err := c.tool.fetchTable()
 	if err != nil {
 		return err
 	}
 	s := sheet.FromTable(t)
 	for _, assignment := range c.Set {
-		if err := assign(&s, assignment); err != nil {
+		if err := applyAssignment(&s, assignment); err != nil {
 			return err
 		}
 	}
-	return c.tool.edit(t, sheet.Diff(t, s, false))
+	return c.tool.submitEdit(t, sheet.Diff(t, s, false))
 }
 
-// assign carries out one PLACE=VALUE on the sheets.
-func assign(s *sheet.Sheets, assignment string) error {
+// applyAssignment carries out one PLACE=VALUE on the sheets.
+func applyAssignment(s *sheet.Sheets, assignment string) error {
 	place, value, ok := strings.Cut(assignment, "=")
 	dot := strings.LastIndex(place, ".")
 	if !ok || dot < 0 {
@@ -291,17 +291,17 @@
 	column := place[dot+1:]
 	service, target, isRow := strings.Cut(place[:dot], "/")
 	if !isRow {
-		return assignService(s, service, column, value)
+		return assignServiceCell(s, service, column, value)
 	}
 	for i := range s.Rows {
 		if r := &s.Rows[i]; string(r.Service) == service && string(r.Target) == target {
 			return sheet.SetRowCell(r, column, value)
 		}
 	}
-	return noRow(service, target)
+	return rowNotFound(service, target)
 }
 
-func assignService(s *sheet.Sheets, service, column, value string) error {
+func assignServiceCell(s *sheet.Sheets, service, column, value string) error {
 	for i := range s.Services {
 		if v := &s.Services[i]; string(v.Name) == service {
 			return sheet.SetServiceCell(v, column, value)
@@ -310,6 +310,6 @@
 	return fault.New(fault.NotFound, "see madderctl services", "there is no service %s", service)
 }
 
-func noRow(service, target string) error {
+func rowNotFound(service, target string) error {
 	return fault.New(fault.NotFound, "see madderctl table get", "service %s has no target %s", service, target)
 }
--- a/pkg/ctl/workspaces.go
+++ b/pkg/ctl/workspaces.go
@@ -39,7 +39,7 @@
 			admitted, refused = formatRate(w.Use.Admitted), formatRate(w.Use.Refused)
 		}
 		rows = append(rows, []string{
-			string(w.Name), priority, formatAmount(float64(w.Rate)), formatAmount(w.Burst), admitted, refused, strings.Join(w.Keys, " "),
+			string(w.Name), priority, formatLimit(float64(w.Rate)), formatLimit(w.Burst), admitted, refused, strings.Join(w.Keys, " "),
 		})
 	}
 	return c.tool.printTable([]string{"workspace", "priority", "calls a second", "burst", "let in a second", "refused a second", "keys"}, rows)
@@ -48,8 +48,8 @@
 // formatRate writes a measured rate, of which more digits say nothing.
 func formatRate(x units.CallRate) string { return strconv.FormatFloat(float64(x), 'f', 1, 64) }
 
-// formatAmount writes a limit; an empty cell stands for none.
-func formatAmount(x float64) string {
+// formatLimit writes a limit; an empty cell stands for none.
+func formatLimit(x float64) string {
 	if x == 0 {
 		return ""
 	}
