--- a/pkg/admin/documents.go
+++ b/pkg/admin/documents.go
@@ -13,7 +13,7 @@
 
 // getDocument answers with the newest document, as it was put.
 func (s *Server) getDocument(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	d, err := s.replica.ReadDocument()
@@ -30,7 +30,7 @@
 
 // putDocument puts a whole table in force, unless its version or a higher one is.
 func (s *Server) putDocument(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	body := ctx.PostBody()
@@ -50,7 +50,7 @@
 
 // getTargets lists the targets that registered by themselves.
 func (s *Server) getTargets(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	return writeJSON(ctx, s.replica.Targets())
@@ -58,7 +58,7 @@
 
 // putTarget takes a target's report.
 func (s *Server) putTarget(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	r := &table.Registration{}
@@ -74,7 +74,7 @@
 
 // deleteTarget takes a target out for good.
 func (s *Server) deleteTarget(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	id := units.TargetID(path.Base(string(ctx.Path())))
--- a/pkg/admin/evacuations.go
+++ b/pkg/admin/evacuations.go
@@ -13,7 +13,7 @@
 // getEvacuations lists the failure domains that are or were evacuated, as this replica
 // knows them.
 func (s *Server) getEvacuations(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	list := s.replica.Table().Evacuations
@@ -32,7 +32,7 @@
 }
 
 func (s *Server) orderEvacuation(ctx *fasthttp.RequestCtx, evacuate bool) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	o := table.EvacuationOrder{
--- a/pkg/admin/handlers.go
+++ b/pkg/admin/handlers.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-func (s *Server) needReplica() error {
+func (s *Server) requireReplica() error {
 	if s.replica != nil {
 		return nil
 	}
@@ -54,21 +54,21 @@
 }
 
 func (s *Server) getTable(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	return writeJSON(ctx, s.replica.Table())
 }
 
 func (s *Server) getHistory(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	return writeJSON(ctx, s.replica.History())
 }
 
 func (s *Server) postEdit(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	edit, err := readEdit(ctx.PostBody())
@@ -109,20 +109,20 @@
 	return edit, nil
 }
 
-// longestWatch bounds how long a watch waits for a change.
-const longestWatch = 30 * time.Second
+// maxWatchWait bounds how long a watch waits for a change.
+const maxWatchWait = 30 * time.Second
 
 // watch answers once the table is newer than the revision asked about, or with
 // the same table when nothing has changed for a while.
 func (s *Server) watch(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	after, err := strconv.ParseUint(string(ctx.QueryArgs().Peek("after")), 10, 64)
 	if err != nil {
 		return fault.New(fault.Invalid, "give the revision you know as ?after=N", "after isn't a revision")
 	}
-	limit := time.After(longestWatch)
+	limit := time.After(maxWatchWait)
 	for {
 		changed := s.replica.Changed()
 		t := s.replica.Table()
@@ -138,14 +138,14 @@
 }
 
 func (s *Server) getStatus(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	return writeJSON(ctx, s.replica.Status())
 }
 
 func (s *Server) form(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	if err := s.replica.Form(); err != nil {
--- a/pkg/admin/problem.go
+++ b/pkg/admin/problem.go
@@ -17,7 +17,7 @@
 	Remedy string     `json:"remedy"`
 }
 
-var statuses = map[fault.Kind]int{
+var httpStatuses = map[fault.Kind]int{
 	fault.Invalid:      fasthttp.StatusBadRequest,
 	fault.Conflict:     fasthttp.StatusConflict,
 	fault.NotFound:     fasthttp.StatusNotFound,
@@ -27,9 +27,9 @@
 	fault.TooLarge:     fasthttp.StatusRequestEntityTooLarge,
 }
 
-func writeFault(ctx *fasthttp.RequestCtx, err error) {
+func writeProblem(ctx *fasthttp.RequestCtx, err error) {
 	kind := fault.KindOf(err)
-	status, ok := statuses[kind]
+	status, ok := httpStatuses[kind]
 	if !ok {
 		status = fasthttp.StatusInternalServerError
 	}
--- a/pkg/admin/quarantines.go
+++ b/pkg/admin/quarantines.go
@@ -12,7 +12,7 @@
 
 // getQuarantines lists the calls that no target gets, as this replica knows them.
 func (s *Server) getQuarantines(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	return writeJSON(ctx, s.replica.Quarantines())
@@ -20,7 +20,7 @@
 
 // deleteQuarantine gives a call to targets again.
 func (s *Server) deleteQuarantine(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	name := path.Base(string(ctx.Path()))
--- a/pkg/admin/rollouts.go
+++ b/pkg/admin/rollouts.go
@@ -13,7 +13,7 @@
 
 // getRollouts lists the last rollouts of services with what the leader counts of them.
 func (s *Server) getRollouts(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	return writeJSON(ctx, s.replica.Status().Rollouts)
@@ -21,7 +21,7 @@
 
 // getRollout returns a service's last rollout by the newest state.
 func (s *Server) getRollout(ctx *fasthttp.RequestCtx) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	name := units.ServiceName(path.Base(string(ctx.Path())))
@@ -51,7 +51,7 @@
 }
 
 func (s *Server) orderRollout(ctx *fasthttp.RequestCtx, o table.RolloutOrder) error {
-	if err := s.needReplica(); err != nil {
+	if err := s.requireReplica(); err != nil {
 		return err
 	}
 	o.Service = units.ServiceName(path.Base(string(ctx.Path())))
--- a/pkg/admin/server.go
+++ b/pkg/admin/server.go
@@ -36,8 +36,8 @@
 	listener net.Listener
 }
 
-// Parts are the parts of the process that the API shows; what it lacks is nil.
-type Parts struct {
+// Components are the parts of the process that the API shows; what it lacks is nil.
+type Components struct {
 	Entry    *entry.Entry
 	Replica  *replica.Replica
 	BoxList  *boxlist.Watcher
@@ -46,7 +46,7 @@
 
 // NewServer returns a server that doesn't listen yet. The error is a Settings
 // fault when the token can't be read.
-func NewServer(c *common.Common, p Parts) (*Server, error) {
+func NewServer(c *common.Common, p Components) (*Server, error) {
 	s := &Server{Common: c, entry: p.Entry, replica: p.Replica, boxList: p.BoxList, reloader: p.Reloader}
 	if path := c.Settings.Admin.TokenFile; path != "" {
 		data, err := os.ReadFile(path)
@@ -66,18 +66,18 @@
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
 		Logger:                c.Log,
-		ErrorHandler:          refuseUnreadable,
+		ErrorHandler:          rejectMalformed,
 	}
 	return s, nil
 }
 
-// refuseUnreadable answers what can't be read as a request.
-func refuseUnreadable(ctx *fasthttp.RequestCtx, err error) {
+// rejectMalformed answers what can't be read as a request.
+func rejectMalformed(ctx *fasthttp.RequestCtx, err error) {
 	kind := fault.Invalid
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		kind = fault.TooLarge
 	}
-	writeFault(ctx, fault.Wrap(err, kind, "send a well-formed request within the documented bounds", "the request can't be read"))
+	writeProblem(ctx, fault.Wrap(err, kind, "send a well-formed request within the documented bounds", "the request can't be read"))
 	ctx.SetConnectionClose()
 }
 
@@ -110,8 +110,8 @@
 type route struct {
 	method string
 	path   string
-	// open routes need no token.
-	open    bool
+	// public routes need no token.
+	public  bool
 	handler func(*Server, *fasthttp.RequestCtx) error
 }
 
@@ -165,20 +165,20 @@
 		if r.method != string(ctx.Method()) {
 			continue
 		}
-		if !r.open && !s.authorized(ctx) {
-			writeFault(ctx, fault.New(fault.Unauthorized, "send the header Authorization: Bearer with the token of admin.tokenFile", "the token is missing or wrong"))
+		if !r.public && !s.authorized(ctx) {
+			writeProblem(ctx, fault.New(fault.Unauthorized, "send the header Authorization: Bearer with the token of admin.tokenFile", "the token is missing or wrong"))
 			return
 		}
 		if err := r.handler(s, ctx); err != nil {
-			writeFault(ctx, err)
+			writeProblem(ctx, err)
 		}
 		return
 	}
 	if known {
-		writeFault(ctx, fault.New(fault.Invalid, "see docs/API.md for the right method", "%s doesn't take %s", path, ctx.Method()))
+		writeProblem(ctx, fault.New(fault.Invalid, "see docs/API.md for the right method", "%s doesn't take %s", path, ctx.Method()))
 		return
 	}
-	writeFault(ctx, fault.New(fault.NotFound, "see docs/API.md for the addresses there are", "there is no %s", path))
+	writeProblem(ctx, fault.New(fault.NotFound, "see docs/API.md for the addresses there are", "there is no %s", path))
 }
 
 // authorized compares digests, so that neither length nor content of the token
--- a/pkg/app/app.go
+++ b/pkg/app/app.go
@@ -42,8 +42,8 @@
 	reloader     *reload.Reloader
 	// extensions are parts that a program adds to the daemon's own.
 	extensions []Extension
-	// formAlone has a cluster of one formed at the start.
-	formAlone bool
+	// formOnStart has a cluster of one formed at the start.
+	formOnStart bool
 }
 
 // Extension is a part that a program adds to the daemon's own, such as another
@@ -55,30 +55,30 @@
 	Stop(ctx context.Context)
 }
 
-// Parts are a process's roles as extensions see them; what it lacks is nil.
-type Parts struct {
+// Components are a process's roles as extensions see them; what it lacks is nil.
+type Components struct {
 	*common.Common
 	Entry   *entry.Entry
 	Replica *replica.Replica
 }
 
-// Extend makes an extension for a process.
-type Extend func(Parts) Extension
+// ExtensionFactory makes an extension for a process.
+type ExtensionFactory func(Components) Extension
 
 // NewApp returns a process that serves nobody yet. source is where its settings were read.
-func NewApp(s *config.Settings, source reload.Source, extend ...Extend) (*App, error) {
+func NewApp(s *config.Settings, source reload.Source, extend ...ExtensionFactory) (*App, error) {
 	logger := logging.NewLogger(s.LogLevel)
 	a := &App{logger: logger, Common: &common.Common{Log: logger.WithField("box", s.Box), Settings: s, Clock: clock.NewClock()}}
-	a.reloader = reload.NewReloader(a.Log, s, source, a.takeSettings)
+	a.reloader = reload.NewReloader(a.Log, s, source, a.applySettings)
 	a.metrics = admin.NewMetricsServer(a.Common)
 	if err := a.build(); err != nil {
 		a.Log.WithError(err).WithField("kind", fault.KindOf(err)).Error("madderpond can't start")
-		a.abandon()
+		a.releaseResources()
 		a.Close()
 		return nil, err
 	}
 	for _, x := range extend {
-		a.extensions = append(a.extensions, x(Parts{Common: a.Common, Entry: a.entry, Replica: a.replica}))
+		a.extensions = append(a.extensions, x(Components{Common: a.Common, Entry: a.entry, Replica: a.replica}))
 	}
 	return a, nil
 }
@@ -107,15 +107,15 @@
 		}
 	}
 	a.boxList = boxlist.NewWatcher(a.Common)
-	a.admin, err = admin.NewServer(a.Common, admin.Parts{Entry: a.entry, Replica: a.replica, BoxList: a.boxList, Reloader: a.reloader})
+	a.admin, err = admin.NewServer(a.Common, admin.Components{Entry: a.entry, Replica: a.replica, BoxList: a.boxList, Reloader: a.reloader})
 	return err
 }
 
 // Close writes the last lines of the log.
 func (a *App) Close() { a.logger.Close() }
 
-// abandon gives back what a failed start has taken.
-func (a *App) abandon() {
+// releaseResources gives back what a failed start has taken.
+func (a *App) releaseResources() {
 	if a.listener != nil {
 		a.listener.Close()
 	}
@@ -170,7 +170,7 @@
 func (a *App) Start() error {
 	if a.replica != nil {
 		a.replica.Start()
-		a.formIfAlone()
+		a.formSingleReplica()
 	}
 	if a.entry != nil {
 		if err := a.entry.Start(); err != nil {
@@ -191,14 +191,14 @@
 		}
 	}
 	if a.boxList != nil {
-		a.boxList.Start(a.notePlatform)
+		a.boxList.Start(a.setListedLeaving)
 	}
 	fields := logrus.Fields{"admin": a.admin.Address(), "peer": a.listener.Address(), "kind": "started"}
 	if a.entry != nil {
 		fields["entry"] = a.entry.Address()
 	}
 	a.Log.WithFields(fields).Info("madderpond has started")
-	a.warnIfOpen()
+	a.warnIfUnsecured()
 	return nil
 }
 
@@ -213,7 +213,7 @@
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	if err := a.Start(); err != nil {
-		a.abandon()
+		a.releaseResources()
 		return err
 	}
 	select {
@@ -231,8 +231,8 @@
 	return a.Stop(ctx)
 }
 
-// takeSettings takes what a running process can take of changed settings.
-func (a *App) takeSettings(s *config.Settings) {
+// applySettings takes what a running process can take of changed settings.
+func (a *App) applySettings(s *config.Settings) {
 	a.logger.ChangeLevel(s.LogLevel)
 	setMemoryLimit(s)
 	if a.entry != nil {
@@ -244,17 +244,17 @@
 	}
 }
 
-// warnIfOpen says that strangers could speak to this process, if they can reach it.
-func (a *App) warnIfOpen() {
+// warnIfUnsecured says that strangers could speak to this process, if they can reach it.
+func (a *App) warnIfUnsecured() {
 	address, err := netip.ParseAddrPort(a.listener.Address())
 	if a.Security == nil && err == nil && !address.Addr().IsLoopback() {
 		a.Log.Warn("the port between processes is open to whoever reaches it; set peer.certificate, peer.key and peer.authority")
 	}
 }
 
-// formIfAlone forms a cluster of one, where there is nobody to wait for.
-func (a *App) formIfAlone() {
-	if !a.formAlone {
+// formSingleReplica forms a cluster of one, where there is nobody to wait for.
+func (a *App) formSingleReplica() {
+	if !a.formOnStart {
 		return
 	}
 	if err := a.replica.Form(); err != nil {
@@ -262,8 +262,8 @@
 	}
 }
 
-// notePlatform passes on what the platform's list says of this box.
-func (a *App) notePlatform(leaving bool) {
+// setListedLeaving passes on what the platform's list says of this box.
+func (a *App) setListedLeaving(leaving bool) {
 	a.Log.WithField("leaving", leaving).Info("the platform's list has changed for this box")
 	if a.entry != nil {
 		a.entry.SetListedLeaving(leaving)
@@ -277,8 +277,8 @@
 	return a.replica.Halted()
 }
 
-// adminStop is how long operators' questions may take to end at a planned stop.
-const adminStop = 200 * time.Millisecond
+// adminStopTimeout is how long operators' questions may take to end at a planned stop.
+const adminStopTimeout = 200 * time.Millisecond
 
 // Stop is the planned stop: the box says that it leaves, serves on while the
 // platform learns of it, and ends when every call has its answer.
@@ -305,7 +305,7 @@
 	}
 	a.listener.Close()
 	// Operators' open watches don't hold up the stop.
-	adminCtx, cancel := context.WithTimeout(ctx, adminStop)
+	adminCtx, cancel := context.WithTimeout(ctx, adminStopTimeout)
 	defer cancel()
 	a.admin.Stop(adminCtx)
 	a.metrics.Stop(adminCtx)
@@ -314,17 +314,17 @@
 }
 
 const (
-	// trafficPeriod is how often the log tells how many bytes have passed between this process and others.
-	trafficPeriod = 20 * time.Second
-	// mostTraffic is how many kinds of messages it tells of, which keeps the line short.
-	mostTraffic = 8
+	// trafficLogInterval is how often the log tells how many bytes have passed between this process and others.
+	trafficLogInterval = 20 * time.Second
+	// maxTrafficKinds is how many kinds of messages it tells of, which keeps the line short.
+	maxTrafficKinds = 8
 )
 
 // logTraffic has the log tell the kinds of messages that made most bytes since the start.
 func (a *App) logTraffic() {
-	a.trafficTimer = time.AfterFunc(trafficPeriod, func() {
-		defer a.trafficTimer.Reset(trafficPeriod)
+	a.trafficTimer = time.AfterFunc(trafficLogInterval, func() {
+		defer a.trafficTimer.Reset(trafficLogInterval)
 		counts := transport.TrafficCounts()
-		a.Log.WithFields(logrus.Fields{"kind": "traffic", "counts": counts[:min(mostTraffic, len(counts))]}).Info("what has passed between this process and others")
+		a.Log.WithFields(logrus.Fields{"kind": "traffic", "counts": counts[:min(maxTrafficKinds, len(counts))]}).Info("what has passed between this process and others")
 	})
 }
--- a/pkg/app/main.go
+++ b/pkg/app/main.go
@@ -19,8 +19,8 @@
 	exitDone     = 0
 	exitFailed   = 1
 	exitSettings = 2
-	// exitRefused: the data folder can't be used; starting again won't help.
-	exitRefused = 3
+	// exitDataUnusable: the data folder can't be used; starting again won't help.
+	exitDataUnusable = 3
 )
 
 // options are the daemon's command line.
@@ -64,14 +64,14 @@
 
 // Serve runs a process with settings that were read from source until it is asked to
 // stop, and returns its exit code. form has a cluster of one formed.
-func Serve(s *config.Settings, source reload.Source, form bool, extend ...Extend) int {
+func Serve(s *config.Settings, source reload.Source, form bool, extend ...ExtensionFactory) int {
 	a, err := NewApp(s, source, extend...)
 	if err != nil {
 		return exitCode(err)
 	}
 	defer a.Close()
 	setMemoryLimit(s)
-	a.formAlone = form && len(s.Replicas) == 1
+	a.formOnStart = form && len(s.Replicas) == 1
 	if err := a.Run(); err != nil {
 		a.Log.WithError(err).WithField("kind", fault.KindOf(err)).Error("madderpond has failed")
 		return exitCode(err)
@@ -93,7 +93,7 @@
 	case fault.Settings:
 		return exitSettings
 	case fault.Damaged, fault.ForeignData:
-		return exitRefused
+		return exitDataUnusable
 	}
 	return exitFailed
 }
--- a/pkg/config/check.go
+++ b/pkg/config/check.go
@@ -62,30 +62,30 @@
 	var problems []Problem
 	if err := newValidator().Struct(s); err != nil {
 		for _, f := range err.(validator.ValidationErrors) {
-			problems = append(problems, problemOf(f))
+			problems = append(problems, newProblem(f))
 		}
 	}
 	for _, c := range crossChecks {
-		if c.wrong(s) {
+		if c.violated(s) {
 			problems = append(problems, c.problem)
 		}
 	}
 	return problems
 }
 
-func problemOf(f validator.FieldError) Problem {
+func newProblem(f validator.FieldError) Problem {
 	_, place, _ := strings.Cut(f.Namespace(), ".")
 	remedy := remedies[f.Tag()]
 	if strings.HasSuffix(remedy, " ") {
 		remedy += f.Param()
 	}
-	return Problem{Place: place, What: "the value can't be used", Remedy: remedy}
+	return Problem{Path: place, Message: "the value can't be used", Remedy: remedy}
 }
 
 // crossCheck is a rule on several fields at once.
 type crossCheck struct {
-	wrong   func(*Settings) bool
-	problem Problem
+	violated func(*Settings) bool
+	problem  Problem
 }
 
 var crossChecks = []crossCheck{
--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -88,7 +88,7 @@
 	visit = func(place string, s reflect.Type) {
 		for i := range s.NumField() {
 			f := s.Field(i)
-			at := join(place, f.Tag.Get("json"))
+			at := joinPath(place, f.Tag.Get("json"))
 			if f.Tag.Get("json") == "" || len(f.Tag.Get("doc")) < 10 {
 				t.Errorf("%s has no name or description", at)
 			}
--- a/pkg/config/load.go
+++ b/pkg/config/load.go
@@ -16,15 +16,15 @@
 
 // Problem is one fault of a settings file.
 type Problem struct {
-	// Place is the path of the field, such as entry.listen.
-	Place  string `json:"place"`
-	What   string `json:"what"`
-	Remedy string `json:"remedy"`
+	// Path is the path of the field, such as entry.listen.
+	Path    string `json:"place"`
+	Message string `json:"what"`
+	Remedy  string `json:"remedy"`
 }
 
 // String tells the problem in one line.
 func (p Problem) String() string {
-	return fmt.Sprintf("%s: %s; %s", p.Place, p.What, p.Remedy)
+	return fmt.Sprintf("%s: %s; %s", p.Path, p.Message, p.Remedy)
 }
 
 // Load reads and checks a settings file. The error is a Settings fault that
@@ -58,11 +58,11 @@
 func parse(data []byte) (*Settings, []Problem) {
 	plain, err := hujson.Standardize(bytes.Clone(data))
 	if err != nil {
-		return nil, []Problem{{Place: "file", What: err.Error(), Remedy: "write JSON; comments and trailing commas are allowed"}}
+		return nil, []Problem{{Path: "file", Message: err.Error(), Remedy: "write JSON; comments and trailing commas are allowed"}}
 	}
 	var tree any
 	if err := json.Unmarshal(plain, &tree); err != nil {
-		return nil, []Problem{{Place: "file", What: err.Error(), Remedy: "write JSON; comments and trailing commas are allowed"}}
+		return nil, []Problem{{Path: "file", Message: err.Error(), Remedy: "write JSON; comments and trailing commas are allowed"}}
 	}
 	s := Defaults()
 	problems := decode("", tree, reflect.ValueOf(s).Elem())
@@ -85,9 +85,9 @@
 	if err != nil {
 		remedy := fault.RemedyOf(err)
 		if remedy == "" {
-			remedy = "write a " + kindWord(into.Type())
+			remedy = "write a " + typeDescription(into.Type())
 		}
-		return []Problem{{Place: place, What: fmt.Sprintf("%s doesn't fit", data), Remedy: remedy}}
+		return []Problem{{Path: place, Message: fmt.Sprintf("%s doesn't fit", data), Remedy: remedy}}
 	}
 	return nil
 }
@@ -95,9 +95,9 @@
 func decodeStruct(place string, tree any, into reflect.Value) []Problem {
 	object, ok := tree.(map[string]any)
 	if !ok {
-		return []Problem{{Place: orFile(place), What: "this isn't an object", Remedy: "write { ... }"}}
+		return []Problem{{Path: pathOrFile(place), Message: "this isn't an object", Remedy: "write { ... }"}}
 	}
-	fields := fieldsOf(into.Type())
+	fields := fieldIndexes(into.Type())
 	names := make([]string, 0, len(object))
 	for n := range object {
 		names = append(names, n)
@@ -105,10 +105,10 @@
 	sort.Strings(names)
 	var problems []Problem
 	for _, n := range names {
-		at := join(place, n)
+		at := joinPath(place, n)
 		i, known := fields[n]
 		if !known {
-			problems = append(problems, Problem{Place: at, What: "there is no such field", Remedy: "remove it, or see docs/SETTINGS.md for the right name"})
+			problems = append(problems, Problem{Path: at, Message: "there is no such field", Remedy: "remove it, or see docs/SETTINGS.md for the right name"})
 			continue
 		}
 		problems = append(problems, decode(at, object[n], into.Field(i))...)
@@ -119,7 +119,7 @@
 func decodeSlice(place string, tree any, into reflect.Value) []Problem {
 	list, ok := tree.([]any)
 	if !ok {
-		return []Problem{{Place: place, What: "this isn't a list", Remedy: "write [ ... ]"}}
+		return []Problem{{Path: place, Message: "this isn't a list", Remedy: "write [ ... ]"}}
 	}
 	var problems []Problem
 	out := reflect.MakeSlice(into.Type(), len(list), len(list))
@@ -130,7 +130,7 @@
 	return problems
 }
 
-func fieldsOf(t reflect.Type) map[string]int {
+func fieldIndexes(t reflect.Type) map[string]int {
 	fields := map[string]int{}
 	for i := range t.NumField() {
 		fields[t.Field(i).Tag.Get("json")] = i
@@ -138,7 +138,7 @@
 	return fields
 }
 
-func kindWord(t reflect.Type) string {
+func typeDescription(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Bool:
 		return "true or false"
@@ -149,14 +149,14 @@
 	}
 }
 
-func join(place, name string) string {
+func joinPath(place, name string) string {
 	if place == "" {
 		return name
 	}
 	return place + "." + name
 }
 
-func orFile(place string) string {
+func pathOrFile(place string) string {
 	if place == "" {
 		return "file"
 	}
--- a/pkg/config/page.go
+++ b/pkg/config/page.go
@@ -16,7 +16,7 @@
 	b.WriteString("`madderpond --settings FILE --check` lists all faults at once and exits with 2 if there are any.\n")
 	b.WriteString("An unknown field is a fault. This page is made from the code by `make docs`.\n\n")
 	b.WriteString("The file is read again on SIGHUP and when it has changed. A running process takes changes of `" +
-		strings.Join(takenRunning, "`, `") + "` (`replicas` on boxes without the role control only);\n")
+		strings.Join(reloadableFields, "`, `") + "` (`replicas` on boxes without the role control only);\n")
 	b.WriteString("all others take a restart. `madderctl settings --server BOX` shows what waits, and why a file is refused.\n\n")
 	b.WriteString("| field | default | what it is |\n|---|---|---|\n")
 	writeFields(&b, "", reflect.ValueOf(Defaults()).Elem())
@@ -26,7 +26,7 @@
 func writeFields(b *strings.Builder, place string, v reflect.Value) {
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
-		at := join(place, f.Tag.Get("json"))
+		at := joinPath(place, f.Tag.Get("json"))
 		if f.Type.Kind() == reflect.Struct {
 			writeFields(b, at, v.Field(i))
 			continue
--- a/pkg/reload/reloader.go
+++ b/pkg/reload/reloader.go
@@ -123,13 +123,13 @@
 	var taken []string
 	r.waiting = nil
 	for _, d := range config.Differences(r.inForce, next) {
-		if d.Running {
-			taken = append(taken, d.Place)
+		if d.Reloadable {
+			taken = append(taken, d.Path)
 		} else {
-			r.waiting = append(r.waiting, d.Place)
+			r.waiting = append(r.waiting, d.Path)
 		}
 	}
-	merged := config.MergeRunning(r.inForce, next)
+	merged := config.MergeReloadable(r.inForce, next)
 	r.inForce = merged
 	if len(taken) > 0 {
 		r.apply(merged)
