--- a/pkg/config/check.go
+++ b/pkg/config/check.go
@@ -13,7 +13,8 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,63}$`)
 
-// remedies says, for each check that a field can fail, what to write instead.
+// remedies gives, for each validation tag, what to write instead. A remedy that ends with a
+// space is completed with the tag's parameter.
 var remedies = map[string]string{
 	"required":      "give a value",
 	"required_with": "give certificate, key and authority, or none of them",
@@ -57,7 +58,8 @@
 	return err == nil && u.Scheme == "http" && isAddress(u.Host)
 }
 
-// Check returns every fault of the settings.
+// Check returns every problem of the settings: those of single fields first, then those of
+// several fields together.
 func Check(s *Settings) []Problem {
 	var problems []Problem
 	if err := newValidator().Struct(s); err != nil {
@@ -74,15 +76,16 @@
 }
 
 func newProblem(f validator.FieldError) Problem {
-	_, place, _ := strings.Cut(f.Namespace(), ".")
+	_, path, _ := strings.Cut(f.Namespace(), ".")
 	remedy := remedies[f.Tag()]
 	if strings.HasSuffix(remedy, " ") {
 		remedy += f.Param()
 	}
-	return Problem{Path: place, Message: "the value can't be used", Remedy: remedy}
+	return Problem{Path: path, Message: "the value can't be used", Remedy: remedy}
 }
 
-// crossCheck is a rule on several fields at once.
+// crossCheck is a rule on several fields together, with the problem to report if it is
+// violated.
 type crossCheck struct {
 	violated func(*Settings) bool
 	problem  Problem
--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -84,16 +84,16 @@
 }
 
 func TestEveryFieldIsDescribed(t *testing.T) {
-	var visit func(place string, s reflect.Type)
-	visit = func(place string, s reflect.Type) {
+	var visit func(path string, s reflect.Type)
+	visit = func(path string, s reflect.Type) {
 		for i := range s.NumField() {
 			f := s.Field(i)
-			at := joinPath(place, f.Tag.Get("json"))
+			fieldPath := joinPath(path, f.Tag.Get("json"))
 			if f.Tag.Get("json") == "" || len(f.Tag.Get("doc")) < 10 {
-				t.Errorf("%s has no name or description", at)
+				t.Errorf("%s has no name or description", fieldPath)
 			}
 			if f.Type.Kind() == reflect.Struct {
-				visit(at, f.Type)
+				visit(fieldPath, f.Type)
 			}
 		}
 	}
@@ -113,12 +113,13 @@
 			t.Fatal(err)
 		}
 		if _, err := Parse(again); err != nil {
-			t.Fatalf("what was written can't be read: %v", err)
+			t.Fatalf("the marshaled settings can't be parsed again: %v", err)
 		}
 	})
 }
 
-// The words that the settings take are those of the routing.
+// The setting entry.disable must accept exactly the mechanisms of the routing; its validate tag
+// repeats their list.
 func TestEveryMechanismCanBeSwitchedOff(t *testing.T) {
 	s, err := Parse([]byte(wellFormed))
 	if err != nil {
--- a/pkg/config/defaults.go
+++ b/pkg/config/defaults.go
@@ -9,7 +9,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Defaults returns the settings that hold where the file says nothing.
+// Defaults returns the settings that apply where the file gives no value.
 func Defaults() *Settings {
 	return &Settings{
 		LogLevel: "info",
--- a/pkg/config/difference.go
+++ b/pkg/config/difference.go
@@ -5,16 +5,17 @@
 	"strings"
 )
 
-// Difference is a field in which two settings differ.
+// Difference is a field whose value differs between two settings.
 type Difference struct {
-	// Path is the path of the field, such as entry.listen.
+	// Path is the field's path in the settings file, such as entry.listen.
 	Path string `json:"place"`
-	// Reloadable tells whether a running process takes the change; else it takes a restart.
+	// Reloadable is true if a running process can apply the change; any other change requires a
+	// restart.
 	Reloadable bool `json:"running"`
 }
 
-// reloadableFields are the fields whose changes a running process takes. All others tie it to
-// its ports or its data folder, or are part of what it has promised to others.
+// reloadableFields are the fields whose changes a running process applies. The others determine
+// its ports or its data folder, or are values that other processes rely on.
 var reloadableFields = []string{"logLevel", "memoryLimitMB", "seeds", "replicas", "regions"}
 
 // Differences returns the fields in which two settings differ, in the order of the
@@ -22,7 +23,7 @@
 func Differences(a, b *Settings) []Difference {
 	all := compareFields("", reflect.ValueOf(a).Elem(), reflect.ValueOf(b).Elem())
 	for i := range all {
-		// A replica's own list says with whom it votes.
+		// A replica's own list determines its fellow voters, so it can't change while it runs.
 		if all[i].Path == "replicas" && a.Has(RoleControl) {
 			all[i].Reloadable = false
 		}
@@ -30,8 +31,8 @@
 	return all
 }
 
-// MergeReloadable returns the settings of a running process after it has taken what it can of
-// others.
+// MergeReloadable returns the settings inForce of a running process with the reloadable fields
+// of next.
 func MergeReloadable(inForce, next *Settings) *Settings {
 	merged := *inForce
 	merged.LogLevel = next.LogLevel
@@ -44,24 +45,24 @@
 	return &merged
 }
 
-func compareFields(place string, a, b reflect.Value) []Difference {
+func compareFields(path string, a, b reflect.Value) []Difference {
 	if a.Kind() != reflect.Struct {
 		if reflect.DeepEqual(a.Interface(), b.Interface()) {
 			return nil
 		}
-		return []Difference{{Path: place, Reloadable: isReloadable(place)}}
+		return []Difference{{Path: path, Reloadable: isReloadable(path)}}
 	}
 	var all []Difference
 	for i := range a.NumField() {
-		name := joinPath(place, a.Type().Field(i).Tag.Get("json"))
+		name := joinPath(path, a.Type().Field(i).Tag.Get("json"))
 		all = append(all, compareFields(name, a.Field(i), b.Field(i))...)
 	}
 	return all
 }
 
-func isReloadable(place string) bool {
+func isReloadable(path string) bool {
 	for _, p := range reloadableFields {
-		if place == p || strings.HasPrefix(place, p+".") {
+		if path == p || strings.HasPrefix(path, p+".") {
 			return true
 		}
 	}
--- a/pkg/config/duration.go
+++ b/pkg/config/duration.go
@@ -6,16 +6,16 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-// Duration is a length of time that is written as in "250ms" or "2s".
+// Duration is a duration that the settings file holds as a string such as "250ms" or "2s".
 type Duration time.Duration
 
 // Std returns the duration as the standard library's type.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// MarshalText writes the duration.
+// MarshalText formats the duration in Go's notation.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// UnmarshalText reads a duration; anything else gives a Settings fault.
+// UnmarshalText parses a duration in Go's notation. The error is a Settings fault.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/pkg/config/load.go
+++ b/pkg/config/load.go
@@ -14,15 +14,15 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-// Problem is one fault of a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
-	// Path is the path of the field, such as entry.listen.
+	// Path is the path of the field, such as entry.listen, or "file" for the file as a whole.
 	Path    string `json:"place"`
 	Message string `json:"what"`
 	Remedy  string `json:"remedy"`
 }
 
-// String tells the problem in one line.
+// String formats the problem in one line.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s: %s; %s", p.Path, p.Message, p.Remedy)
 }
@@ -37,7 +37,7 @@
 	return Parse(data)
 }
 
-// Parse reads and checks settings as Load does.
+// Parse parses and checks the content of a settings file. Its errors are those of Load.
 func Parse(data []byte) (*Settings, error) {
 	s, problems := parse(data)
 	if len(problems) == 0 {
@@ -53,8 +53,8 @@
 	return nil, fault.New(fault.Settings, "mend these places", "the settings have %d faults:\n  %s\n", len(problems), strings.Join(lines, "\n  "))
 }
 
-// parse decodes the file over the defaults. What can't be decoded is listed with
-// everything else that can't.
+// parse decodes the file over the defaults and returns a problem for each value that can't be
+// decoded.
 func parse(data []byte) (*Settings, []Problem) {
 	plain, err := hujson.Standardize(bytes.Clone(data))
 	if err != nil {
@@ -69,67 +69,68 @@
 	return s, problems
 }
 
-// decode puts a decoded JSON value into a field of the settings, and goes on
-// after a problem, so that all of them come to light at once.
-func decode(place string, tree any, into reflect.Value) []Problem {
-	if into.Kind() == reflect.Struct {
-		return decodeStruct(place, tree, into)
+// decode stores a decoded JSON value in a field of the settings. It continues after a problem,
+// so that all of them are reported at once.
+func decode(path string, value any, dst reflect.Value) []Problem {
+	if dst.Kind() == reflect.Struct {
+		return decodeStruct(path, value, dst)
 	}
-	if into.Kind() == reflect.Slice {
-		return decodeSlice(place, tree, into)
+	if dst.Kind() == reflect.Slice {
+		return decodeSlice(path, value, dst)
 	}
-	data, err := json.Marshal(tree)
+	data, err := json.Marshal(value)
 	if err == nil {
-		err = json.Unmarshal(data, into.Addr().Interface())
+		err = json.Unmarshal(data, dst.Addr().Interface())
 	}
 	if err != nil {
 		remedy := fault.RemedyOf(err)
 		if remedy == "" {
-			remedy = "write a " + typeDescription(into.Type())
+			remedy = "write a " + typeDescription(dst.Type())
 		}
-		return []Problem{{Path: place, Message: fmt.Sprintf("%s doesn't fit", data), Remedy: remedy}}
+		return []Problem{{Path: path, Message: fmt.Sprintf("%s doesn't fit", data), Remedy: remedy}}
 	}
 	return nil
 }
 
-func decodeStruct(place string, tree any, into reflect.Value) []Problem {
-	object, ok := tree.(map[string]any)
+func decodeStruct(path string, value any, dst reflect.Value) []Problem {
+	object, ok := value.(map[string]any)
 	if !ok {
-		return []Problem{{Path: pathOrFile(place), Message: "this isn't an object", Remedy: "write { ... }"}}
+		return []Problem{{Path: pathOrFile(path), Message: "this isn't an object", Remedy: "write { ... }"}}
 	}
-	fields := fieldIndexes(into.Type())
+	fields := fieldIndexes(dst.Type())
 	names := make([]string, 0, len(object))
-	for n := range object {
-		names = append(names, n)
+	for name := range object {
+		names = append(names, name)
 	}
 	sort.Strings(names)
 	var problems []Problem
-	for _, n := range names {
-		at := joinPath(place, n)
-		i, known := fields[n]
+	for _, name := range names {
+		fieldPath := joinPath(path, name)
+		i, known := fields[name]
 		if !known {
-			problems = append(problems, Problem{Path: at, Message: "there is no such field", Remedy: "remove it, or see docs/SETTINGS.md for the right name"})
+			problems = append(problems, Problem{Path: fieldPath, Message: "there is no such field", Remedy: "remove it, or see docs/SETTINGS.md for the right name"})
 			continue
 		}
-		problems = append(problems, decode(at, object[n], into.Field(i))...)
+		problems = append(problems, decode(fieldPath, object[name], dst.Field(i))...)
 	}
 	return problems
 }
 
-func decodeSlice(place string, tree any, into reflect.Value) []Problem {
-	list, ok := tree.([]any)
+func decodeSlice(path string, value any, dst reflect.Value) []Problem {
+	list, ok := value.([]any)
 	if !ok {
-		return []Problem{{Path: place, Message: "this isn't a list", Remedy: "write [ ... ]"}}
+		return []Problem{{Path: path, Message: "this isn't a list", Remedy: "write [ ... ]"}}
 	}
 	var problems []Problem
-	out := reflect.MakeSlice(into.Type(), len(list), len(list))
-	for i, x := range list {
-		problems = append(problems, decode(fmt.Sprintf("%s[%d]", place, i), x, out.Index(i))...)
+	out := reflect.MakeSlice(dst.Type(), len(list), len(list))
+	for i, element := range list {
+		problems = append(problems, decode(fmt.Sprintf("%s[%d]", path, i), element, out.Index(i))...)
 	}
-	into.Set(out)
+	dst.Set(out)
 	return problems
 }
 
+// fieldIndexes returns the index of each field of a struct by its JSON name.
 func fieldIndexes(t reflect.Type) map[string]int {
 	fields := map[string]int{}
 	for i := range t.NumField() {
@@ -138,6 +139,7 @@
 	return fields
 }
 
+// typeDescription returns what to write for a value of a type.
 func typeDescription(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Bool:
@@ -149,16 +151,16 @@
 	}
 }
 
-func joinPath(place, name string) string {
-	if place == "" {
+func joinPath(path, name string) string {
+	if path == "" {
 		return name
 	}
-	return place + "." + name
+	return path + "." + name
 }
 
-func pathOrFile(place string) string {
-	if place == "" {
+func pathOrFile(path string) string {
+	if path == "" {
 		return "file"
 	}
-	return place
+	return path
 }
--- a/pkg/config/page.go
+++ b/pkg/config/page.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Page returns docs/SETTINGS.md: every field with its default and description,
-// taken from the code.
+// Page returns the text of docs/SETTINGS.md: every field with its default and its description
+// from the struct tags.
 func Page() string {
 	var b strings.Builder
 	b.WriteString("# Settings\n\n")
@@ -23,20 +23,20 @@
 	return b.String()
 }
 
-func writeFields(b *strings.Builder, place string, v reflect.Value) {
+func writeFields(b *strings.Builder, path string, v reflect.Value) {
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
-		at := joinPath(place, f.Tag.Get("json"))
+		fieldPath := joinPath(path, f.Tag.Get("json"))
 		if f.Type.Kind() == reflect.Struct {
-			writeFields(b, at, v.Field(i))
+			writeFields(b, fieldPath, v.Field(i))
 			continue
 		}
 		if f.Type.Kind() == reflect.Slice && f.Type.Elem().Kind() == reflect.Struct {
-			fmt.Fprintf(b, "| `%s` | `[]` | %s |\n", at, f.Tag.Get("doc"))
-			writeFields(b, at+"[]", reflect.New(f.Type.Elem()).Elem())
+			fmt.Fprintf(b, "| `%s` | `[]` | %s |\n", fieldPath, f.Tag.Get("doc"))
+			writeFields(b, fieldPath+"[]", reflect.New(f.Type.Elem()).Elem())
 			continue
 		}
 		value, _ := json.Marshal(v.Field(i).Interface())
-		fmt.Fprintf(b, "| `%s` | `%s` | %s |\n", at, value, f.Tag.Get("doc"))
+		fmt.Fprintf(b, "| `%s` | `%s` | %s |\n", fieldPath, value, f.Tag.Get("doc"))
 	}
 }
--- a/pkg/config/settings.go
+++ b/pkg/config/settings.go
@@ -1,5 +1,5 @@
-// Package config holds the daemon's settings: one file in JSON with comments,
-// with a default and a description for every field, checked as a whole.
+// Package config defines the daemon's settings. They are read from one file in JSON with
+// comments. Every field has a default and a description, and all errors are reported at once.
 package config
 
 import (
@@ -9,14 +9,14 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Settings are a process's settings. The doc tag is what docs/SETTINGS.md says
-// of a field, the validate tag what it must keep to.
+// Settings are a process's settings. The doc tag is a field's description in docs/SETTINGS.md,
+// the validate tag its constraints.
 type Settings struct {
 	Box      string `json:"box" validate:"required,name" doc:"This box's name; no other box of the deployment has it. A control replica goes by it as well."`
 	Domain   string `json:"domain" validate:"omitempty,name" doc:"The failure domain that this box stands in."`
 	Roles    []Role `json:"roles" validate:"required,min=1,unique,dive,oneof=entry control" doc:"What this process does: entry, control, or both."`
 	LogLevel string `json:"logLevel" validate:"oneof=error warn info debug" doc:"The least level that is logged: error, warn, info or debug."`
-	// MemoryLimitMB is a soft limit.
+	// MemoryLimitMB is a soft limit in MiB.
 	MemoryLimitMB int        `json:"memoryLimitMB" validate:"min=0,max=1048576" doc:"The memory, in MB, that the process tries to stay below: near it the garbage collector works harder. Set it well below what the box allows; 0 is no limit."`
 	Peer          Peer       `json:"peer" doc:"The port for madderpond's own processes."`
 	Replicas      []Replica  `json:"replicas" validate:"max=7,unique=Box,unique=Address,dive" doc:"All control replicas, the same list on every box. Either this or seeds is given."`
@@ -31,16 +31,17 @@
 	Regions map[units.Domain]units.Region `json:"regions" validate:"max=1024,dive,keys,name,endkeys,name" doc:"The regions of the failure domains, as in {\"north-a\": \"north\"}, the same on every box. A target whose domain isn't listed has no region: routes that allow some regions only don't use it."`
 }
 
-// Role is something that a process does.
+// Role is a function of a process.
 type Role string
 
-// The roles.
+// The roles: RoleEntry accepts calls and sends them to targets, RoleControl runs a control
+// replica.
 const (
 	RoleEntry   Role = "entry"
 	RoleControl Role = "control"
 )
 
-// Has tells whether the process has a role.
+// Has reports whether the process has a role.
 func (s *Settings) Has(r Role) bool {
 	for _, have := range s.Roles {
 		if have == r {
@@ -50,8 +51,8 @@
 	return false
 }
 
-// OwnPeerAddress returns the fixed address where other processes reach this one, or
-// an empty string when the settings name none.
+// OwnPeerAddress returns the fixed address at which other processes reach this one, or an
+// empty string if the settings give no address with a fixed port.
 func (s *Settings) OwnPeerAddress() string {
 	for _, address := range []string{s.Peer.Advertise, s.Peer.Listen} {
 		if address != "" && !strings.HasSuffix(address, ":0") {
@@ -61,7 +62,8 @@
 	return ""
 }
 
-// ReplicaName returns the name by which this process's replica goes.
+// ReplicaName returns the name of this process's replica: its peer address in a cluster with
+// seeds, else its box's name.
 func (s *Settings) ReplicaName() string {
 	if len(s.Seeds) > 0 {
 		return s.OwnPeerAddress()
@@ -69,7 +71,7 @@
 	return s.Box
 }
 
-// ReplicaNames returns the names of the replicas that the settings know.
+// ReplicaNames returns the names of the replicas in the settings.
 func (s *Settings) ReplicaNames() []string {
 	if len(s.Seeds) > 0 {
 		return s.Seeds
@@ -81,7 +83,7 @@
 	return names
 }
 
-// ReplicaIDs returns the ids of the replicas that the settings know.
+// ReplicaIDs returns the ids of the replicas in the settings.
 func (s *Settings) ReplicaIDs() []units.ReplicaID {
 	names := s.ReplicaNames()
 	ids := make([]units.ReplicaID, 0, len(names))
@@ -91,23 +93,23 @@
 	return ids
 }
 
-// Peer is the port for madderpond's own processes.
+// Peer holds the settings of the port for connections between madderpond processes.
 type Peer struct {
 	Listen    string `json:"listen" validate:"ipport" doc:"IP number and port to listen on; port 0 takes a free one."`
 	Advertise string `json:"advertise" validate:"omitempty,ipport" doc:"Where the other boxes reach this one; empty means the address listened on."`
-	// The three files go together.
+	// Certificate, Key and Authority are set together or not at all.
 	Certificate string `json:"certificate" validate:"required_with=Key Authority" doc:"The certificate in PEM by which this process shows itself to the others; it names the box as a DNS name. Empty leaves the connections between processes open."`
 	Key         string `json:"key" validate:"required_with=Certificate" doc:"The key in PEM that belongs to the certificate."`
 	Authority   string `json:"authority" validate:"required_with=Certificate" doc:"The certificate in PEM of the authority that signs all of them."`
 }
 
-// Replica is a control replica as all boxes know it.
+// Replica is a control replica in the list that all boxes share.
 type Replica struct {
 	Box     string `json:"box" validate:"required,name" doc:"The replica's box."`
 	Address string `json:"address" validate:"required,ipport" doc:"The IP number and port of its peer port."`
 }
 
-// Control is a control replica's own part.
+// Control holds the settings of a control replica.
 type Control struct {
 	DataFolder      string   `json:"dataFolder" doc:"The folder of this replica's durable state."`
 	ElectionTimeout Duration `json:"electionTimeout" validate:"min=20ms,max=30s" doc:"The least time without a leader before an election. It must be well above the slowest round trip between replicas."`
@@ -123,21 +125,21 @@
 	KeepEntries     int      `json:"keepEntries" validate:"min=0,max=1000000" doc:"How many entries stay in the log behind a snapshot, for replicas that are a little behind."`
 }
 
-// Rollout says whether and within what limits services are moved to new versions.
+// Rollout holds the settings of rollouts, which move a service to a new version of its software.
 type Rollout struct {
 	Enabled bool    `json:"enabled" doc:"Whether rollouts may be ordered. Then a service's registered targets get calls only if they are of the version in force, which is that of its first targets. It must be the same on all control replicas."`
 	Share   float64 `json:"share" validate:"gt=0,max=50" doc:"The part of a service's calls that a bad version may take from the order to its deadline, in hundredths; the trial takes half of it."`
 	Slack   int     `json:"slack" validate:"min=1,max=1000000" doc:"The calls that a bad version may take beside that share."`
 }
 
-// Growth says how a cluster with seeds forms and grows by itself.
+// Growth holds the settings for the automatic formation and growth of a cluster with seeds.
 type Growth struct {
 	Bootstrap    bool     `json:"bootstrap" doc:"Whether a new cluster may be formed. It is true only when the whole system starts for the first time."`
 	Voters       int      `json:"voters" validate:"min=1,max=9" doc:"How many voting replicas the cluster grows to; twice the disks that may be lost at once, and one."`
 	ReplaceAfter Duration `json:"replaceAfter" validate:"min=100ms,max=24h" doc:"How long a voter must be silent for another replica that reports to take its place."`
 }
 
-// Entry is the entry for callers.
+// Entry holds the settings of the entry, which accepts the calls of callers.
 type Entry struct {
 	Listen          string              `json:"listen" validate:"ipport" doc:"IP number and port for callers; port 0 takes a free one."`
 	Policy          string              `json:"policy" validate:"oneof=cost random round-robin least-in-flight two-choices-reported" doc:"How a target is chosen: cost, random, round-robin, least-in-flight or two-choices-reported. All but cost are for comparison."`
@@ -182,25 +184,25 @@
 	HangUpCheck     Duration            `json:"hangUpCheck" validate:"min=5ms,max=10s" doc:"How often the callers of waiting calls are looked for, so that a call is canceled when its caller hangs up."`
 }
 
-// Admin is the port for operators.
+// Admin holds the settings of the administration API.
 type Admin struct {
 	Listen    string `json:"listen" validate:"ipport" doc:"IP number and port of the administration API; port 0 takes a free one."`
 	TokenFile string `json:"tokenFile" doc:"The file that holds the bearer token. Without one the API may listen on a loopback address only."`
 	MaxBody   int    `json:"maxBody" validate:"min=1024,max=67108864" doc:"The largest request body, in bytes."`
 }
 
-// Metrics is the port for metrics alone.
+// Metrics holds the settings of the port that serves metrics only.
 type Metrics struct {
 	Listen string `json:"listen" validate:"omitempty,ipport" doc:"IP number and port where the metrics are read at /debug/vars, without a token; empty means only on the administration API."`
 }
 
-// Platform is where the platform's list of boxes is read.
+// Platform holds the settings for reading the platform's list of boxes.
 type Platform struct {
 	List  string   `json:"list" validate:"omitempty,listsource" doc:"A file, or a http URL with an IP number, that holds the platform's list as JSON; empty means none."`
 	Every Duration `json:"every" validate:"min=50ms,max=10m" doc:"How often the list is read."`
 }
 
-// StopTiming is how a planned stop goes.
+// StopTiming holds the timing of a planned stop.
 type StopTiming struct {
 	Leave Duration `json:"leave" validate:"min=0s,max=10m" doc:"How long a leaving box still takes new connections, since the platform's balancer learns of it late."`
 	Limit Duration `json:"limit" validate:"min=1s,max=24h" doc:"How long calls under way may take to end. Only after it are they cut."`
--- a/pkg/sheet/diff.go
+++ b/pkg/sheet/diff.go
@@ -8,13 +8,14 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Sheets are the table as its operators write it.
+// Sheets hold the content of the table in the form that operators edit.
 type Sheets struct {
 	Services []table.Service
 	Rows     []table.Row
 }
 
-// FromTable returns a table's sheets, services and rows in order.
+// FromTable returns a table's sheets. Services are sorted by name, and rows are grouped by
+// service.
 func FromTable(t *table.Table) Sheets {
 	var s Sheets
 	for _, n := range t.ServiceNames() {
@@ -24,9 +25,9 @@
 	return s
 }
 
-// Diff returns the operations that make a table what the sheets say. What the
-// sheets leave out stays, unless prune is set. Operations on one service follow
-// each other.
+// Diff returns the operations that change a table to the content of the sheets: first those on
+// services, then those on rows. Services and rows that the sheets don't contain are kept, or
+// deleted last if prune is set.
 func Diff(t *table.Table, s Sheets, prune bool) []table.Operation {
 	var operations []table.Operation
 	for i := range s.Services {
@@ -47,6 +48,7 @@
 	return operations
 }
 
+// sameService reports whether two services are equal. A nil list of hosts equals an empty one.
 func sameService(a, b *table.Service) bool {
 	x, y := *a, *b
 	if len(x.Hosts) == 0 && len(y.Hosts) == 0 {
@@ -55,7 +57,7 @@
 	return reflect.DeepEqual(x, y)
 }
 
-// deletions returns the deletions of what the sheets leave out.
+// deletions returns operations that delete the services and rows that the sheets don't contain.
 func deletions(t *table.Table, s Sheets) []table.Operation {
 	var operations []table.Operation
 	for _, n := range t.ServiceNames() {
@@ -73,7 +75,8 @@
 	return operations
 }
 
-// Bases returns the present versions of the services that operations touch.
+// Bases returns the current versions of the services that operations change, 0 for a service
+// that doesn't exist.
 func Bases(t *table.Table, operations []table.Operation) map[units.ServiceName]units.Version {
 	bases := map[units.ServiceName]units.Version{}
 	for _, o := range operations {
--- a/pkg/sheet/routes.go
+++ b/pkg/sheet/routes.go
@@ -37,7 +37,7 @@
 	{"regions", false, parseRegions, formatRegions},
 }
 
-// noRegions stands for a list that allows no region; an empty cell allows all.
+// noRegions is the cell of a list that allows no region; an empty cell allows all regions.
 const noRegions = "none"
 
 func parseRegions(r *table.Route, cell string) error {
@@ -62,19 +62,19 @@
 	if len(r.Regions.Names) == 0 {
 		return noRegions
 	}
-	words := make([]string, 0, len(r.Regions.Names))
+	names := make([]string, 0, len(r.Regions.Names))
 	for _, n := range r.Regions.Names {
-		words = append(words, string(n))
+		names = append(names, string(n))
 	}
-	return strings.Join(words, listSeparator)
+	return strings.Join(names, listSeparator)
 }
 
-// NewRoute returns a route with every default.
+// NewRoute returns a route in which every field has its default.
 func NewRoute() table.Route {
 	return table.Route{Work: table.Repeatable, Deadline: table.DefaultDeadline}
 }
 
-// ReadRoutes reads a sheet of routes, as ReadServices does.
+// ReadRoutes reads a sheet of routes. Its errors are those of ReadServices.
 func ReadRoutes(r io.Reader) ([]table.Route, error) {
 	return read(r, routeColumns, NewRoute, table.CheckRoute)
 }
@@ -84,20 +84,20 @@
 	return write(w, routeColumns, routes)
 }
 
-// SetRouteCell is SetRowCell for a route.
+// SetRouteCell does the same as SetRowCell for a route.
 func SetRouteCell(r *table.Route, name, value string) error {
 	return setCell(routeColumns, r, name, value)
 }
 
-// weightSeparator stands between a service and its weight.
+// weightSeparator separates a service from its weight.
 const weightSeparator = ":"
 
-// parseWeightedServices reads services with their weights, as in "old:90 new:10"; a service alone
-// has the weight 1.
-func parseWeightedServices(into *[]table.WeightedService, cell string) error {
-	var parts []table.WeightedService
-	for _, word := range strings.Fields(cell) {
-		name, weight, weighted := strings.Cut(word, weightSeparator)
+// parseWeightedServices parses services with their weights, as in "old:90 new:10". A service
+// without a weight has weight 1.
+func parseWeightedServices(dst *[]table.WeightedService, cell string) error {
+	var services []table.WeightedService
+	for _, element := range strings.Fields(cell) {
+		name, weight, weighted := strings.Cut(element, weightSeparator)
 		p := table.WeightedService{Service: units.ServiceName(name), Weight: 1}
 		if weighted {
 			n, err := strconv.Atoi(weight)
@@ -106,16 +106,16 @@
 			}
 			p.Weight = n
 		}
-		parts = append(parts, p)
+		services = append(services, p)
 	}
-	*into = parts
+	*dst = services
 	return nil
 }
 
-func formatWeightedServices(parts []table.WeightedService) string {
-	words := make([]string, 0, len(parts))
-	for _, p := range parts {
-		words = append(words, fmt.Sprintf("%s%s%d", p.Service, weightSeparator, p.Weight))
+func formatWeightedServices(services []table.WeightedService) string {
+	elements := make([]string, 0, len(services))
+	for _, p := range services {
+		elements = append(elements, fmt.Sprintf("%s%s%d", p.Service, weightSeparator, p.Weight))
 	}
-	return strings.Join(words, listSeparator)
+	return strings.Join(elements, listSeparator)
 }
--- a/pkg/sheet/sheet.go
+++ b/pkg/sheet/sheet.go
@@ -1,5 +1,5 @@
-// Package sheet reads and writes the operators' table as two CSV sheets: the
-// services, and their rows. Every fault is told with its line and column.
+// Package sheet reads and writes the routing table as CSV sheets for operators: services, their
+// rows, and routes. Every error is reported with its line and column.
 package sheet
 
 import (
@@ -15,8 +15,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// column is one column of a sheet: how a cell is read and written, and what
-// holds when the sheet lacks the column or the cell is empty.
+// column is one column of a sheet, with the functions that parse and format its cells. If the
+// column isn't required, the default stays where the column is missing or the cell is empty.
 type column[T any] struct {
 	name     string
 	required bool
@@ -24,7 +24,7 @@
 	format   func(*T) string
 }
 
-// listSeparator stands between the host names of a cell.
+// listSeparator separates the elements of a list in a cell, such as host names.
 const listSeparator = " "
 
 var serviceColumns = []column[table.Service]{
@@ -81,10 +81,10 @@
 		func(r *table.Row) string { return r.State.String() }},
 }
 
-// DefaultWeight is the weight of a row whose sheet says nothing.
+// DefaultWeight is the weight of a row if its sheet gives none.
 const DefaultWeight = 100
 
-// NewService returns a service with every default.
+// NewService returns a service in which every field has its default.
 func NewService() table.Service {
 	return table.Service{
 		Work: table.Repeatable, Deadline: table.DefaultDeadline, HoldLimit: table.DefaultHoldLimit,
@@ -93,18 +93,18 @@
 	}
 }
 
-// NewRow returns a row with every default.
+// NewRow returns a row in which every field has its default.
 func NewRow() table.Row {
 	return table.Row{Weight: DefaultWeight, State: table.Active}
 }
 
-// ReadServices reads a sheet of services. The error is an Invalid fault that
-// names every wrong cell.
+// ReadServices reads a sheet of services. The error is an Invalid fault that lists the wrong
+// cells and stops after about maxProblems of them.
 func ReadServices(r io.Reader) ([]table.Service, error) {
 	return read(r, serviceColumns, NewService, table.CheckService)
 }
 
-// ReadRows reads a sheet of rows, as ReadServices does.
+// ReadRows reads a sheet of rows. Its errors are those of ReadServices.
 func ReadRows(r io.Reader) ([]table.Row, error) {
 	return read(r, rowColumns, NewRow, table.CheckRow)
 }
@@ -119,13 +119,13 @@
 	return write(w, rowColumns, rows)
 }
 
-// SetRowCell puts a value, written as in a sheet, into a column of a row. The
-// error is an Invalid fault.
+// SetRowCell parses a value as in a sheet and sets the named column of a row to it. The error
+// is an Invalid fault.
 func SetRowCell(r *table.Row, name, value string) error {
 	return setCell(rowColumns, r, name, value)
 }
 
-// SetServiceCell is SetRowCell for a service.
+// SetServiceCell does the same as SetRowCell for a service.
 func SetServiceCell(s *table.Service, name, value string) error {
 	return setCell(serviceColumns, s, name, value)
 }
@@ -177,10 +177,12 @@
 	return out.Error()
 }
 
-// maxProblems bounds how many faults are listed at once.
+// maxProblems is the number of problems after which reading a sheet stops.
 const maxProblems = 50
 
-func read[T any](r io.Reader, columns []column[T], make func() T, check func(*T) []table.Problem) ([]T, error) {
+// read reads a sheet into values that start from newValue, and checks each line whose cells
+// can all be parsed.
+func read[T any](r io.Reader, columns []column[T], newValue func() T, check func(*T) []table.Problem) ([]T, error) {
 	in := csv.NewReader(r)
 	in.Comment = '#'
 	in.FieldsPerRecord = -1
@@ -200,14 +202,14 @@
 			break
 		}
 		line, _ := in.FieldPos(0)
-		v := make()
-		found := parseCells(&v, cells, order, line)
-		if len(found) == 0 {
+		v := newValue()
+		lineProblems := parseCells(&v, cells, order, line)
+		if len(lineProblems) == 0 {
 			for _, p := range check(&v) {
-				found = append(found, fmt.Sprintf("line %d, %s", line, p))
+				lineProblems = append(lineProblems, fmt.Sprintf("line %d, %s", line, p))
 			}
 		}
-		problems = append(problems, found...)
+		problems = append(problems, lineProblems...)
 		values = append(values, v)
 	}
 	if len(problems) > 0 {
@@ -216,6 +218,8 @@
 	return values, nil
 }
 
+// matchHeader returns the column of each cell of the header, nil for an unknown one, and the
+// problems of the header.
 func matchHeader[T any](header []string, columns []column[T]) (order []*column[T], problems []string) {
 	seen := map[string]bool{}
 	for _, name := range header {
@@ -264,48 +268,48 @@
 	return problems
 }
 
-func parseDuration(into *time.Duration, cell string) error {
+func parseDuration(dst *time.Duration, cell string) error {
 	d, err := time.ParseDuration(cell)
 	if err != nil {
 		return fault.New(fault.Invalid, "write it as in 250ms or 2s", "%q is no duration", cell)
 	}
-	*into = d
+	*dst = d
 	return nil
 }
 
-func parseInt(into *int, cell string) error {
+func parseInt(dst *int, cell string) error {
 	n, err := strconv.Atoi(cell)
 	if err != nil {
 		return fault.New(fault.Invalid, "write it as in 120", "%q is no whole number", cell)
 	}
-	*into = n
+	*dst = n
 	return nil
 }
 
-func parseBool(into *bool, cell string) error {
+func parseBool(dst *bool, cell string) error {
 	b, err := strconv.ParseBool(cell)
 	if err != nil {
 		return fault.New(fault.Invalid, "write true or false", "%q is neither", cell)
 	}
-	*into = b
+	*dst = b
 	return nil
 }
 
-func parseFloat(into *float64, cell string) error {
+func parseFloat(dst *float64, cell string) error {
 	x, err := strconv.ParseFloat(cell, 64)
 	if err != nil {
 		return fault.New(fault.Invalid, "write it as in 12.5", "%q is no number", cell)
 	}
-	*into = x
+	*dst = x
 	return nil
 }
 
-func parsePercent(into *units.Percent, cell string) error {
+func parsePercent(dst *units.Percent, cell string) error {
 	var x float64
 	if err := parseFloat(&x, strings.TrimSuffix(cell, "%")); err != nil {
 		return err
 	}
-	*into = units.Percent(x)
+	*dst = units.Percent(x)
 	return nil
 }
 
--- a/pkg/sheet/sheet_test.go
+++ b/pkg/sheet/sheet_test.go
@@ -32,7 +32,7 @@
 		t.Run(s.testName, func(t *testing.T) {
 			_, err := ReadRows(strings.NewReader(s.sheet))
 			if err == nil {
-				t.Fatal("the sheet was taken")
+				t.Fatal("the sheet was accepted")
 			}
 			for _, w := range s.want {
 				if !strings.Contains(err.Error(), w) {
@@ -47,7 +47,7 @@
 	services := "# a comment\nservice,work,hosts,deadline,retry_budget\na,once,a.test b.test,250ms,12.5%\nb,patient,,,\n"
 	_, err := ReadServices(strings.NewReader(services))
 	if err == nil || !strings.Contains(err.Error(), "line 4, column hosts") {
-		t.Fatalf("a service without host and prefix was taken: %v", err)
+		t.Fatalf("a service without host and prefix was accepted: %v", err)
 	}
 	read, err := ReadServices(strings.NewReader(strings.Replace(services, "b,patient,,", "b,patient,b.test,", 1)))
 	if err != nil {
@@ -132,7 +132,7 @@
 		}
 		again, err := ReadRows(&out)
 		if err != nil {
-			t.Fatalf("what was written can't be read: %v", err)
+			t.Fatalf("the written sheet can't be read back: %v", err)
 		}
 		if d := cmp.Diff(rows, again); d != "" {
 			t.Fatal(d)
@@ -171,7 +171,7 @@
 	}
 	for _, cell := range []string{"North", "north north"} {
 		if _, err := ReadRoutes(strings.NewReader(header + "r,h,/,once,s," + cell + "\n")); err == nil {
-			t.Errorf("%q is taken for regions", cell)
+			t.Errorf("%q is accepted as a list of regions", cell)
 		}
 	}
 }
