--- a/pkg/ctl/ctl.go
+++ b/pkg/ctl/ctl.go
@@ -1,4 +1,4 @@
-// Package ctl is the operators' command line.
+// Package ctl implements madderctl, the command line tool for operators.
 package ctl
 
 import (
@@ -38,10 +38,11 @@
 	fault.Unauthorized: ExitUnauthorized,
 }
 
-// errTableDiffers says that diff has found something; it isn't a failure.
+// errTableDiffers is returned by diff when it finds differences. It isn't a failure: it only
+// selects the exit code.
 var errTableDiffers = errors.New("the sheets and the table differ")
 
-// Options are the flags that all commands share.
+// Options are the flags that all commands accept.
 type Options struct {
 	Servers      []string      `short:"s" long:"server" value-name:"IP:PORT" env:"MADDERPOND_SERVERS" env-delim:"," description:"a control replica's administration address; may be given several times"`
 	TokenFile    string        `long:"token-file" value-name:"FILE" env:"MADDERPOND_TOKEN_FILE" description:"the file that holds the bearer token"`
@@ -67,8 +68,8 @@
 	subcommands []command
 }
 
-// commands lists the whole command line; each entry's handler stands with its
-// data type.
+// commands returns the tree of commands. A command's handler is the method Execute of its
+// data.
 func (t *Tool) commands() []command {
 	return []command{
 		{name: "table", short: "read and change the table", data: &struct{}{}, subcommands: []command{
@@ -112,18 +113,18 @@
 	}
 }
 
-// commandAdder is what a parser and a command have in common.
+// commandAdder is a parser or a command, to which subcommands can be added.
 type commandAdder interface {
 	AddCommand(command, shortDescription, longDescription string, data any) (*flags.Command, error)
 }
 
-func addCommands(to commandAdder, commands []command) error {
+func addCommands(parent commandAdder, commands []command) error {
 	for _, c := range commands {
 		long := c.long
 		if long == "" {
 			long = c.short
 		}
-		added, err := to.AddCommand(c.name, c.short, long, c.data)
+		added, err := parent.AddCommand(c.name, c.short, long, c.data)
 		if err != nil {
 			return err
 		}
@@ -134,7 +135,8 @@
 	return nil
 }
 
-// Main runs the tool with a command line and returns its exit code.
+// Main runs the tool with the arguments of a command line, without the program's name, and
+// returns its exit code.
 func Main(arguments []string, out, errOut io.Writer) int {
 	t := &Tool{out: out}
 	parser := flags.NewNamedParser("madderctl", flags.HelpFlag|flags.PassDoubleDash)
@@ -150,6 +152,8 @@
 	return reportError(err, out, errOut)
 }
 
+// reportError prints an error and returns the exit code for it. The help text, which the
+// parser returns as an error, goes to out.
 func reportError(err error, out, errOut io.Writer) int {
 	if err == nil {
 		return ExitDone
@@ -173,7 +177,7 @@
 	return ExitFailed
 }
 
-// connect returns a client as the options say.
+// connect returns a client for the servers and the token of the options.
 func (t *Tool) connect() (*client.Client, error) {
 	return client.NewClient(t.options.Servers, t.options.TokenFile, t.options.RetryTimeout)
 }
@@ -184,7 +188,7 @@
 	return e.Encode(v)
 }
 
-// printTable prints rows of cells in columns for people.
+// printTable prints rows of cells in aligned columns.
 func (t *Tool) printTable(header []string, rows [][]string) error {
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	for _, cells := range append([][]string{header}, rows...) {
@@ -198,5 +202,5 @@
 
 func (t *Tool) print(format string, args ...any) { fmt.Fprintf(t.out, format, args...) }
 
-// Run is the entry point of the program.
+// Run runs the tool with the process's command line and exits with its exit code.
 func Run() { os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/pkg/ctl/document.go
+++ b/pkg/ctl/document.go
@@ -14,7 +14,7 @@
 
 type documentGet struct{ tool *Tool }
 
-// Execute prints the newest document as it was put.
+// Execute prints the newest document as it was uploaded.
 func (c *documentGet) Execute([]string) error {
 	api, err := c.tool.connect()
 	if err != nil {
@@ -35,7 +35,8 @@
 	tool *Tool
 }
 
-// Execute puts a document in force; comments are allowed in its file.
+// Execute uploads a document, which is in force once it is accepted. Comments and trailing
+// commas in its file are allowed, and are removed before the upload.
 func (c *documentPut) Execute([]string) error {
 	data, err := os.ReadFile(c.Args.File)
 	if err != nil {
@@ -73,9 +74,9 @@
 	}
 	var rows [][]string
 	for _, t := range targets {
-		heard := "unknown"
+		sinceReport := "unknown"
 		if t.SinceReport >= 0 {
-			heard = t.SinceReport.Round(time.Millisecond).String()
+			sinceReport = t.SinceReport.Round(time.Millisecond).String()
 		}
 		state := t.State.String()
 		if t.Silent {
@@ -83,7 +84,7 @@
 		}
 		rows = append(rows, []string{
 			string(t.Target), string(t.Service), t.Address, string(t.Domain), state,
-			strconv.FormatUint(t.Sequence, 10), heard,
+			strconv.FormatUint(t.Sequence, 10), sinceReport,
 		})
 	}
 	return c.tool.printTable([]string{"target", "service", "address", "domain", "state", "sequence", "heard before"}, rows)
--- a/pkg/ctl/evacuation.go
+++ b/pkg/ctl/evacuation.go
@@ -8,7 +8,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// orderEvacuation is the command that evacuates a failure domain, or restores it.
+// orderEvacuation is the command that evacuates a failure domain, or ends its evacuation.
 type orderEvacuation struct {
 	Args struct {
 		Domain string `positional-arg-name:"DOMAIN" required:"true"`
@@ -17,7 +17,7 @@
 	evacuate bool
 }
 
-// Execute has the order carried out.
+// Execute submits the order.
 func (c *orderEvacuation) Execute([]string) error {
 	api, err := c.tool.connect()
 	if err != nil {
--- a/pkg/ctl/explain.go
+++ b/pkg/ctl/explain.go
@@ -16,7 +16,7 @@
 	tool *Tool
 }
 
-// Execute tells the story of a call from log files, or from standard input.
+// Execute reconstructs what happened to a call from log files, or from standard input.
 func (c *explainCall) Execute([]string) error {
 	logs := []io.Reader{}
 	for _, name := range c.Args.Files {
--- a/pkg/ctl/quarantine.go
+++ b/pkg/ctl/quarantine.go
@@ -10,7 +10,7 @@
 
 type listQuarantines struct{ tool *Tool }
 
-// Execute lists the calls that no target gets.
+// Execute lists the quarantined calls, which no target receives.
 func (c *listQuarantines) Execute([]string) error {
 	api, err := c.tool.connect()
 	if err != nil {
@@ -25,18 +25,19 @@
 	}
 	var rows [][]string
 	for _, q := range list {
-		refused := "unknown"
+		lastRefused := "unknown"
 		if q.SinceRefusal >= 0 {
-			refused = q.SinceRefusal.Round(time.Second).String() + " ago"
+			lastRefused = q.SinceRefusal.Round(time.Second).String() + " ago"
 		}
 		rows = append(rows, []string{
 			q.Name, string(q.Service), targetNames(&q.Quarantine), time.UnixMilli(int64(q.At)).UTC().Format(time.RFC3339),
-			strconv.FormatBool(q.Doubtful), strconv.Itoa(q.Trials), refused,
+			strconv.FormatBool(q.Doubtful), strconv.Itoa(q.Trials), lastRefused,
 		})
 	}
 	return c.tool.printTable([]string{"call", "service", "crashed targets", "since", "doubtful", "trials", "last refused"}, rows)
 }
 
+// targetNames returns the targets that crashed under a call, separated by commas.
 func targetNames(q *table.Quarantine) string {
 	names := make([]string, 0, len(q.Targets))
 	for _, t := range q.Targets {
@@ -53,7 +54,7 @@
 	tool *Tool
 }
 
-// Execute has the order carried out.
+// Execute releases the call, so that targets receive it again.
 func (c *releaseCall) Execute([]string) error {
 	api, err := c.tool.connect()
 	if err != nil {
--- a/pkg/ctl/regions.go
+++ b/pkg/ctl/regions.go
@@ -11,14 +11,14 @@
 
 type listRegions struct{ tool *Tool }
 
-// regionsDump is what the list needs of a box's dump.
+// regionsDump is the part of a box's state dump that listRegions reads.
 type regionsDump struct {
 	Entry *struct {
 		Routing routing.Status `json:"routing"`
 	} `json:"entry"`
 }
 
-// Execute lists the routes that allow some regions only, as an entry box sees them.
+// Execute lists the routes that allow some regions only, from the state of an entry box.
 func (c *listRegions) Execute([]string) error {
 	api, err := c.tool.connect()
 	if err != nil {
@@ -57,12 +57,12 @@
 }
 
 func joinRegions(x routing.RestrictedRoute) string {
-	words := make([]string, 0, len(x.Regions))
+	names := make([]string, 0, len(x.Regions))
 	for _, r := range x.Regions {
-		words = append(words, string(r))
+		names = append(names, string(r))
 	}
-	if len(words) == 0 {
+	if len(names) == 0 {
 		return "none"
 	}
-	return strings.Join(words, " ")
+	return strings.Join(names, " ")
 }
--- a/pkg/ctl/rollout.go
+++ b/pkg/ctl/rollout.go
@@ -10,7 +10,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// startRollout is the command that orders a rollout.
+// startRollout is the command that starts a rollout.
 type startRollout struct {
 	Args struct {
 		Service  string        `positional-arg-name:"SERVICE" required:"true"`
@@ -20,7 +20,7 @@
 	tool *Tool
 }
 
-// Execute has the order carried out.
+// Execute submits the order.
 func (c *startRollout) Execute([]string) error {
 	api, err := c.tool.connect()
 	if err != nil {
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// abortRollout is the command that ends a rollout under way.
+// abortRollout is the command that rolls back a rollout in progress.
 type abortRollout struct {
 	Args struct {
 		Service string `positional-arg-name:"SERVICE" required:"true"`
@@ -45,7 +45,7 @@
 	tool *Tool
 }
 
-// Execute has the order carried out.
+// Execute submits the order.
 func (c *abortRollout) Execute([]string) error {
 	api, err := c.tool.connect()
 	if err != nil {
@@ -61,7 +61,7 @@
 
 type showRollouts struct{ tool *Tool }
 
-// Execute lists the last rollouts of services.
+// Execute lists the last rollout of each service.
 func (c *showRollouts) Execute([]string) error {
 	api, err := c.tool.connect()
 	if err != nil {
@@ -84,6 +84,7 @@
 	return c.tool.printTable([]string{"service", "from", "to", "stage", "share", "time", "new good/bad", "old good/bad", "operator", "reason"}, rows)
 }
 
+// formatCounts formats answer counts as successes/failures.
 func formatCounts(c control.AnswerCounts) string {
 	return strconv.FormatUint(c.Good, 10) + "/" + strconv.FormatUint(c.Bad, 10)
 }
--- a/pkg/ctl/rows.go
+++ b/pkg/ctl/rows.go
@@ -8,19 +8,19 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// changeRow changes one row as f says, from its present state.
-func (t *Tool) changeRow(service, target string, f func(*table.Row)) error {
-	present, err := t.fetchTable()
+// changeRow applies change to the current state of one row and submits the result as an edit.
+func (t *Tool) changeRow(service, target string, change func(*table.Row)) error {
+	current, err := t.fetchTable()
 	if err != nil {
 		return err
 	}
-	entry := present.Services[units.ServiceName(service)]
+	entry := current.Services[units.ServiceName(service)]
 	if entry == nil || entry.Row(units.TargetID(target)) == nil {
 		return rowNotFound(service, target)
 	}
 	row := *entry.Row(units.TargetID(target))
-	f(&row)
-	return t.submitEdit(present, []table.Operation{{Kind: table.PutRow, Row: &row}})
+	change(&row)
+	return t.submitEdit(current, []table.Operation{{Kind: table.PutRow, Row: &row}})
 }
 
 type setWeight struct {
@@ -36,7 +36,7 @@
 func (c *setWeight) Execute([]string) error {
 	weight, err := strconv.Atoi(c.Args.Weight)
 	if err != nil {
-		return fault.New(fault.Invalid, "write a whole number such as 50", "%q is no weight", c.Args.Weight)
+		return fault.New(fault.Invalid, "write a whole number such as 50", "%q is not a weight", c.Args.Weight)
 	}
 	return c.tool.changeRow(c.Args.Service, c.Args.Target, func(r *table.Row) { r.Weight = weight })
 }
@@ -52,7 +52,7 @@
 	tool *Tool
 }
 
-// Execute sets those of a row's limits that are given.
+// Execute sets the limits of a row that the flags give and leaves the others unchanged.
 func (c *setLimit) Execute([]string) error {
 	return c.tool.changeRow(c.Args.Service, c.Args.Target, func(r *table.Row) {
 		setIfGiven(&r.MaxInFlight, c.InFlight)
@@ -61,9 +61,10 @@
 	})
 }
 
-func setIfGiven[T any](into, value *T) {
+// setIfGiven copies value to dst unless value is nil, which means that the flag wasn't given.
+func setIfGiven[T any](dst, value *T) {
 	if value != nil {
-		*into = *value
+		*dst = *value
 	}
 }
 
--- a/pkg/ctl/show.go
+++ b/pkg/ctl/show.go
@@ -37,8 +37,8 @@
 
 type showStatus struct{ tool *Tool }
 
-// Execute shows the state of the control replicas and what the leader knows of
-// the boxes.
+// Execute shows the state of the control replicas and, if one of them has the lease as
+// leader, its state of the boxes.
 func (c *showStatus) Execute([]string) error {
 	api, err := c.tool.connect()
 	if err != nil {
@@ -99,7 +99,7 @@
 
 type showDump struct{ tool *Tool }
 
-// Execute prints a process's whole state.
+// Execute prints a process's state dump.
 func (c *showDump) Execute([]string) error {
 	api, err := c.tool.connect()
 	if err != nil {
@@ -114,8 +114,8 @@
 
 type showSettings struct{ tool *Tool }
 
-// Execute shows what became of a process's settings file. A file that is refused as it
-// stands gives an Invalid fault.
+// Execute shows which parts of a process's settings file are in force. It returns an Invalid
+// fault if the process refused the current content of the file.
 func (c *showSettings) Execute([]string) error {
 	api, err := c.tool.connect()
 	if err != nil {
@@ -138,8 +138,8 @@
 
 func (t *Tool) printSettings(s *reload.Status) {
 	t.print("%s, read at %s\n", s.File, s.ReadAt.Format(time.RFC3339))
-	for _, place := range s.Waiting {
-		t.print("%s has changed in the file and takes a restart\n", place)
+	for _, path := range s.Waiting {
+		t.print("%s has changed in the file and takes a restart\n", path)
 	}
 	if len(s.Waiting) == 0 && s.Refused == "" {
 		t.print("all of the file is in force\n")
@@ -151,23 +151,23 @@
 	tool  *Tool
 }
 
-// Execute prints each new revision as it comes.
+// Execute prints each new revision when it is reached.
 func (c *watchTable) Execute([]string) error {
 	api, err := c.tool.connect()
 	if err != nil {
 		return err
 	}
-	var known units.Revision
-	for seen := 0; c.Count == 0 || seen < c.Count; {
-		t, err := api.Watch(known)
+	var lastRevision units.Revision
+	for printed := 0; c.Count == 0 || printed < c.Count; {
+		t, err := api.Watch(lastRevision)
 		if err != nil {
 			return err
 		}
-		if t.Revision <= known {
+		if t.Revision <= lastRevision {
 			continue
 		}
-		seen++
-		known = t.Revision
+		printed++
+		lastRevision = t.Revision
 		if err := c.printRevision(t); err != nil {
 			return err
 		}
@@ -204,7 +204,7 @@
 
 type printCompletion struct{ tool *Tool }
 
-// completionScript has bash ask the tool itself for what can follow.
+// completionScript makes bash run the tool itself to get the possible completions.
 const completionScript = `_madderctl() {
 	local arguments=("${COMP_WORDS[@]:1:$COMP_CWORD}")
 	local IFS=$'\n'
--- a/pkg/ctl/table.go
+++ b/pkg/ctl/table.go
@@ -13,7 +13,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// sheetFiles names the two sheets.
+// sheetFiles are the flags for the paths of the two sheets.
 type sheetFiles struct {
 	Services string `long:"services" value-name:"FILE" description:"the CSV sheet of services"`
 	Rows     string `long:"rows" value-name:"FILE" description:"the CSV sheet of rows"`
@@ -66,7 +66,7 @@
 	tool *Tool
 }
 
-// Execute prints the table or writes its sheets.
+// Execute prints the table, or writes the sheets whose files are given.
 func (c *tableGet) Execute([]string) error {
 	t, err := c.tool.fetchTable()
 	if err != nil {
@@ -109,8 +109,8 @@
 	return c.Table()
 }
 
-// submitEdit sends operations that were worked out from a table, and prints what
-// became of them.
+// submitEdit sends operations as one edit that is based on the table from, and prints the
+// outcome.
 func (t *Tool) submitEdit(from *table.Table, operations []table.Operation) error {
 	if len(operations) == 0 {
 		t.print("nothing to change; the table is at revision %d\n", from.Revision)
@@ -154,7 +154,7 @@
 	tool  *Tool
 }
 
-// Execute makes the table what the sheets say.
+// Execute changes the table to the content of the sheets.
 func (c *tableApply) Execute([]string) error {
 	t, operations, err := c.tool.diffSheets(&c.sheetFiles, c.Prune)
 	if err != nil {
@@ -163,16 +163,18 @@
 	return c.tool.submitEdit(t, operations)
 }
 
+// diffSheets returns the current table and the operations that change it to the content of
+// the sheets.
 func (t *Tool) diffSheets(f *sheetFiles, prune bool) (*table.Table, []table.Operation, error) {
 	s, err := f.read()
 	if err != nil {
 		return nil, nil, err
 	}
-	present, err := t.fetchTable()
+	current, err := t.fetchTable()
 	if err != nil {
 		return nil, nil, err
 	}
-	return present, sheet.Diff(present, s, prune), nil
+	return current, sheet.Diff(current, s, prune), nil
 }
 
 type tableDiff struct {
@@ -200,19 +202,19 @@
 	return nil
 }
 
-func (t *Tool) printOperations(present *table.Table, operations []table.Operation) {
+func (t *Tool) printOperations(current *table.Table, operations []table.Operation) {
 	for _, o := range operations {
 		t.print("%s %s", o.Kind, o.ServiceName())
 		if o.Row != nil {
 			t.print(" %s", o.Row.Target)
 		}
-		t.print("%s\n", changedCells(present, o))
+		t.print("%s\n", changedCells(current, o))
 	}
 }
 
-// changedCells lists the cells that an operation would change.
-func changedCells(present *table.Table, o table.Operation) string {
-	entry := present.Services[o.ServiceName()]
+// changedCells lists the cells that an operation would change, with old and new values.
+func changedCells(current *table.Table, o table.Operation) string {
+	entry := current.Services[o.ServiceName()]
 	switch {
 	case entry == nil:
 		return " (new)"
@@ -281,12 +283,12 @@
 	return c.tool.submitEdit(t, sheet.Diff(t, s, false))
 }
 
-// applyAssignment carries out one PLACE=VALUE on the sheets.
+// applyAssignment applies one PLACE=VALUE of the flag --set to the sheets.
 func applyAssignment(s *sheet.Sheets, assignment string) error {
 	place, value, ok := strings.Cut(assignment, "=")
 	dot := strings.LastIndex(place, ".")
 	if !ok || dot < 0 {
-		return fault.New(fault.Invalid, "write SERVICE/TARGET.COLUMN=VALUE or SERVICE.COLUMN=VALUE", "%q can't be understood", assignment)
+		return fault.New(fault.Invalid, "write SERVICE/TARGET.COLUMN=VALUE or SERVICE.COLUMN=VALUE", "%q isn't an assignment to a cell", assignment)
 	}
 	column := place[dot+1:]
 	service, target, isRow := strings.Cut(place[:dot], "/")
--- a/pkg/ctl/workspaces.go
+++ b/pkg/ctl/workspaces.go
@@ -45,10 +45,10 @@
 	return c.tool.printTable([]string{"workspace", "priority", "calls a second", "burst", "let in a second", "refused a second", "keys"}, rows)
 }
 
-// formatRate writes a measured rate, of which more digits say nothing.
+// formatRate formats a measured rate with one decimal; more digits would be noise.
 func formatRate(x units.CallRate) string { return strconv.FormatFloat(float64(x), 'f', 1, 64) }
 
-// formatLimit writes a limit; an empty cell stands for none.
+// formatLimit formats a limit; 0, which means no limit, becomes an empty cell.
 func formatLimit(x float64) string {
 	if x == 0 {
 		return ""
