--- a/pkg/app/app.go
+++ b/pkg/app/app.go
@@ -68,7 +68,7 @@
 
 // NewApp returns a process that isn't started yet. source is where its settings were read
 // from, and is read again on a reload.
-func NewApp(s *config.Settings, source reload.Source, extend ...ExtensionFactory) (*App, error) {
+func NewApp(s *config.Settings, source reload.Source, factories ...ExtensionFactory) (*App, error) {
 	logger := logging.NewLogger(s.LogLevel)
 	a := &App{logger: logger, Common: &common.Common{Log: logger.WithField("box", s.Box), Settings: s, Clock: clock.NewClock()}}
 	a.reloader = reload.NewReloader(a.Log, s, source, a.applySettings)
@@ -79,8 +79,8 @@
 		a.Close()
 		return nil, err
 	}
-	for _, x := range extend {
-		a.extensions = append(a.extensions, x(Components{Common: a.Common, Entry: a.entry, Replica: a.replica}))
+	for _, newExtension := range factories {
+		a.extensions = append(a.extensions, newExtension(Components{Common: a.Common, Entry: a.entry, Replica: a.replica}))
 	}
 	return a, nil
 }
--- a/pkg/app/main.go
+++ b/pkg/app/main.go
@@ -65,8 +65,8 @@
 
 // Serve runs a process with settings that were read from source until it stops, and returns
 // its exit code. With form it forms the cluster, if the settings list one replica only.
-func Serve(s *config.Settings, source reload.Source, form bool, extend ...ExtensionFactory) int {
-	a, err := NewApp(s, source, extend...)
+func Serve(s *config.Settings, source reload.Source, form bool, factories ...ExtensionFactory) int {
+	a, err := NewApp(s, source, factories...)
 	if err != nil {
 		return exitCode(err)
 	}
--- a/pkg/ctl/show.go
+++ b/pkg/ctl/show.go
@@ -131,7 +131,7 @@
 		c.tool.printSettings(status)
 	}
 	if err == nil && status.Refused != "" {
-		err = fault.New(fault.Invalid, "mend the file; the settings in force stay meanwhile", "%s is refused: %s", status.File, status.Refused)
+		err = fault.New(fault.Invalid, "correct the file; until then the settings in force stay", "%s is refused: %s", status.File, status.Refused)
 	}
 	return err
 }
--- a/pkg/ctl/table.go
+++ b/pkg/ctl/table.go
@@ -138,9 +138,9 @@
 func (t *Tool) printResult(r *table.Result) error {
 	switch r.Outcome {
 	case table.Conflicted:
-		return fault.New(fault.Conflict, "look at it with madderctl table get, then make the edit anew", "another edit came first: %s", r.Detail)
+		return fault.New(fault.Conflict, "inspect the table with madderctl table get, then redo the edit", "the edit conflicts with an earlier one: %s", r.Detail)
 	case table.Rejected:
-		return fault.New(fault.Invalid, "mend the edit and send it anew", "the edit breaks a rule: %s", r.Detail)
+		return fault.New(fault.Invalid, "correct the edit and submit it again", "the edit breaks a rule: %s", r.Detail)
 	}
 	if !t.options.JSON {
 		t.print("accepted: revision %d, edit %s, %d operations\n", r.Revision, r.Edit, r.Operations)
--- a/pkg/sheet/sheet.go
+++ b/pkg/sheet/sheet.go
@@ -213,7 +213,7 @@
 		values = append(values, v)
 	}
 	if len(problems) > 0 {
-		return nil, fault.New(fault.Invalid, "mend these cells and apply the sheet again", "the sheet has faults:\n  %s\n", strings.Join(problems, "\n  "))
+		return nil, fault.New(fault.Invalid, "correct these cells and apply the sheet again", "the sheet has faults:\n  %s\n", strings.Join(problems, "\n  "))
 	}
 	return values, nil
 }
