--- a/pkg/admin/problem.go
+++ b/pkg/admin/problem.go
@@ -8,7 +8,7 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-// Problem is the body of every error of the API (RFC 9457).
+// Problem is the body of every error response of the API (RFC 9457).
 type Problem struct {
 	Type   string     `json:"type"`
 	Title  fault.Kind `json:"title"`
@@ -17,7 +17,8 @@
 	Remedy string     `json:"remedy"`
 }
 
-var statuses = map[fault.Kind]int{
+// httpStatuses maps kinds of errors to HTTP statuses; any other kind is answered with 500.
+var httpStatuses = map[fault.Kind]int{
 	fault.Invalid:      fasthttp.StatusBadRequest,
 	fault.Conflict:     fasthttp.StatusConflict,
 	fault.NotFound:     fasthttp.StatusNotFound,
@@ -27,9 +28,9 @@
 	fault.TooLarge:     fasthttp.StatusRequestEntityTooLarge,
 }
 
-func writeFault(ctx *fasthttp.RequestCtx, err error) {
+func writeProblem(ctx *fasthttp.RequestCtx, err error) {
 	kind := fault.KindOf(err)
-	status, ok := statuses[kind]
+	status, ok := httpStatuses[kind]
 	if !ok {
 		status = fasthttp.StatusInternalServerError
 	}
--- a/pkg/ctl/table.go
+++ b/pkg/ctl/table.go
@@ -13,7 +13,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// sheetFiles names the two sheets.
+// sheetFiles are the flags for the paths of the two sheets.
 type sheetFiles struct {
 	Services string `long:"services" value-name:"FILE" description:"the CSV sheet of services"`
 	Rows     string `long:"rows" value-name:"FILE" description:"the CSV sheet of rows"`
@@ -66,9 +66,9 @@
 	tool *Tool
 }
 
-// Execute prints the table or writes its sheets.
+// Execute prints the table, or writes the sheets whose files are given.
 func (c *tableGet) Execute([]string) error {
-	t, err := c.tool.fetch()
+	t, err := c.tool.fetchTable()
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 	return cells
 }
 
-func (t *Tool) fetch() (*table.Table, error) {
+func (t *Tool) fetchTable() (*table.Table, error) {
 	c, err := t.connect()
 	if err != nil {
 		return nil, err
@@ -109,9 +109,9 @@
 	return c.Table()
 }
 
-// edit sends operations that were worked out from a table, and prints what
-// became of them.
-func (t *Tool) edit(from *table.Table, operations []table.Operation) error {
+// submitEdit sends operations as one edit that is based on the table from, and prints the
+// outcome.
+func (t *Tool) submitEdit(from *table.Table, operations []table.Operation) error {
 	if len(operations) == 0 {
 		t.print("nothing to change; the table is at revision %d\n", from.Revision)
 		return nil
@@ -138,9 +138,9 @@
 func (t *Tool) printResult(r *table.Result) error {
 	switch r.Outcome {
 	case table.Conflicted:
-		return fault.New(fault.Conflict, "look at it with madderctl table get, then make the edit anew", "another edit came first: %s", r.Detail)
+		return fault.New(fault.Conflict, "inspect the table with madderctl table get, then redo the edit", "the edit conflicts with an earlier one: %s", r.Detail)
 	case table.Rejected:
-		return fault.New(fault.Invalid, "mend the edit and send it anew", "the edit breaks a rule: %s", r.Detail)
+		return fault.New(fault.Invalid, "correct the edit and submit it again", "the edit breaks a rule: %s", r.Detail)
 	}
 	if !t.options.JSON {
 		t.print("accepted: revision %d, edit %s, %d operations\n", r.Revision, r.Edit, r.Operations)
@@ -154,25 +154,27 @@
 	tool  *Tool
 }
 
-// Execute makes the table what the sheets say.
+// Execute changes the table to the content of the sheets.
 func (c *tableApply) Execute([]string) error {
-	t, operations, err := c.tool.compare(&c.sheetFiles, c.Prune)
+	t, operations, err := c.tool.diffSheets(&c.sheetFiles, c.Prune)
 	if err != nil {
 		return err
 	}
-	return c.tool.edit(t, operations)
+	return c.tool.submitEdit(t, operations)
 }
 
-func (t *Tool) compare(f *sheetFiles, prune bool) (*table.Table, []table.Operation, error) {
+// diffSheets returns the current table and the operations that change it to the content of
+// the sheets.
+func (t *Tool) diffSheets(f *sheetFiles, prune bool) (*table.Table, []table.Operation, error) {
 	s, err := f.read()
 	if err != nil {
 		return nil, nil, err
 	}
-	present, err := t.fetch()
+	current, err := t.fetchTable()
 	if err != nil {
 		return nil, nil, err
 	}
-	return present, sheet.Diff(present, s, prune), nil
+	return current, sheet.Diff(current, s, prune), nil
 }
 
 type tableDiff struct {
@@ -183,7 +185,7 @@
 
 // Execute shows what apply would change.
 func (c *tableDiff) Execute([]string) error {
-	t, operations, err := c.tool.compare(&c.sheetFiles, c.Prune)
+	t, operations, err := c.tool.diffSheets(&c.sheetFiles, c.Prune)
 	if err != nil {
 		return err
 	}
@@ -195,24 +197,24 @@
 		c.tool.printOperations(t, operations)
 	}
 	if len(operations) > 0 {
-		return errDifferent
+		return errTableDiffers
 	}
 	return nil
 }
 
-func (t *Tool) printOperations(present *table.Table, operations []table.Operation) {
+func (t *Tool) printOperations(current *table.Table, operations []table.Operation) {
 	for _, o := range operations {
 		t.print("%s %s", o.Kind, o.ServiceName())
 		if o.Row != nil {
 			t.print(" %s", o.Row.Target)
 		}
-		t.print("%s\n", changedCells(present, o))
+		t.print("%s\n", changedCells(current, o))
 	}
 }
 
-// changedCells lists the cells that an operation would change.
-func changedCells(present *table.Table, o table.Operation) string {
-	entry := present.Services[o.ServiceName()]
+// changedCells lists the cells that an operation would change, with old and new values.
+func changedCells(current *table.Table, o table.Operation) string {
+	entry := current.Services[o.ServiceName()]
 	switch {
 	case entry == nil:
 		return " (new)"
@@ -268,40 +270,40 @@
 
 // Execute changes single cells in one edit.
 func (c *tableEdit) Execute([]string) error {
-	t, err := c.tool.fetch()
+	t, err := c.tool.fetchTable()
 	if err != nil {
 		return err
 	}
 	s := sheet.FromTable(t)
 	for _, assignment := range c.Set {
-		if err := assign(&s, assignment); err != nil {
+		if err := applyAssignment(&s, assignment); err != nil {
 			return err
 		}
 	}
-	return c.tool.edit(t, sheet.Diff(t, s, false))
+	return c.tool.submitEdit(t, sheet.Diff(t, s, false))
 }
 
-// assign carries out one PLACE=VALUE on the sheets.
-func assign(s *sheet.Sheets, assignment string) error {
+// applyAssignment applies one PLACE=VALUE of the flag --set to the sheets.
+func applyAssignment(s *sheet.Sheets, assignment string) error {
 	place, value, ok := strings.Cut(assignment, "=")
 	dot := strings.LastIndex(place, ".")
 	if !ok || dot < 0 {
-		return fault.New(fault.Invalid, "write SERVICE/TARGET.COLUMN=VALUE or SERVICE.COLUMN=VALUE", "%q can't be understood", assignment)
+		return fault.New(fault.Invalid, "write SERVICE/TARGET.COLUMN=VALUE or SERVICE.COLUMN=VALUE", "%q isn't an assignment to a cell", assignment)
 	}
 	column := place[dot+1:]
 	service, target, isRow := strings.Cut(place[:dot], "/")
 	if !isRow {
-		return assignService(s, service, column, value)
+		return assignServiceCell(s, service, column, value)
 	}
 	for i := range s.Rows {
 		if r := &s.Rows[i]; string(r.Service) == service && string(r.Target) == target {
 			return sheet.SetRowCell(r, column, value)
 		}
 	}
-	return noRow(service, target)
+	return rowNotFound(service, target)
 }
 
-func assignService(s *sheet.Sheets, service, column, value string) error {
+func assignServiceCell(s *sheet.Sheets, service, column, value string) error {
 	for i := range s.Services {
 		if v := &s.Services[i]; string(v.Name) == service {
 			return sheet.SetServiceCell(v, column, value)
@@ -310,6 +312,6 @@
 	return fault.New(fault.NotFound, "see madderctl services", "there is no service %s", service)
 }
 
-func noRow(service, target string) error {
+func rowNotFound(service, target string) error {
 	return fault.New(fault.NotFound, "see madderctl table get", "service %s has no target %s", service, target)
 }
--- a/pkg/reload/reloader.go
+++ b/pkg/reload/reloader.go
@@ -125,13 +125,13 @@
 	var applied []string
 	r.pendingRestart = nil
 	for _, d := range config.Differences(r.inForce, next) {
-		if d.Running {
-			applied = append(applied, d.Place)
+		if d.Reloadable {
+			applied = append(applied, d.Path)
 		} else {
-			r.pendingRestart = append(r.pendingRestart, d.Place)
+			r.pendingRestart = append(r.pendingRestart, d.Path)
 		}
 	}
-	merged := config.MergeRunning(r.inForce, next)
+	merged := config.MergeReloadable(r.inForce, next)
 	r.inForce = merged
 	if len(applied) > 0 {
 		r.apply(merged)
