--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -29,40 +29,40 @@
 	Text string `json:"text"`
 }
 
-// Story is what the logs say of one call.
-type Story struct {
+// Timeline is what the logs say of one call.
+type Timeline struct {
 	Call string `json:"call"`
 	// Steps are the decisions on the call, box by box, in order.
 	Steps []Line `json:"steps"`
-	// Beliefs are the last lines before the call, of the boxes that had it, on the table,
+	// StateLines are the last lines before the call, of the boxes that had it, on the table,
 	// the control replica and the targets that the call met.
-	Beliefs []Line `json:"beliefs"`
+	StateLines []Line `json:"beliefs"`
 	// Unreadable counts the lines that aren't of a log or were cut.
 	Unreadable int `json:"unreadable"`
 }
 
-// beliefKinds are the kinds of line that say what a process believes; true for those that
+// stateKinds are the kinds of line that say what a process believes; true for those that
 // are about one target.
-var beliefKinds = map[string]bool{
+var stateKinds = map[string]bool{
 	"table-in-force": false, "control-attach": false, "control-lost": false,
 	"target-ejected": true, "target-back": true,
 	"exposure-began": false, "exposure-ended": false, "exposure-stopped": false,
 }
 
-// maxLine bounds a line of a log.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line of a log.
+const maxLineBytes = 1 << 20
 
-// shown are the fields that stand in a place of their own.
-var shown = map[string]bool{"time": true, "box": true, "kind": true, "call": true, "afterMs": true, "level": true, "msg": true}
+// omittedFromText are the fields that stand in a place of their own.
+var omittedFromText = map[string]bool{"time": true, "box": true, "kind": true, "call": true, "afterMs": true, "level": true, "msg": true}
 
 // Read puts together a call's story. Foreign and cut lines are counted and passed over.
 // The error is a NotFound fault when no log knows the call.
-func Read(call string, logs ...io.Reader) (*Story, error) {
-	s := &Story{Call: call}
+func Read(call string, logs ...io.Reader) (*Timeline, error) {
+	s := &Timeline{Call: call}
 	var beliefs []Line
 	for _, log := range logs {
 		lines := bufio.NewScanner(log)
-		lines.Buffer(nil, maxLine)
+		lines.Buffer(nil, maxLineBytes)
 		for lines.Scan() {
 			line, ok := parse(lines.Bytes())
 			switch {
@@ -70,7 +70,7 @@
 				s.Unreadable++
 			case line.Call == call:
 				s.Steps = append(s.Steps, line)
-			case line.Call == "" && isBelief(line.Kind):
+			case line.Call == "" && isStateKind(line.Kind):
 				beliefs = append(beliefs, line)
 			}
 		}
@@ -81,13 +81,13 @@
 	if len(s.Steps) == 0 {
 		return nil, fault.New(fault.NotFound, "look at the logs of all entry boxes; of calls that went as most do only a sample is logged", "no log tells of the call %s", call)
 	}
-	slices.SortStableFunc(s.Steps, func(a, b Line) int { return a.happened().Compare(b.happened()) })
-	s.Beliefs = s.lastBeliefs(beliefs)
+	slices.SortStableFunc(s.Steps, func(a, b Line) int { return a.sortTime().Compare(b.sortTime()) })
+	s.StateLines = s.lastStateLines(beliefs)
 	return s, nil
 }
 
-func isBelief(kind string) bool {
-	_, ok := beliefKinds[kind]
+func isStateKind(kind string) bool {
+	_, ok := stateKinds[kind]
 	return ok
 }
 
@@ -103,14 +103,14 @@
 	if json.Unmarshal(raw[start:], &line) != nil || json.Unmarshal(raw[start:], &fields) != nil || line.Kind == "" {
 		return Line{}, false
 	}
-	line.Text = textOf(fields)
+	line.Text = otherFieldsText(fields)
 	return line, true
 }
 
-func textOf(fields map[string]any) string {
+func otherFieldsText(fields map[string]any) string {
 	var words []string
 	for name, value := range fields {
-		if !shown[name] {
+		if !omittedFromText[name] {
 			words = append(words, fmt.Sprintf("%s=%v", name, value))
 		}
 	}
@@ -118,26 +118,26 @@
 	return strings.Join(words, " ")
 }
 
-// happened is when the step took place: all steps of a call are written at its end, so
+// sortTime is when the step took place: all steps of a call are written at its end, so
 // their order is that of the time since the arrival.
-func (l *Line) happened() time.Time {
+func (l *Line) sortTime() time.Time {
 	return time.Time{}.Add(time.Duration(l.AfterMillis * float64(time.Millisecond)))
 }
 
-// lastBeliefs returns, for each box of the story, the last line of each kind, and of each
+// lastStateLines returns, for each box of the story, the last line of each kind, and of each
 // target that the call met, from before the call ended.
-func (s *Story) lastBeliefs(all []Line) []Line {
-	ended := map[string]time.Time{}
+func (s *Timeline) lastStateLines(all []Line) []Line {
+	endTimes := map[string]time.Time{}
 	targets := map[string]bool{}
 	for _, step := range s.Steps {
-		ended[step.Box] = step.Time
+		endTimes[step.Box] = step.Time
 		targets[step.Target] = true
 	}
 	last := map[string]Line{}
 	for _, b := range all {
-		end, mine := ended[b.Box]
-		aboutTarget := beliefKinds[b.Kind]
-		if !mine || b.Time.After(end) || aboutTarget && !targets[b.Target] {
+		end, inTimeline := endTimes[b.Box]
+		aboutTarget := stateKinds[b.Kind]
+		if !inTimeline || b.Time.After(end) || aboutTarget && !targets[b.Target] {
 			continue
 		}
 		key := b.Box + " " + b.Kind
@@ -157,9 +157,9 @@
 }
 
 // Write tells the story to people.
-func (s *Story) Write(w io.Writer) {
+func (s *Timeline) Write(w io.Writer) {
 	fmt.Fprintf(w, "call %s\n\nwhat the box believed:\n", s.Call)
-	for _, b := range s.Beliefs {
+	for _, b := range s.StateLines {
 		fmt.Fprintf(w, "  %s  %s  %s  %s\n", b.Time.Format("15:04:05.000"), b.Box, b.Kind, b.Text)
 	}
 	fmt.Fprintf(w, "\nwhat was decided, in ms from the call's arrival:\n")
--- a/pkg/logging/logging.go
+++ b/pkg/logging/logging.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// queueLines is how many lines may wait to be written; more are dropped.
-	queueLines = 4096
-	// linesPerSecond is how many lines of a kind are written a second.
-	linesPerSecond = 300
+	// maxQueuedLines is how many lines may wait to be written; more are dropped.
+	maxQueuedLines = 4096
+	// maxKindLinesPerSecond is how many lines of a kind are written a second.
+	maxKindLinesPerSecond = 300
 	// kindField names the sort of a line; lines are counted by it.
 	kindField = "kind"
 	// suppressedField says how many lines of a kind were left out before this one.
 	suppressedField = "suppressed"
-	// flushLimit is how long the last lines may take at the end.
-	flushLimit = 200 * time.Millisecond
+	// flushTimeout is how long the last lines may take at the end.
+	flushTimeout = 200 * time.Millisecond
 )
 
 // Logger is a log and what becomes of its lines.
@@ -38,8 +38,8 @@
 func newLogger(level string, out io.Writer, now func() time.Time) *Logger {
 	l := &Logger{Logger: logrus.New(), writer: newQueueWriter(out)}
 	l.SetOutput(l.writer)
-	l.SetFormatter(&limitedFormatter{
-		inner: &logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}, now: now, kinds: map[string]*kindCount{},
+	l.SetFormatter(&rateLimitedFormatter{
+		inner: &logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}, now: now, kinds: map[string]*kindCounter{},
 	})
 	l.ChangeLevel(level)
 	return l
@@ -58,24 +58,24 @@
 // Close writes what waits, as long as that doesn't take too long.
 func (l *Logger) Close() { l.writer.close() }
 
-// kindCount counts the lines of a kind in the present second.
-type kindCount struct {
+// kindCounter counts the lines of a kind in the present second.
+type kindCounter struct {
 	second     int64
 	written    int
 	suppressed int
 }
 
-// limitedFormatter leaves out lines of a kind of which there were too many this second,
+// rateLimitedFormatter leaves out lines of a kind of which there were too many this second,
 // and says so in the next line of the kind. logrus calls it under its own lock.
-type limitedFormatter struct {
+type rateLimitedFormatter struct {
 	inner logrus.Formatter
 	now   func() time.Time
 	lock  sync.Mutex
-	kinds map[string]*kindCount
+	kinds map[string]*kindCounter
 }
 
 // Format returns nothing for a line that is left out.
-func (f *limitedFormatter) Format(e *logrus.Entry) ([]byte, error) {
+func (f *rateLimitedFormatter) Format(e *logrus.Entry) ([]byte, error) {
 	kind, _ := e.Data[kindField].(string)
 	suppressed, ok := f.admit(kind)
 	if !ok {
@@ -87,18 +87,18 @@
 	return f.inner.Format(e)
 }
 
-func (f *limitedFormatter) admit(kind string) (suppressed int, ok bool) {
+func (f *rateLimitedFormatter) admit(kind string) (suppressed int, ok bool) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	c := f.kinds[kind]
 	if c == nil {
-		c = &kindCount{}
+		c = &kindCounter{}
 		f.kinds[kind] = c
 	}
 	if second := f.now().Unix(); second != c.second {
 		c.second, c.written = second, 0
 	}
-	if c.written >= linesPerSecond {
+	if c.written >= maxKindLinesPerSecond {
 		c.suppressed++
 		return 0, false
 	}
@@ -114,12 +114,12 @@
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Uint64
-	once    sync.Once
+	closeOnce    sync.Once
 	done    chan struct{}
 }
 
 func newQueueWriter(out io.Writer) *queueWriter {
-	w := &queueWriter{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{})}
+	w := &queueWriter{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -153,9 +153,9 @@
 }
 
 func (w *queueWriter) close() {
-	w.once.Do(func() { close(w.lines) })
+	w.closeOnce.Do(func() { close(w.lines) })
 	select {
 	case <-w.done:
-	case <-time.After(flushLimit):
+	case <-time.After(flushTimeout):
 	}
 }
--- a/pkg/logging/logging_test.go
+++ b/pkg/logging/logging_test.go
@@ -13,7 +13,7 @@
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
 	l := newLogger("info", &out, func() time.Time { return now })
-	for range linesPerSecond + 50 {
+	for range maxKindLinesPerSecond + 50 {
 		l.WithField("kind", "busy").Info("again")
 	}
 	l.WithField("kind", "rare").Info("once")
@@ -21,7 +21,7 @@
 	l.WithField("kind", "busy").Info("later")
 	l.Close()
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	if len(lines) != linesPerSecond+2 {
+	if len(lines) != maxKindLinesPerSecond+2 {
 		t.Fatalf("%d lines were written", len(lines))
 	}
 	var last struct{ Suppressed int }
@@ -41,7 +41,7 @@
 func TestAReaderThatStopsHoldsNobodyUp(t *testing.T) {
 	w := &blockedWriter{release: make(chan struct{})}
 	l := newLogger("info", w, time.Now)
-	for i := range queueLines + 100 {
+	for i := range maxQueuedLines + 100 {
 		// Kinds of their own keep the limit of a kind out of this.
 		l.WithField("kind", string(rune('a'+i%26))+time.Duration(i).String()).Info("line")
 	}
