--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -58,8 +58,8 @@
 // Read puts together a call's story. Foreign and cut lines are counted and passed over.
 // The error is a NotFound fault when no log knows the call.
 func Read(call string, logs ...io.Reader) (*Timeline, error) {
-	s := &Timeline{Call: call}
-	var beliefs []Line
+	t := &Timeline{Call: call}
+	var stateLines []Line
 	for _, log := range logs {
 		lines := bufio.NewScanner(log)
 		lines.Buffer(nil, maxLineBytes)
@@ -67,23 +67,23 @@
 			line, ok := parse(lines.Bytes())
 			switch {
 			case !ok:
-				s.Unreadable++
+				t.Unreadable++
 			case line.Call == call:
-				s.Steps = append(s.Steps, line)
+				t.Steps = append(t.Steps, line)
 			case line.Call == "" && isStateKind(line.Kind):
-				beliefs = append(beliefs, line)
+				stateLines = append(stateLines, line)
 			}
 		}
 		if err := lines.Err(); err != nil {
 			return nil, fault.Wrap(err, fault.Invalid, "name files that hold logs", "a log can't be read")
 		}
 	}
-	if len(s.Steps) == 0 {
+	if len(t.Steps) == 0 {
 		return nil, fault.New(fault.NotFound, "look at the logs of all entry boxes; of calls that went as most do only a sample is logged", "no log tells of the call %s", call)
 	}
-	slices.SortStableFunc(s.Steps, func(a, b Line) int { return a.sortTime().Compare(b.sortTime()) })
-	s.StateLines = s.lastStateLines(beliefs)
-	return s, nil
+	slices.SortStableFunc(t.Steps, func(a, b Line) int { return a.sortTime().Compare(b.sortTime()) })
+	t.StateLines = t.lastStateLines(stateLines)
+	return t, nil
 }
 
 func isStateKind(kind string) bool {
@@ -108,14 +108,14 @@
 }
 
 func otherFieldsText(fields map[string]any) string {
-	var words []string
+	var pairs []string
 	for name, value := range fields {
 		if !omittedFromText[name] {
-			words = append(words, fmt.Sprintf("%s=%v", name, value))
+			pairs = append(pairs, fmt.Sprintf("%s=%v", name, value))
 		}
 	}
-	slices.Sort(words)
-	return strings.Join(words, " ")
+	slices.Sort(pairs)
+	return strings.Join(pairs, " ")
 }
 
 // sortTime is when the step took place: all steps of a call are written at its end, so
@@ -126,10 +126,10 @@
 
 // lastStateLines returns, for each box of the story, the last line of each kind, and of each
 // target that the call met, from before the call ended.
-func (s *Timeline) lastStateLines(all []Line) []Line {
+func (t *Timeline) lastStateLines(all []Line) []Line {
 	endTimes := map[string]time.Time{}
 	targets := map[string]bool{}
-	for _, step := range s.Steps {
+	for _, step := range t.Steps {
 		endTimes[step.Box] = step.Time
 		targets[step.Target] = true
 	}
@@ -148,25 +148,25 @@
 			last[key] = b
 		}
 	}
-	var beliefs []Line
+	var lines []Line
 	for _, b := range last {
-		beliefs = append(beliefs, b)
+		lines = append(lines, b)
 	}
-	slices.SortFunc(beliefs, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	return beliefs
+	slices.SortFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	return lines
 }
 
 // Write tells the story to people.
-func (s *Timeline) Write(w io.Writer) {
-	fmt.Fprintf(w, "call %s\n\nwhat the box believed:\n", s.Call)
-	for _, b := range s.StateLines {
+func (t *Timeline) Write(w io.Writer) {
+	fmt.Fprintf(w, "call %s\n\nwhat the box believed:\n", t.Call)
+	for _, b := range t.StateLines {
 		fmt.Fprintf(w, "  %s  %s  %s  %s\n", b.Time.Format("15:04:05.000"), b.Box, b.Kind, b.Text)
 	}
 	fmt.Fprintf(w, "\nwhat was decided, in ms from the call's arrival:\n")
-	for _, step := range s.Steps {
+	for _, step := range t.Steps {
 		fmt.Fprintf(w, "  %9.2f  %s  %s  %s\n", step.AfterMillis, step.Box, step.Kind, step.Text)
 	}
-	if s.Unreadable > 0 {
-		fmt.Fprintf(w, "\n%d lines could not be read\n", s.Unreadable)
+	if t.Unreadable > 0 {
+		fmt.Fprintf(w, "\n%d lines could not be read\n", t.Unreadable)
 	}
 }
