--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain puts together the story of one call out of the logs of many processes:
-// what was decided about it, in order, and what the process believed then.
+// Package explain reconstructs the timeline of one call from the logs of several processes:
+// the decisions on the call, in order, and the state that its boxes had logged before.
 package explain
 
 import (
@@ -15,48 +15,50 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-// Line is one line of a log, as far as it matters here.
+// Line is one line of a log, with the fields that a timeline uses.
 type Line struct {
 	Time   time.Time `json:"time"`
 	Box    string    `json:"box"`
 	Kind   string    `json:"kind"`
 	Call   string    `json:"call,omitempty"`
 	Target string    `json:"target,omitempty"`
-	// AfterMillis is when a step of a call happened, counted from the call's arrival; the
-	// line itself is written when the call has ended.
+	// AfterMillis is the time of a step in milliseconds since the call arrived. Time is that
+	// of the log line, which is written when the call has ended.
 	AfterMillis float64 `json:"afterMs"`
-	// Text is everything that the line says beside those.
+	// Text holds the line's remaining fields, and its target, as name=value.
 	Text string `json:"text"`
 }
 
-// Timeline is what the logs say of one call.
+// Timeline holds what the logs contain about one call.
 type Timeline struct {
 	Call string `json:"call"`
-	// Steps are the decisions on the call, box by box, in order.
+	// Steps are the decisions on the call, ordered by the time since its arrival.
 	Steps []Line `json:"steps"`
-	// StateLines are the last lines before the call, of the boxes that had it, on the table,
-	// the control replica and the targets that the call met.
+	// StateLines are the last lines that the call's boxes logged before its end about the
+	// table, the control replica, exposures and the targets that the call used.
 	StateLines []Line `json:"beliefs"`
-	// Unreadable counts the lines that aren't of a log or were cut.
+	// Unreadable counts the lines that are truncated or not log lines.
 	Unreadable int `json:"unreadable"`
 }
 
-// stateKinds are the kinds of line that say what a process believes; true for those that
-// are about one target.
+// stateKinds are the kinds of line that record a process's view of the system; true for those
+// about one target.
 var stateKinds = map[string]bool{
 	"table-in-force": false, "control-attach": false, "control-lost": false,
 	"target-ejected": true, "target-back": true,
 	"exposure-began": false, "exposure-ended": false, "exposure-stopped": false,
 }
 
-// maxLineBytes bounds a line of a log.
+// maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 1 << 20
 
-// omittedFromText are the fields that stand in a place of their own.
+// omittedFromText are the fields that Line.Text leaves out: those printed elsewhere, and level
+// and msg.
 var omittedFromText = map[string]bool{"time": true, "box": true, "kind": true, "call": true, "afterMs": true, "level": true, "msg": true}
 
-// Read puts together a call's story. Foreign and cut lines are counted and passed over.
-// The error is a NotFound fault when no log knows the call.
+// Read reconstructs a call's timeline. Truncated lines and lines of other programs are counted
+// and skipped. The error is a NotFound fault if no log mentions the call, and an Invalid fault
+// if a log can't be read.
 func Read(call string, logs ...io.Reader) (*Timeline, error) {
 	t := &Timeline{Call: call}
 	var stateLines []Line
@@ -91,8 +93,8 @@
 	return ok
 }
 
-// parse reads a line; what stands before its first brace, such as another program's time,
-// is passed over.
+// parse reads a line, skipping what precedes the first brace, such as a timestamp that
+// another program added.
 func parse(raw []byte) (Line, bool) {
 	start := bytes.IndexByte(raw, '{')
 	if start < 0 {
@@ -118,14 +120,14 @@
 	return strings.Join(pairs, " ")
 }
 
-// sortTime is when the step took place: all steps of a call are written at its end, so
-// their order is that of the time since the arrival.
+// sortTime returns the step's time since the call's arrival, as an offset from the zero time.
+// All steps of a call are logged at its end, so the time of the log line doesn't order them.
 func (l *Line) sortTime() time.Time {
 	return time.Time{}.Add(time.Duration(l.AfterMillis * float64(time.Millisecond)))
 }
 
-// lastStateLines returns, for each box of the story, the last line of each kind, and of each
-// target that the call met, from before the call ended.
+// lastStateLines returns, for each box of the timeline, the last line of each kind, and the
+// last one about each target that the call used, logged up to the end of the call.
 func (t *Timeline) lastStateLines(all []Line) []Line {
 	endTimes := map[string]time.Time{}
 	targets := map[string]bool{}
@@ -156,7 +158,7 @@
 	return lines
 }
 
-// Write tells the story to people.
+// Write prints the timeline as text.
 func (t *Timeline) Write(w io.Writer) {
 	fmt.Fprintf(w, "call %s\n\nwhat the box believed:\n", t.Call)
 	for _, b := range t.StateLines {
--- a/pkg/explain/explain_test.go
+++ b/pkg/explain/explain_test.go
@@ -10,7 +10,8 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-// TestStories reads the logs of the file in testdata: "explain CALL".
+// TestStories prints the timelines of calls from the logs in testdata; the command is "explain CALL".
+// Each input is split in two, to cover several log files.
 func TestStories(t *testing.T) {
 	datadriven.RunTest(t, "testdata/stories", func(t *testing.T, d *datadriven.TestData) string {
 		half := len(d.Input) / 2
@@ -21,7 +22,7 @@
 		}
 		var b strings.Builder
 		s.Write(&b)
-		// The format of the test's files has no empty lines.
+		// An empty line would end the expected output in the data file.
 		return strings.ReplaceAll(b.String(), "\n\n", "\n")
 	})
 }
--- a/pkg/logging/logging.go
+++ b/pkg/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes a process's log: JSON lines on standard output, bounded in
-// volume, that never hold up whoever writes one.
+// Package logging provides a process's log: JSON lines on standard output, limited in rate.
+// Writing a line never blocks its caller.
 package logging
 
 import (
@@ -13,26 +13,26 @@
 )
 
 const (
-	// maxQueuedLines is how many lines may wait to be written; more are dropped.
+	// maxQueuedLines is how many lines may be queued for writing; further ones are dropped.
 	maxQueuedLines = 4096
-	// maxKindLinesPerSecond is how many lines of a kind are written a second.
+	// maxKindLinesPerSecond is how many lines of one kind are written per second.
 	maxKindLinesPerSecond = 300
-	// kindField names the sort of a line; lines are counted by it.
+	// kindField is the field that holds the kind of a line; the rate limit applies to each kind.
 	kindField = "kind"
-	// suppressedField says how many lines of a kind were left out before this one.
+	// suppressedField is the number of lines of the kind suppressed since the last one written.
 	suppressedField = "suppressed"
-	// flushTimeout is how long the last lines may take at the end.
+	// flushTimeout bounds the time that Close waits for queued lines to be written.
 	flushTimeout = 200 * time.Millisecond
 )
 
-// Logger is a log and what becomes of its lines.
+// Logger is a logrus logger whose lines are limited in rate and written asynchronously.
 type Logger struct {
 	*logrus.Logger
 	writer *queueWriter
 }
 
-// NewLogger returns a log of lines of a level and above. An unknown level is taken as
-// info.
+// NewLogger returns a logger that writes lines of a level and above to standard output. An
+// unknown level counts as info.
 func NewLogger(level string) *Logger { return newLogger(level, os.Stdout, time.Now) }
 
 func newLogger(level string, out io.Writer, now func() time.Time) *Logger {
@@ -45,28 +45,29 @@
 	return l
 }
 
-// ChangeLevel sets the least level that is logged; an unknown one changes nothing.
+// ChangeLevel sets the minimum level that is logged; an unknown level changes nothing.
 func (l *Logger) ChangeLevel(level string) {
 	if parsed, err := logrus.ParseLevel(level); err == nil {
 		l.SetLevel(parsed)
 	}
 }
 
-// Dropped returns how many lines found no room.
+// Dropped returns how many lines were dropped because the queue was full or closed.
 func (l *Logger) Dropped() uint64 { return l.writer.dropped.Load() }
 
-// Close writes what waits, as long as that doesn't take too long.
+// Close flushes the queued lines, for at most flushTimeout.
 func (l *Logger) Close() { l.writer.close() }
 
-// kindCounter counts the lines of a kind in the present second.
+// kindCounter counts the lines of a kind: those written in the current second, and those
+// suppressed since the last one written.
 type kindCounter struct {
 	second     int64
 	written    int
 	suppressed int
 }
 
-// rateLimitedFormatter leaves out lines of a kind of which there were too many this second,
-// and says so in the next line of the kind. logrus calls it under its own lock.
+// rateLimitedFormatter suppresses lines of a kind beyond its limit per second and reports their
+// number in the next line of the kind. logrus calls it with its own lock held.
 type rateLimitedFormatter struct {
 	inner logrus.Formatter
 	now   func() time.Time
@@ -74,7 +75,7 @@
 	kinds map[string]*kindCounter
 }
 
-// Format returns nothing for a line that is left out.
+// Format returns nil for a suppressed line.
 func (f *rateLimitedFormatter) Format(e *logrus.Entry) ([]byte, error) {
 	kind, _ := e.Data[kindField].(string)
 	suppressed, ok := f.admit(kind)
@@ -108,14 +109,14 @@
 	return suppressed, true
 }
 
-// queueWriter hands lines to a goroutine that writes them; a line that finds the queue
-// full is dropped and counted.
+// queueWriter queues lines for a goroutine that writes them. A line that finds the queue full
+// is dropped and counted.
 type queueWriter struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Uint64
-	closeOnce    sync.Once
-	done    chan struct{}
+	out       io.Writer
+	lines     chan []byte
+	dropped   atomic.Uint64
+	closeOnce sync.Once
+	done      chan struct{}
 }
 
 func newQueueWriter(out io.Writer) *queueWriter {
@@ -124,15 +125,15 @@
 	return w
 }
 
-// Write never waits and never fails.
+// Write queues a copy of a line. It never blocks and returns no error.
 func (w *queueWriter) Write(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
-	// logrus uses its buffer again.
+	// logrus reuses its buffer.
 	line := append([]byte(nil), p...)
 	defer func() {
-		// A line that comes after the end has nowhere to go.
+		// A line written after close panics on the closed channel; it is dropped.
 		if recover() != nil {
 			w.dropped.Add(1)
 		}
--- a/pkg/logging/logging_test.go
+++ b/pkg/logging/logging_test.go
@@ -26,11 +26,11 @@
 	}
 	var last struct{ Suppressed int }
 	if err := json.Unmarshal([]byte(lines[len(lines)-1]), &last); err != nil || last.Suppressed != 50 {
-		t.Fatalf("the last line says %+v, %v", last, err)
+		t.Fatalf("the last line reports %+v, %v", last, err)
 	}
 }
 
-// blockedWriter stands for a reader of the log that has stopped.
+// blockedWriter blocks until it is released, like a pipe whose reader has stopped.
 type blockedWriter struct{ release chan struct{} }
 
 func (w *blockedWriter) Write(p []byte) (int, error) {
@@ -42,11 +42,11 @@
 	w := &blockedWriter{release: make(chan struct{})}
 	l := newLogger("info", w, time.Now)
 	for i := range maxQueuedLines + 100 {
-		// Kinds of their own keep the limit of a kind out of this.
+		// Each line has a kind of its own, so that the kinds' rate limit drops none.
 		l.WithField("kind", string(rune('a'+i%26))+time.Duration(i).String()).Info("line")
 	}
 	if l.Dropped() == 0 {
-		t.Fatal("nothing was dropped though nobody read")
+		t.Fatal("no line was dropped though the writer was blocked")
 	}
 	close(w.release)
 	l.Close()
