--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain puts together the story of one call out of the logs of many processes:
-// what was decided about it, in order, and what the process believed then.
+// Package explain reconstructs the timeline of one call from the logs of several processes:
+// the decisions on the call, in order, and the state that its boxes had logged before.
 package explain
 
 import (
@@ -15,84 +15,86 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-// Line is one line of a log, as far as it matters here.
+// Line is one line of a log, with the fields that a timeline uses.
 type Line struct {
 	Time   time.Time `json:"time"`
 	Box    string    `json:"box"`
 	Kind   string    `json:"kind"`
 	Call   string    `json:"call,omitempty"`
 	Target string    `json:"target,omitempty"`
-	// AfterMillis is when a step of a call happened, counted from the call's arrival; the
-	// line itself is written when the call has ended.
+	// AfterMillis is the time of a step in milliseconds since the call arrived. Time is that
+	// of the log line, which is written when the call has ended.
 	AfterMillis float64 `json:"afterMs"`
-	// Text is everything that the line says beside those.
+	// Text holds the line's remaining fields, and its target, as name=value.
 	Text string `json:"text"`
 }
 
-// Story is what the logs say of one call.
-type Story struct {
+// Timeline holds what the logs contain about one call.
+type Timeline struct {
 	Call string `json:"call"`
-	// Steps are the decisions on the call, box by box, in order.
+	// Steps are the decisions on the call, ordered by the time since its arrival.
 	Steps []Line `json:"steps"`
-	// Beliefs are the last lines before the call, of the boxes that had it, on the table,
-	// the control replica and the targets that the call met.
-	Beliefs []Line `json:"beliefs"`
-	// Unreadable counts the lines that aren't of a log or were cut.
+	// StateLines are the last lines that the call's boxes logged before its end about the
+	// table, the control replica, exposures and the targets that the call used.
+	StateLines []Line `json:"beliefs"`
+	// Unreadable counts the lines that are truncated or not log lines.
 	Unreadable int `json:"unreadable"`
 }
 
-// beliefKinds are the kinds of line that say what a process believes; true for those that
-// are about one target.
-var beliefKinds = map[string]bool{
+// stateKinds are the kinds of line that record a process's view of the system; true for those
+// about one target.
+var stateKinds = map[string]bool{
 	"table-in-force": false, "control-attach": false, "control-lost": false,
 	"target-ejected": true, "target-back": true,
 	"exposure-began": false, "exposure-ended": false, "exposure-stopped": false,
 }
 
-// maxLine bounds a line of a log.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-// shown are the fields that stand in a place of their own.
-var shown = map[string]bool{"time": true, "box": true, "kind": true, "call": true, "afterMs": true, "level": true, "msg": true}
+// omittedFromText are the fields that Line.Text leaves out: those printed elsewhere, and level
+// and msg.
+var omittedFromText = map[string]bool{"time": true, "box": true, "kind": true, "call": true, "afterMs": true, "level": true, "msg": true}
 
-// Read puts together a call's story. Foreign and cut lines are counted and passed over.
-// The error is a NotFound fault when no log knows the call.
-func Read(call string, logs ...io.Reader) (*Story, error) {
-	s := &Story{Call: call}
-	var beliefs []Line
+// Read reconstructs a call's timeline. Truncated lines and lines of other programs are counted
+// and skipped. The error is a NotFound fault if no log mentions the call, and an Invalid fault
+// if a log can't be read.
+func Read(call string, logs ...io.Reader) (*Timeline, error) {
+	t := &Timeline{Call: call}
+	var stateLines []Line
 	for _, log := range logs {
 		lines := bufio.NewScanner(log)
-		lines.Buffer(nil, maxLine)
+		lines.Buffer(nil, maxLineBytes)
 		for lines.Scan() {
 			line, ok := parse(lines.Bytes())
 			switch {
 			case !ok:
-				s.Unreadable++
+				t.Unreadable++
 			case line.Call == call:
-				s.Steps = append(s.Steps, line)
-			case line.Call == "" && isBelief(line.Kind):
-				beliefs = append(beliefs, line)
+				t.Steps = append(t.Steps, line)
+			case line.Call == "" && isStateKind(line.Kind):
+				stateLines = append(stateLines, line)
 			}
 		}
 		if err := lines.Err(); err != nil {
 			return nil, fault.Wrap(err, fault.Invalid, "name files that hold logs", "a log can't be read")
 		}
 	}
-	if len(s.Steps) == 0 {
+	if len(t.Steps) == 0 {
 		return nil, fault.New(fault.NotFound, "look at the logs of all entry boxes; of calls that went as most do only a sample is logged", "no log tells of the call %s", call)
 	}
-	slices.SortStableFunc(s.Steps, func(a, b Line) int { return a.happened().Compare(b.happened()) })
-	s.Beliefs = s.lastBeliefs(beliefs)
-	return s, nil
+	slices.SortStableFunc(t.Steps, func(a, b Line) int { return a.sortTime().Compare(b.sortTime()) })
+	t.StateLines = t.lastStateLines(stateLines)
+	return t, nil
 }
 
-func isBelief(kind string) bool {
-	_, ok := beliefKinds[kind]
+func isStateKind(kind string) bool {
+	_, ok := stateKinds[kind]
 	return ok
 }
 
-// parse reads a line; what stands before its first brace, such as another program's time,
-// is passed over.
+// parse reads a line, skipping what precedes the first brace, such as a timestamp that
+// another program added.
 func parse(raw []byte) (Line, bool) {
 	start := bytes.IndexByte(raw, '{')
 	if start < 0 {
@@ -103,41 +105,41 @@
 	if json.Unmarshal(raw[start:], &line) != nil || json.Unmarshal(raw[start:], &fields) != nil || line.Kind == "" {
 		return Line{}, false
 	}
-	line.Text = textOf(fields)
+	line.Text = otherFieldsText(fields)
 	return line, true
 }
 
-func textOf(fields map[string]any) string {
-	var words []string
+func otherFieldsText(fields map[string]any) string {
+	var pairs []string
 	for name, value := range fields {
-		if !shown[name] {
-			words = append(words, fmt.Sprintf("%s=%v", name, value))
+		if !omittedFromText[name] {
+			pairs = append(pairs, fmt.Sprintf("%s=%v", name, value))
 		}
 	}
-	slices.Sort(words)
-	return strings.Join(words, " ")
+	slices.Sort(pairs)
+	return strings.Join(pairs, " ")
 }
 
-// happened is when the step took place: all steps of a call are written at its end, so
-// their order is that of the time since the arrival.
-func (l *Line) happened() time.Time {
+// sortTime returns the step's time since the call's arrival, as an offset from the zero time.
+// All steps of a call are logged at its end, so the time of the log line doesn't order them.
+func (l *Line) sortTime() time.Time {
 	return time.Time{}.Add(time.Duration(l.AfterMillis * float64(time.Millisecond)))
 }
 
-// lastBeliefs returns, for each box of the story, the last line of each kind, and of each
-// target that the call met, from before the call ended.
-func (s *Story) lastBeliefs(all []Line) []Line {
-	ended := map[string]time.Time{}
+// lastStateLines returns, for each box of the timeline, the last line of each kind, and the
+// last one about each target that the call used, logged up to the end of the call.
+func (t *Timeline) lastStateLines(all []Line) []Line {
+	endTimes := map[string]time.Time{}
 	targets := map[string]bool{}
-	for _, step := range s.Steps {
-		ended[step.Box] = step.Time
+	for _, step := range t.Steps {
+		endTimes[step.Box] = step.Time
 		targets[step.Target] = true
 	}
 	last := map[string]Line{}
 	for _, b := range all {
-		end, mine := ended[b.Box]
-		aboutTarget := beliefKinds[b.Kind]
-		if !mine || b.Time.After(end) || aboutTarget && !targets[b.Target] {
+		end, inTimeline := endTimes[b.Box]
+		aboutTarget := stateKinds[b.Kind]
+		if !inTimeline || b.Time.After(end) || aboutTarget && !targets[b.Target] {
 			continue
 		}
 		key := b.Box + " " + b.Kind
@@ -148,25 +150,25 @@
 			last[key] = b
 		}
 	}
-	var beliefs []Line
+	var lines []Line
 	for _, b := range last {
-		beliefs = append(beliefs, b)
+		lines = append(lines, b)
 	}
-	slices.SortFunc(beliefs, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	return beliefs
+	slices.SortFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	return lines
 }
 
-// Write tells the story to people.
-func (s *Story) Write(w io.Writer) {
-	fmt.Fprintf(w, "call %s\n\nwhat the box believed:\n", s.Call)
-	for _, b := range s.Beliefs {
+// Write prints the timeline as text.
+func (t *Timeline) Write(w io.Writer) {
+	fmt.Fprintf(w, "call %s\n\nwhat the box believed:\n", t.Call)
+	for _, b := range t.StateLines {
 		fmt.Fprintf(w, "  %s  %s  %s  %s\n", b.Time.Format("15:04:05.000"), b.Box, b.Kind, b.Text)
 	}
 	fmt.Fprintf(w, "\nwhat was decided, in ms from the call's arrival:\n")
-	for _, step := range s.Steps {
+	for _, step := range t.Steps {
 		fmt.Fprintf(w, "  %9.2f  %s  %s  %s\n", step.AfterMillis, step.Box, step.Kind, step.Text)
 	}
-	if s.Unreadable > 0 {
-		fmt.Fprintf(w, "\n%d lines could not be read\n", s.Unreadable)
+	if t.Unreadable > 0 {
+		fmt.Fprintf(w, "\n%d lines could not be read\n", t.Unreadable)
 	}
 }
