--- a/pkg/lab/caller.go
+++ b/pkg/lab/caller.go
@@ -44,8 +44,8 @@
 	Detail     string
 }
 
-// Plan says what a call should be like.
-type Plan struct {
+// CallSpec says what a call should be like.
+type CallSpec struct {
 	Host     string
 	Once     bool
 	Work     time.Duration
@@ -92,7 +92,7 @@
 func (c *Caller) SetKey(key string) { c.key.Store(&key) }
 
 // Do makes one call and returns what came of it.
-func (c *Caller) Do(p Plan) Call {
+func (c *Caller) Do(p CallSpec) Call {
 	addresses := *c.addrs.Load()
 	address := addresses[int(c.next.Add(1))%len(addresses)]
 	x := Call{Request: uuid.NewString(), Host: p.Host, Once: p.Once}
@@ -113,7 +113,7 @@
 	return x
 }
 
-func fill(request *fasthttp.Request, address string, x *Call, p Plan) {
+func fill(request *fasthttp.Request, address string, x *Call, p CallSpec) {
 	request.SetRequestURI("http://" + address + "/")
 	request.Header.SetHost(p.Host)
 	request.UseHostHeader = true
@@ -146,7 +146,7 @@
 }
 
 // judge compares what came with what belongs to the request.
-func (x *Call) judge(response *fasthttp.Response, err error, p Plan) {
+func (x *Call) judge(response *fasthttp.Response, err error, p CallSpec) {
 	if err != nil {
 		x.Verdict, x.Detail = Unknown, err.Error()
 		return
--- a/pkg/lab/demo.go
+++ b/pkg/lab/demo.go
@@ -138,7 +138,7 @@
 			defer workers.Done()
 			for n := range tickets {
 				x := demoServices[n%len(demoServices)]
-				d.caller.Do(Plan{Host: x.name + ".test", Once: x.work == table.AtMostOnce, Size: 200 + n%5000})
+				d.caller.Do(CallSpec{Host: x.name + ".test", Once: x.work == table.AtMostOnce, Size: 200 + n%5000})
 			}
 		}()
 	}
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -116,7 +116,7 @@
 func (x *crashStory) keepSending(body string) {
 	for x.pause(crashEvery) && !x.quiet.Load() {
 		at := time.Now()
-		c := x.caller.Do(lab.Plan{Host: "repeatable.test", Body: []byte(body)})
+		c := x.caller.Do(lab.CallSpec{Host: "repeatable.test", Body: []byte(body)})
 		x.lock.Lock()
 		x.sent = append(x.sent, crashCall{Call: c, at: at, body: body})
 		x.lock.Unlock()
@@ -131,7 +131,7 @@
 		if n%2 == 0 {
 			body = fmt.Sprintf("call %d", n)
 		}
-		x.caller.Do(lab.Plan{Host: "repeatable.test", Body: []byte(body)})
+		x.caller.Do(lab.CallSpec{Host: "repeatable.test", Body: []byte(body)})
 	}
 }
 
@@ -203,7 +203,7 @@
 	x.Helper()
 	whole := 0
 	for n := range calls {
-		c := x.caller.Do(lab.Plan{Host: "repeatable.test", Body: []byte([]string{"popular", fmt.Sprintf("afterwards %d", n)}[n%2])})
+		c := x.caller.Do(lab.CallSpec{Host: "repeatable.test", Body: []byte([]string{"popular", fmt.Sprintf("afterwards %d", n)}[n%2])})
 		if c.Verdict == lab.Whole {
 			whole++
 		}
@@ -245,7 +245,7 @@
 }
 
 // badCall is a call with the request that ends targets.
-var badCall = lab.Plan{Host: "repeatable.test", Body: []byte(crashBody)}
+var badCall = lab.CallSpec{Host: "repeatable.test", Body: []byte(crashBody)}
 
 // callBad makes one such call, at any box.
 func (x *crashStory) callBad() lab.Call { return x.caller.Do(badCall) }
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -41,7 +41,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		x.callAll(4000, 64, func(int) lab.Plan { return lab.Plan{Host: "once.test", Once: true} })
+		x.callAll(4000, 64, func(int) lab.CallSpec { return lab.CallSpec{Host: "once.test", Once: true} })
 	}()
 	time.Sleep(300 * time.Millisecond)
 	frozen.Process.Freeze()
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -21,7 +21,7 @@
 func TestEveryCallerGetsItsOwnWholeAnswer(t *testing.T) {
 	x := begin(t, setting{replicas: 1, boxes: 2, targets: 4, targetArguments: []string{"--slots", "16", "--queue", "64"}})
 	x.fillTable(nil)
-	x.callAll(max(3000, 2**callers), *callers, func(i int) lab.Plan {
+	x.callAll(max(3000, 2**callers), *callers, func(i int) lab.CallSpec {
 		p := mixed(i)
 		p.Work = time.Duration(i%7) * time.Millisecond
 		if i%50 == 0 {
@@ -42,7 +42,7 @@
 		for _, work := range []string{"repeatable", "once", "patient"} {
 			for _, size := range []int{100, 400_000} {
 				t.Run(fmt.Sprintf("%s %s %d", cut, work, size), func(t *testing.T) {
-					call := x.caller.Do(lab.Plan{Host: work + ".test", Once: work == "once", Cut: cut, Size: size})
+					call := x.caller.Do(lab.CallSpec{Host: work + ".test", Once: work == "once", Cut: cut, Size: size})
 					if call.Verdict == lab.Whole || call.Verdict == lab.Wrong || call.Verdict == lab.NotRun {
 						t.Fatalf("the caller was told %+v", call)
 					}
@@ -56,8 +56,8 @@
 func TestLongReportsArriveComplete(t *testing.T) {
 	x := begin(t, setting{replicas: 1, boxes: 1, targets: 2, targetArguments: []string{"--slots", "32", "--queue", "64"}})
 	x.fillTable(nil)
-	x.callAll(48, 16, func(int) lab.Plan {
-		return lab.Plan{Host: "patient.test", Size: 10 << 20, Deadline: 30 * time.Second}
+	x.callAll(48, 16, func(int) lab.CallSpec {
+		return lab.CallSpec{Host: "patient.test", Size: 10 << 20, Deadline: 30 * time.Second}
 	})
 	if s := x.mustBeClean(); s.Whole != 48 {
 		t.Fatalf("not every report arrived: %s", s)
@@ -298,14 +298,14 @@
 	x.fillTable(nil)
 	x.cluster.Replicas[0].Process.Freeze()
 	x.must(lab.Eventually(patience, func() error {
-		if c := x.caller.Do(lab.Plan{Host: "once.test", Once: true}); c.Reason != "no-lease" {
+		if c := x.caller.Do(lab.CallSpec{Host: "once.test", Once: true}); c.Reason != "no-lease" {
 			return fmt.Errorf("told %+v", c)
 		}
 		return nil
 	}))
 	x.cluster.Replicas[0].Process.Thaw()
 	x.must(lab.Eventually(patience, func() error {
-		if c := x.caller.Do(lab.Plan{Host: "once.test", Once: true}); c.Verdict != lab.Whole {
+		if c := x.caller.Do(lab.CallSpec{Host: "once.test", Once: true}); c.Verdict != lab.Whole {
 			return fmt.Errorf("told %+v", c)
 		}
 		return nil
@@ -328,7 +328,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		x.callAll(patientCalls, patientCalls, func(int) lab.Plan { return lab.Plan{Host: "patient.test"} })
+		x.callAll(patientCalls, patientCalls, func(int) lab.CallSpec { return lab.CallSpec{Host: "patient.test"} })
 	}()
 	x.must(lab.Eventually(patience, func() error {
 		d, err := x.cluster.Boxes[0].Dump()
@@ -421,7 +421,7 @@
 	if runs := x.runs(); len(runs) != 0 {
 		t.Fatalf("a target ran %v", runs)
 	}
-	if c := x.caller.Do(lab.Plan{Host: "once.test", Once: true}); c.Verdict != lab.Whole {
+	if c := x.caller.Do(lab.CallSpec{Host: "once.test", Once: true}); c.Verdict != lab.Whole {
 		t.Fatalf("after all that a good call was told %+v", c)
 	}
 }
@@ -433,7 +433,7 @@
 	}})
 	x.fillTable(nil)
 	for _, work := range []string{"repeatable", "once", "patient"} {
-		c := x.caller.Do(lab.Plan{Host: work + ".test", Once: work == "once", Work: time.Second})
+		c := x.caller.Do(lab.CallSpec{Host: work + ".test", Once: work == "once", Work: time.Second})
 		if c.Verdict != lab.Whole {
 			t.Errorf("a call of a second was told %+v", c)
 		}
--- a/test/residency_test.go
+++ b/test/residency_test.go
@@ -104,9 +104,9 @@
 // callBoth makes restricted calls and others, and returns the restricted ones.
 func (x *residencyStory) callBoth(n int) []lab.Call {
 	before := len(x.caller.Calls())
-	x.callAll(n, 12, func(i int) lab.Plan {
+	x.callAll(n, 12, func(i int) lab.CallSpec {
 		host := []string{"eu.test", "any.test"}[i%2]
-		return lab.Plan{Host: host, Work: time.Duration(i%30) * time.Millisecond, Deadline: 2 * time.Second}
+		return lab.CallSpec{Host: host, Work: time.Duration(i%30) * time.Millisecond, Deadline: 2 * time.Second}
 	})
 	return slices.DeleteFunc(x.caller.Calls()[before:], func(c lab.Call) bool { return c.Host != "eu.test" })
 }
--- a/test/rest_test.go
+++ b/test/rest_test.go
@@ -48,7 +48,7 @@
 }
 
 // shopCall is a call of the story's service.
-var shopCall = lab.Plan{Host: "shop.test"}
+var shopCall = lab.CallSpec{Host: "shop.test"}
 
 func readNotices(s *config.Settings) {
 	quickLeases(s)
--- a/test/rollout_test.go
+++ b/test/rollout_test.go
@@ -82,7 +82,7 @@
 	if k%4 == 0 {
 		host = "menu.test"
 	}
-	x.caller.Do(lab.Plan{Host: host})
+	x.caller.Do(lab.CallSpec{Host: host})
 	time.Sleep(15 * time.Millisecond)
 }
 
@@ -287,7 +287,7 @@
 	// Calls that the old version works on for long hold the shift up.
 	for k := range 3 {
 		x.repeat(func() {
-			x.caller.Do(lab.Plan{Host: "shop.test", Work: 1500 * time.Millisecond})
+			x.caller.Do(lab.CallSpec{Host: "shop.test", Work: 1500 * time.Millisecond})
 			time.Sleep(time.Duration(k) * 100 * time.Millisecond)
 		})
 	}
--- a/test/soak_crash_test.go
+++ b/test/soak_crash_test.go
@@ -63,7 +63,7 @@
 }
 
 func (x *soak) callCrashing() lab.Call {
-	return x.caller.Do(lab.Plan{Host: "shop.test", Body: []byte(crashBody)})
+	return x.caller.Do(lab.CallSpec{Host: "shop.test", Body: []byte(crashBody)})
 }
 
 // checkCrashes makes sure that the request is kept from targets once all faults have ended, and
@@ -77,7 +77,7 @@
 				return fmt.Errorf("%s is down", target.Name)
 			}
 		}
-		if c := x.caller.Do(lab.Plan{Host: "shop.test"}); c.Verdict != lab.Whole {
+		if c := x.caller.Do(lab.CallSpec{Host: "shop.test"}); c.Verdict != lab.Whole {
 			return fmt.Errorf("a call that is well was answered %+v", c)
 		}
 		return nil
@@ -95,7 +95,7 @@
 	x.must(lab.Eventually(patience, func() error {
 		x.keepTargets()
 		x.reportAll(x.cluster.Replicas[1])
-		if c := x.caller.Do(lab.Plan{Host: "shop.test"}); c.Verdict != lab.Whole {
+		if c := x.caller.Do(lab.CallSpec{Host: "shop.test"}); c.Verdict != lab.Whole {
 			return fmt.Errorf("a call that is well was answered %+v", c)
 		}
 		return nil
--- a/test/soak_keys_test.go
+++ b/test/soak_keys_test.go
@@ -108,7 +108,7 @@
 
 // callWith calls with a key that may not hold.
 func (x *soak) callWith(key string) lab.Call {
-	c := x.caller.Do(lab.Plan{Host: "shop.test", Key: key})
+	c := x.caller.Do(lab.CallSpec{Host: "shop.test", Key: key})
 	switch {
 	case c.Reason == routing.UnknownKey.String(), c.Reason == routing.QuotaExceeded.String():
 		x.strangers.Add(1)
--- a/test/soak_residency_test.go
+++ b/test/soak_residency_test.go
@@ -27,7 +27,7 @@
 }
 
 func (x *soak) callResident() {
-	x.caller.Do(lab.Plan{Host: soakResident, Work: time.Duration(x.draw(20)) * time.Millisecond})
+	x.caller.Do(lab.CallSpec{Host: soakResident, Work: time.Duration(x.draw(20)) * time.Millisecond})
 	time.Sleep(soakCallPause)
 }
 
--- a/test/soak_rollout_test.go
+++ b/test/soak_rollout_test.go
@@ -84,7 +84,7 @@
 func (x *soak) keepBusy() {
 	x.reportAll(x.cluster.Replicas[1])
 	for range 10 {
-		x.caller.Do(lab.Plan{Host: string(soakRolled) + ".test"})
+		x.caller.Do(lab.CallSpec{Host: string(soakRolled) + ".test"})
 	}
 }
 
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -342,7 +342,7 @@
 		return
 	}
 	service := soakServices[x.draw(len(soakServices))]
-	x.caller.Do(lab.Plan{Host: service + ".test", Once: service == "pay", Work: time.Duration(x.draw(20)) * time.Millisecond})
+	x.caller.Do(lab.CallSpec{Host: service + ".test", Once: service == "pay", Work: time.Duration(x.draw(20)) * time.Millisecond})
 	time.Sleep(soakCallPause)
 }
 
@@ -389,7 +389,7 @@
 	before := x.statsOf(target)
 	whole := 0
 	for range soakLastCalls {
-		if x.caller.Do(lab.Plan{Host: "shop.test"}).Verdict == lab.Whole {
+		if x.caller.Do(lab.CallSpec{Host: "shop.test"}).Verdict == lab.Whole {
 			whole++
 		}
 	}
--- a/test/steps_test.go
+++ b/test/steps_test.go
@@ -146,7 +146,7 @@
 }
 
 // awaitWhole waits until a call is served.
-func (x *story) awaitWhole(plan lab.Plan) {
+func (x *story) awaitWhole(plan lab.CallSpec) {
 	x.Helper()
 	x.must(lab.Eventually(patience, func() error {
 		if c := x.caller.Do(plan); c.Verdict != lab.Whole {
@@ -329,7 +329,7 @@
 
 // callAll makes n calls from a number of callers at once; plan says what the
 // i-th one is like.
-func (x *story) callAll(n, callers int, plan func(i int) lab.Plan) {
+func (x *story) callAll(n, callers int, plan func(i int) lab.CallSpec) {
 	var wait sync.WaitGroup
 	tickets := make(chan int, n)
 	for i := range n {
@@ -349,7 +349,7 @@
 }
 
 // mixed is a plan over the three kinds of work in turn.
-func mixed(i int) lab.Plan {
+func mixed(i int) lab.CallSpec {
 	work := []table.WorkKind{table.Repeatable, table.AtMostOnce, table.Patient}[i%3]
-	return lab.Plan{Host: work.String() + ".test", Once: work == table.AtMostOnce, Size: i % 2000}
+	return lab.CallSpec{Host: work.String() + ".test", Once: work == table.AtMostOnce, Size: i % 2000}
 }
