--- a/pkg/lab/caller.go
+++ b/pkg/lab/caller.go
@@ -16,8 +16,8 @@
 
 // The verdicts.
 const (
-	// Whole: the caller's own answer came whole.
-	Whole Verdict = iota + 1
+	// Complete: the caller's own answer came whole.
+	Complete Verdict = iota + 1
 	// NotRun: a refusal that says that nothing was run.
 	NotRun
 	// Unknown: a refusal or a broken connection that leaves it open.
@@ -30,15 +30,15 @@
 
 // Call is one call as a caller made it.
 type Call struct {
-	Request string
-	Host    string
-	// Once is set for work that must not run twice.
-	Once    bool
-	Verdict Verdict
-	Status  int
-	Reason  string
-	Target  string
-	Took    time.Duration
+	RequestID string
+	Host      string
+	// AtMostOnce is set for work that must not run twice.
+	AtMostOnce bool
+	Verdict    Verdict
+	Status     int
+	Reason     string
+	Target     string
+	Latency    time.Duration
 	// RetryAfter is when the caller was told to come back.
 	RetryAfter time.Duration
 	Detail     string
@@ -46,39 +46,39 @@
 
 // CallSpec says what a call should be like.
 type CallSpec struct {
-	Host     string
-	Once     bool
-	Work     time.Duration
-	Size     int
-	Cut      string
-	Deadline time.Duration
-	Body     []byte
+	Host        string
+	AtMostOnce  bool
+	Work        time.Duration
+	AnswerBytes int
+	Truncation  string
+	Deadline    time.Duration
+	Body        []byte
 	// Key is presented in place of the caller's own; empty presents that.
 	Key string
 }
 
 // Caller makes calls to entry boxes and checks every answer.
 type Caller struct {
-	client *fasthttp.Client
-	lock   sync.Mutex
-	calls  []Call
-	next   atomic.Uint64
-	addrs  atomic.Pointer[[]string]
-	key    atomic.Pointer[string]
+	client    *fasthttp.Client
+	lock      sync.Mutex
+	calls     []Call
+	next      atomic.Uint64
+	addresses atomic.Pointer[[]string]
+	key       atomic.Pointer[string]
 }
 
 const (
-	callLimit    = 3 * time.Minute
-	maxAnswer    = 64 << 20
-	callerConns  = 4096
-	idleCallConn = 5 * time.Second
+	callTimeout     = 3 * time.Minute
+	maxAnswerBytes  = 64 << 20
+	maxCallerConns  = 4096
+	idleConnTimeout = 5 * time.Second
 )
 
 // NewCaller returns a caller that spreads its calls over addresses in turn.
 func NewCaller(addresses ...string) *Caller {
 	c := &Caller{client: &fasthttp.Client{
-		MaxIdemponentCallAttempts: 1, MaxConnsPerHost: callerConns, MaxResponseBodySize: maxAnswer,
-		ReadTimeout: callLimit, MaxIdleConnDuration: idleCallConn, NoDefaultUserAgentHeader: true,
+		MaxIdemponentCallAttempts: 1, MaxConnsPerHost: maxCallerConns, MaxResponseBodySize: maxAnswerBytes,
+		ReadTimeout: callTimeout, MaxIdleConnDuration: idleConnTimeout, NoDefaultUserAgentHeader: true,
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}}
 	c.SetAddresses(addresses...)
@@ -86,58 +86,58 @@
 }
 
 // SetAddresses changes where the calls go from now on.
-func (c *Caller) SetAddresses(addresses ...string) { c.addrs.Store(&addresses) }
+func (c *Caller) SetAddresses(addresses ...string) { c.addresses.Store(&addresses) }
 
 // SetKey gives the caller a key, which all its calls present from now on.
 func (c *Caller) SetKey(key string) { c.key.Store(&key) }
 
 // Do makes one call and returns what came of it.
 func (c *Caller) Do(p CallSpec) Call {
-	addresses := *c.addrs.Load()
+	addresses := *c.addresses.Load()
 	address := addresses[int(c.next.Add(1))%len(addresses)]
-	x := Call{Request: uuid.NewString(), Host: p.Host, Once: p.Once}
+	x := Call{RequestID: uuid.NewString(), Host: p.Host, AtMostOnce: p.AtMostOnce}
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	if own := c.key.Load(); own != nil && p.Key == "" {
 		p.Key = *own
 	}
-	fill(request, address, &x, p)
+	fillRequest(request, address, &x, p)
 	started := time.Now()
-	err := c.client.DoTimeout(request, response, callLimit)
-	x.Took = time.Since(started)
-	x.judge(response, err, p)
+	err := c.client.DoTimeout(request, response, callTimeout)
+	x.Latency = time.Since(started)
+	x.classify(response, err, p)
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.calls = append(c.calls, x)
 	return x
 }
 
-func fill(request *fasthttp.Request, address string, x *Call, p CallSpec) {
+func fillRequest(request *fasthttp.Request, address string, x *Call, p CallSpec) {
 	request.SetRequestURI("http://" + address + "/")
 	request.Header.SetHost(p.Host)
 	request.UseHostHeader = true
-	request.Header.Set(RequestHeader, x.Request)
+	request.Header.Set(RequestHeader, x.RequestID)
 	request.Header.Set(EntryHeader, address)
-	request.Header.Set(MadeHeader, strconv.FormatInt(time.Now().UnixMicro(), 10))
+	request.Header.Set(SentAtHeader, strconv.FormatInt(time.Now().UnixMicro(), 10))
 	if p.Key != "" {
 		request.Header.Set(KeyHeader, p.Key)
 	}
 	if p.Work > 0 {
 		request.Header.Set(WorkHeader, strconv.FormatInt(p.Work.Microseconds(), 10))
 	}
-	if p.Size > 0 {
-		request.Header.Set(SizeHeader, strconv.Itoa(p.Size))
+	if p.AnswerBytes > 0 {
+		request.Header.Set(AnswerBytesHeader, strconv.Itoa(p.AnswerBytes))
 	}
-	if p.Cut != "" {
-		request.Header.Set(CutHeader, p.Cut)
+	if p.Truncation != "" {
+		request.Header.Set(TruncationHeader, p.Truncation)
 	}
 	if p.Deadline > 0 {
 		request.Header.Set("X-Deadline-Ms", strconv.FormatInt(p.Deadline.Milliseconds(), 10))
 	}
-	if p.Once {
+	if p.AtMostOnce {
 		request.Header.SetMethod(fasthttp.MethodPost)
-		request.SetBody([]byte("once " + x.Request))
+		request.SetBody([]byte("once " + x.RequestID))
 	}
 	if p.Body != nil {
 		request.Header.SetMethod(fasthttp.MethodPost)
@@ -145,8 +145,8 @@
 	}
 }
 
-// judge compares what came with what belongs to the request.
-func (x *Call) judge(response *fasthttp.Response, err error, p CallSpec) {
+// classify compares what came with what belongs to the request.
+func (x *Call) classify(response *fasthttp.Response, err error, p CallSpec) {
 	if err != nil {
 		x.Verdict, x.Detail = Unknown, err.Error()
 		return
@@ -164,8 +164,8 @@
 		x.Verdict = Unknown
 	case x.Status >= fasthttp.StatusInternalServerError:
 		x.Verdict = TargetError
-	case string(response.Body()) == string(AnswerBody(x.Request, p.Size)):
-		x.Verdict = Whole
+	case string(response.Body()) == string(AnswerBody(x.RequestID, p.AnswerBytes)):
+		x.Verdict = Complete
 	default:
 		x.Verdict = Wrong
 		x.Detail = fmt.Sprintf("status %d, %d bytes", x.Status, len(response.Body()))
@@ -181,45 +181,45 @@
 
 // Summary compares what callers were told with what the targets' journals say.
 type Summary struct {
-	Sent    int `json:"sent"`
-	Whole   int `json:"whole"`
-	Refused int `json:"refused"`
-	Unknown int `json:"unknown"`
-	Errors  int `json:"targetErrors"`
+	Sent         int `json:"sent"`
+	Complete     int `json:"whole"`
+	Refused      int `json:"refused"`
+	Unknown      int `json:"unknown"`
+	TargetErrors int `json:"targetErrors"`
 	// Lost counts calls answered whole that no target ran.
 	Lost int `json:"lost"`
-	// Doubled counts once-calls that ran more than once.
-	Doubled int `json:"doubled"`
+	// Duplicated counts once-calls that ran more than once.
+	Duplicated int `json:"doubled"`
 	// Wrong counts answers that weren't the caller's own and whole, and calls that
 	// were run although their callers were told that they weren't.
 	Wrong int `json:"wrong"`
 	// Reasons counts the refusals by reason.
 	Reasons map[string]int `json:"reasons,omitempty"`
-	// Extra counts the runs beyond each call's first.
-	Extra int `json:"extra"`
+	// ExtraRuns counts the runs beyond each call's first.
+	ExtraRuns int `json:"extra"`
 }
 
 // Summarize compares calls with journals.
-func Summarize(calls []Call, runs Executions) Summary {
+func Summarize(calls []Call, runs RunCounts) Summary {
 	s := Summary{Reasons: map[string]int{}}
 	for _, x := range calls {
-		s.add(x, runs[x.Request])
+		s.add(x, runs[x.RequestID])
 	}
 	return s
 }
 
 func (s *Summary) add(x Call, runs int) {
 	s.Sent++
-	s.Extra += max(0, runs-1)
-	if x.Once && runs > 1 {
-		s.Doubled++
+	s.ExtraRuns += max(0, runs-1)
+	if x.AtMostOnce && runs > 1 {
+		s.Duplicated++
 	}
 	if x.Reason != "" {
 		s.Reasons[x.Reason]++
 	}
 	switch x.Verdict {
-	case Whole:
-		s.Whole++
+	case Complete:
+		s.Complete++
 		if runs == 0 {
 			s.Lost++
 		}
@@ -231,17 +231,17 @@
 	case Unknown:
 		s.Unknown++
 	case TargetError:
-		s.Errors++
+		s.TargetErrors++
 	case Wrong:
 		s.Wrong++
 	}
 }
 
 // Clean tells whether nothing was lost, doubled or wrong.
-func (s Summary) Clean() bool { return s.Lost == 0 && s.Doubled == 0 && s.Wrong == 0 }
+func (s Summary) Clean() bool { return s.Lost == 0 && s.Duplicated == 0 && s.Wrong == 0 }
 
 // String tells the summary in one line.
 func (s Summary) String() string {
 	return fmt.Sprintf("sent %d, answered whole %d, refused %d, unknown %d, target errors %d, lost %d, doubled %d, wrong %d",
-		s.Sent, s.Whole, s.Refused, s.Unknown, s.Errors, s.Lost, s.Doubled, s.Wrong)
+		s.Sent, s.Complete, s.Refused, s.Unknown, s.TargetErrors, s.Lost, s.Duplicated, s.Wrong)
 }
--- a/pkg/lab/cli/cli.go
+++ b/pkg/lab/cli/cli.go
@@ -14,8 +14,8 @@
 	"github.com/madderpond/madderpond/pkg/lab"
 )
 
-// errUnclean says that a run found something lost, doubled or wrong.
-var errUnclean = errors.New("something was lost, doubled or wrong")
+// errInconsistent says that a run found something lost, doubled or wrong.
+var errInconsistent = errors.New("something was lost, doubled or wrong")
 
 // Main runs the lab with a command line and returns its exit code.
 func Main(arguments []string) int {
@@ -51,8 +51,8 @@
 	return 1
 }
 
-// sayStarted tells whoever started this process that it serves.
-func sayStarted() { fmt.Fprintln(os.Stderr, `{"kind":"started"}`) }
+// printStarted tells whoever started this process that it serves.
+func printStarted() { fmt.Fprintln(os.Stderr, `{"kind":"started"}`) }
 
 func awaitSignal() {
 	signals := make(chan os.Signal, 1)
@@ -60,9 +60,9 @@
 	<-signals
 }
 
-// inFolder calls f with a folder of its own, which is removed after it, and with
+// withTempFolder calls f with a folder of its own, which is removed after it, and with
 // this program's own path.
-func inFolder(name string, f func(folder, self string) error) error {
+func withTempFolder(name string, f func(folder, self string) error) error {
 	folder, err := os.MkdirTemp("", "madderpond-"+name+"-")
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	sayStarted()
+	printStarted()
 	awaitSignal()
 	t.Stop()
 	return nil
@@ -123,15 +123,15 @@
 	if err != nil {
 		return err
 	}
-	p.Delay(c.Delay)
+	p.SetDelay(c.Delay)
 	switches := make(chan os.Signal, 1)
 	signal.Notify(switches, syscall.SIGUSR1, syscall.SIGUSR2)
 	go func() {
 		for s := range switches {
-			p.Silence(s == syscall.SIGUSR1)
+			p.Blackhole(s == syscall.SIGUSR1)
 		}
 	}()
-	sayStarted()
+	printStarted()
 	awaitSignal()
 	p.Close()
 	return nil
@@ -145,9 +145,9 @@
 // Execute runs the demo and fails if anything was lost, doubled or wrong.
 func (c *runDemo) Execute([]string) error {
 	var summary lab.Summary
-	err := inFolder("demo", func(folder, self string) (err error) {
+	err := withTempFolder("demo", func(folder, self string) (err error) {
 		summary, err = lab.RunDemo(lab.DemoSettings{
-			Folder: folder, Program: c.Program, Self: self, Calls: c.Calls, Out: os.Stdout,
+			Folder: folder, Program: c.Program, LabProgram: self, Calls: c.Calls, Out: os.Stdout,
 		})
 		return err
 	})
@@ -159,7 +159,7 @@
 		fmt.Printf("  refused as %s: %d\n", reason, n)
 	}
 	if !summary.Clean() {
-		return errUnclean
+		return errInconsistent
 	}
 	return nil
 }
--- a/pkg/lab/cli/control.go
+++ b/pkg/lab/cli/control.go
@@ -15,8 +15,8 @@
 
 // Execute measures the control state.
 func (c *runControl) Execute([]string) error {
-	return inFolder("control", func(folder, _ string) error {
-		m := &lab.ControlMeasure{Folder: folder, Program: c.Program, Edits: c.Edits, Rest: c.Rest}
+	return withTempFolder("control", func(folder, _ string) error {
+		m := &lab.ControlBenchmark{Folder: folder, Program: c.Program, Edits: c.Edits, IdleTime: c.Rest}
 		page, err := m.Run("make bench-control")
 		if err != nil {
 			return err
--- a/pkg/lab/cli/replay.go
+++ b/pkg/lab/cli/replay.go
@@ -72,7 +72,7 @@
 	return writeReport(c.JSON, string(data))
 }
 
-func (c *runReplay) wants(v replay.Variant) bool {
+func (c *runReplay) selects(v replay.Variant) bool {
 	if len(c.Variants) == 0 || v.Policy == "" {
 		return true
 	}
@@ -93,7 +93,7 @@
 	for _, t := range traces {
 		results[t.Name] = map[string]*replay.Result{}
 		for _, v := range replay.Variants {
-			if !c.wants(v) {
+			if !c.selects(v) {
 				continue
 			}
 			group.SubmitErr(func() error {
--- a/pkg/lab/cli/speed.go
+++ b/pkg/lab/cli/speed.go
@@ -18,9 +18,9 @@
 
 // Execute measures what a box adds to a call.
 func (c *runSpeed) Execute([]string) error {
-	return inFolder("speed", func(folder, self string) error {
+	return withTempFolder("speed", func(folder, self string) error {
 		result, err := lab.RunSpeed(lab.SpeedSettings{
-			Folder: folder, Program: c.Program, Self: self, Rates: c.Rates, For: c.For, Callers: c.Callers, Idle: c.Idle,
+			Folder: folder, Program: c.Program, LabProgram: self, Rates: c.Rates, Duration: c.For, Callers: c.Callers, IdleCallers: c.Idle,
 		})
 		if err != nil {
 			return err
--- a/pkg/lab/cluster.go
+++ b/pkg/lab/cluster.go
@@ -16,8 +16,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// startLimit is how long a process may take until it serves.
-const startLimit = 20 * time.Second
+// startTimeout is how long a process may take until it serves.
+const startTimeout = 20 * time.Second
 
 // ClusterSettings say what a cluster of real processes is made of.
 type ClusterSettings struct {
@@ -66,12 +66,12 @@
 }
 
 func (c *Cluster) start() error {
-	direct, err := c.placeReplicas()
+	direct, err := c.assignAddresses()
 	if err != nil {
 		return err
 	}
 	for i := range c.settings.Replicas {
-		n, err := c.startNode(c.replicas[i].Box, config.RoleControl, direct[i])
+		n, err := c.addNode(c.replicas[i].Box, config.RoleControl, direct[i])
 		if err != nil {
 			return err
 		}
@@ -83,7 +83,7 @@
 		}
 	}
 	for i := range c.settings.Boxes {
-		n, err := c.startNode(fmt.Sprintf("box-%d", i+1), config.RoleEntry, "127.0.0.1:0")
+		n, err := c.addNode(fmt.Sprintf("box-%d", i+1), config.RoleEntry, "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
@@ -92,9 +92,9 @@
 	return nil
 }
 
-// placeReplicas chooses the replicas' addresses; with proxies these differ from
+// assignAddresses chooses the replicas' addresses; with proxies these differ from
 // where the replicas listen.
-func (c *Cluster) placeReplicas() (direct []string, err error) {
+func (c *Cluster) assignAddresses() (direct []string, err error) {
 	for i := range c.settings.Replicas {
 		address, err := FreeAddress()
 		if err != nil {
@@ -115,14 +115,14 @@
 	return direct, nil
 }
 
-func (c *Cluster) startNode(name string, role config.Role, peer string) (*Node, error) {
+func (c *Cluster) addNode(name string, role config.Role, peer string) (*Node, error) {
 	s := config.Defaults()
 	s.Box = name
 	s.Roles = []config.Role{role}
 	s.Peer.Listen = peer
 	s.Replicas = c.replicas
 	if c.settings.Seeds > 0 {
-		c.giveSeeds(s)
+		c.setSeeds(s)
 	}
 	s.Control.DataFolder = filepath.Join(c.settings.Folder, name)
 	s.Stop.Leave = config.Duration(300 * time.Millisecond)
@@ -131,12 +131,12 @@
 		c.settings.Adjust(s)
 	}
 	n := &Node{Settings: s, file: filepath.Join(c.settings.Folder, name+".json")}
-	return n, c.StartAgain(n)
+	return n, c.StartNode(n)
 }
 
-// giveSeeds lets a process know some replicas only, and a replica the address by which
+// setSeeds lets a process know some replicas only, and a replica the address by which
 // the others reach it.
-func (c *Cluster) giveSeeds(s *config.Settings) {
+func (c *Cluster) setSeeds(s *config.Settings) {
 	s.Replicas = []config.Replica{}
 	s.Control.Growth.Bootstrap = true
 	s.Seeds = []string{}
@@ -150,15 +150,15 @@
 	}
 }
 
-// StartAgain starts a node's process, for the first time or anew.
-func (c *Cluster) StartAgain(n *Node) (err error) {
+// StartNode starts a node's process, for the first time or anew.
+func (c *Cluster) StartNode(n *Node) (err error) {
 	if err := n.WriteSettings(); err != nil {
 		return err
 	}
 	if n.Process, err = StartProcess(n.Settings.Box, c.settings.Program, "--settings", n.file); err != nil {
 		return err
 	}
-	n.Started, err = n.Process.AwaitStarted(startLimit)
+	n.Started, err = n.Process.AwaitStarted(startTimeout)
 	if n.Started.Admin != "" {
 		// The same addresses are taken again after a restart.
 		n.Settings.Admin.Listen = n.Started.Admin
@@ -180,8 +180,8 @@
 	return os.Rename(next, n.file)
 }
 
-// LoseDisk removes a stopped replica's data folder.
-func (c *Cluster) LoseDisk(n *Node) error { return os.RemoveAll(n.Settings.Control.DataFolder) }
+// EraseData removes a stopped replica's data folder.
+func (c *Cluster) EraseData(n *Node) error { return os.RemoveAll(n.Settings.Control.DataFolder) }
 
 // AdminAddresses are the control replicas' administration addresses.
 func (c *Cluster) AdminAddresses() []string {
@@ -194,7 +194,7 @@
 
 // Client returns a client of all control replicas.
 func (c *Cluster) Client() (*client.Client, error) {
-	return client.NewClient(c.AdminAddresses(), "", startLimit)
+	return client.NewClient(c.AdminAddresses(), "", startTimeout)
 }
 
 func (c *Cluster) form() error {
@@ -202,7 +202,7 @@
 	if err != nil {
 		return err
 	}
-	return Eventually(startLimit, func() error {
+	return Eventually(startTimeout, func() error {
 		_, err := api.Form()
 		return err
 	})
@@ -233,8 +233,8 @@
 	return result, err
 }
 
-// AwaitInForce waits until a box shows at least a revision.
-func (c *Cluster) AwaitInForce(n *Node, revision units.Revision, limit time.Duration) error {
+// AwaitRevision waits until a box shows at least a revision.
+func (c *Cluster) AwaitRevision(n *Node, revision units.Revision, limit time.Duration) error {
 	return Eventually(limit, func() error {
 		d, err := n.Dump()
 		if err != nil {
@@ -247,8 +247,8 @@
 	})
 }
 
-// AwaitServing waits until a box is ready.
-func (c *Cluster) AwaitServing(n *Node, limit time.Duration) error {
+// AwaitReady waits until a box is ready.
+func (c *Cluster) AwaitReady(n *Node, limit time.Duration) error {
 	return Eventually(limit, func() error {
 		status, err := n.get("/ready", nil)
 		if err == nil && status != 200 {
@@ -261,7 +261,7 @@
 // Stop ends every process and proxy at once.
 func (c *Cluster) Stop() {
 	for _, n := range append(c.Boxes, c.Replicas...) {
-		if n.Process != nil && !n.Process.Ended() {
+		if n.Process != nil && !n.Process.Exited() {
 			n.Process.Kill()
 		}
 	}
--- a/pkg/lab/control_measure.go
+++ b/pkg/lab/control_measure.go
@@ -17,28 +17,28 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// ControlMeasure measures the control state with real replicas.
-type ControlMeasure struct {
+// ControlBenchmark measures the control state with real replicas.
+type ControlBenchmark struct {
 	Folder  string
 	Program string
 	// Edits is how many edits each measurement makes.
 	Edits int
-	// Rest is how long the cost at rest is watched.
-	Rest  time.Duration
-	lines []string
+	// IdleTime is how long the cost at rest is watched.
+	IdleTime time.Duration
+	lines    []string
 }
 
-func (m *ControlMeasure) say(format string, args ...any) {
+func (m *ControlBenchmark) printLine(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	fmt.Println(line)
 	m.lines = append(m.lines, line)
 }
 
 // Run makes all measurements and returns the page.
-func (m *ControlMeasure) Run(command string) (string, error) {
-	m.say("# The control state, measured\n")
-	m.say("Machine: %s. Date: %s. Command: `%s`. Real replicas on loopback with synced writes; all share the machine.\n", machine(), time.Now().UTC().Format(time.RFC3339), command)
-	steps := []func() error{m.edits, m.inForce, m.recovery}
+func (m *ControlBenchmark) Run(command string) (string, error) {
+	m.printLine("# The control state, measured\n")
+	m.printLine("Machine: %s. Date: %s. Command: `%s`. Real replicas on loopback with synced writes; all share the machine.\n", machine(), time.Now().UTC().Format(time.RFC3339), command)
+	steps := []func() error{m.edits, m.propagation, m.recovery}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			return "", err
@@ -47,7 +47,7 @@
 	return strings.Join(m.lines, "\n") + "\n", nil
 }
 
-func (m *ControlMeasure) cluster(name string, replicas int) (*Cluster, *client.Client, error) {
+func (m *ControlBenchmark) cluster(name string, replicas int) (*Cluster, *client.Client, error) {
 	folder := filepath.Join(m.Folder, name)
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, nil, err
@@ -60,8 +60,8 @@
 	return c, api, err
 }
 
-// addRow adds what a measurement says of a new cluster to the table under way.
-func (m *ControlMeasure) addRow(name string, replicas int, measure func(*Cluster, *client.Client) (string, error)) error {
+// measureRow adds what a measurement says of a new cluster to the table under way.
+func (m *ControlBenchmark) measureRow(name string, replicas int, measure func(*Cluster, *client.Client) (string, error)) error {
 	c, api, err := m.cluster(name, replicas)
 	if err != nil {
 		return err
@@ -71,33 +71,33 @@
 	if err != nil {
 		return err
 	}
-	m.say("%s", row)
+	m.printLine("%s", row)
 	return nil
 }
 
 // edits measures how long an edit takes and how many a second are accepted.
-func (m *ControlMeasure) edits() error {
-	m.say("## Edits\n")
-	m.say("| replicas | one operator: p50 ms | p99 ms | edits/s | 16 operators: edits/s | p99 ms | store after, bytes an edit |")
-	m.say("|---|---|---|---|---|---|---|")
+func (m *ControlBenchmark) edits() error {
+	m.printLine("## Edits\n")
+	m.printLine("| replicas | one operator: p50 ms | p99 ms | edits/s | 16 operators: edits/s | p99 ms | store after, bytes an edit |")
+	m.printLine("|---|---|---|---|---|---|---|")
 	for _, replicas := range []int{3, 5} {
-		err := m.addRow(fmt.Sprintf("edits-%d", replicas), replicas, func(c *Cluster, api *client.Client) (string, error) {
+		err := m.measureRow(fmt.Sprintf("edits-%d", replicas), replicas, func(c *Cluster, api *client.Client) (string, error) {
 			return m.editRow(c, api, replicas)
 		})
 		if err != nil {
 			return err
 		}
 	}
-	m.say("")
+	m.printLine("")
 	return nil
 }
 
-func (m *ControlMeasure) editRow(c *Cluster, api *client.Client, replicas int) (string, error) {
-	one, oneRate, err := editLoad(api, 1, m.Edits)
+func (m *ControlBenchmark) editRow(c *Cluster, api *client.Client, replicas int) (string, error) {
+	one, oneRate, err := runEdits(api, 1, m.Edits)
 	if err != nil {
 		return "", err
 	}
-	many, manyRate, err := editLoad(api, 16, m.Edits)
+	many, manyRate, err := runEdits(api, 16, m.Edits)
 	if err != nil {
 		return "", err
 	}
@@ -110,8 +110,8 @@
 		one.P50/1000, one.P99/1000, oneRate, manyRate, many.P99/1000, size), nil
 }
 
-// editLoad has operators make edits of a service each, one after the other.
-func editLoad(api *client.Client, operators, edits int) (Latencies, float64, error) {
+// runEdits has operators make edits of a service each, one after the other.
+func runEdits(api *client.Client, operators, edits int) (Latencies, float64, error) {
 	var lock sync.Mutex
 	var all []time.Duration
 	var failed error
@@ -159,69 +159,69 @@
 	}
 }
 
-// inForce measures how long an accepted edit takes to every subscriber, and what
+// propagation measures how long an accepted edit takes to every subscriber, and what
 // the subscribers cost.
-func (m *ControlMeasure) inForce() error {
-	m.say("## From accepted to in force on every box, and what boxes cost\n")
-	m.say("Boxes are real subscriptions on real connections, all in one process.\n")
-	m.say("| boxes | p50 ms | p99 ms | max ms | messages/s a box at rest | bytes/s a box at rest | bytes an edit a box | leader's CPU at rest, %% of a core | leader MB |")
-	m.say("|---|---|---|---|---|---|---|---|---|")
+func (m *ControlBenchmark) propagation() error {
+	m.printLine("## From accepted to in force on every box, and what boxes cost\n")
+	m.printLine("Boxes are real subscriptions on real connections, all in one process.\n")
+	m.printLine("| boxes | p50 ms | p99 ms | max ms | messages/s a box at rest | bytes/s a box at rest | bytes an edit a box | leader's CPU at rest, %% of a core | leader MB |")
+	m.printLine("|---|---|---|---|---|---|---|---|---|")
 	for _, boxes := range []int{3, 15, 50, 200} {
-		err := m.addRow(fmt.Sprintf("boxes-%d", boxes), 3, func(c *Cluster, api *client.Client) (string, error) {
-			return m.inForceRow(c, api, boxes)
+		err := m.measureRow(fmt.Sprintf("boxes-%d", boxes), 3, func(c *Cluster, api *client.Client) (string, error) {
+			return m.propagationRow(c, api, boxes)
 		})
 		if err != nil {
 			return err
 		}
 	}
-	m.say("")
+	m.printLine("")
 	return nil
 }
 
-// watchers notes when each box shows a revision.
-type watchers struct {
-	lock  sync.Mutex
-	shown map[units.Revision][]time.Time
+// revisionTimes notes when each box shows a revision.
+type revisionTimes struct {
+	lock   sync.Mutex
+	seenAt map[units.Revision][]time.Time
 }
 
-func (w *watchers) note(r units.Revision) {
+func (w *revisionTimes) record(r units.Revision) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.shown[r] = append(w.shown[r], time.Now())
+	w.seenAt[r] = append(w.seenAt[r], time.Now())
 }
 
-// last returns when the last of n boxes showed a revision.
-func (w *watchers) last(r units.Revision, n int) (time.Time, bool) {
+// lastSeen returns when the lastSeen of n boxes showed a revision.
+func (w *revisionTimes) lastSeen(r units.Revision, n int) (time.Time, bool) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	times := w.shown[r]
+	times := w.seenAt[r]
 	if len(times) < n {
 		return time.Time{}, false
 	}
 	return slices.MaxFunc(times, time.Time.Compare), true
 }
 
-func (m *ControlMeasure) inForceRow(c *Cluster, api *client.Client, boxes int) (string, error) {
-	w := &watchers{shown: map[units.Revision][]time.Time{}}
-	subscribers := c.subscribe(boxes, w.note)
+func (m *ControlBenchmark) propagationRow(c *Cluster, api *client.Client, boxes int) (string, error) {
+	w := &revisionTimes{seenAt: map[units.Revision][]time.Time{}}
+	subscribers := c.subscribe(boxes, w.record)
 	defer func() {
 		for _, s := range subscribers {
 			s.Stop()
 		}
 	}()
-	if err := awaitListed(api, boxes); err != nil {
+	if err := awaitRegisteredBoxes(api, boxes); err != nil {
 		return "", err
 	}
 	leader := c.leader()
-	cpuBefore, messages, bytes := cpuTime(leader.Process.PID()), total(subscribers, false), total(subscribers, true)
-	time.Sleep(m.Rest)
+	cpuBefore, messages, bytes := cpuTime(leader.Process.PID()), subscriberTraffic(subscribers, false), subscriberTraffic(subscribers, true)
+	time.Sleep(m.IdleTime)
 	cpu := cpuTime(leader.Process.PID()) - cpuBefore
-	perBox := float64(boxes) * m.Rest.Seconds()
-	restMessages := float64(total(subscribers, false)-messages) / perBox
-	restBytes := float64(total(subscribers, true)-bytes) / perBox
+	perBox := float64(boxes) * m.IdleTime.Seconds()
+	restMessages := float64(subscriberTraffic(subscribers, false)-messages) / perBox
+	restBytes := float64(subscriberTraffic(subscribers, true)-bytes) / perBox
 
 	var took []time.Duration
-	bytes = total(subscribers, true)
+	bytes = subscriberTraffic(subscribers, true)
 	started := time.Now()
 	base := units.Version(0)
 	for i := range m.Edits / 4 {
@@ -231,8 +231,8 @@
 		}
 		accepted := time.Now()
 		base = result.Versions["watched"]
-		err = Eventually(startLimit, func() error {
-			at, all := w.last(result.Revision, boxes)
+		err = Eventually(startTimeout, func() error {
+			at, all := w.lastSeen(result.Revision, boxes)
 			if !all {
 				return fmt.Errorf("revision %d isn't in force everywhere", result.Revision)
 			}
@@ -244,11 +244,11 @@
 		}
 	}
 	spent := time.Since(started).Seconds()
-	editBytes := (float64(total(subscribers, true)-bytes)/float64(boxes) - restBytes*spent) / float64(len(took))
+	editBytes := (float64(subscriberTraffic(subscribers, true)-bytes)/float64(boxes) - restBytes*spent) / float64(len(took))
 	l := summarize(took)
 	return fmt.Sprintf("| %d | %.2f | %.2f | %.2f | %.1f | %.0f | %.0f | %.2f | %.1f |", boxes, l.P50/1000, l.P99/1000,
 		float64(slices.Max(took).Microseconds())/1000, restMessages, restBytes, editBytes,
-		100*cpu.Seconds()/m.Rest.Seconds(), residentMB(leader.Process.PID())), nil
+		100*cpu.Seconds()/m.IdleTime.Seconds(), residentMB(leader.Process.PID())), nil
 }
 
 func (c *Cluster) subscribe(n int, shown func(units.Revision)) []*Subscriber {
@@ -265,8 +265,8 @@
 	return all
 }
 
-func awaitListed(api *client.Client, boxes int) error {
-	return Eventually(startLimit, func() error {
+func awaitRegisteredBoxes(api *client.Client, boxes int) error {
+	return Eventually(startTimeout, func() error {
 		t, err := api.Table()
 		if err == nil && len(t.Boxes) < boxes {
 			err = fmt.Errorf("%d of %d boxes are listed", len(t.Boxes), boxes)
@@ -278,9 +278,9 @@
 // leader returns the node that speaks for the cluster, or the first.
 func (c *Cluster) leader() *Node {
 	found := c.Replicas[0]
-	Eventually(startLimit, func() error {
+	Eventually(startTimeout, func() error {
 		for _, n := range c.Replicas {
-			if n.Process.Ended() {
+			if n.Process.Exited() {
 				continue
 			}
 			if d, err := n.Dump(); err == nil && d.Control.HasLease {
@@ -293,7 +293,7 @@
 	return found
 }
 
-func total(all []*Subscriber, bytes bool) int64 {
+func subscriberTraffic(all []*Subscriber, bytes bool) int64 {
 	n := int64(0)
 	for _, s := range all {
 		if bytes {
--- a/pkg/lab/demo.go
+++ b/pkg/lab/demo.go
@@ -16,8 +16,8 @@
 type DemoSettings struct {
 	Folder  string
 	Program string
-	// Self is the lab's own program, which runs the stand-in targets.
-	Self string
+	// LabProgram is the lab's own program, which runs the stand-in targets.
+	LabProgram string
 	// Calls is how many calls are made.
 	Calls int
 	Out   io.Writer
@@ -56,11 +56,11 @@
 	return Summarize(d.caller.Calls(), runs), nil
 }
 
-func (d *demo) say(format string, args ...any) { fmt.Fprintf(d.Out, format+"\n", args...) }
+func (d *demo) printLine(format string, args ...any) { fmt.Fprintf(d.Out, format+"\n", args...) }
 
 func (d *demo) start() (err error) {
 	for i := range demoTargets {
-		t, err := StartTargetProcess(d.Self, fmt.Sprintf("target-%d", i+1), d.Folder, "--slots", "3", "--queue", "8", "--work", "2ms")
+		t, err := StartTargetProcess(d.LabProgram, fmt.Sprintf("target-%d", i+1), d.Folder, "--slots", "3", "--queue", "8", "--work", "2ms")
 		if err != nil {
 			return err
 		}
@@ -72,23 +72,23 @@
 	if err != nil {
 		return err
 	}
-	d.say("%d control replicas, %d entry boxes and %d stand-in targets are running", demoReplicas, demoBoxes, demoTargets)
+	d.printLine("%d control replicas, %d entry boxes and %d stand-in targets are running", demoReplicas, demoBoxes, demoTargets)
 	result, err := d.cluster.Apply(d.sheets())
 	if err != nil {
 		return err
 	}
 	var entries []string
 	for _, b := range d.cluster.Boxes {
-		if err := d.cluster.AwaitInForce(b, result.Revision, startLimit); err != nil {
+		if err := d.cluster.AwaitRevision(b, result.Revision, startTimeout); err != nil {
 			return err
 		}
-		if err := d.cluster.AwaitServing(b, startLimit); err != nil {
+		if err := d.cluster.AwaitReady(b, startTimeout); err != nil {
 			return err
 		}
 		entries = append(entries, b.Entry)
 	}
 	d.caller = NewCaller(entries...)
-	d.say("the table is in force on every box at revision %d", result.Revision)
+	d.printLine("the table is in force on every box at revision %d", result.Revision)
 	return nil
 }
 
@@ -131,14 +131,14 @@
 // migrate moves the weight while the calls go on.
 func (d *demo) migrate() error {
 	var workers sync.WaitGroup
-	tickets := make(chan int)
+	callNumbers := make(chan int)
 	for range demoWorkers {
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
-			for n := range tickets {
+			for n := range callNumbers {
 				x := demoServices[n%len(demoServices)]
-				d.caller.Do(CallSpec{Host: x.name + ".test", Once: x.work == table.AtMostOnce, Size: 200 + n%5000})
+				d.caller.Do(CallSpec{Host: x.name + ".test", AtMostOnce: x.work == table.AtMostOnce, AnswerBytes: 200 + n%5000})
 			}
 		}()
 	}
@@ -147,9 +147,9 @@
 		if step := d.stepAt(n); step != nil && failed == nil {
 			failed = step()
 		}
-		tickets <- n
+		callNumbers <- n
 	}
-	close(tickets)
+	close(callNumbers)
 	workers.Wait()
 	return failed
 }
@@ -162,29 +162,29 @@
 	case d.Calls * 2 / 5:
 		return func() error { return d.setWeights(0, 100) }
 	case d.Calls * 3 / 5:
-		return d.leaveFirst
+		return d.markOldLeaving
 	case d.Calls * 4 / 5:
 		return d.stopBox
 	}
 	return nil
 }
 
-func (d *demo) setWeights(old, fresh int) error {
+func (d *demo) setWeights(old, newWeight int) error {
 	s := d.sheets()
 	for i := range s.Rows {
 		s.Rows[i].Weight = old
 		if i%demoTargets >= demoTargets/2 {
-			s.Rows[i].Weight = fresh
+			s.Rows[i].Weight = newWeight
 		}
 	}
 	result, err := d.cluster.Apply(s)
 	if err == nil {
-		d.say("weights are now %d for the old targets and %d for the new; revision %d", old, fresh, result.Revision)
+		d.printLine("weights are now %d for the old targets and %d for the new; revision %d", old, newWeight, result.Revision)
 	}
 	return err
 }
 
-func (d *demo) leaveFirst() error {
+func (d *demo) markOldLeaving() error {
 	s := d.sheets()
 	for i := range s.Rows {
 		s.Rows[i].Weight = 100
@@ -194,7 +194,7 @@
 	}
 	result, err := d.cluster.Apply(s)
 	if err == nil {
-		d.say("the old targets are marked as leaving; revision %d", result.Revision)
+		d.printLine("the old targets are marked as leaving; revision %d", result.Revision)
 	}
 	return err
 }
@@ -205,7 +205,7 @@
 	box := d.cluster.Boxes[0]
 	box.Process.Terminate()
 	d.caller.SetAddresses(d.cluster.Boxes[1].Entry, d.cluster.Boxes[2].Entry)
-	d.say("%s is stopping as planned", box.Settings.Box)
+	d.printLine("%s is stopping as planned", box.Settings.Box)
 	return nil
 }
 
@@ -221,7 +221,7 @@
 	if d.cluster != nil {
 		if len(d.cluster.Boxes) > 0 {
 			// Let the planned stop come to its end.
-			d.cluster.Boxes[0].Process.AwaitEnd(startLimit)
+			d.cluster.Boxes[0].Process.AwaitExit(startTimeout)
 		}
 		d.cluster.Stop()
 	}
@@ -254,6 +254,6 @@
 	if t.Process, err = StartProcess(t.Name, self, all...); err != nil {
 		return err
 	}
-	_, err = t.Process.AwaitStarted(startLimit)
+	_, err = t.Process.AwaitStarted(startTimeout)
 	return err
 }
--- a/pkg/lab/faultproxy.go
+++ b/pkg/lab/faultproxy.go
@@ -9,14 +9,14 @@
 
 // FaultProxy passes TCP connections on and brings about network faults.
 type FaultProxy struct {
-	listener net.Listener
-	target   string
-	lock     sync.Mutex
-	changed  *sync.Cond
-	silent   [directions]bool
-	delay    time.Duration
-	conns    map[net.Conn]bool
-	closed   bool
+	listener   net.Listener
+	target     string
+	lock       sync.Mutex
+	changed    *sync.Cond
+	blackholed [directions]bool
+	delay      time.Duration
+	conns      map[net.Conn]bool
+	closed     bool
 	// generation numbers the connections between two calls of SilenceOpen; those of earlier
 	// ones stay silent for good.
 	generation int
@@ -54,31 +54,31 @@
 // Address is where the proxy listens.
 func (p *FaultProxy) Address() string { return p.listener.Addr().String() }
 
-// Silence cuts everything without a word: bytes stop, connections stay open.
-func (p *FaultProxy) Silence(on bool) {
-	p.SilenceOneWay(ToTarget, on)
-	p.SilenceOneWay(FromTarget, on)
+// Blackhole cuts everything without a word: bytes stop, connections stay open.
+func (p *FaultProxy) Blackhole(on bool) {
+	p.BlackholeOneWay(ToTarget, on)
+	p.BlackholeOneWay(FromTarget, on)
 }
 
-// SilenceOneWay cuts one direction without a word.
-func (p *FaultProxy) SilenceOneWay(d Direction, on bool) {
+// BlackholeOneWay cuts one direction without a word.
+func (p *FaultProxy) BlackholeOneWay(d Direction, on bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.silent[d] = on
+	p.blackholed[d] = on
 	p.changed.Broadcast()
 }
 
-// SilenceOpen silences the connections that are open now for good: they pass nothing and
+// BlackholeOpenConns silences the connections that are open now for good: they pass nothing and
 // aren't closed. New ones work.
-func (p *FaultProxy) SilenceOpen() {
+func (p *FaultProxy) BlackholeOpenConns() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.generation++
 	p.changed.Broadcast()
 }
 
-// Delay holds every piece of data up for a while.
-func (p *FaultProxy) Delay(d time.Duration) {
+// SetDelay holds every piece of data up for a while.
+func (p *FaultProxy) SetDelay(d time.Duration) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.delay = d
@@ -100,7 +100,7 @@
 func (p *FaultProxy) Close() {
 	p.lock.Lock()
 	p.closed = true
-	p.silent = [directions]bool{}
+	p.blackholed = [directions]bool{}
 	p.changed.Broadcast()
 	p.lock.Unlock()
 	p.listener.Close()
@@ -113,22 +113,22 @@
 		if err != nil {
 			return
 		}
-		go p.pass(in)
+		go p.forward(in)
 	}
 }
 
-func (p *FaultProxy) pass(in net.Conn) {
-	defer p.forget(in)
-	generation, open := p.remember(in)
-	if !open || !p.await(ToTarget, generation) {
+func (p *FaultProxy) forward(in net.Conn) {
+	defer p.closeConn(in)
+	generation, open := p.addConn(in)
+	if !open || !p.awaitForwarding(ToTarget, generation) {
 		return
 	}
 	out, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer p.forget(out)
-	if _, open := p.remember(out); !open {
+	defer p.closeConn(out)
+	if _, open := p.addConn(out); !open {
 		return
 	}
 	done := make(chan struct{})
@@ -147,7 +147,7 @@
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			if !p.await(d, generation) {
+			if !p.awaitForwarding(d, generation) {
 				return
 			}
 			if _, err := to.Write(buffer[:n]); err != nil {
@@ -169,10 +169,10 @@
 	}
 }
 
-// await waits as the present fault says; false means that the proxy is closed.
-func (p *FaultProxy) await(d Direction, generation int) bool {
+// awaitForwarding waits as the present fault says; false means that the proxy is closed.
+func (p *FaultProxy) awaitForwarding(d Direction, generation int) bool {
 	p.lock.Lock()
-	for (p.silent[d] || generation != p.generation) && !p.closed {
+	for (p.blackholed[d] || generation != p.generation) && !p.closed {
 		p.changed.Wait()
 	}
 	closed, delay := p.closed, p.delay
@@ -183,15 +183,15 @@
 	return !closed
 }
 
-// remember keeps a connection, and tells its generation and whether the proxy is open.
-func (p *FaultProxy) remember(c net.Conn) (generation int, open bool) {
+// addConn keeps a connection, and tells its generation and whether the proxy is open.
+func (p *FaultProxy) addConn(c net.Conn) (generation int, open bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.conns[c] = true
 	return p.generation, !p.closed
 }
 
-func (p *FaultProxy) forget(c net.Conn) {
+func (p *FaultProxy) closeConn(c net.Conn) {
 	c.Close()
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/pkg/lab/idle.go
+++ b/pkg/lab/idle.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// settleIdle lets a box take note of new connections before it is measured.
-const settleIdle = 500 * time.Millisecond
+// idleConnSettleTime lets a box take note of new connections before it is measured.
+const idleConnSettleTime = 500 * time.Millisecond
 
-// openIdle connects callers that say nothing.
-func openIdle(address string, n int) ([]net.Conn, error) {
+// openIdleConns connects callers that say nothing.
+func openIdleConns(address string, n int) ([]net.Conn, error) {
 	var conns []net.Conn
 	for range n {
 		c, err := net.Dial("tcp", address)
@@ -21,6 +21,6 @@
 		}
 		conns = append(conns, c)
 	}
-	time.Sleep(settleIdle)
+	time.Sleep(idleConnSettleTime)
 	return conns, nil
 }
--- a/pkg/lab/journal.go
+++ b/pkg/lab/journal.go
@@ -42,12 +42,12 @@
 // Close closes the file.
 func (j *Journal) Close() error { return j.file.Close() }
 
-// Executions counts how often each request was run, over several journals.
-type Executions map[string]int
+// RunCounts counts how often each request was run, over several journals.
+type RunCounts map[string]int
 
 // ReadJournals adds up the journals of several targets.
-func ReadJournals(paths ...string) (Executions, error) {
-	runs := Executions{}
+func ReadJournals(paths ...string) (RunCounts, error) {
+	runs := RunCounts{}
 	for _, p := range paths {
 		if err := runs.read(p); err != nil {
 			return nil, err
@@ -56,7 +56,7 @@
 	return runs, nil
 }
 
-func (x Executions) read(path string) error {
+func (x RunCounts) read(path string) error {
 	f, err := os.Open(path)
 	if os.IsNotExist(err) {
 		return nil
--- a/pkg/lab/node.go
+++ b/pkg/lab/node.go
@@ -10,8 +10,8 @@
 	"github.com/madderpond/madderpond/pkg/admin"
 )
 
-// probeLimit is how long a node may take to answer a question.
-const probeLimit = 2 * time.Second
+// adminTimeout is how long a node may take to answer a question.
+const adminTimeout = 2 * time.Second
 
 // get asks a node's administration address and decodes a JSON answer.
 func (n *Node) get(path string, into any) (status int, err error) {
@@ -19,7 +19,7 @@
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI("http://" + n.Admin + path)
-	if err := fasthttp.DoTimeout(request, response, probeLimit); err != nil {
+	if err := fasthttp.DoTimeout(request, response, adminTimeout); err != nil {
 		return 0, err
 	}
 	if into != nil {
--- a/pkg/lab/ports.go
+++ b/pkg/lab/ports.go
@@ -10,34 +10,34 @@
 // Ports are drawn from below those that the system gives to outgoing connections; one of
 // these could take a port between its choice and its use.
 const (
-	firstPort  = 15000
-	portRange  = 15000
-	portsTried = 200
+	firstPort    = 15000
+	portRange    = 15000
+	maxPortTries = 200
 )
 
-// drawnPorts are the ports that this process has given out. Clusters that start at the
+// usedPorts are the ports that this process has given out. Clusters that start at the
 // same time must not draw the same one before either listens there.
-var drawnPorts = struct {
+var usedPorts = struct {
 	sync.Mutex
-	known map[int]bool
-}{known: map[int]bool{}}
+	byNumber map[int]bool
+}{byNumber: map[int]bool{}}
 
 // FreeAddress returns a loopback address whose port was free a moment ago, and that no
 // earlier call has returned. The error is that of the last port tried.
 func FreeAddress() (string, error) {
-	drawnPorts.Lock()
-	defer drawnPorts.Unlock()
-	err := fmt.Errorf("%d ports in a row had been given out", portsTried)
-	for range portsTried {
+	usedPorts.Lock()
+	defer usedPorts.Unlock()
+	err := fmt.Errorf("%d ports in a row had been given out", maxPortTries)
+	for range maxPortTries {
 		port := firstPort + rand.IntN(portRange)
-		if drawnPorts.known[port] {
+		if usedPorts.byNumber[port] {
 			continue
 		}
 		var l net.Listener
 		l, err = net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err == nil {
 			l.Close()
-			drawnPorts.known[port] = true
+			usedPorts.byNumber[port] = true
 			return l.Addr().String(), nil
 		}
 	}
--- a/pkg/lab/process.go
+++ b/pkg/lab/process.go
@@ -19,7 +19,7 @@
 	lock    sync.Mutex
 	lines   []string
 	started chan Started
-	ended   chan struct{}
+	exited  chan struct{}
 	err     error
 }
 
@@ -31,15 +31,15 @@
 	Entry string `json:"entry"`
 }
 
-// keptLines bounds the log lines kept of a process.
-const keptLines = 500
+// maxLogLines bounds the log lines kept of a process.
+const maxLogLines = 500
 
 // StartProcess starts a program and follows what it writes: its log, and whatever the
 // runtime says on standard error.
 func StartProcess(name, program string, arguments ...string) (*Process, error) {
 	p := &Process{
 		Name: name, command: exec.Command(program, arguments...),
-		started: make(chan Started, 1), ended: make(chan struct{}),
+		started: make(chan Started, 1), exited: make(chan struct{}),
 	}
 	output, err := p.command.StdoutPipe()
 	if err != nil {
@@ -57,16 +57,16 @@
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		p.note(lines.Text())
+		p.recordLine(lines.Text())
 	}
 	p.err = p.command.Wait()
-	close(p.ended)
+	close(p.exited)
 }
 
-func (p *Process) note(line string) {
+func (p *Process) recordLine(line string) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if len(p.lines) < keptLines {
+	if len(p.lines) < maxLogLines {
 		p.lines = append(p.lines, line)
 	}
 	var s Started
@@ -83,7 +83,7 @@
 	select {
 	case s := <-p.started:
 		return s, nil
-	case <-p.ended:
+	case <-p.exited:
 		return Started{}, fmt.Errorf("%s ended at its start:\n%s", p.Name, p.Log())
 	case <-time.After(limit):
 		return Started{}, fmt.Errorf("%s didn't start in %s:\n%s", p.Name, limit, p.Log())
@@ -100,35 +100,35 @@
 // Kill ends the process without warning.
 func (p *Process) Kill() {
 	p.command.Process.Signal(syscall.SIGKILL)
-	<-p.ended
+	<-p.exited
 }
 
 // Freeze makes the process stand still.
 func (p *Process) Freeze() { p.command.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
-func (p *Process) Thaw() { p.command.Process.Signal(syscall.SIGCONT) }
+// Unfreeze lets a frozen process go on.
+func (p *Process) Unfreeze() { p.command.Process.Signal(syscall.SIGCONT) }
 
 // Terminate asks the process for a planned stop.
 func (p *Process) Terminate() { p.command.Process.Signal(syscall.SIGTERM) }
 
-// HangUp tells the process that its settings may have changed.
-func (p *Process) HangUp() { p.command.Process.Signal(syscall.SIGHUP) }
+// Reload tells the process that its settings may have changed.
+func (p *Process) Reload() { p.command.Process.Signal(syscall.SIGHUP) }
 
-// AwaitEnd waits for the process's end and returns its exit code.
-func (p *Process) AwaitEnd(limit time.Duration) (int, error) {
+// AwaitExit waits for the process's end and returns its exit code.
+func (p *Process) AwaitExit(limit time.Duration) (int, error) {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return p.command.ProcessState.ExitCode(), nil
 	case <-time.After(limit):
 		return 0, fmt.Errorf("%s didn't end in %s", p.Name, limit)
 	}
 }
 
-// Ended tells whether the process has ended.
-func (p *Process) Ended() bool {
+// Exited tells whether the process has ended.
+func (p *Process) Exited() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
--- a/pkg/lab/recovery_measure.go
+++ b/pkg/lab/recovery_measure.go
@@ -9,23 +9,23 @@
 
 // recovery measures how long edits stand still after the leader is killed, and
 // how long a replica that lost its disk takes to count again.
-func (m *ControlMeasure) recovery() error {
-	m.say("## Recovery\n")
-	m.say("| rows | killed leader to next accepted edit, ms | lost disk to voter again, ms | store, KB | replica MB |")
-	m.say("|---|---|---|---|---|")
+func (m *ControlBenchmark) recovery() error {
+	m.printLine("## Recovery\n")
+	m.printLine("| rows | killed leader to next accepted edit, ms | lost disk to voter again, ms | store, KB | replica MB |")
+	m.printLine("|---|---|---|---|---|")
 	for _, rows := range []int{100, 1000, 10_000} {
-		err := m.addRow(fmt.Sprintf("recovery-%d", rows), 3, func(c *Cluster, api *client.Client) (string, error) {
+		err := m.measureRow(fmt.Sprintf("recovery-%d", rows), 3, func(c *Cluster, api *client.Client) (string, error) {
 			return m.recoveryRow(c, api, rows)
 		})
 		if err != nil {
 			return err
 		}
 	}
-	m.say("")
+	m.printLine("")
 	return nil
 }
 
-func (m *ControlMeasure) recoveryRow(c *Cluster, api *client.Client, rows int) (string, error) {
+func (m *ControlBenchmark) recoveryRow(c *Cluster, api *client.Client, rows int) (string, error) {
 	for i := range rows / 7 {
 		if _, err := api.Apply(serviceEdit(fmt.Sprintf("s-%d", i), 0, i)); err != nil {
 			return "", err
@@ -38,14 +38,14 @@
 		return "", err
 	}
 	gap := time.Since(at)
-	if err := c.LoseDisk(killed); err != nil {
+	if err := c.EraseData(killed); err != nil {
 		return "", err
 	}
 	at = time.Now()
-	if err := c.StartAgain(killed); err != nil {
+	if err := c.StartNode(killed); err != nil {
 		return "", err
 	}
-	err := Eventually(startLimit, func() error {
+	err := Eventually(startTimeout, func() error {
 		d, err := killed.Dump()
 		if err == nil && !d.Control.Log.Voter {
 			err = fmt.Errorf("%s is no voter yet", killed.Settings.Box)
--- a/pkg/lab/speed.go
+++ b/pkg/lab/speed.go
@@ -18,17 +18,17 @@
 
 // SpeedSettings say how the speed is measured.
 type SpeedSettings struct {
-	Folder  string
-	Program string
-	Self    string
+	Folder     string
+	Program    string
+	LabProgram string
 	// Rates are the open-loop rates, in calls a second.
 	Rates []int
-	// For is how long each measurement lasts.
-	For time.Duration
+	// Duration is how long each measurement lasts.
+	Duration time.Duration
 	// Callers is how many callers call without a pause for the throughput.
 	Callers int
-	// Idle is how many idle callers are connected for the memory.
-	Idle int
+	// IdleCallers is how many idle callers are connected for the memory.
+	IdleCallers int
 }
 
 // Latencies sum up one measurement, in microseconds.
@@ -44,24 +44,24 @@
 	Machine string    `json:"machine"`
 	Date    string    `json:"date"`
 	Rates   []RateRow `json:"rates"`
-	// Direct and Through are the highest calls a second of one process.
-	Direct  float64 `json:"direct"`
-	Through float64 `json:"through"`
+	// DirectRate and Through are the highest calls a second of one process.
+	DirectRate float64 `json:"direct"`
+	ViaBoxRate float64 `json:"through"`
 	// CPUMicros is the box's processor time a call at the highest rate.
 	CPUMicros float64 `json:"cpuMicros"`
-	// RestMB, LoadMB and IdleMB are the box's resident memory.
-	RestMB float64 `json:"restMB"`
-	LoadMB float64 `json:"loadMB"`
-	IdleMB float64 `json:"idleMB"`
-	Idle   int     `json:"idle"`
+	// InitialMB, LoadMB and IdleMB are the box's resident memory.
+	InitialMB     float64 `json:"restMB"`
+	LoadedMB      float64 `json:"loadMB"`
+	IdleCallersMB float64 `json:"idleMB"`
+	IdleCallers   int     `json:"idle"`
 }
 
 // RateRow compares the two ways at one rate. Rounds alternate between them, so
 // that a noisy moment meets both.
 type RateRow struct {
-	Rate    int       `json:"rate"`
-	Direct  Latencies `json:"direct"`
-	Through Latencies `json:"through"`
+	Rate   int       `json:"rate"`
+	Direct Latencies `json:"direct"`
+	ViaBox Latencies `json:"through"`
 }
 
 // rounds is how often the two ways alternate.
@@ -82,23 +82,23 @@
 	if err := x.start(); err != nil {
 		return nil, err
 	}
-	r := &SpeedResult{Machine: machine(), Date: time.Now().UTC().Format(time.RFC3339), Idle: s.Idle}
+	r := &SpeedResult{Machine: machine(), Date: time.Now().UTC().Format(time.RFC3339), IdleCallers: s.IdleCallers}
 	box := x.cluster.Boxes[0]
-	r.RestMB = residentMB(box.Process.PID())
+	r.InitialMB = residentMB(box.Process.PID())
 	for _, rate := range s.Rates {
 		r.Rates = append(r.Rates, x.measureRate(rate))
 	}
-	r.Direct = x.throughput(x.target.Address)
+	r.DirectRate = x.throughput(x.target.Address)
 	before := cpuTime(box.Process.PID())
-	r.Through = x.throughput(box.Entry)
+	r.ViaBoxRate = x.throughput(box.Entry)
 	spent := cpuTime(box.Process.PID()) - before
-	r.CPUMicros = float64(spent.Microseconds()) / (r.Through * s.For.Seconds())
-	r.LoadMB = residentMB(box.Process.PID())
-	conns, err := openIdle(box.Entry, s.Idle)
+	r.CPUMicros = float64(spent.Microseconds()) / (r.ViaBoxRate * s.Duration.Seconds())
+	r.LoadedMB = residentMB(box.Process.PID())
+	conns, err := openIdleConns(box.Entry, s.IdleCallers)
 	if err != nil {
 		return nil, err
 	}
-	r.IdleMB = residentMB(box.Process.PID())
+	r.IdleCallersMB = residentMB(box.Process.PID())
 	for _, c := range conns {
 		c.Close()
 	}
@@ -106,7 +106,7 @@
 }
 
 func (x *speedRun) start() (err error) {
-	x.target, err = StartTargetProcess(x.Self, "target", x.Folder, "--slots", "512", "--queue", "4096", "--work", "0s")
+	x.target, err = StartTargetProcess(x.LabProgram, "target", x.Folder, "--slots", "512", "--queue", "4096", "--work", "0s")
 	if err != nil {
 		return err
 	}
@@ -125,10 +125,10 @@
 	if err != nil {
 		return err
 	}
-	if err := x.cluster.AwaitInForce(x.cluster.Boxes[0], result.Revision, startLimit); err != nil {
+	if err := x.cluster.AwaitRevision(x.cluster.Boxes[0], result.Revision, startTimeout); err != nil {
 		return err
 	}
-	return x.cluster.AwaitServing(x.cluster.Boxes[0], startLimit)
+	return x.cluster.AwaitReady(x.cluster.Boxes[0], startTimeout)
 }
 
 func (x *speedRun) stop() {
@@ -143,17 +143,17 @@
 func (x *speedRun) measureRate(rate int) RateRow {
 	var direct, through []time.Duration
 	for range rounds {
-		direct = append(direct, openLoop(x.target.Address, rate, x.For/rounds)...)
-		through = append(through, openLoop(x.cluster.Boxes[0].Entry, rate, x.For/rounds)...)
+		direct = append(direct, openLoop(x.target.Address, rate, x.Duration/rounds)...)
+		through = append(through, openLoop(x.cluster.Boxes[0].Entry, rate, x.Duration/rounds)...)
 	}
-	return RateRow{Rate: rate, Direct: summarize(direct), Through: summarize(through)}
+	return RateRow{Rate: rate, Direct: summarize(direct), ViaBox: summarize(through)}
 }
 
 func newSpeedClient(address string) *fasthttp.HostClient {
-	return &fasthttp.HostClient{Addr: address, MaxConns: callerConns, MaxIdemponentCallAttempts: 1}
+	return &fasthttp.HostClient{Addr: address, MaxConns: maxCallerConns, MaxIdemponentCallAttempts: 1}
 }
 
-func oneCall(c *fasthttp.HostClient, address string) (time.Duration, error) {
+func timeCall(c *fasthttp.HostClient, address string) (time.Duration, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -175,7 +175,7 @@
 	client := newSpeedClient(address)
 	defer client.CloseIdleConnections()
 	for range 50 {
-		oneCall(client, address)
+		timeCall(client, address)
 	}
 	var lock sync.Mutex
 	var all []time.Duration
@@ -187,7 +187,7 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			took, err := oneCall(client, address)
+			took, err := timeCall(client, address)
 			if err != nil {
 				return
 			}
@@ -208,14 +208,14 @@
 	var lock sync.Mutex
 	total := 0
 	var wait sync.WaitGroup
-	end := time.Now().Add(x.For)
+	end := time.Now().Add(x.Duration)
 	for range x.Callers {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
 			n := 0
 			for time.Now().Before(end) {
-				if _, err := oneCall(client, address); err == nil {
+				if _, err := timeCall(client, address); err == nil {
 					n++
 				}
 			}
@@ -225,7 +225,7 @@
 		}()
 	}
 	wait.Wait()
-	return float64(total) / x.For.Seconds()
+	return float64(total) / x.Duration.Seconds()
 }
 
 func summarize(all []time.Duration) Latencies {
@@ -248,12 +248,12 @@
 	b.WriteString("| calls/s | direct p50 | p99 | p99.9 | through p50 | p99 | p99.9 | added at p50 | added at p99 |\n|---|---|---|---|---|---|---|---|---|\n")
 	for _, x := range r.Rates {
 		fmt.Fprintf(&b, "| %d | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f |\n", x.Rate,
-			x.Direct.P50, x.Direct.P99, x.Direct.P999, x.Through.P50, x.Through.P99, x.Through.P999,
-			x.Through.P50-x.Direct.P50, x.Through.P99-x.Direct.P99)
+			x.Direct.P50, x.Direct.P99, x.Direct.P999, x.ViaBox.P50, x.ViaBox.P99, x.ViaBox.P999,
+			x.ViaBox.P50-x.Direct.P50, x.ViaBox.P99-x.Direct.P99)
 	}
 	fmt.Fprintf(&b, "\nHighest calls/s: %.0f direct, %.0f through the box (ratio %.2f). Processor time of the box: %.1f microseconds a call.\n",
-		r.Direct, r.Through, r.Through/r.Direct, r.CPUMicros)
+		r.DirectRate, r.ViaBoxRate, r.ViaBoxRate/r.DirectRate, r.CPUMicros)
 	fmt.Fprintf(&b, "Resident memory of the box: %.1f MB at rest, %.1f MB after the load, %.1f MB with %d idle callers more.\n",
-		r.RestMB, r.LoadMB, r.IdleMB, r.Idle)
+		r.InitialMB, r.LoadedMB, r.IdleCallersMB, r.IdleCallers)
 	return b.String()
 }
--- a/pkg/lab/subscriber.go
+++ b/pkg/lab/subscriber.go
@@ -20,27 +20,27 @@
 // on a real connection. Many of them in one process show what many boxes ask of
 // the control replicas.
 type Subscriber struct {
-	lock      sync.Mutex
-	core      *subscription.Subscription
-	clock     *clock.Clock
-	addresses map[units.ReplicaID]string
-	conn      *transport.Conn
-	number    subscription.Attachment
-	// shown is called with each new revision.
-	shown    func(units.Revision)
-	done     chan struct{}
-	Messages atomic.Int64
-	Bytes    atomic.Int64
+	lock       sync.Mutex
+	core       *subscription.Subscription
+	clock      *clock.Clock
+	addresses  map[units.ReplicaID]string
+	conn       *transport.Conn
+	attachment subscription.Attachment
+	// onRevision is called with each new revision.
+	onRevision func(units.Revision)
+	done       chan struct{}
+	Messages   atomic.Int64
+	Bytes      atomic.Int64
 }
 
-// subscriberTick is how often a subscriber's core gets a tick.
-const subscriberTick = 20 * time.Millisecond
+// subscriberTickPeriod is how often a subscriber's core gets a tick.
+const subscriberTickPeriod = 20 * time.Millisecond
 
 // StartSubscriber starts a subscriber under a box's name. shown may be nil.
 func StartSubscriber(id units.BoxID, addresses map[units.ReplicaID]string, order []units.ReplicaID, seed uint64, shown func(units.Revision)) *Subscriber {
 	c := clock.NewClock()
 	s := &Subscriber{
-		clock: c, addresses: addresses, shown: shown, done: make(chan struct{}),
+		clock: c, addresses: addresses, onRevision: shown, done: make(chan struct{}),
 		core: subscription.NewSubscription(subscription.Settings{
 			Box: table.Box{ID: id, Address: "127.0.0.1:1"}, Replicas: order, RenewEvery: subscription.DefaultRenewEvery,
 			Silence: subscription.DefaultSilence, Start: seed, Seed: seed,
@@ -61,7 +61,7 @@
 }
 
 func (s *Subscriber) run() {
-	ticker := time.NewTicker(subscriberTick)
+	ticker := time.NewTicker(subscriberTickPeriod)
 	defer ticker.Stop()
 	for {
 		select {
@@ -87,8 +87,8 @@
 			s.conn.Send(m)
 		}
 	}
-	if e.Table != nil && s.shown != nil {
-		s.shown(e.Table.Revision)
+	if e.Table != nil && s.onRevision != nil {
+		s.onRevision(e.Table.Revision)
 	}
 }
 
@@ -97,7 +97,7 @@
 		s.conn.Close()
 		s.conn = nil
 	}
-	s.number = e.Attachment
+	s.attachment = e.Attachment
 	go s.dial(e.Replicas, e.Attachment, e.DialLimit)
 }
 
@@ -114,7 +114,7 @@
 		return
 	}
 	s.lock.Lock()
-	if s.number != n {
+	if s.attachment != n {
 		s.lock.Unlock()
 		conn.Close()
 		return
@@ -137,10 +137,10 @@
 	}
 }
 
-// frameBytes is what yamux, the message's length and TCP over IP add.
-const frameBytes = 12 + 2 + 40
+// frameOverheadBytes is what yamux, the message's length and TCP over IP add.
+const frameOverheadBytes = 12 + 2 + 40
 
 func (s *Subscriber) count(m *wire.Envelope) {
 	s.Messages.Add(1)
-	s.Bytes.Add(int64(proto.Size(m)) + frameBytes)
+	s.Bytes.Add(int64(proto.Size(m)) + frameOverheadBytes)
 }
--- a/pkg/lab/target.go
+++ b/pkg/lab/target.go
@@ -21,17 +21,17 @@
 
 // The headers between stand-in callers and targets.
 const (
-	RequestHeader  = "X-Request-Id"
-	WorkHeader     = "X-Work-Us"
-	SizeHeader     = "X-Answer-Bytes"
-	ChecksumHeader = "X-Checksum"
-	CutHeader      = "X-Cut"
-	LeavingHeader  = "X-Leaving"
-	LimitHeader    = "X-Limit"
-	EntryHeader    = "X-Entry"
-	MadeHeader     = "X-Made-Us"
-	RanByHeader    = "X-Ran-By"
-	KeyHeader      = "X-Api-Key"
+	RequestHeader     = "X-Request-Id"
+	WorkHeader        = "X-Work-Us"
+	AnswerBytesHeader = "X-Answer-Bytes"
+	ChecksumHeader    = "X-Checksum"
+	TruncationHeader  = "X-Cut"
+	LeavingHeader     = "X-Leaving"
+	LimitHeader       = "X-Limit"
+	EntryHeader       = "X-Entry"
+	SentAtHeader      = "X-Made-Us"
+	RanByHeader       = "X-Ran-By"
+	KeyHeader         = "X-Api-Key"
 )
 
 // TargetSettings are what a stand-in target is like.
@@ -57,15 +57,15 @@
 	listener net.Listener
 	journal  *Journal
 	slots    chan struct{}
-	present  atomic.Int64
+	inFlight atomic.Int64
 	runs     atomic.Int64
 	peak     atomic.Int64
 	probes   atomic.Int64
 	dropped  atomic.Int64
 	lock     sync.Mutex
 	behavior Behavior
-	words    *words
-	limits   limitWatch
+	notices  *noticeMonitor
+	limits   limitMonitor
 }
 
 // Behavior is what a target does for the time being.
@@ -83,10 +83,10 @@
 	// Limited names in every answer the Limit, in calls a second, that the target takes from all boxes.
 	Limited bool
 	Limit   float64
-	// Sick answers probes with 503.
-	Sick bool
-	// Lie reports no load, whatever there is.
-	Lie bool
+	// Unhealthy answers probes with 503.
+	Unhealthy bool
+	// HideLoad reports no load, whatever there is.
+	HideLoad bool
 	// Hang never answers a call that can't be queued, and then nothing more on its
 	// connection.
 	Hang bool
@@ -99,15 +99,15 @@
 	// FailPercent is how many of a hundred calls get 500, Slow is added to each call's work.
 	FailPercent int
 	Slow        time.Duration
-	// After is how many calls the target runs well first, Host the only host name whose calls
+	// HealthyRuns is how many calls the target runs well first, Host the only host name whose calls
 	// meet the fault; empty for all.
-	After int64
-	Host  string
+	HealthyRuns int64
+	Host        string
 }
 
-// meets tells whether a call meets the fault, as the target's n-th.
-func (v *VersionFault) meets(host string, n int64) bool {
-	return n > v.After && (v.Host == "" || v.Host == host)
+// applies tells whether a call applies the fault, as the target's n-th.
+func (v *VersionFault) applies(host string, n int64) bool {
+	return n > v.HealthyRuns && (v.Host == "" || v.Host == host)
 }
 
 // StartTarget starts a stand-in target.
@@ -116,7 +116,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &Target{settings: s, listener: listener, slots: make(chan struct{}, s.Slots), words: newWords(breachesOf(s.Journal))}
+	t := &Target{settings: s, listener: listener, slots: make(chan struct{}, s.Slots), notices: newNoticeMonitor(breachFile(s.Journal))}
 	if s.Journal != "" {
 		if t.journal, err = OpenJournal(s.Journal); err != nil {
 			return nil, err
@@ -132,12 +132,12 @@
 // Address is where the target listens.
 func (t *Target) Address() string { return t.listener.Addr().String() }
 
-// Behave changes what the target does from now on.
-func (t *Target) Behave(b Behavior) {
+// SetBehavior changes what the target does from now on.
+func (t *Target) SetBehavior(b Behavior) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.behavior = b
-	t.limits.name(time.Now(), b.Limited, b.Limit)
+	t.limits.setLimit(time.Now(), b.Limited, b.Limit)
 }
 
 func (t *Target) currentBehavior() Behavior {
@@ -161,7 +161,7 @@
 	if b.Leaving {
 		ctx.Response.Header.Set(LeavingHeader, "1")
 		if box := string(ctx.Request.Header.Peek(EntryHeader)); box != "" {
-			t.words.leave(box, time.Now())
+			t.notices.recordLeaving(box, time.Now())
 		}
 	}
 	if b.Limited {
@@ -169,22 +169,22 @@
 	}
 	switch string(ctx.Path()) {
 	case "/healthz":
-		t.health(ctx, b)
+		t.handleHealth(ctx, b)
 	case "/behave":
-		t.setBehavior(ctx)
+		t.handleBehave(ctx)
 	case "/stats":
-		t.stats(ctx)
+		t.handleStats(ctx)
 	default:
-		t.call(ctx, b)
+		t.handleCall(ctx, b)
 	}
 }
 
-func (t *Target) health(ctx *fasthttp.RequestCtx, b Behavior) {
+func (t *Target) handleHealth(ctx *fasthttp.RequestCtx, b Behavior) {
 	t.probes.Add(1)
-	t.words.noteProbe(time.Now())
-	t.limits.noteProbe()
+	t.notices.recordProbe(time.Now())
+	t.limits.recordProbe()
 	t.reportLoad(ctx, b)
-	if b.Sick || b.Fail {
+	if b.Unhealthy || b.Fail {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
@@ -202,20 +202,20 @@
 	Dropped int64 `json:"dropped"`
 	// Rests is how often it began to rest; Unrested and UnrestedProbes are how many calls and probes came while the target rested,
 	// more than half a second after it had asked for it.
-	Rests          int64 `json:"rests"`
-	Unrested       int64 `json:"unrested"`
-	UnrestedProbes int64 `json:"unrestedProbes"`
-	// Limited and LimitedProbes are how many calls and probes came while the target named a limit,
+	Rests        int64 `json:"rests"`
+	CallsInRest  int64 `json:"unrested"`
+	ProbesInRest int64 `json:"unrestedProbes"`
+	// CallsWhileLimited and LimitedProbes are how many calls and probes came while the target named a limit,
 	// LimitBreaches how many calls too many, WorstBreach the window that was exceeded by most.
-	Limited       int64        `json:"limited"`
-	LimitedProbes int64        `json:"limitedProbes"`
-	LimitBreaches int64        `json:"limitBreaches"`
-	WorstBreach   *LimitBreach `json:"worstBreach,omitempty"`
+	CallsWhileLimited  int64        `json:"limited"`
+	ProbesWhileLimited int64        `json:"limitedProbes"`
+	LimitBreaches      int64        `json:"limitBreaches"`
+	WorstBreach        *LimitBreach `json:"worstBreach,omitempty"`
 }
 
-func (t *Target) stats(ctx *fasthttp.RequestCtx) {
+func (t *Target) handleStats(ctx *fasthttp.RequestCtx) {
 	s := TargetStats{Peak: t.peak.Load(), Runs: t.runs.Load(), Probes: t.probes.Load(), Dropped: t.dropped.Load()}
-	t.words.addTo(&s)
+	t.notices.addTo(&s)
 	t.limits.addTo(&s)
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -225,15 +225,15 @@
 	ctx.SetBody(data)
 }
 
-// setBehavior lets another process change what this one does.
-func (t *Target) setBehavior(ctx *fasthttp.RequestCtx) {
+// handleBehave lets another process change what this one does.
+func (t *Target) handleBehave(ctx *fasthttp.RequestCtx) {
 	q := ctx.QueryArgs()
-	t.Behave(Behavior{
+	t.SetBehavior(Behavior{
 		Slow: time.Duration(q.GetUintOrZero("slow_us")) * time.Microsecond,
-		Fail: q.GetBool("fail"), Shed: q.GetBool("shed"), Sick: q.GetBool("sick"), Lie: q.GetBool("lie"),
+		Fail: q.GetBool("fail"), Shed: q.GetBool("shed"), Unhealthy: q.GetBool("sick"), HideLoad: q.GetBool("lie"),
 		Version: VersionFault{
 			FailPercent: q.GetUintOrZero("version_fail_percent"), Slow: time.Duration(q.GetUintOrZero("version_slow_us")) * time.Microsecond,
-			After: int64(q.GetUintOrZero("version_after")), Host: string(q.Peek("version_host")),
+			HealthyRuns: int64(q.GetUintOrZero("version_after")), Host: string(q.Peek("version_host")),
 		},
 		Hang: q.GetBool("hang"),
 		Rest: time.Duration(q.GetUintOrZero("rest_ms")) * time.Millisecond, Leaving: q.GetBool("leaving"),
@@ -242,57 +242,57 @@
 }
 
 func (t *Target) reportLoad(ctx *fasthttp.RequestCtx, b Behavior) {
-	load := t.present.Load()
-	if b.Lie {
+	load := t.inFlight.Load()
+	if b.HideLoad {
 		load = 0
 	}
 	ctx.Response.Header.Set("X-In-Flight", strconv.FormatInt(load, 10))
 }
 
-func (t *Target) call(ctx *fasthttp.RequestCtx, b Behavior) {
-	n := t.present.Add(1)
-	defer t.present.Add(-1)
+func (t *Target) handleCall(ctx *fasthttp.RequestCtx, b Behavior) {
+	n := t.inFlight.Add(1)
+	defer t.inFlight.Add(-1)
 	for old := t.peak.Load(); n > old && !t.peak.CompareAndSwap(old, n); old = t.peak.Load() {
 	}
 	box := string(ctx.Request.Header.Peek(EntryHeader))
-	if err := t.words.noteCall(box, madeAt(ctx), time.Now()); err != nil {
+	if err := t.notices.recordCall(box, sentAt(ctx), time.Now()); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
-	if breach := t.limits.noteCall(box, time.Now()); breach != nil {
-		if err := t.words.keepLimit(breach); err != nil {
+	if breach := t.limits.recordCall(box, time.Now()); breach != nil {
+		if err := t.notices.writeLimitBreach(breach); err != nil {
 			ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 			return
 		}
 	}
 	if b.Limited {
-		defer func() { t.limits.tell(box, time.Now()) }()
+		defer func() { t.limits.recordInformed(box, time.Now()) }()
 	}
 	t.reportLoad(ctx, b)
 	ctx.Response.Header.Set(RanByHeader, t.settings.Name)
 	if b.Hang && n > int64(t.settings.Slots+t.settings.Queue) {
-		t.drop(ctx)
+		t.dropCall(ctx)
 		return
 	}
 	if b.Shed || n > int64(t.settings.Slots+t.settings.Queue) {
 		ctx.Response.Header.Set("X-Shed", "1")
 		if b.Rest > 0 {
 			ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatFloat(b.Rest.Seconds(), 'f', -1, 64))
-			t.words.ask(box, time.Now(), b.Rest)
+			t.notices.recordRest(box, time.Now(), b.Rest)
 		}
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
 	t.slots <- struct{}{}
 	defer func() { <-t.slots }()
-	t.run(ctx, b)
+	t.runCall(ctx, b)
 }
 
-// crashCode is the exit code of a target that a call has ended.
-const crashCode = 3
+// crashExitCode is the exit code of a target that a call has ended.
+const crashExitCode = 3
 
-// drop leaves a call without an answer and its connection open, until the other side ends it.
-func (t *Target) drop(ctx *fasthttp.RequestCtx) {
+// dropCall leaves a call without an answer and its connection open, until the other side ends it.
+func (t *Target) dropCall(ctx *fasthttp.RequestCtx) {
 	t.dropped.Add(1)
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(c net.Conn) {
@@ -302,14 +302,14 @@
 	})
 }
 
-func (t *Target) run(ctx *fasthttp.RequestCtx, b Behavior) {
+func (t *Target) runCall(ctx *fasthttp.RequestCtx, b Behavior) {
 	request := string(ctx.Request.Header.Peek(RequestHeader))
 	n := t.runs.Add(1)
 	if err := t.journal.Add(string(ctx.Host()), request); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
-	if b.Version.meets(string(ctx.Host()), n) {
+	if b.Version.applies(string(ctx.Host()), n) {
 		b.Fail = b.Fail || rand.IntN(100) < b.Version.FailPercent
 		b.Slow += b.Version.Slow
 	}
@@ -317,35 +317,35 @@
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
 	}
-	if work := t.workOf(ctx) + b.Slow; work > 0 {
+	if work := t.workTime(ctx) + b.Slow; work > 0 {
 		time.Sleep(work)
 	}
 	if t.settings.CrashBody != "" && bytes.HasPrefix(ctx.Request.Body(), []byte(t.settings.CrashBody)) {
-		os.Exit(crashCode)
+		os.Exit(crashExitCode)
 	}
-	body := AnswerBody(request, numberOf(ctx, SizeHeader))
+	body := AnswerBody(request, intHeader(ctx, AnswerBytesHeader))
 	ctx.Response.Header.Set(ChecksumHeader, Checksum(body))
 	ctx.Response.Header.Set(RequestHeader, request)
-	if cut := string(ctx.Request.Header.Peek(CutHeader)); cut != "" {
-		cutAnswer(ctx, cut, body)
+	if cut := string(ctx.Request.Header.Peek(TruncationHeader)); cut != "" {
+		truncateAnswer(ctx, cut, body)
 		return
 	}
 	ctx.SetBody(body)
 }
 
-func (t *Target) workOf(ctx *fasthttp.RequestCtx) time.Duration {
-	if n := numberOf(ctx, WorkHeader); n > 0 {
+func (t *Target) workTime(ctx *fasthttp.RequestCtx) time.Duration {
+	if n := intHeader(ctx, WorkHeader); n > 0 {
 		return time.Duration(n) * time.Microsecond
 	}
 	return t.settings.Work
 }
 
-// madeAt is when a call's caller made it.
-func madeAt(ctx *fasthttp.RequestCtx) time.Time {
-	return time.UnixMicro(int64(numberOf(ctx, MadeHeader)))
+// sentAt is when a call's caller made it.
+func sentAt(ctx *fasthttp.RequestCtx) time.Time {
+	return time.UnixMicro(int64(intHeader(ctx, SentAtHeader)))
 }
 
-func numberOf(ctx *fasthttp.RequestCtx, header string) int {
+func intHeader(ctx *fasthttp.RequestCtx, header string) int {
 	n, _ := strconv.Atoi(string(ctx.Request.Header.Peek(header)))
 	return n
 }
@@ -368,30 +368,30 @@
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// cuts are the ways in which an answer can be cut short, as its raw bytes.
-var cuts = map[string]func(body []byte) string{
+// truncations are the ways in which an answer can be cut short, as its raw bytes.
+var truncations = map[string]func(body []byte) string{
 	"none":       func([]byte) string { return "" },
 	"head":       func([]byte) string { return "HTTP/1.1 200 OK\r\nContent-Le" },
-	"mid-body":   func(b []byte) string { return head(len(b)) + string(b[:len(b)/2]) },
-	"before-end": func(b []byte) string { return head(len(b)) + string(b[:len(b)-1]) },
-	"too-long":   func(b []byte) string { return head(len(b)+10) + string(b) },
+	"mid-body":   func(b []byte) string { return responseHead(len(b)) + string(b[:len(b)/2]) },
+	"before-end": func(b []byte) string { return responseHead(len(b)) + string(b[:len(b)-1]) },
+	"too-long":   func(b []byte) string { return responseHead(len(b)+10) + string(b) },
 	"no-length":  func(b []byte) string { return "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + string(b) },
 	"chunked": func(b []byte) string {
 		return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n", len(b), b)
 	},
 }
 
-// Cuts returns the names of the ways in which an answer can be cut short.
-func Cuts() []string {
+// Truncations returns the names of the ways in which an answer can be cut short.
+func Truncations() []string {
 	return []string{"none", "head", "mid-body", "before-end", "too-long", "no-length", "chunked"}
 }
 
-func head(length int) string {
+func responseHead(length int) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", length)
 }
 
-func cutAnswer(ctx *fasthttp.RequestCtx, cut string, body []byte) {
-	raw := cuts[cut]
+func truncateAnswer(ctx *fasthttp.RequestCtx, cut string, body []byte) {
+	raw := truncations[cut]
 	if raw == nil {
 		ctx.Error("unknown cut", fasthttp.StatusBadRequest)
 		return
--- a/pkg/lab/target_test.go
+++ b/pkg/lab/target_test.go
@@ -16,14 +16,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(target.Stop)
-	target.Behave(Behavior{Hang: true})
-	busy := ask(t, target, "/")
-	awaitLoad(t, target)
-	dropped := ask(t, target, "/")
+	target.SetBehavior(Behavior{Hang: true})
+	busy := sendRequest(t, target, "/")
+	awaitInFlight(t, target)
+	dropped := sendRequest(t, target, "/")
 	if _, err := dropped.Write([]byte("GET /healthz HTTP/1.1\r\nHost: t\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	expectSilence(t, dropped)
+	expectNoBytes(t, dropped)
 	// Others are still served.
 	if status, _, err := fasthttp.Get(nil, "http://"+target.Address()+"/healthz"); err != nil || status != fasthttp.StatusOK {
 		t.Errorf("its health: %d %v", status, err)
@@ -31,7 +31,7 @@
 	busy.Close()
 }
 
-func ask(t *testing.T, target *Target, path string) net.Conn {
+func sendRequest(t *testing.T, target *Target, path string) net.Conn {
 	conn, err := net.Dial("tcp", target.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -43,8 +43,8 @@
 	return conn
 }
 
-func awaitLoad(t *testing.T, target *Target) {
-	for end := time.Now().Add(5 * time.Second); target.present.Load() == 0; {
+func awaitInFlight(t *testing.T, target *Target) {
+	for end := time.Now().Add(5 * time.Second); target.inFlight.Load() == 0; {
 		if time.Now().After(end) {
 			t.Fatal("the call didn't come")
 		}
@@ -52,7 +52,7 @@
 	}
 }
 
-func expectSilence(t *testing.T, conn net.Conn) {
+func expectNoBytes(t *testing.T, conn net.Conn) {
 	conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	n, err := conn.Read(make([]byte, 1))
 	if timeout, ok := err.(net.Error); n > 0 || !ok || !timeout.Timeout() {
--- a/pkg/lab/try.go
+++ b/pkg/lab/try.go
@@ -40,20 +40,20 @@
 	if err != nil {
 		return err
 	}
-	defer p.AwaitEnd(startLimit)
+	defer p.AwaitExit(startTimeout)
 	defer p.Terminate()
-	if _, err := p.AwaitStarted(startLimit); err != nil {
+	if _, err := p.AwaitStarted(startTimeout); err != nil {
 		return err
 	}
-	api, err := client.NewClient([]string{settings.Admin.Listen}, "", startLimit)
+	api, err := client.NewClient([]string{settings.Admin.Listen}, "", startTimeout)
 	if err != nil {
 		return err
 	}
-	if err := fillIfEmpty(api, sheets); err != nil {
+	if err := applyIfEmpty(api, sheets); err != nil {
 		return err
 	}
 	n := &Node{Settings: settings, Started: Started{Admin: settings.Admin.Listen}}
-	if err := (&Cluster{}).AwaitServing(n, startLimit); err != nil {
+	if err := (&Cluster{}).AwaitReady(n, startTimeout); err != nil {
 		return err
 	}
 	fmt.Fprintf(s.Out, "madderpond serves on http://%s, its administration API on http://%s\n", settings.Entry.Listen, settings.Admin.Listen)
@@ -82,8 +82,8 @@
 	return s, err
 }
 
-// fillIfEmpty applies the sheets unless an earlier trial has left a table.
-func fillIfEmpty(api *client.Client, s sheet.Sheets) error {
+// applyIfEmpty applies the sheets unless an earlier trial has left a table.
+func applyIfEmpty(api *client.Client, s sheet.Sheets) error {
 	t, err := api.Table()
 	if err != nil || len(t.Services) > 0 {
 		return err
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -32,7 +32,7 @@
 		killed.Process.Kill()
 		after := x.accept("alpha", 10+round)
 		x.awaitEverywhere(after)
-		x.must(x.cluster.StartAgain(killed))
+		x.must(x.cluster.StartNode(killed))
 		x.awaitVoter(killed)
 	}
 }
@@ -42,7 +42,7 @@
 	x.awaitEverywhere(x.accept("alpha", 1))
 	cutOff := x.leader()
 	proxy := x.proxyOf(cutOff)
-	proxy.Silence(true)
+	proxy.Blackhole(true)
 	rest := x.others(cutOff)
 	started := time.Now()
 	result, err := x.api(rest...).Apply(x.editFrom(rest, "during-cut", 2))
@@ -52,7 +52,7 @@
 	}
 	x.awaitEverywhere(result)
 	term := x.termOf(rest[0])
-	proxy.Silence(false)
+	proxy.Blackhole(false)
 	x.must(lab.Eventually(patience, func() error {
 		d, err := cutOff.Dump()
 		if err == nil && d.Control.Revision < result.Revision {
@@ -97,7 +97,7 @@
 	rest := x.others(frozen)
 	result, err := x.api(rest...).Apply(x.editFrom(rest, "during-freeze", 7))
 	x.must(err)
-	frozen.Process.Thaw()
+	frozen.Process.Unfreeze()
 	x.awaitEverywhere(result)
 	x.mustHold("alpha", 7)
 }
@@ -135,11 +135,11 @@
 		n.Process.Kill()
 	}
 	for _, n := range x.cluster.Replicas {
-		x.must(x.cluster.StartAgain(n))
+		x.must(x.cluster.StartNode(n))
 	}
 	for _, b := range x.cluster.Boxes {
 		b.Process.Kill()
-		x.must(x.cluster.StartAgain(b))
+		x.must(x.cluster.StartNode(b))
 	}
 	x.awaitEverywhere(last)
 	for _, n := range x.cluster.Replicas {
@@ -213,7 +213,7 @@
 	resend := func(when string) {
 		t.Helper()
 		for _, n := range x.cluster.Replicas {
-			if n.Process.Ended() {
+			if n.Process.Exited() {
 				continue
 			}
 			again, err := x.api(n).Apply(edit)
@@ -227,14 +227,14 @@
 	leader := x.leader()
 	leader.Process.Kill()
 	resend("after the leader was killed")
-	x.must(x.cluster.StartAgain(leader))
+	x.must(x.cluster.StartNode(leader))
 	for i := range 60 {
 		x.accept("beta", i)
 	}
 	resend("after snapshots")
 	for _, n := range x.cluster.Replicas {
 		n.Process.Kill()
-		x.must(x.cluster.StartAgain(n))
+		x.must(x.cluster.StartNode(n))
 	}
 	resend("after a restart of all")
 	x.mustHold("alpha", 42)
@@ -249,8 +249,8 @@
 	for round := range 2 {
 		a := x.cluster.Replicas[round]
 		a.Process.Kill()
-		x.must(x.cluster.LoseDisk(a))
-		x.must(x.cluster.StartAgain(a))
+		x.must(x.cluster.EraseData(a))
+		x.must(x.cluster.StartNode(a))
 		x.awaitVoter(a)
 	}
 	b := x.cluster.Replicas[2]
@@ -264,7 +264,7 @@
 func (x *story) mustStillHave(r *table.Result) {
 	x.Helper()
 	for _, n := range x.cluster.Replicas {
-		if n.Process.Ended() {
+		if n.Process.Exited() {
 			continue
 		}
 		x.must(lab.Eventually(patience, func() error {
@@ -289,15 +289,15 @@
 	for _, n := range x.cluster.Replicas {
 		n.Process.Kill()
 	}
-	x.must(x.cluster.LoseDisk(a))
-	x.must(x.cluster.LoseDisk(b))
-	x.must(x.cluster.StartAgain(a))
-	x.must(x.cluster.StartAgain(b))
+	x.must(x.cluster.EraseData(a))
+	x.must(x.cluster.EraseData(b))
+	x.must(x.cluster.StartNode(a))
+	x.must(x.cluster.StartNode(b))
 	// Two empty replicas are a majority of machines, but no quorum.
 	if _, err := x.api(a, b).Form(); err == nil {
 		t.Fatal("a cluster formed although one replica was missing")
 	}
-	x.must(x.cluster.StartAgain(c))
+	x.must(x.cluster.StartNode(c))
 	if _, err := x.api(a, b).Form(); err == nil {
 		t.Fatal("a second cluster formed beside the first")
 	}
@@ -326,7 +326,7 @@
 	}
 	a.Process.Kill()
 	b.Process.Terminate()
-	if _, err := b.Process.AwaitEnd(patience); err != nil {
+	if _, err := b.Process.AwaitExit(patience); err != nil {
 		t.Fatal(err)
 	}
 	whole, err := os.ReadFile(x.storeOf(a))
@@ -335,8 +335,8 @@
 		t.Run(s.testName, func(t *testing.T) {
 			x.must(os.WriteFile(x.storeOf(a), whole, 0o600))
 			s.spoil(x.storeOf(a))
-			err := x.cluster.StartAgain(a)
-			code, endErr := a.Process.AwaitEnd(patience)
+			err := x.cluster.StartNode(a)
+			code, endErr := a.Process.AwaitExit(patience)
 			if err == nil || endErr != nil || code != 3 {
 				t.Fatalf("the replica started or ended with %d: %v %v", code, err, endErr)
 			}
@@ -384,7 +384,7 @@
 func TestAnOlderCopyOfTheFolderIsRefusedByANewLeader(t *testing.T) {
 	startWithAnOlderCopy(t, func(leader *lab.Node) {
 		leader.Process.Freeze()
-		time.AfterFunc(1500*time.Millisecond, leader.Process.Thaw)
+		time.AfterFunc(1500*time.Millisecond, leader.Process.Unfreeze)
 	})
 }
 
@@ -396,11 +396,11 @@
 	leader := x.leader()
 	a := x.others(leader)[0]
 	a.Process.Terminate()
-	_, err := a.Process.AwaitEnd(patience)
+	_, err := a.Process.AwaitExit(patience)
 	x.must(err)
 	older, err := os.ReadFile(x.storeOf(a))
 	x.must(err)
-	x.must(x.cluster.StartAgain(a))
+	x.must(x.cluster.StartNode(a))
 	for i := range 20 {
 		x.accept("alpha", i)
 	}
@@ -409,8 +409,8 @@
 	a.Process.Kill()
 	x.must(os.WriteFile(x.storeOf(a), older, 0o600))
 	disturb(x.leader())
-	x.cluster.StartAgain(a)
-	code, err := a.Process.AwaitEnd(patience)
+	x.cluster.StartNode(a)
+	code, err := a.Process.AwaitExit(patience)
 	if err != nil {
 		for _, n := range x.cluster.Replicas {
 			t.Logf("%s:\n%s", n.Settings.Box, n.Process.Log())
@@ -446,12 +446,12 @@
 	for range 3 {
 		leader := x.leader()
 		leader.Process.Terminate()
-		code, err := leader.Process.AwaitEnd(patience)
+		code, err := leader.Process.AwaitExit(patience)
 		x.must(err)
 		if code != 0 {
 			t.Errorf("the planned stop ended with %d:\n%s", code, leader.Process.Log())
 		}
-		x.must(x.cluster.StartAgain(leader))
+		x.must(x.cluster.StartNode(leader))
 		x.awaitVoter(leader)
 	}
 	close(stop)
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -82,7 +82,7 @@
 // keepRunning starts a target again a while after it has ended.
 func (x *crashStory) keepRunning(target *lab.TargetProcess) {
 	for x.pause(10 * time.Millisecond) {
-		if !target.Process.Ended() {
+		if !target.Process.Exited() {
 			continue
 		}
 		x.lock.Lock()
@@ -169,7 +169,7 @@
 	for _, c := range x.sent {
 		if c.at.After(at) {
 			calls++
-			reached += runs[c.Request]
+			reached += runs[c.RequestID]
 		}
 	}
 	return calls, reached
@@ -204,7 +204,7 @@
 	whole := 0
 	for n := range calls {
 		c := x.caller.Do(lab.CallSpec{Host: "repeatable.test", Body: []byte([]string{"popular", fmt.Sprintf("afterwards %d", n)}[n%2])})
-		if c.Verdict == lab.Whole {
+		if c.Verdict == lab.Complete {
 			whole++
 		}
 	}
@@ -235,7 +235,7 @@
 		}
 		name = list[0].Name
 		for _, b := range x.cluster.Boxes {
-			if err := x.cluster.AwaitInForce(b, list[0].Since, patience); err != nil {
+			if err := x.cluster.AwaitRevision(b, list[0].Since, patience); err != nil {
 				return err
 			}
 		}
--- a/test/kept_answer_test.go
+++ b/test/kept_answer_test.go
@@ -73,8 +73,8 @@
 	box := x.cluster.Boxes[0]
 	result, err := x.cluster.Apply(f.sheetOf())
 	x.must(err)
-	x.must(x.cluster.AwaitInForce(box, result.Revision, patience))
-	x.must(x.cluster.AwaitServing(box, patience))
+	x.must(x.cluster.AwaitRevision(box, result.Revision, patience))
+	x.must(x.cluster.AwaitReady(box, patience))
 	for i := range 5 {
 		f.sends.Store(0)
 		status, body := x.get(box, "balance.test"+failingCall)
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -41,7 +41,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		x.callAll(4000, 64, func(int) lab.CallSpec { return lab.CallSpec{Host: "once.test", Once: true} })
+		x.callAll(4000, 64, func(int) lab.CallSpec { return lab.CallSpec{Host: "once.test", AtMostOnce: true} })
 	}()
 	time.Sleep(300 * time.Millisecond)
 	frozen.Process.Freeze()
@@ -49,11 +49,11 @@
 	killed.Process.Kill()
 	x.caller.SetAddresses(x.cluster.Boxes[2].Entry, x.cluster.Boxes[3].Entry)
 	time.Sleep(2 * time.Second)
-	frozen.Process.Thaw()
+	frozen.Process.Unfreeze()
 	<-done
 	s := x.mustBeClean()
-	if s.Whole < 2000 {
-		t.Fatalf("only %d calls were answered", s.Whole)
+	if s.Complete < 2000 {
+		t.Fatalf("only %d calls were answered", s.Complete)
 	}
 	for _, target := range x.targets {
 		if peak := x.statsOf(target).Peak; peak > limit {
--- a/test/named_limit_test.go
+++ b/test/named_limit_test.go
@@ -64,8 +64,8 @@
 	sum := int64(0)
 	for i := range before {
 		s := x.statsOf(x.targets[i])
-		sum += s.Limited - before[i].Limited
-		x.Logf("%s got %d calls and %d probes while it named a limit", x.targets[i].Name, s.Limited-before[i].Limited, s.LimitedProbes-before[i].LimitedProbes)
+		sum += s.CallsWhileLimited - before[i].CallsWhileLimited
+		x.Logf("%s got %d calls and %d probes while it named a limit", x.targets[i].Name, s.CallsWhileLimited-before[i].CallsWhileLimited, s.ProbesWhileLimited-before[i].ProbesWhileLimited)
 		if b := s.WorstBreach; b != nil {
 			x.Errorf("%s named a limit of %g a second and got %d calls in 4 s, allowed %.0f: %v", x.targets[i].Name, b.Rate, b.Count(), b.Allowed, b.Calls)
 		}
@@ -84,7 +84,7 @@
 func countWhole(calls []lab.Call) int {
 	n := 0
 	for _, c := range calls {
-		if c.Verdict == lab.Whole {
+		if c.Verdict == lab.Complete {
 			n++
 		}
 	}
@@ -128,10 +128,10 @@
 	}
 	slow, unclear := 0, 0
 	for _, c := range calls {
-		if c.Verdict == lab.Whole {
+		if c.Verdict == lab.Complete {
 			continue
 		}
-		if c.Took > refusedAtOnce {
+		if c.Latency > refusedAtOnce {
 			slow++
 		}
 		if c.Verdict != lab.NotRun || c.RetryAfter <= 0 {
--- a/test/power_test.go
+++ b/test/power_test.go
@@ -66,7 +66,7 @@
 	x.caller = lab.NewCaller(x.servingEntries()...)
 	before := x.countOf(x.targets[0])
 	for range 20 {
-		if c := x.caller.Do(lab.CallSpec{Host: "shop.test"}); c.Verdict != lab.Whole {
+		if c := x.caller.Do(lab.CallSpec{Host: "shop.test"}); c.Verdict != lab.Complete {
 			t.Errorf("a call was answered %+v", c)
 		}
 	}
--- a/test/product_test.go
+++ b/test/product_test.go
@@ -66,7 +66,7 @@
 	x.mustCtl(0, []string{"leaving", "50"}, "table", "get")
 	x.mustCtl(0, []string{`"maxInFlight": 6`}, "table", "get", "--json")
 	x.mustCtl(0, []string{"revision", "edit"}, "table", "history")
-	x.must(x.cluster.AwaitServing(x.cluster.Boxes[0], patience))
+	x.must(x.cluster.AwaitReady(x.cluster.Boxes[0], patience))
 	x.mustCtl(0, []string{"leader", "box-1", "in force"}, "status")
 	x.mustCtl(0, []string{`"control"`, `"table"`}, "dump")
 	x.mustCtl(0, []string{"accepted"}, "table", "edit", "--set", "shop/new.domain=south", "--set", "shop.cold_rate=2.5")
@@ -197,12 +197,12 @@
 
 func TestTheDemoLosesDoublesAndConfusesNothing(t *testing.T) {
 	summary, err := lab.RunDemo(lab.DemoSettings{
-		Folder: t.TempDir(), Program: programs.daemon, Self: programs.lab, Calls: 2000, Out: testWriter{t},
+		Folder: t.TempDir(), Program: programs.daemon, LabProgram: programs.lab, Calls: 2000, Out: testWriter{t},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !summary.Clean() || summary.Whole < 1900 {
+	if !summary.Clean() || summary.Complete < 1900 {
 		t.Fatal(summary)
 	}
 }
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -26,7 +26,7 @@
 // awaitAttached waits until a box has a replica's lease.
 func (x *story) awaitAttached(n *lab.Node) {
 	x.Helper()
-	x.must(x.cluster.AwaitInForce(n, 1, patience))
+	x.must(x.cluster.AwaitRevision(n, 1, patience))
 }
 
 // freeAddresses are addresses at which nothing runs.
@@ -60,11 +60,11 @@
 			box.Process.Kill()
 			// The machines that were seeds once are gone.
 			box.Settings.Seeds = x.freeAddresses(3)
-			x.must(x.cluster.StartAgain(box))
+			x.must(x.cluster.StartNode(box))
 			box.Settings.Seeds = seeds
 			x.must(box.WriteSettings())
 			if s.signal {
-				box.Process.HangUp()
+				box.Process.Reload()
 			}
 			x.awaitAttached(box)
 			if status := x.settingsOf(box); !slices.Equal(status.InForce.Seeds, seeds) || len(status.Waiting) > 0 {
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -30,20 +30,20 @@
 		return p
 	})
 	s := x.mustBeClean()
-	if s.Whole < s.Sent*5/6 {
-		t.Fatalf("only %d of %d calls were answered", s.Whole, s.Sent)
+	if s.Complete < s.Sent*5/6 {
+		t.Fatalf("only %d of %d calls were answered", s.Complete, s.Sent)
 	}
 }
 
 func TestAnAnswerCutShortIsNeverPassedOffAsWhole(t *testing.T) {
 	x := begin(t, setting{replicas: 1, boxes: 1, targets: 2, targetArguments: []string{"--slots", "16", "--queue", "64"}})
 	x.fillTable(nil)
-	for _, cut := range lab.Cuts() {
+	for _, cut := range lab.Truncations() {
 		for _, work := range []string{"repeatable", "once", "patient"} {
 			for _, size := range []int{100, 400_000} {
 				t.Run(fmt.Sprintf("%s %s %d", cut, work, size), func(t *testing.T) {
-					call := x.caller.Do(lab.CallSpec{Host: work + ".test", Once: work == "once", Cut: cut, Size: size})
-					if call.Verdict == lab.Whole || call.Verdict == lab.Wrong || call.Verdict == lab.NotRun {
+					call := x.caller.Do(lab.CallSpec{Host: work + ".test", AtMostOnce: work == "once", Truncation: cut, AnswerBytes: size})
+					if call.Verdict == lab.Complete || call.Verdict == lab.Wrong || call.Verdict == lab.NotRun {
 						t.Fatalf("the caller was told %+v", call)
 					}
 				})
@@ -57,9 +57,9 @@
 	x := begin(t, setting{replicas: 1, boxes: 1, targets: 2, targetArguments: []string{"--slots", "32", "--queue", "64"}})
 	x.fillTable(nil)
 	x.callAll(48, 16, func(int) lab.CallSpec {
-		return lab.CallSpec{Host: "patient.test", Size: 10 << 20, Deadline: 30 * time.Second}
+		return lab.CallSpec{Host: "patient.test", AnswerBytes: 10 << 20, Deadline: 30 * time.Second}
 	})
-	if s := x.mustBeClean(); s.Whole != 48 {
+	if s := x.mustBeClean(); s.Complete != 48 {
 		t.Fatalf("not every report arrived: %s", s)
 	}
 	d, err := x.cluster.Boxes[0].Dump()
@@ -87,7 +87,7 @@
 	x.callAll(4000, 48, mixed)
 	step.Wait()
 	s := x.mustBeClean()
-	if s.Refused == 0 || s.Whole == 0 {
+	if s.Refused == 0 || s.Complete == 0 {
 		t.Fatalf("the story brought about no refusals or no answers: %s", s)
 	}
 }
@@ -122,7 +122,7 @@
 		select {
 		case <-done:
 			s := x.mustBeClean()
-			if s.Whole < 1000 || s.Unknown == 0 {
+			if s.Complete < 1000 || s.Unknown == 0 {
 				t.Fatalf("the story brought about too little: %s", s)
 			}
 			return
@@ -133,11 +133,11 @@
 		case 0, 1:
 			p.Reset()
 		case 2:
-			p.Delay(time.Duration(round%20) * time.Millisecond)
+			p.SetDelay(time.Duration(round%20) * time.Millisecond)
 		case 3:
-			p.Silence(true)
+			p.Blackhole(true)
 			time.Sleep(60 * time.Millisecond)
-			p.Silence(false)
+			p.Blackhole(false)
 		}
 	}
 }
@@ -162,9 +162,9 @@
 	x.fillTable(func(s *table.Service, _ []table.Row) { s.Deadline = 500 * time.Millisecond })
 	x.targets[0].Process.Freeze()
 	x.callAll(1500, 16, mixed)
-	x.targets[0].Process.Thaw()
+	x.targets[0].Process.Unfreeze()
 	s := x.mustBeClean()
-	if share := float64(s.Whole) / float64(s.Sent); share < 0.9 {
+	if share := float64(s.Complete) / float64(s.Sent); share < 0.9 {
 		t.Fatalf("with one of four targets frozen only %.0f%% of the calls were answered: %s", 100*share, s)
 	}
 }
@@ -196,7 +196,7 @@
 				for i := k; !finished.Load(); i++ {
 					p := mixed(i)
 					if i%40 == 0 {
-						p.Size = 2 << 20
+						p.AnswerBytes = 2 << 20
 					}
 					if i%25 == 0 {
 						// Still under way when the box has ended its leave.
@@ -211,19 +211,19 @@
 		// The platform's balancer learns of it late.
 		time.Sleep(150 * time.Millisecond)
 		x.caller.SetAddresses(staying.Entry)
-		code, err := stopping.Process.AwaitEnd(patience)
+		code, err := stopping.Process.AwaitExit(patience)
 		x.must(err)
 		finished.Store(true)
 		callers.Wait()
 		if code != 0 {
 			t.Fatalf("the planned stop ended with %d:\n%s", code, stopping.Process.Log())
 		}
-		x.must(x.cluster.StartAgain(stopping))
-		x.must(x.cluster.AwaitServing(stopping, patience))
+		x.must(x.cluster.StartNode(stopping))
+		x.must(x.cluster.AwaitReady(stopping, patience))
 		x.caller.SetAddresses(staying.Entry, stopping.Entry)
 	}
 	s := x.mustBeClean()
-	if s.Unknown > 0 || s.Errors > 0 {
+	if s.Unknown > 0 || s.TargetErrors > 0 {
 		for _, c := range x.caller.Calls() {
 			if c.Verdict == lab.Unknown {
 				t.Logf("%+v", c)
@@ -256,16 +256,16 @@
 	x.must(err)
 	x.awaitInForceOn(edited, x.cluster.Boxes[1:]...)
 	for _, p := range x.cluster.Proxies {
-		p.Silence(true)
+		p.Blackhole(true)
 	}
 	time.Sleep(bound)
-	frozen.Process.Thaw()
+	frozen.Process.Unfreeze()
 	before := x.countOf(leaving)
 	x.caller.SetAddresses(x.cluster.Boxes[0].Entry, x.cluster.Boxes[1].Entry, x.cluster.Boxes[2].Entry)
 	time.Sleep(500 * time.Millisecond)
 	finished.Store(true)
 	for _, p := range x.cluster.Proxies {
-		p.Silence(false)
+		p.Blackhole(false)
 	}
 	callers.Wait()
 	if after := x.countOf(leaving); after != before {
@@ -277,7 +277,7 @@
 func (x *story) awaitInForceOn(r *table.Result, boxes ...*lab.Node) {
 	x.Helper()
 	for _, b := range boxes {
-		x.must(x.cluster.AwaitInForce(b, r.Revision, patience))
+		x.must(x.cluster.AwaitRevision(b, r.Revision, patience))
 	}
 }
 
@@ -298,14 +298,14 @@
 	x.fillTable(nil)
 	x.cluster.Replicas[0].Process.Freeze()
 	x.must(lab.Eventually(patience, func() error {
-		if c := x.caller.Do(lab.CallSpec{Host: "once.test", Once: true}); c.Reason != "no-lease" {
+		if c := x.caller.Do(lab.CallSpec{Host: "once.test", AtMostOnce: true}); c.Reason != "no-lease" {
 			return fmt.Errorf("told %+v", c)
 		}
 		return nil
 	}))
-	x.cluster.Replicas[0].Process.Thaw()
+	x.cluster.Replicas[0].Process.Unfreeze()
 	x.must(lab.Eventually(patience, func() error {
-		if c := x.caller.Do(lab.CallSpec{Host: "once.test", Once: true}); c.Verdict != lab.Whole {
+		if c := x.caller.Do(lab.CallSpec{Host: "once.test", AtMostOnce: true}); c.Verdict != lab.Complete {
 			return fmt.Errorf("told %+v", c)
 		}
 		return nil
@@ -340,7 +340,7 @@
 	time.Sleep(*refusing)
 	x.behave(x.targets[0], "shed=0")
 	<-done
-	if s := x.mustBeClean(); s.Whole != patientCalls {
+	if s := x.mustBeClean(); s.Complete != patientCalls {
 		t.Fatalf("patient calls were lost: %s %+v", s, x.caller.Calls())
 	}
 }
@@ -421,7 +421,7 @@
 	if runs := x.runs(); len(runs) != 0 {
 		t.Fatalf("a target ran %v", runs)
 	}
-	if c := x.caller.Do(lab.CallSpec{Host: "once.test", Once: true}); c.Verdict != lab.Whole {
+	if c := x.caller.Do(lab.CallSpec{Host: "once.test", AtMostOnce: true}); c.Verdict != lab.Complete {
 		t.Fatalf("after all that a good call was told %+v", c)
 	}
 }
@@ -433,8 +433,8 @@
 	}})
 	x.fillTable(nil)
 	for _, work := range []string{"repeatable", "once", "patient"} {
-		c := x.caller.Do(lab.CallSpec{Host: work + ".test", Once: work == "once", Work: time.Second})
-		if c.Verdict != lab.Whole {
+		c := x.caller.Do(lab.CallSpec{Host: work + ".test", AtMostOnce: work == "once", Work: time.Second})
+		if c.Verdict != lab.Complete {
 			t.Errorf("a call of a second was told %+v", c)
 		}
 	}
--- a/test/residency_test.go
+++ b/test/residency_test.go
@@ -68,7 +68,7 @@
 	x.reportAll()
 	for _, b := range x.cluster.Boxes {
 		x.must(lab.Eventually(patience, func() error { return showsRestriction(b, regions, targets) }))
-		x.must(x.cluster.AwaitServing(b, patience))
+		x.must(x.cluster.AwaitReady(b, patience))
 	}
 }
 
@@ -118,7 +118,7 @@
 		runs, err := lab.ReadJournals(t.Journal)
 		x.must(err)
 		for _, c := range calls {
-			at[i] += runs[c.Request]
+			at[i] += runs[c.RequestID]
 		}
 	}
 	return at
@@ -159,7 +159,7 @@
 	calls := x.callBoth(40)
 	x.mustStay(calls, 0)
 	for _, c := range calls {
-		if c.Verdict == lab.Whole {
+		if c.Verdict == lab.Complete {
 			t.Errorf("a call was answered though its region is down: %+v", c)
 		}
 	}
--- a/test/rest_test.go
+++ b/test/rest_test.go
@@ -85,12 +85,12 @@
 	calls, whole := x.callFor(2 * restAsked)
 	for _, target := range resting {
 		s := x.statsOf(target)
-		t.Logf("%s got %d calls and %d probes in %d rests", target.Name, s.Unrested, s.UnrestedProbes, s.Rests)
+		t.Logf("%s got %d calls and %d probes in %d rests", target.Name, s.CallsInRest, s.ProbesInRest, s.Rests)
 		if s.Rests == 0 {
 			t.Errorf("%s got no call that it could have turned away", target.Name)
 		}
-		if s.Unrested > leftInRest || s.UnrestedProbes > leftInRest {
-			t.Errorf("%s got %d calls and %d probes while it rested", target.Name, s.Unrested, s.UnrestedProbes)
+		if s.CallsInRest > leftInRest || s.ProbesInRest > leftInRest {
+			t.Errorf("%s got %d calls and %d probes while it rested", target.Name, s.CallsInRest, s.ProbesInRest)
 		}
 	}
 	if whole < calls*95/100 {
@@ -132,12 +132,12 @@
 	x.behave(resting, "shed=0")
 	box.Process.Freeze()
 	time.Sleep(restAsked / 2)
-	box.Process.Thaw()
-	x.must(x.cluster.AwaitServing(box, patience))
+	box.Process.Unfreeze()
+	x.must(x.cluster.AwaitReady(box, patience))
 	x.callFor(restAsked/4 + time.Until(asked.Add(restAsked/2)))
 	before := x.statsOf(resting)
-	if before.Unrested > leftInRest || before.UnrestedProbes > leftInRest {
-		t.Errorf("%s got %d calls and %d probes while it rested", resting.Name, before.Unrested, before.UnrestedProbes)
+	if before.CallsInRest > leftInRest || before.ProbesInRest > leftInRest {
+		t.Errorf("%s got %d calls and %d probes while it rested", resting.Name, before.CallsInRest, before.ProbesInRest)
 	}
 	time.Sleep(time.Until(asked.Add(restAsked)))
 	x.must(lab.Eventually(restAsked/2, func() error {
--- a/test/rollout_test.go
+++ b/test/rollout_test.go
@@ -51,7 +51,7 @@
 	known, err := x.api().Table()
 	x.must(err)
 	for _, b := range x.cluster.Boxes {
-		x.must(x.cluster.AwaitInForce(b, known.Revision, patience))
+		x.must(x.cluster.AwaitRevision(b, known.Revision, patience))
 	}
 	x.caller = lab.NewCaller(x.servingEntries()...)
 	for k := range 8 {
@@ -93,7 +93,7 @@
 	x.repeat(func() {
 		sequence++
 		for _, t := range targets {
-			if t.Process.Ended() {
+			if t.Process.Exited() {
 				continue
 			}
 			// One that isn't acknowledged is sent again with the next round.
@@ -193,7 +193,7 @@
 	time.Sleep(2 * time.Second)
 	x.stop()
 	s := x.mustBeClean()
-	if s.Unknown > 0 || s.Errors > 0 || s.Refused > s.Sent/50 {
+	if s.Unknown > 0 || s.TargetErrors > 0 || s.Refused > s.Sent/50 {
 		t.Fatalf("the rollout cost calls: %+v", s)
 	}
 }
@@ -241,7 +241,7 @@
 	time.Sleep(exposureEnd)
 	x.mustGetNothing("while no leader could grant it")
 	for _, n := range x.cluster.Replicas {
-		x.must(x.cluster.StartAgain(n))
+		x.must(x.cluster.StartNode(n))
 	}
 	x.awaitStage(table.RolloutCompleted, table.RolloutRolledBack)
 	x.stop()
@@ -257,7 +257,7 @@
 	x.awaitStage(table.RolloutRolledBack)
 	time.Sleep(exposureEnd)
 	before := x.runsOf(x.fresh)
-	frozen.Process.Thaw()
+	frozen.Process.Unfreeze()
 	time.Sleep(time.Second)
 	if n := x.runsOf(x.fresh) - before; n > 0 {
 		t.Fatalf("%d calls went to the new version after the box had woken", n)
@@ -275,7 +275,7 @@
 	x.awaitStage(table.RolloutCompleted, table.RolloutRolledBack)
 	x.stop()
 	s := x.mustBeClean()
-	if s.Unknown > 0 || s.Errors > 0 {
+	if s.Unknown > 0 || s.TargetErrors > 0 {
 		t.Fatalf("the rollout cost calls: %+v", s)
 	}
 }
--- a/test/soak_crash_test.go
+++ b/test/soak_crash_test.go
@@ -44,7 +44,7 @@
 // keepTargets starts targets again that have ended.
 func (x *soak) keepTargets() {
 	for t, target := range x.targets {
-		if !target.Process.Ended() {
+		if !target.Process.Exited() {
 			continue
 		}
 		time.Sleep(soakCrashPause)
@@ -72,12 +72,12 @@
 	x.must(lab.Eventually(patience, func() error {
 		x.reportAll(x.cluster.Replicas[1])
 		for _, target := range x.targets {
-			if target.Process.Ended() {
+			if target.Process.Exited() {
 				x.keepTargets()
 				return fmt.Errorf("%s is down", target.Name)
 			}
 		}
-		if c := x.caller.Do(lab.CallSpec{Host: "shop.test"}); c.Verdict != lab.Whole {
+		if c := x.caller.Do(lab.CallSpec{Host: "shop.test"}); c.Verdict != lab.Complete {
 			return fmt.Errorf("a call that is well was answered %+v", c)
 		}
 		return nil
@@ -95,7 +95,7 @@
 	x.must(lab.Eventually(patience, func() error {
 		x.keepTargets()
 		x.reportAll(x.cluster.Replicas[1])
-		if c := x.caller.Do(lab.CallSpec{Host: "shop.test"}); c.Verdict != lab.Whole {
+		if c := x.caller.Do(lab.CallSpec{Host: "shop.test"}); c.Verdict != lab.Complete {
 			return fmt.Errorf("a call that is well was answered %+v", c)
 		}
 		return nil
--- a/test/soak_evacuation_test.go
+++ b/test/soak_evacuation_test.go
@@ -55,7 +55,7 @@
 	whole := 0
 	for i := range soakLastCalls {
 		service := soakServices[i%len(soakServices)]
-		if x.caller.Do(lab.CallSpec{Host: service + ".test", Once: service == "pay"}).Verdict == lab.Whole {
+		if x.caller.Do(lab.CallSpec{Host: service + ".test", AtMostOnce: service == "pay"}).Verdict == lab.Complete {
 			whole++
 		}
 	}
--- a/test/soak_faults_test.go
+++ b/test/soak_faults_test.go
@@ -73,8 +73,8 @@
 	{"cut a target one way", func(x *soak) bool { return x.cutOneWay(x.anyPath()) }},
 	{"reset a target", func(x *soak) bool { x.anyPath().Reset(); return true }},
 	{"exchange a box's seeds", func(x *soak) bool { return x.exchangeSeeds(x.anyBox()) }},
-	{"silence a replica's open connections", func(x *soak) bool { x.anyProxy().SilenceOpen(); return true }},
-	{"silence a target's open connections", func(x *soak) bool { x.anyPath().SilenceOpen(); return true }},
+	{"silence a replica's open connections", func(x *soak) bool { x.anyProxy().BlackholeOpenConns(); return true }},
+	{"silence a target's open connections", func(x *soak) bool { x.anyPath().BlackholeOpenConns(); return true }},
 	{"have a target hang when full", (*soak).hangWhenFull},
 	{"have a target ask for rest", (*soak).askForRest},
 	{"have targets ask for rest together", (*soak).askForRestTogether},
@@ -151,7 +151,7 @@
 		defer x.disturb(n)()
 		n.Process.Kill()
 		x.pause(1, 300)
-		x.must(x.cluster.StartAgain(n))
+		x.must(x.cluster.StartNode(n))
 	}, n)
 }
 
@@ -172,7 +172,7 @@
 		defer x.disturb(n)()
 		n.Process.Freeze()
 		x.pause(100, 1500)
-		n.Process.Thaw()
+		n.Process.Unfreeze()
 	}, n)
 }
 
@@ -182,7 +182,7 @@
 		defer x.disturb(t)()
 		t.Process.Freeze()
 		x.pause(100, 800)
-		t.Process.Thaw()
+		t.Process.Unfreeze()
 	}, t)
 }
 
@@ -206,26 +206,26 @@
 
 func (x *soak) silence(p *lab.FaultProxy) bool {
 	return x.with(func() {
-		p.Silence(true)
+		p.Blackhole(true)
 		x.pause(200, 1500)
-		p.Silence(false)
+		p.Blackhole(false)
 	}, p)
 }
 
 func (x *soak) cutOneWay(p *lab.FaultProxy) bool {
 	way := []lab.Direction{lab.ToTarget, lab.FromTarget}[x.draw(2)]
 	return x.with(func() {
-		p.SilenceOneWay(way, true)
+		p.BlackholeOneWay(way, true)
 		x.pause(200, 1500)
-		p.SilenceOneWay(way, false)
+		p.BlackholeOneWay(way, false)
 	}, p)
 }
 
 func (x *soak) delay(p *lab.FaultProxy) bool {
 	return x.with(func() {
-		p.Delay(30 * time.Millisecond)
+		p.SetDelay(30 * time.Millisecond)
 		x.pause(200, 1000)
-		p.Delay(0)
+		p.SetDelay(0)
 	}, p)
 }
 
@@ -234,10 +234,10 @@
 	return x.with(func() {
 		defer x.disturb(n)()
 		n.Process.Terminate()
-		if _, err := n.Process.AwaitEnd(patience); err != nil {
+		if _, err := n.Process.AwaitExit(patience); err != nil {
 			x.Errorf("a planned stop didn't end: %v", err)
 		}
-		x.must(x.cluster.StartAgain(n))
+		x.must(x.cluster.StartNode(n))
 	}, n)
 }
 
@@ -252,12 +252,12 @@
 		n.Settings.Seeds = seeds
 		x.must(n.WriteSettings())
 		if signal {
-			n.Process.HangUp()
+			n.Process.Reload()
 		}
 	}, n)
 }
 
-func (x *soak) hangUp(n *lab.Node) bool { return x.with(func() { n.Process.HangUp() }, n) }
+func (x *soak) hangUp(n *lab.Node) bool { return x.with(func() { n.Process.Reload() }, n) }
 
 // loseDisks takes two disks at once, if all replicas vote and the last ones that were
 // lost have had the time to come back.
--- a/test/soak_keys_test.go
+++ b/test/soak_keys_test.go
@@ -97,10 +97,10 @@
 	at := time.Now()
 	revoked := x.revoked(generation, at)
 	c := x.callWith(guestKey(generation))
-	if revoked && c.Verdict == lab.Whole {
+	if revoked && c.Verdict == lab.Complete {
 		x.Errorf("a call was let in by a key that had been taken away %s before", soakRevokeBound)
 	}
-	if x.callWith("in-no-document").Verdict == lab.Whole {
+	if x.callWith("in-no-document").Verdict == lab.Complete {
 		x.Error("a call was let in by a key that no document has had")
 	}
 	time.Sleep(soakCallPause)
@@ -114,7 +114,7 @@
 		x.strangers.Add(1)
 	case c.Verdict != lab.NotRun:
 		x.lock.Lock()
-		x.guestCalls = append(x.guestCalls, guestCall{request: c.Request, at: time.Now()})
+		x.guestCalls = append(x.guestCalls, guestCall{request: c.RequestID, at: time.Now()})
 		x.lock.Unlock()
 	}
 	return c
--- a/test/soak_residency_test.go
+++ b/test/soak_residency_test.go
@@ -35,7 +35,7 @@
 func (x *soak) checkResidency() {
 	restricted := map[string]bool{}
 	for _, c := range x.caller.Calls() {
-		restricted[c.Request] = restricted[c.Request] || c.Host == soakResident
+		restricted[c.RequestID] = restricted[c.RequestID] || c.Host == soakResident
 	}
 	ran := 0
 	for i, t := range x.targets {
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -342,23 +342,23 @@
 		return
 	}
 	service := soakServices[x.draw(len(soakServices))]
-	x.caller.Do(lab.CallSpec{Host: service + ".test", Once: service == "pay", Work: time.Duration(x.draw(20)) * time.Millisecond})
+	x.caller.Do(lab.CallSpec{Host: service + ".test", AtMostOnce: service == "pay", Work: time.Duration(x.draw(20)) * time.Millisecond})
 	time.Sleep(soakCallPause)
 }
 
 func (x *soak) heal() {
 	for _, p := range append(x.paths, x.cluster.Proxies...) {
-		p.Silence(false)
-		p.Delay(0)
+		p.Blackhole(false)
+		p.SetDelay(0)
 	}
 	for _, n := range append(x.cluster.Replicas, x.cluster.Boxes...) {
-		if n.Process.Ended() {
+		if n.Process.Exited() {
 			x.Errorf("%s has ended by itself:\n%s", n.Settings.Box, n.Process.Log())
-			x.must(x.cluster.StartAgain(n))
+			x.must(x.cluster.StartNode(n))
 		}
 	}
 	for _, b := range x.cluster.Boxes {
-		x.must(x.cluster.AwaitServing(b, patience))
+		x.must(x.cluster.AwaitReady(b, patience))
 	}
 }
 
@@ -389,7 +389,7 @@
 	before := x.statsOf(target)
 	whole := 0
 	for range soakLastCalls {
-		if x.caller.Do(lab.CallSpec{Host: "shop.test"}).Verdict == lab.Whole {
+		if x.caller.Do(lab.CallSpec{Host: "shop.test"}).Verdict == lab.Complete {
 			whole++
 		}
 	}
@@ -400,7 +400,7 @@
 	if whole < soakLastCalls/2 {
 		x.Errorf("%d of %d calls were answered though all faults had ended and targets were idle", whole, soakLastCalls)
 	}
-	x.must(x.cluster.StartAgain(n))
+	x.must(x.cluster.StartNode(n))
 }
 
 func (x *soak) checkCalls() {
@@ -411,7 +411,7 @@
 		x.Errorf("calls were lost, doubled or wrong: %s", summary)
 	}
 	x.checkResidency()
-	if wanted := summary.Sent - x.unwanted(summary.Reasons) - int(x.strangers.Load()); summary.Whole*2 < wanted {
+	if wanted := summary.Sent - x.unwanted(summary.Reasons) - int(x.strangers.Load()); summary.Complete*2 < wanted {
 		x.Errorf("fewer than half of the %d calls that targets wanted were answered: %s", wanted, summary)
 	}
 }
--- a/test/soak_words_test.go
+++ b/test/soak_words_test.go
@@ -139,10 +139,10 @@
 				x.checkLimit(t, b.Limit)
 				continue
 			}
-			if x.wasDisturbed(x.boxAt(b.Box), b.Said, b.At) || x.wasDisturbed(t, b.Said, b.At) {
+			if x.wasDisturbed(x.boxAt(b.Box), b.InformedAt, b.At) || x.wasDisturbed(t, b.InformedAt, b.At) {
 				continue
 			}
-			x.Errorf("%s got a call from %s %s after it had said to it that it wants none: %+v", t.Name, b.Box, b.At.Sub(b.Said), b)
+			x.Errorf("%s got a call from %s %s after it had said to it that it wants none: %+v", t.Name, b.Box, b.At.Sub(b.InformedAt), b)
 		}
 	}
 }
--- a/test/starts_test.go
+++ b/test/starts_test.go
@@ -29,7 +29,7 @@
 	x.awaitWhole(shopCall)
 	report(x.targets[0], 1000, 58, table.Leaving)
 	for range 20 {
-		if c := x.caller.Do(lab.CallSpec{Host: "shop.test"}); c.Verdict != lab.Whole {
+		if c := x.caller.Do(lab.CallSpec{Host: "shop.test"}); c.Verdict != lab.Complete {
 			t.Errorf("after the late report a call was answered %+v", c)
 		}
 	}
--- a/test/steps_test.go
+++ b/test/steps_test.go
@@ -64,7 +64,7 @@
 		x.lookForRaces()
 	}
 	for _, t := range x.targets {
-		t.Process.Thaw()
+		t.Process.Unfreeze()
 		t.Process.Kill()
 	}
 }
@@ -139,7 +139,7 @@
 	x.Helper()
 	var entries []string
 	for _, b := range x.cluster.Boxes {
-		x.must(x.cluster.AwaitServing(b, patience))
+		x.must(x.cluster.AwaitReady(b, patience))
 		entries = append(entries, b.Entry)
 	}
 	return entries
@@ -149,7 +149,7 @@
 func (x *story) awaitWhole(plan lab.CallSpec) {
 	x.Helper()
 	x.must(lab.Eventually(patience, func() error {
-		if c := x.caller.Do(plan); c.Verdict != lab.Whole {
+		if c := x.caller.Do(plan); c.Verdict != lab.Complete {
 			return fmt.Errorf("the call was answered %+v", c)
 		}
 		return nil
@@ -164,11 +164,11 @@
 		n.Process.Kill()
 	}
 	for _, n := range lost {
-		x.must(x.cluster.LoseDisk(n))
+		x.must(x.cluster.EraseData(n))
 		n.Settings.Control.Growth.Bootstrap = false
 	}
 	for _, n := range nodes {
-		x.must(x.cluster.StartAgain(n))
+		x.must(x.cluster.StartNode(n))
 	}
 }
 
@@ -219,7 +219,7 @@
 	var found *lab.Node
 	x.must(lab.Eventually(patience, func() error {
 		for _, n := range x.cluster.Replicas {
-			if contains(without, n) || n.Process.Ended() {
+			if contains(without, n) || n.Process.Exited() {
 				continue
 			}
 			d, err := n.Dump()
@@ -257,7 +257,7 @@
 func (x *story) awaitEverywhere(r *table.Result) {
 	x.Helper()
 	for _, b := range x.cluster.Boxes {
-		x.must(x.cluster.AwaitInForce(b, r.Revision, patience))
+		x.must(x.cluster.AwaitRevision(b, r.Revision, patience))
 	}
 }
 
@@ -299,7 +299,7 @@
 }
 
 // journals are the targets' own records.
-func (x *story) runs() lab.Executions {
+func (x *story) runs() lab.RunCounts {
 	x.Helper()
 	var paths []string
 	for _, t := range x.targets {
@@ -351,5 +351,5 @@
 // mixed is a plan over the three kinds of work in turn.
 func mixed(i int) lab.CallSpec {
 	work := []table.WorkKind{table.Repeatable, table.AtMostOnce, table.Patient}[i%3]
-	return lab.CallSpec{Host: work.String() + ".test", Once: work == table.AtMostOnce, Size: i % 2000}
+	return lab.CallSpec{Host: work.String() + ".test", AtMostOnce: work == table.AtMostOnce, AnswerBytes: i % 2000}
 }
