--- a/cmd/madderctl/main.go
+++ b/cmd/madderctl/main.go
@@ -1,4 +1,4 @@
-// Command madderctl is the operators' tool.
+// Command madderctl is the operators' command-line tool.
 package main
 
 import "github.com/madderpond/madderpond/pkg/ctl"
--- a/cmd/madderlab/main.go
+++ b/cmd/madderlab/main.go
@@ -1,4 +1,4 @@
-// Command madderlab runs stand-ins, the demo and the measurements.
+// Command madderlab runs stand-in targets, fault proxies, trace replays, the demo and the benchmarks.
 package main
 
 import (
--- a/pkg/lab/authority.go
+++ b/pkg/lab/authority.go
@@ -18,14 +18,14 @@
 	folder      string
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
-	// File is the authority's own certificate.
+	// File is the path of the authority's own certificate.
 	File string
 }
 
-// certificateLife is how long a lab certificate lasts.
+// certificateLife is how long a lab certificate is valid.
 const certificateLife = 24 * time.Hour
 
-// NewAuthority makes an authority whose files go to a folder.
+// NewAuthority creates an authority that writes its files to a folder.
 func NewAuthority(folder, name string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Sign makes a certificate that names a box, and its key.
+// Sign issues a certificate for a box name and returns the paths of the certificate and its key.
 func (a *Authority) Sign(box string) (certificate, key string, err error) {
 	pair, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/pkg/lab/caller.go
+++ b/pkg/lab/caller.go
@@ -11,24 +11,24 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Verdict says what a caller was told, checked against its own request.
+// Verdict classifies the outcome of a call as its caller observed it.
 type Verdict int
 
 // The verdicts.
 const (
-	// Complete: the caller's own answer came whole.
+	// Complete means that the answer belongs to this request and is complete.
 	Complete Verdict = iota + 1
-	// NotRun: a refusal that says that nothing was run.
+	// NotRun means that the call was refused and that no target ran it.
 	NotRun
-	// Unknown: a refusal or a broken connection that leaves it open.
+	// Unknown means a refusal or a connection failure after which the call may or may not have run.
 	Unknown
-	// TargetError: the target's own error came through.
+	// TargetError means that the target itself answered with an error.
 	TargetError
-	// Wrong: an answer that isn't the one to this request, or isn't whole.
+	// Wrong means an answer that belongs to another request or is incomplete.
 	Wrong
 )
 
-// Call is one call as a caller made it.
+// Call is one call with the outcome that its caller observed.
 type Call struct {
 	RequestID string
 	Host      string
@@ -39,12 +39,12 @@
 	Reason     string
 	Target     string
 	Latency    time.Duration
-	// RetryAfter is when the caller was told to come back.
+	// RetryAfter is the delay that the refusal asked for; zero for none.
 	RetryAfter time.Duration
 	Detail     string
 }
 
-// CallSpec says what a call should be like.
+// CallSpec describes a call to make.
 type CallSpec struct {
 	Host        string
 	AtMostOnce  bool
@@ -53,11 +53,11 @@
 	Truncation  string
 	Deadline    time.Duration
 	Body        []byte
-	// Key is presented in place of the caller's own; empty presents that.
+	// Key is the API key to send; empty sends the caller's own.
 	Key string
 }
 
-// Caller makes calls to entry boxes and checks every answer.
+// Caller makes calls to entry boxes, checks every answer and records all calls.
 type Caller struct {
 	client    *fasthttp.Client
 	lock      sync.Mutex
@@ -74,7 +74,7 @@
 	idleConnTimeout = 5 * time.Second
 )
 
-// NewCaller returns a caller that spreads its calls over addresses in turn.
+// NewCaller returns a caller that uses the addresses in round-robin order.
 func NewCaller(addresses ...string) *Caller {
 	c := &Caller{client: &fasthttp.Client{
 		MaxIdemponentCallAttempts: 1, MaxConnsPerHost: maxCallerConns, MaxResponseBodySize: maxAnswerBytes,
@@ -85,13 +85,13 @@
 	return c
 }
 
-// SetAddresses changes where the calls go from now on.
+// SetAddresses changes the addresses of all later calls.
 func (c *Caller) SetAddresses(addresses ...string) { c.addresses.Store(&addresses) }
 
-// SetKey gives the caller a key, which all its calls present from now on.
+// SetKey sets the API key that later calls send.
 func (c *Caller) SetKey(key string) { c.key.Store(&key) }
 
-// Do makes one call and returns what came of it.
+// Do makes one call, records it and returns its outcome.
 func (c *Caller) Do(p CallSpec) Call {
 	addresses := *c.addresses.Load()
 	address := addresses[int(c.next.Add(1))%len(addresses)]
@@ -145,7 +145,7 @@
 	}
 }
 
-// classify compares what came with what belongs to the request.
+// classify sets the verdict from the response and the answer expected for the request.
 func (x *Call) classify(response *fasthttp.Response, err error, p CallSpec) {
 	if err != nil {
 		x.Verdict, x.Detail = Unknown, err.Error()
@@ -179,27 +179,27 @@
 	return append([]Call(nil), c.calls...)
 }
 
-// Summary compares what callers were told with what the targets' journals say.
+// Summary compares the outcomes that callers observed with the targets' journals.
 type Summary struct {
 	Sent         int `json:"sent"`
 	Complete     int `json:"whole"`
 	Refused      int `json:"refused"`
 	Unknown      int `json:"unknown"`
 	TargetErrors int `json:"targetErrors"`
-	// Lost counts calls answered whole that no target ran.
+	// Lost counts calls with a complete answer that no target ran.
 	Lost int `json:"lost"`
-	// Duplicated counts once-calls that ran more than once.
+	// Duplicated counts calls of at-most-once work that ran more than once.
 	Duplicated int `json:"doubled"`
-	// Wrong counts answers that weren't the caller's own and whole, and calls that
-	// were run although their callers were told that they weren't.
+	// Wrong counts answers that belonged to another request or were incomplete, and
+	// calls that ran although they were refused as not run.
 	Wrong int `json:"wrong"`
 	// Reasons counts the refusals by reason.
 	Reasons map[string]int `json:"reasons,omitempty"`
-	// ExtraRuns counts the runs beyond each call's first.
+	// ExtraRuns counts the runs after each call's first.
 	ExtraRuns int `json:"extra"`
 }
 
-// Summarize compares calls with journals.
+// Summarize compares calls with the runs recorded in journals.
 func Summarize(calls []Call, runs RunCounts) Summary {
 	s := Summary{Reasons: map[string]int{}}
 	for _, x := range calls {
@@ -237,10 +237,10 @@
 	}
 }
 
-// Clean tells whether nothing was lost, doubled or wrong.
+// Clean reports whether no call was lost, duplicated or wrong.
 func (s Summary) Clean() bool { return s.Lost == 0 && s.Duplicated == 0 && s.Wrong == 0 }
 
-// String tells the summary in one line.
+// String formats the summary on one line.
 func (s Summary) String() string {
 	return fmt.Sprintf("sent %d, answered whole %d, refused %d, unknown %d, target errors %d, lost %d, doubled %d, wrong %d",
 		s.Sent, s.Complete, s.Refused, s.Unknown, s.TargetErrors, s.Lost, s.Duplicated, s.Wrong)
--- a/pkg/lab/cli/cli.go
+++ b/pkg/lab/cli/cli.go
@@ -14,10 +14,10 @@
 	"github.com/madderpond/madderpond/pkg/lab"
 )
 
-// errInconsistent says that a run found something lost, doubled or wrong.
+// errInconsistent is returned if a run had lost, duplicated or wrong calls.
 var errInconsistent = errors.New("something was lost, doubled or wrong")
 
-// Main runs the lab with a command line and returns its exit code.
+// Main runs madderlab with command-line arguments and returns its exit code.
 func Main(arguments []string) int {
 	parser := flags.NewNamedParser("madderlab", flags.HelpFlag|flags.PassDoubleDash)
 	commands := []struct {
@@ -51,7 +51,7 @@
 	return 1
 }
 
-// printStarted tells whoever started this process that it serves.
+// printStarted reports to the parent process that this one is ready.
 func printStarted() { fmt.Fprintln(os.Stderr, `{"kind":"started"}`) }
 
 func awaitSignal() {
@@ -60,8 +60,8 @@
 	<-signals
 }
 
-// withTempFolder calls f with a folder of its own, which is removed after it, and with
-// this program's own path.
+// withTempFolder calls f with a new temporary folder and with the path of this program; the
+// folder is removed afterwards.
 func withTempFolder(name string, f func(folder, self string) error) error {
 	folder, err := os.MkdirTemp("", "madderpond-"+name+"-")
 	if err != nil {
@@ -75,7 +75,7 @@
 	return f(folder, self)
 }
 
-// writeReport writes a page to a file, if one is named.
+// writeReport writes a page to a file; an empty name writes nothing.
 func writeReport(file, page string) error {
 	if file == "" {
 		return nil
@@ -83,7 +83,7 @@
 	return os.WriteFile(file, []byte(page), reportMode)
 }
 
-// reportMode lets everybody read a page.
+// reportMode makes a report readable for all users.
 const reportMode = 0o644
 
 type runTarget struct {
@@ -96,7 +96,7 @@
 	Crash   string        `long:"crash-body" description:"what the bodies of calls begin with that end the process"`
 }
 
-// Execute runs a stand-in target until a signal comes.
+// Execute runs a stand-in target until a signal arrives.
 func (c *runTarget) Execute([]string) error {
 	t, err := lab.StartTarget(lab.TargetSettings{
 		Name: c.Name, Listen: c.Listen, Slots: c.Slots, Queue: c.Queue, Work: c.Work, Journal: c.Journal, CrashBody: c.Crash,
@@ -116,8 +116,8 @@
 	Delay  time.Duration `long:"delay" description:"how long each piece of data is held up"`
 }
 
-// Execute runs a fault proxy until a signal comes; SIGUSR1 silences it and
-// SIGUSR2 lets it speak again.
+// Execute runs a fault proxy until a signal arrives; SIGUSR1 stops forwarding and SIGUSR2
+// resumes it.
 func (c *runProxy) Execute([]string) error {
 	p, err := lab.StartFaultProxyAt(c.Listen, c.Target)
 	if err != nil {
@@ -142,7 +142,7 @@
 	Calls   int    `long:"calls" default:"3000" description:"how many calls are made"`
 }
 
-// Execute runs the demo and fails if anything was lost, doubled or wrong.
+// Execute runs the demo and fails if any call was lost, duplicated or wrong.
 func (c *runDemo) Execute([]string) error {
 	var summary lab.Summary
 	err := withTempFolder("demo", func(folder, self string) (err error) {
@@ -169,7 +169,7 @@
 	Examples string `long:"examples" default:"examples" description:"the folder of examples"`
 }
 
-// Execute runs the embedded default until a signal comes.
+// Execute runs the example configuration until a signal arrives.
 func (c *runTry) Execute([]string) error {
 	return lab.RunTry(lab.TrySettings{Program: c.Program, Examples: c.Examples, Out: os.Stdout, Wait: awaitSignal})
 }
--- a/pkg/lab/cli/control.go
+++ b/pkg/lab/cli/control.go
@@ -13,7 +13,7 @@
 	Report  string        `long:"report" description:"write the page to this file"`
 }
 
-// Execute measures the control state.
+// Execute measures the control state with real replicas.
 func (c *runControl) Execute([]string) error {
 	return withTempFolder("control", func(folder, _ string) error {
 		m := &lab.ControlBenchmark{Folder: folder, Program: c.Program, Edits: c.Edits, IdleTime: c.Rest}
--- a/pkg/lab/cli/replay.go
+++ b/pkg/lab/cli/replay.go
@@ -23,7 +23,7 @@
 	JSON     string   `long:"json" description:"write all results to this file"`
 }
 
-// Execute replays traces with all variants and checks the stated outcomes.
+// Execute replays traces with the selected variants and checks the expected outcomes.
 func (c *runReplay) Execute([]string) error {
 	all, err := replay.LoadTraces(c.Traces)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return false
 }
 
-// runAll runs every trace with every wanted variant on a pool of workers.
+// runAll replays every trace with every selected variant on a pool of workers.
 func (c *runReplay) runAll(traces []*replay.Trace) (map[string]map[string]*replay.Result, error) {
 	results := map[string]map[string]*replay.Result{}
 	var lock sync.Mutex
--- a/pkg/lab/cli/speed.go
+++ b/pkg/lab/cli/speed.go
@@ -16,7 +16,7 @@
 	Report  string        `long:"report" description:"write the page to this file"`
 }
 
-// Execute measures what a box adds to a call.
+// Execute measures the latency, processor time and memory that a box adds.
 func (c *runSpeed) Execute([]string) error {
 	return withTempFolder("speed", func(folder, self string) error {
 		result, err := lab.RunSpeed(lab.SpeedSettings{
--- a/pkg/lab/cluster.go
+++ b/pkg/lab/cluster.go
@@ -16,23 +16,24 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// startTimeout is how long a process may take until it serves.
+// startTimeout is the longest wait for a process, a cluster or a box to become ready.
 const startTimeout = 20 * time.Second
 
-// ClusterSettings say what a cluster of real processes is made of.
+// ClusterSettings describe a cluster of real processes.
 type ClusterSettings struct {
-	// Folder holds settings, data and journals.
+	// Folder holds the settings files and data folders of all processes.
 	Folder string
-	// Program is the daemon.
+	// Program is the path of the daemon.
 	Program  string
 	Replicas int
 	Boxes    int
-	// Proxied puts a fault proxy before each replica's peer port.
+	// Proxied puts a fault proxy in front of each replica's peer port.
 	Proxied bool
-	// Seeds is how many replicas all processes know; the cluster then forms and grows
-	// by itself. Zero has them all in the settings, and forms the cluster by hand.
+	// Seeds is how many replicas the settings list as seeds; the cluster then forms and
+	// grows by itself. With zero, the settings list all replicas and StartCluster forms
+	// the cluster by an explicit call.
 	Seeds int
-	// Adjust may change a process's settings before it starts.
+	// Adjust, if set, changes a process's settings before it starts.
 	Adjust func(*config.Settings)
 }
 
@@ -49,13 +50,13 @@
 	settings ClusterSettings
 	Replicas []*Node
 	Boxes    []*Node
-	// Proxies stand before the replicas' peer ports, where there are any.
+	// Proxies are in front of the replicas' peer ports; empty unless Proxied is set.
 	Proxies  []*FaultProxy
 	replicas []config.Replica
 }
 
 // StartCluster starts control replicas and entry boxes and forms the cluster.
-// Stop must be called whatever comes.
+// After an error everything is stopped already; otherwise the caller must call Stop.
 func StartCluster(s ClusterSettings) (*Cluster, error) {
 	c := &Cluster{settings: s}
 	if err := c.start(); err != nil {
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// assignAddresses chooses the replicas' addresses; with proxies these differ from
-// where the replicas listen.
+// assignAddresses chooses the replicas' addresses and returns those that they listen on. With
+// proxies, the public addresses are those of the proxies.
 func (c *Cluster) assignAddresses() (direct []string, err error) {
 	for i := range c.settings.Replicas {
 		address, err := FreeAddress()
@@ -134,8 +135,8 @@
 	return n, c.StartNode(n)
 }
 
-// setSeeds lets a process know some replicas only, and a replica the address by which
-// the others reach it.
+// setSeeds lists only the first replicas as seeds in a process's settings, and sets the
+// address that a replica advertises to the others.
 func (c *Cluster) setSeeds(s *config.Settings) {
 	s.Replicas = []config.Replica{}
 	s.Control.Growth.Bootstrap = true
@@ -150,7 +151,7 @@
 	}
 }
 
-// StartNode starts a node's process, for the first time or anew.
+// StartNode starts a node's process, for the first time or after it has ended.
 func (c *Cluster) StartNode(n *Node) (err error) {
 	if err := n.WriteSettings(); err != nil {
 		return err
@@ -160,14 +161,14 @@
 	}
 	n.Started, err = n.Process.AwaitStarted(startTimeout)
 	if n.Started.Admin != "" {
-		// The same addresses are taken again after a restart.
+		// Keeps the administration address across restarts.
 		n.Settings.Admin.Listen = n.Started.Admin
 	}
 	return err
 }
 
-// WriteSettings writes a node's settings file, whether or not its process runs. Another
-// file takes its place at once, so that no process reads half of it.
+// WriteSettings writes a node's settings file, whether or not its process runs. The file
+// is replaced atomically, so that no process reads a partial one.
 func (n *Node) WriteSettings() error {
 	data, err := json.MarshalIndent(n.Settings, "", "  ")
 	if err != nil {
@@ -183,7 +184,7 @@
 // EraseData removes a stopped replica's data folder.
 func (c *Cluster) EraseData(n *Node) error { return os.RemoveAll(n.Settings.Control.DataFolder) }
 
-// AdminAddresses are the control replicas' administration addresses.
+// AdminAddresses returns the control replicas' administration addresses.
 func (c *Cluster) AdminAddresses() []string {
 	var addresses []string
 	for _, n := range c.Replicas {
@@ -208,7 +209,7 @@
 	})
 }
 
-// Apply makes the table what the sheets say, without deleting anything.
+// Apply updates the table to match the sheets, without deleting anything.
 func (c *Cluster) Apply(s sheet.Sheets) (*table.Result, error) {
 	api, err := c.Client()
 	if err != nil {
@@ -217,7 +218,7 @@
 	return ApplySheets(api, s)
 }
 
-// ApplySheets makes the table what the sheets say by one edit.
+// ApplySheets updates the table to match the sheets in one edit, without deleting anything.
 func ApplySheets(api *client.Client, s sheet.Sheets) (*table.Result, error) {
 	t, err := api.Table()
 	if err != nil {
@@ -233,9 +234,9 @@
 	return result, err
 }
 
-// AwaitRevision waits until a box shows at least a revision.
-func (c *Cluster) AwaitRevision(n *Node, revision units.Revision, limit time.Duration) error {
-	return Eventually(limit, func() error {
+// AwaitRevision waits until a box holds a lease and its table is at least at a revision.
+func (c *Cluster) AwaitRevision(n *Node, revision units.Revision, timeout time.Duration) error {
+	return Eventually(timeout, func() error {
 		d, err := n.Dump()
 		if err != nil {
 			return err
@@ -248,8 +249,8 @@
 }
 
 // AwaitReady waits until a box is ready.
-func (c *Cluster) AwaitReady(n *Node, limit time.Duration) error {
-	return Eventually(limit, func() error {
+func (c *Cluster) AwaitReady(n *Node, timeout time.Duration) error {
+	return Eventually(timeout, func() error {
 		status, err := n.get("/ready", nil)
 		if err == nil && status != 200 {
 			err = fmt.Errorf("%s isn't ready", n.Settings.Box)
@@ -258,7 +259,7 @@
 	})
 }
 
-// Stop ends every process and proxy at once.
+// Stop kills every process and closes every proxy.
 func (c *Cluster) Stop() {
 	for _, n := range append(c.Boxes, c.Replicas...) {
 		if n.Process != nil && !n.Process.Exited() {
@@ -270,13 +271,12 @@
 	}
 }
 
-// pollPeriod is how often Eventually looks again.
+// pollPeriod is the interval between attempts of Eventually.
 const pollPeriod = 10 * time.Millisecond
 
-// Eventually calls f until it returns no error, or gives its last one when the
-// time is up.
-func Eventually(limit time.Duration, f func() error) error {
-	deadline := time.Now().Add(limit)
+// Eventually calls f until it returns no error; after the timeout it returns f's last error.
+func Eventually(timeout time.Duration, f func() error) error {
+	deadline := time.Now().Add(timeout)
 	for {
 		err := f()
 		if err == nil || time.Now().After(deadline) {
--- a/pkg/lab/control_measure.go
+++ b/pkg/lab/control_measure.go
@@ -17,13 +17,13 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// ControlBenchmark measures the control state with real replicas.
+// ControlBenchmark measures the control state with real replica processes.
 type ControlBenchmark struct {
 	Folder  string
 	Program string
-	// Edits is how many edits each measurement makes.
+	// Edits is the number of edits of each measurement.
 	Edits int
-	// IdleTime is how long the cost at rest is watched.
+	// IdleTime is how long the cost of an idle cluster is measured.
 	IdleTime time.Duration
 	lines    []string
 }
@@ -34,7 +34,7 @@
 	m.lines = append(m.lines, line)
 }
 
-// Run makes all measurements and returns the page.
+// Run makes all measurements and returns them as a Markdown page that names the command.
 func (m *ControlBenchmark) Run(command string) (string, error) {
 	m.printLine("# The control state, measured\n")
 	m.printLine("Machine: %s. Date: %s. Command: `%s`. Real replicas on loopback with synced writes; all share the machine.\n", machine(), time.Now().UTC().Format(time.RFC3339), command)
@@ -60,7 +60,7 @@
 	return c, api, err
 }
 
-// measureRow adds what a measurement says of a new cluster to the table under way.
+// measureRow runs a measurement on a new cluster and adds its row to the current table.
 func (m *ControlBenchmark) measureRow(name string, replicas int, measure func(*Cluster, *client.Client) (string, error)) error {
 	c, api, err := m.cluster(name, replicas)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// edits measures how long an edit takes and how many a second are accepted.
+// edits measures the latency of an edit and the edits accepted per second.
 func (m *ControlBenchmark) edits() error {
 	m.printLine("## Edits\n")
 	m.printLine("| replicas | one operator: p50 ms | p99 ms | edits/s | 16 operators: edits/s | p99 ms | store after, bytes an edit |")
@@ -110,7 +110,8 @@
 		one.P50/1000, one.P99/1000, oneRate, manyRate, many.P99/1000, size), nil
 }
 
-// runEdits has operators make edits of a service each, one after the other.
+// runEdits lets each operator make consecutive edits of its own service. It returns the
+// latencies and the edits per second.
 func runEdits(api *client.Client, operators, edits int) (Latencies, float64, error) {
 	var lock sync.Mutex
 	var all []time.Duration
@@ -143,7 +144,8 @@
 	return summarize(all), float64(len(all)) / time.Since(started).Seconds(), failed
 }
 
-// serviceEdit puts a service with seven rows, as large as the users' are.
+// serviceEdit returns an edit that writes a service with seven rows, the size of the
+// users' services.
 func serviceEdit(name string, base units.Version, weight int) *table.Edit {
 	v := sheet.NewService()
 	v.Name, v.Hosts = units.ServiceName(name), []string{name + ".test"}
@@ -159,8 +161,8 @@
 	}
 }
 
-// propagation measures how long an accepted edit takes to every subscriber, and what
-// the subscribers cost.
+// propagation measures how long an accepted edit takes to reach every subscriber, and
+// the traffic, processor time and memory that subscribers cost.
 func (m *ControlBenchmark) propagation() error {
 	m.printLine("## From accepted to in force on every box, and what boxes cost\n")
 	m.printLine("Boxes are real subscriptions on real connections, all in one process.\n")
@@ -178,7 +180,7 @@
 	return nil
 }
 
-// revisionTimes notes when each box shows a revision.
+// revisionTimes records when each box received a revision.
 type revisionTimes struct {
 	lock   sync.Mutex
 	seenAt map[units.Revision][]time.Time
@@ -190,7 +192,7 @@
 	w.seenAt[r] = append(w.seenAt[r], time.Now())
 }
 
-// lastSeen returns when the lastSeen of n boxes showed a revision.
+// lastSeen returns when the last of n boxes received a revision; false while some have not.
 func (w *revisionTimes) lastSeen(r units.Revision, n int) (time.Time, bool) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -234,7 +236,7 @@
 		err = Eventually(startTimeout, func() error {
 			at, all := w.lastSeen(result.Revision, boxes)
 			if !all {
-				return fmt.Errorf("revision %d isn't in force everywhere", result.Revision)
+				return fmt.Errorf("revision %d has not reached all boxes", result.Revision)
 			}
 			took = append(took, max(0, at.Sub(accepted)))
 			return nil
@@ -251,7 +253,7 @@
 		100*cpu.Seconds()/m.IdleTime.Seconds(), residentMB(leader.Process.PID())), nil
 }
 
-func (c *Cluster) subscribe(n int, shown func(units.Revision)) []*Subscriber {
+func (c *Cluster) subscribe(n int, onRevision func(units.Revision)) []*Subscriber {
 	addresses := map[units.ReplicaID]string{}
 	var order []units.ReplicaID
 	for _, r := range c.replicas {
@@ -260,7 +262,7 @@
 	}
 	var all []*Subscriber
 	for i := range n {
-		all = append(all, StartSubscriber(units.BoxID(fmt.Sprintf("lab-%04d", i)), addresses, order, uint64(i+1), shown))
+		all = append(all, StartSubscriber(units.BoxID(fmt.Sprintf("lab-%04d", i)), addresses, order, uint64(i+1), onRevision))
 	}
 	return all
 }
@@ -269,13 +271,14 @@
 	return Eventually(startTimeout, func() error {
 		t, err := api.Table()
 		if err == nil && len(t.Boxes) < boxes {
-			err = fmt.Errorf("%d of %d boxes are listed", len(t.Boxes), boxes)
+			err = fmt.Errorf("%d of %d boxes are in the table", len(t.Boxes), boxes)
 		}
 		return err
 	})
 }
 
-// leader returns the node that speaks for the cluster, or the first.
+// leader returns the replica that holds the leader's lease, or the first replica if none
+// does in time.
 func (c *Cluster) leader() *Node {
 	found := c.Replicas[0]
 	Eventually(startTimeout, func() error {
@@ -288,7 +291,7 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("no replica leads")
+		return fmt.Errorf("no replica holds the leader's lease")
 	})
 	return found
 }
--- a/pkg/lab/demo.go
+++ b/pkg/lab/demo.go
@@ -12,19 +12,19 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// DemoSettings say where the demo finds its programs.
+// DemoSettings configure the demo.
 type DemoSettings struct {
 	Folder  string
 	Program string
-	// LabProgram is the lab's own program, which runs the stand-in targets.
+	// LabProgram is the path of madderlab, which runs the stand-in targets.
 	LabProgram string
-	// Calls is how many calls are made.
+	// Calls is the number of calls to make.
 	Calls int
 	Out   io.Writer
 }
 
-// demo is a migration on one machine: targets old and new, the table that moves
-// weight between them, and callers all the while.
+// demo is a migration on one machine: edits of the table move the weight from old targets
+// to new ones while callers keep making calls.
 type demo struct {
 	DemoSettings
 	cluster *Cluster
@@ -39,7 +39,7 @@
 	demoWorkers  = 24
 )
 
-// RunDemo runs the demo and returns what came of it.
+// RunDemo runs the demo and returns the summary of its calls.
 func RunDemo(s DemoSettings) (Summary, error) {
 	d := &demo{DemoSettings: s}
 	defer d.stop()
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// demoServices are one service of each kind of work.
+// demoServices has one service of each kind of work.
 var demoServices = []struct {
 	name string
 	work table.WorkKind
@@ -102,8 +102,7 @@
 	{"report", table.Patient},
 }
 
-// sheets is the table at the beginning: the first half of the targets has all
-// the weight.
+// sheets returns the initial table: the first half of the targets has all the weight.
 func (d *demo) sheets() sheet.Sheets {
 	var s sheet.Sheets
 	for _, x := range demoServices {
@@ -128,7 +127,7 @@
 	return s
 }
 
-// migrate moves the weight while the calls go on.
+// migrate makes all calls and runs the steps of the migration between them.
 func (d *demo) migrate() error {
 	var workers sync.WaitGroup
 	callNumbers := make(chan int)
@@ -154,7 +153,7 @@
 	return failed
 }
 
-// stepAt returns what happens before the n-th call, if anything does.
+// stepAt returns the migration step to run before the n-th call, or nil.
 func (d *demo) stepAt(n int) func() error {
 	switch n {
 	case d.Calls * 1 / 5:
@@ -199,8 +198,8 @@
 	return err
 }
 
-// stopBox stops one box as planned; the balancer before the boxes learns of it
-// at the same time.
+// stopBox shuts one box down gracefully; the callers stop using its address at once, as a
+// load balancer in front of the boxes would.
 func (d *demo) stopBox() error {
 	box := d.cluster.Boxes[0]
 	box.Process.Terminate()
@@ -220,7 +219,7 @@
 func (d *demo) stop() {
 	if d.cluster != nil {
 		if len(d.cluster.Boxes) > 0 {
-			// Let the planned stop come to its end.
+			// Waits for the graceful shutdown to finish.
 			d.cluster.Boxes[0].Process.AwaitExit(startTimeout)
 		}
 		d.cluster.Stop()
@@ -230,7 +229,7 @@
 	}
 }
 
-// TargetProcess is a stand-in target in a process of its own.
+// TargetProcess is a stand-in target that runs in its own process.
 type TargetProcess struct {
 	Name    string
 	Address string
@@ -238,7 +237,7 @@
 	Process *Process
 }
 
-// StartTargetProcess starts a stand-in target with the lab's own program.
+// StartTargetProcess starts a stand-in target; self is the path of madderlab.
 func StartTargetProcess(self, name, folder string, arguments ...string) (*TargetProcess, error) {
 	address, err := FreeAddress()
 	if err != nil {
@@ -248,7 +247,7 @@
 	return t, t.Start(self, arguments...)
 }
 
-// Start starts the target's process, for the first time or anew.
+// Start starts the target's process, for the first time or after it has ended.
 func (t *TargetProcess) Start(self string, arguments ...string) (err error) {
 	all := append([]string{"target", "--name", t.Name, "--listen", t.Address, "--journal", t.Journal}, arguments...)
 	if t.Process, err = StartProcess(t.Name, self, all...); err != nil {
--- a/pkg/lab/faultproxy.go
+++ b/pkg/lab/faultproxy.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// FaultProxy passes TCP connections on and brings about network faults.
+// FaultProxy forwards TCP connections and injects network faults.
 type FaultProxy struct {
 	listener   net.Listener
 	target     string
@@ -17,29 +17,29 @@
 	delay      time.Duration
 	conns      map[net.Conn]bool
 	closed     bool
-	// generation numbers the connections between two calls of SilenceOpen; those of earlier
-	// ones stay silent for good.
+	// generation is incremented by each BlackholeOpenConns; connections of earlier
+	// generations stay blackholed.
 	generation int
 }
 
-// Direction is a way that bytes go through a proxy.
+// Direction is the direction of data through a proxy.
 type Direction int
 
 // The directions.
 const (
-	// ToTarget is from whoever connected.
+	// ToTarget is from the client to the target.
 	ToTarget Direction = iota
-	// FromTarget is back to whoever connected.
+	// FromTarget is from the target to the client.
 	FromTarget
 	directions
 )
 
-// StartFaultProxy starts a proxy in front of an address.
+// StartFaultProxy starts a proxy for a target address on a free loopback port.
 func StartFaultProxy(target string) (*FaultProxy, error) {
 	return StartFaultProxyAt("127.0.0.1:0", target)
 }
 
-// StartFaultProxyAt starts a proxy on an address of its own.
+// StartFaultProxyAt starts a proxy for a target address that listens on a given address.
 func StartFaultProxyAt(listen, target string) (*FaultProxy, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -51,16 +51,16 @@
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *FaultProxy) Address() string { return p.listener.Addr().String() }
 
-// Blackhole cuts everything without a word: bytes stop, connections stay open.
+// Blackhole stops or resumes forwarding in both directions while connections stay open.
 func (p *FaultProxy) Blackhole(on bool) {
 	p.BlackholeOneWay(ToTarget, on)
 	p.BlackholeOneWay(FromTarget, on)
 }
 
-// BlackholeOneWay cuts one direction without a word.
+// BlackholeOneWay stops or resumes forwarding in one direction while connections stay open.
 func (p *FaultProxy) BlackholeOneWay(d Direction, on bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -68,8 +68,8 @@
 	p.changed.Broadcast()
 }
 
-// BlackholeOpenConns silences the connections that are open now for good: they pass nothing and
-// aren't closed. New ones work.
+// BlackholeOpenConns permanently stops forwarding on the connections that are open now, without
+// closing them. New connections work.
 func (p *FaultProxy) BlackholeOpenConns() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -77,14 +77,14 @@
 	p.changed.Broadcast()
 }
 
-// SetDelay holds every piece of data up for a while.
+// SetDelay delays every chunk of data in both directions.
 func (p *FaultProxy) SetDelay(d time.Duration) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.delay = d
 }
 
-// Reset ends every connection with a reset.
+// Reset closes every connection with a TCP reset.
 func (p *FaultProxy) Reset() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -96,7 +96,7 @@
 	}
 }
 
-// Close ends the proxy.
+// Close stops the proxy and resets its connections.
 func (p *FaultProxy) Close() {
 	p.lock.Lock()
 	p.closed = true
@@ -140,7 +140,7 @@
 	<-done
 }
 
-// copy passes data on in one direction until it ends there.
+// copy forwards data in one direction until that direction is closed.
 func (p *FaultProxy) copy(to, from net.Conn, d Direction, generation int) {
 	defer closeWrite(to)
 	buffer := make([]byte, 32<<10)
@@ -169,7 +169,8 @@
 	}
 }
 
-// awaitForwarding waits as the present fault says; false means that the proxy is closed.
+// awaitForwarding blocks while the direction is blackholed, then for the delay. It returns false
+// if the proxy is closed.
 func (p *FaultProxy) awaitForwarding(d Direction, generation int) bool {
 	p.lock.Lock()
 	for (p.blackholed[d] || generation != p.generation) && !p.closed {
@@ -183,7 +184,8 @@
 	return !closed
 }
 
-// addConn keeps a connection, and tells its generation and whether the proxy is open.
+// addConn registers a connection; it returns the connection's generation and whether the proxy
+// is open.
 func (p *FaultProxy) addConn(c net.Conn) (generation int, open bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/pkg/lab/idle.go
+++ b/pkg/lab/idle.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// idleConnSettleTime lets a box take note of new connections before it is measured.
+// idleConnSettleTime gives a box time to accept new connections before it is measured.
 const idleConnSettleTime = 500 * time.Millisecond
 
-// openIdleConns connects callers that say nothing.
+// openIdleConns opens n connections that send nothing.
 func openIdleConns(address string, n int) ([]net.Conn, error) {
 	var conns []net.Conn
 	for range n {
--- a/pkg/lab/journal.go
+++ b/pkg/lab/journal.go
@@ -1,7 +1,7 @@
-// Package lab is madderpond's own model of the systems it serves: stand-in
-// targets that keep a journal of what they ran, callers that check every answer,
-// a proxy that brings about network faults, and real processes to put between
-// them. The demo, the measurements and the integration tests are built on it.
+// Package lab is a test bed for madderpond: stand-in targets that journal the calls they
+// run, callers that check every answer, a proxy that injects network faults, and helpers
+// that run real daemons between them. The demo, the benchmarks and the integration tests
+// are built on it.
 package lab
 
 import (
@@ -12,8 +12,7 @@
 	"sync"
 )
 
-// Journal is a target's own record of the calls that it ran, kept in a file so
-// that it outlives the target.
+// Journal records the calls that a target ran, in a file that survives the target's process.
 type Journal struct {
 	lock sync.Mutex
 	file *os.File
@@ -28,7 +27,8 @@
 	return &Journal{file: f}, nil
 }
 
-// Add notes that a call is run; it returns once the line is with the system.
+// Add records that a call is about to run; it returns once the line is written to the
+// operating system.
 func (j *Journal) Add(service, request string) error {
 	if j == nil {
 		return nil
@@ -42,10 +42,10 @@
 // Close closes the file.
 func (j *Journal) Close() error { return j.file.Close() }
 
-// RunCounts counts how often each request was run, over several journals.
+// RunCounts holds how often each request ran, by request id.
 type RunCounts map[string]int
 
-// ReadJournals adds up the journals of several targets.
+// ReadJournals adds up the journals of several targets; missing files count as empty.
 func ReadJournals(paths ...string) (RunCounts, error) {
 	runs := RunCounts{}
 	for _, p := range paths {
--- a/pkg/lab/limit.go
+++ b/pkg/lab/limit.go
@@ -7,30 +7,32 @@
 	"time"
 )
 
-// A target that names a limit takes so many calls a second from all boxes together. The promise is
-// checked in each window of limitWindow that begins limitGrace or longer after it first named one: no more
-// than limitToleranceFactor times what the limit allows, and limitSlackCalls, from the boxes that were told in time.
+// A target that reports a limit accepts that many calls a second from all boxes together. The check
+// covers each window of limitWindow that ends limitGrace or longer after the target first reported a
+// limit: at most limitToleranceFactor times the calls that the limit allows, plus limitSlackCalls. Only
+// calls of boxes that were informed at least informedGrace before are counted.
 const (
 	limitWindow          = 4 * time.Second
 	limitGrace           = 3 * time.Second
 	limitToleranceFactor = 1.5
 	limitSlackCalls      = 5
-	// informedGrace is how long after a box was told its calls may still be under way.
+	// informedGrace is how long calls may still be in flight after their box was informed of the limit.
 	informedGrace = 500 * time.Millisecond
 )
 
-// LimitBreach is a window in which a target got more than its limit allows.
+// LimitBreach is a window in which a target received more calls than its limit allows.
 type LimitBreach struct {
-	// LimitedSince is when the target began to name a limit, At the end of the window.
+	// LimitedSince is when the target began to report a limit, At the end of the window, Rate the limit in
+	// calls a second.
 	LimitedSince time.Time `json:"since"`
 	At           time.Time `json:"at"`
 	Rate         float64   `json:"rate"`
-	// Calls are the window's calls, by the entry that they came by; Allowed is how many may have come.
+	// Calls are the window's calls by entry address; Allowed is the most that the check tolerates.
 	Calls   map[string]int `json:"calls"`
 	Allowed float64        `json:"allowed"`
 }
 
-// Count is how many calls came in the window.
+// Count returns the number of calls in the window.
 func (b *LimitBreach) Count() int {
 	n := 0
 	for _, k := range b.Calls {
@@ -39,14 +41,15 @@
 	return n
 }
 
-// limitMonitor is what a target has named, to whom, and what came all the same.
+// limitMonitor records the limits that a target reported, which boxes were informed, and the calls and
+// probes that arrived meanwhile.
 type limitMonitor struct {
 	lock sync.Mutex
-	// limitedSince is when the target began to name a limit; zero while it names none.
+	// limitedSince is when the target began to report a limit; zero while it reports none.
 	limitedSince time.Time
-	// rates are the limits that were named, each from a time on.
+	// rates are the limits reported since then, in order of time.
 	rates []reportedRate
-	// informedAt is when each box was first informedAt of the present limit.
+	// informedAt is when each box was first informed since limitedSince, by entry address.
 	informedAt map[string]time.Time
 	arrivals   []limitedArrival
 	probes     int64
@@ -65,7 +68,8 @@
 	box string
 }
 
-// setLimit notes that the target names a limit from now on, or none.
+// setLimit sets the limit that the target reports from now on, in calls a second; without limited it
+// reports none and the records are cleared.
 func (w *limitMonitor) setLimit(now time.Time, limited bool, rate float64) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -82,7 +86,7 @@
 	}
 }
 
-// recordInformed notes that a box gets an answer that names the limit.
+// recordInformed records that a box received an answer that reports the limit.
 func (w *limitMonitor) recordInformed(box string, now time.Time) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -99,7 +103,7 @@
 	}
 }
 
-// recordCall notes a call that has come by a box, and returns the breach that it makes, if any.
+// recordCall records a call that arrived through a box, and returns the breach that it causes, or nil.
 func (w *limitMonitor) recordCall(box string, now time.Time) *LimitBreach {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -131,8 +135,8 @@
 	return b
 }
 
-// allowed is how many calls the limits of a window come to. A limit that falls counts from when boxes
-// have had limitGrace to hear of it, one that rises at once.
+// allowed integrates the limit over a window, in calls. A lower limit applies limitGrace after it was
+// reported, since boxes need time to receive it; a higher one applies at once.
 func (w *limitMonitor) allowed(begin, end time.Time) float64 {
 	const step = 100 * time.Millisecond
 	sum := 0.0
@@ -142,20 +146,20 @@
 	return sum
 }
 
-// rateAt is the highest limit that was named within limitGrace before a time. Before the first one
-// what was named first counts.
+// rateAt returns the highest limit in force at a time or up to limitGrace before, in calls a second.
+// Before the first report, the first limit applies.
 func (w *limitMonitor) rateAt(at time.Time) float64 {
 	rate := 0.0
 	for i, r := range w.rates {
-		over := i+1 < len(w.rates) && w.rates[i+1].from.Add(limitGrace).Before(at)
-		if (i == 0 || !r.from.After(at)) && !over {
+		expired := i+1 < len(w.rates) && w.rates[i+1].from.Add(limitGrace).Before(at)
+		if (i == 0 || !r.from.After(at)) && !expired {
 			rate = max(rate, r.rate)
 		}
 	}
 	return rate
 }
 
-// addTo adds the counts to what a target knows of its load.
+// addTo writes the counts to a target's statistics.
 func (w *limitMonitor) addTo(s *TargetStats) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
--- a/pkg/lab/node.go
+++ b/pkg/lab/node.go
@@ -10,10 +10,10 @@
 	"github.com/madderpond/madderpond/pkg/admin"
 )
 
-// adminTimeout is how long a node may take to answer a question.
+// adminTimeout is the timeout of a request to a node's administration address.
 const adminTimeout = 2 * time.Second
 
-// get asks a node's administration address and decodes a JSON answer.
+// get requests a path of a node's administration API and decodes the JSON answer into a value, if not nil.
 func (n *Node) get(path string, into any) (status int, err error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -28,12 +28,12 @@
 	return response.StatusCode(), err
 }
 
-// Dump returns a node's whole state.
+// Dump returns a node's full state.
 func (n *Node) Dump() (*admin.Dump, error) {
 	d := &admin.Dump{}
 	status, err := n.get("/v1/dump", d)
 	if err == nil && status != fasthttp.StatusOK {
-		err = fmt.Errorf("the dump answered %d", status)
+		err = fmt.Errorf("dump request returned status %d", status)
 	}
 	return d, err
 }
--- a/pkg/lab/ports.go
+++ b/pkg/lab/ports.go
@@ -7,27 +7,27 @@
 	"sync"
 )
 
-// Ports are drawn from below those that the system gives to outgoing connections; one of
-// these could take a port between its choice and its use.
+// Ports are chosen below the system's ephemeral range: an outgoing connection could take an
+// ephemeral port between its choice and its use.
 const (
 	firstPort    = 15000
 	portRange    = 15000
 	maxPortTries = 200
 )
 
-// usedPorts are the ports that this process has given out. Clusters that start at the
-// same time must not draw the same one before either listens there.
+// usedPorts are the ports that this process has returned. Clusters that start at the same
+// time must not get the same port before either listens on it.
 var usedPorts = struct {
 	sync.Mutex
 	byNumber map[int]bool
 }{byNumber: map[int]bool{}}
 
-// FreeAddress returns a loopback address whose port was free a moment ago, and that no
-// earlier call has returned. The error is that of the last port tried.
+// FreeAddress returns a loopback address whose port was just free and that no earlier call has
+// returned. The error is that of the last port tried.
 func FreeAddress() (string, error) {
 	usedPorts.Lock()
 	defer usedPorts.Unlock()
-	err := fmt.Errorf("%d ports in a row had been given out", maxPortTries)
+	err := fmt.Errorf("%d randomly chosen ports in a row had already been returned", maxPortTries)
 	for range maxPortTries {
 		port := firstPort + rand.IntN(portRange)
 		if usedPorts.byNumber[port] {
--- a/pkg/lab/ports_test.go
+++ b/pkg/lab/ports_test.go
@@ -11,7 +11,7 @@
 			t.Fatal(err)
 		}
 		if seen[a] {
-			t.Fatalf("%s was given out twice within %d", a, len(seen))
+			t.Fatalf("%s was returned twice within %d addresses", a, len(seen))
 		}
 		seen[a] = true
 	}
--- a/pkg/lab/process.go
+++ b/pkg/lab/process.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Process is a process that the lab has started, with its log.
+// Process is a child process of the lab, with the first lines of its log.
 type Process struct {
 	Name    string
 	command *exec.Cmd
@@ -23,7 +23,7 @@
 	err     error
 }
 
-// Started is what a process says of itself once it serves.
+// Started is the log line that a process writes once it is ready: its listen addresses.
 type Started struct {
 	Kind  string `json:"kind"`
 	Admin string `json:"admin"`
@@ -31,11 +31,11 @@
 	Entry string `json:"entry"`
 }
 
-// maxLogLines bounds the log lines kept of a process.
+// maxLogLines is the number of log lines kept of a process; later ones are discarded.
 const maxLogLines = 500
 
-// StartProcess starts a program and follows what it writes: its log, and whatever the
-// runtime says on standard error.
+// StartProcess starts a program and reads its standard output and standard error: its log and
+// any panic of the runtime.
 func StartProcess(name, program string, arguments ...string) (*Process, error) {
 	p := &Process{
 		Name: name, command: exec.Command(program, arguments...),
@@ -78,54 +78,54 @@
 	}
 }
 
-// AwaitStarted waits until the process says that it serves.
-func (p *Process) AwaitStarted(limit time.Duration) (Started, error) {
+// AwaitStarted waits until the process logs that it has started. The error holds its log.
+func (p *Process) AwaitStarted(timeout time.Duration) (Started, error) {
 	select {
 	case s := <-p.started:
 		return s, nil
 	case <-p.exited:
-		return Started{}, fmt.Errorf("%s ended at its start:\n%s", p.Name, p.Log())
-	case <-time.After(limit):
-		return Started{}, fmt.Errorf("%s didn't start in %s:\n%s", p.Name, limit, p.Log())
+		return Started{}, fmt.Errorf("%s exited during startup:\n%s", p.Name, p.Log())
+	case <-time.After(timeout):
+		return Started{}, fmt.Errorf("%s did not start within %s:\n%s", p.Name, timeout, p.Log())
 	}
 }
 
-// Log returns the first lines of the process's log.
+// Log returns the first lines of the process's output.
 func (p *Process) Log() string {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return strings.Join(p.lines, "\n")
 }
 
-// Kill ends the process without warning.
+// Kill ends the process by SIGKILL and waits for its exit.
 func (p *Process) Kill() {
 	p.command.Process.Signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// Freeze makes the process stand still.
+// Freeze suspends the process by SIGSTOP.
 func (p *Process) Freeze() { p.command.Process.Signal(syscall.SIGSTOP) }
 
-// Unfreeze lets a frozen process go on.
+// Unfreeze resumes a frozen process by SIGCONT.
 func (p *Process) Unfreeze() { p.command.Process.Signal(syscall.SIGCONT) }
 
-// Terminate asks the process for a planned stop.
+// Terminate requests a graceful shutdown by SIGTERM.
 func (p *Process) Terminate() { p.command.Process.Signal(syscall.SIGTERM) }
 
-// Reload tells the process that its settings may have changed.
+// Reload makes the process reload its settings, by SIGHUP.
 func (p *Process) Reload() { p.command.Process.Signal(syscall.SIGHUP) }
 
-// AwaitExit waits for the process's end and returns its exit code.
-func (p *Process) AwaitExit(limit time.Duration) (int, error) {
+// AwaitExit waits until the process has exited and returns its exit code.
+func (p *Process) AwaitExit(timeout time.Duration) (int, error) {
 	select {
 	case <-p.exited:
 		return p.command.ProcessState.ExitCode(), nil
-	case <-time.After(limit):
-		return 0, fmt.Errorf("%s didn't end in %s", p.Name, limit)
+	case <-time.After(timeout):
+		return 0, fmt.Errorf("%s did not exit within %s", p.Name, timeout)
 	}
 }
 
-// Exited tells whether the process has ended.
+// Exited reports whether the process has exited.
 func (p *Process) Exited() bool {
 	select {
 	case <-p.exited:
@@ -135,5 +135,5 @@
 	}
 }
 
-// PID is the process's id.
+// PID returns the process id.
 func (p *Process) PID() int { return p.command.Process.Pid }
--- a/pkg/lab/procfs.go
+++ b/pkg/lab/procfs.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// residentMB reads a process's resident memory.
+// residentMB returns a process's resident memory in MiB; zero if it can't be read.
 func residentMB(pid int) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -23,16 +23,16 @@
 	return float64(pages*os.Getpagesize()) / (1 << 20)
 }
 
-// clockTicks is how many ticks a second /proc counts processor time in.
+// clockTicks is the unit of processor time in /proc, in ticks a second.
 const clockTicks = 100
 
-// cpuTime reads a process's processor time.
+// cpuTime returns a process's user and system time; zero if it can't be read.
 func cpuTime(pid int) time.Duration {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	// The name in the second field may hold spaces; what follows doesn't.
+	// The command name in the second field may contain spaces; the later fields don't.
 	_, rest, _ := strings.Cut(string(data), ") ")
 	fields := strings.Fields(rest)
 	const user, system = 11, 12
--- a/pkg/lab/recovery_measure.go
+++ b/pkg/lab/recovery_measure.go
@@ -7,8 +7,8 @@
 	"github.com/madderpond/madderpond/pkg/client"
 )
 
-// recovery measures how long edits stand still after the leader is killed, and
-// how long a replica that lost its disk takes to count again.
+// recovery measures how long no edit is accepted after the leader is killed, and how long a
+// replica that lost its disk takes to become a voter again.
 func (m *ControlBenchmark) recovery() error {
 	m.printLine("## Recovery\n")
 	m.printLine("| rows | killed leader to next accepted edit, ms | lost disk to voter again, ms | store, KB | replica MB |")
@@ -48,7 +48,7 @@
 	err := Eventually(startTimeout, func() error {
 		d, err := killed.Dump()
 		if err == nil && !d.Control.Log.Voter {
-			err = fmt.Errorf("%s is no voter yet", killed.Settings.Box)
+			err = fmt.Errorf("%s is not a voter yet", killed.Settings.Box)
 		}
 		return err
 	})
--- a/pkg/lab/rest.go
+++ b/pkg/lab/rest.go
@@ -11,44 +11,46 @@
 )
 
 const (
-	// restGrace is how long after a target has asked for rest calls may still come that were under
-	// way then, and mostInRest how many may come later.
+	// restGrace is how long calls that were in flight may still arrive after a target has asked for
+	// rest, and maxCallsInRest how many may arrive after that.
 	restGrace      = 500 * time.Millisecond
 	maxCallsInRest = 2
-	// leavingGrace is how long after an answer that said so calls may still be made that reach a target
-	// which leaves.
+	// leavingGrace is how long after a target's first leaving answer callers may still make calls that the
+	// box sends to it.
 	leavingGrace = 2 * time.Second
 )
 
-// Breach is a call that reached a target in spite of what the target had said.
+// Breach is a call that reached a target although the target had announced to its box that it
+// leaves, rests or has a limit.
 type Breach struct {
-	// Box is the entry that the call came by; Said is when the target first said it to that box, At
-	// when the call came.
+	// Box is the entry address that the call came through; InformedAt is when the target first
+	// announced it to that box, At when the call arrived.
 	Box        string    `json:"box"`
 	InformedAt time.Time `json:"said"`
 	At         time.Time `json:"at"`
-	// Leaving is set where the target had said that it leaves, Limit where it had named a limit;
+	// Leaving is set if the target had announced that it leaves, Limit if it had reported a limit;
 	// otherwise it had asked for rest.
 	Leaving bool         `json:"leaving"`
 	Limit   *LimitBreach `json:"limit,omitempty"`
 }
 
-// noticeMonitor is what a target has said to its boxes, and what reached it all the same.
+// noticeMonitor records what a target has announced to its boxes, and the calls and probes that
+// arrived in spite of it.
 type noticeMonitor struct {
 	lock  sync.Mutex
 	boxes map[string]*boxNotices
-	// path is the file that keeps breaches, since the target may end; empty for none.
+	// path is the file that breaches are written to, since the target's process may end; empty for none.
 	path                  string
 	rests                 int64
 	restCalls, restProbes int64
 }
 
-// boxNotices is what a target has said to one box.
+// boxNotices is what a target has announced to one box.
 type boxNotices struct {
 	restFrom, restUntil time.Time
-	// callsInRest counts the calls in the present rest, after its grace.
+	// callsInRest counts the calls during the current rest, after restGrace.
 	callsInRest int
-	// leavingSince is when the target first said that it leaves; zero for not yet.
+	// leavingSince is when the target first announced that it leaves; zero if it has not.
 	leavingSince time.Time
 }
 
@@ -69,7 +71,7 @@
 	return now.After(x.restFrom.Add(restGrace)) && now.Before(x.restUntil)
 }
 
-// recordRest notes that the target has asked a box for rest.
+// recordRest records that the target has asked a box for rest.
 func (w *noticeMonitor) recordRest(box string, now time.Time, rest time.Duration) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -83,7 +85,7 @@
 	}
 }
 
-// recordLeaving notes that the target has told a box that it leaves.
+// recordLeaving records that the target has announced to a box that it leaves.
 func (w *noticeMonitor) recordLeaving(box string, now time.Time) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -92,8 +94,9 @@
 	}
 }
 
-// recordCall notes a call that has come by a box, and that its caller made at a time.
-func (w *noticeMonitor) recordCall(box string, made, now time.Time) error {
+// recordCall records a call that arrived through a box; sent is when its caller sent it. The error is that
+// of writing a breach.
+func (w *noticeMonitor) recordCall(box string, sent, now time.Time) error {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	x := w.noticesTo(box)
@@ -104,14 +107,14 @@
 			return w.writeBreach(Breach{Box: box, InformedAt: x.restFrom, At: now})
 		}
 	}
-	if !x.leavingSince.IsZero() && made.Sub(x.leavingSince) > leavingGrace {
+	if !x.leavingSince.IsZero() && sent.Sub(x.leavingSince) > leavingGrace {
 		return w.writeBreach(Breach{Box: box, InformedAt: x.leavingSince, At: now, Leaving: true})
 	}
 	return nil
 }
 
-// recordProbe notes a probe. Probes don't say which box they come from: the count is exact for a
-// target with one box.
+// recordProbe records a probe. Probes don't identify their box, so the count is exact only for a target
+// with one box.
 func (w *noticeMonitor) recordProbe(now time.Time) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -123,7 +126,7 @@
 	}
 }
 
-// writeLimitBreach keeps a window in which calls came beyond the target's limit.
+// writeLimitBreach writes a breach of the target's limit to the file.
 func (w *noticeMonitor) writeLimitBreach(b *LimitBreach) error {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -142,14 +145,14 @@
 	return json.NewEncoder(file).Encode(b)
 }
 
-// addTo adds the counts to what a target knows of its load.
+// addTo writes the counts to a target's statistics.
 func (w *noticeMonitor) addTo(s *TargetStats) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	s.Rests, s.CallsInRest, s.ProbesInRest = w.rests, w.restCalls, w.restProbes
 }
 
-// breachFile is where a target with a journal keeps breaches.
+// breachFile returns the file of breaches that belongs to a journal; empty for no journal.
 func breachFile(journal string) string {
 	if journal == "" {
 		return ""
@@ -157,7 +160,7 @@
 	return journal + ".breaches"
 }
 
-// ReadBreaches returns what a target has kept, by the path of its journal.
+// ReadBreaches reads the breaches that a target has written, by the path of its journal.
 func ReadBreaches(journal string) ([]Breach, error) {
 	file, err := os.Open(breachFile(journal))
 	if errors.Is(err, fs.ErrNotExist) {
--- a/pkg/lab/speed.go
+++ b/pkg/lab/speed.go
@@ -16,22 +16,22 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// SpeedSettings say how the speed is measured.
+// SpeedSettings configure the speed benchmark.
 type SpeedSettings struct {
 	Folder     string
 	Program    string
 	LabProgram string
-	// Rates are the open-loop rates, in calls a second.
+	// Rates are the rates of the open-loop measurements, in calls a second.
 	Rates []int
-	// Duration is how long each measurement lasts.
+	// Duration is the length of each measurement.
 	Duration time.Duration
-	// Callers is how many callers call without a pause for the throughput.
+	// Callers is the number of closed-loop callers of the throughput measurement.
 	Callers int
-	// IdleCallers is how many idle callers are connected for the memory.
+	// IdleCallers is the number of idle connections of the memory measurement.
 	IdleCallers int
 }
 
-// Latencies sum up one measurement, in microseconds.
+// Latencies are the latency quantiles of one measurement, in microseconds.
 type Latencies struct {
 	Calls int     `json:"calls"`
 	P50   float64 `json:"p50"`
@@ -39,43 +39,44 @@
 	P999  float64 `json:"p999"`
 }
 
-// SpeedResult is what one run measured, direct and through a box side by side.
+// SpeedResult compares calls made directly to a target with calls through a box, in one run.
 type SpeedResult struct {
 	Machine string    `json:"machine"`
 	Date    string    `json:"date"`
 	Rates   []RateRow `json:"rates"`
-	// DirectRate and Through are the highest calls a second of one process.
+	// DirectRate and ViaBoxRate are the highest throughput of one calling process, in calls a second.
 	DirectRate float64 `json:"direct"`
 	ViaBoxRate float64 `json:"through"`
-	// CPUMicros is the box's processor time a call at the highest rate.
+	// CPUMicros is the box's processor time per call at the highest throughput, in microseconds.
 	CPUMicros float64 `json:"cpuMicros"`
-	// InitialMB, LoadMB and IdleMB are the box's resident memory.
+	// InitialMB, LoadedMB and IdleCallersMB are the box's resident memory in MiB: before any call,
+	// after the load, and with IdleCallers idle connections.
 	InitialMB     float64 `json:"restMB"`
 	LoadedMB      float64 `json:"loadMB"`
 	IdleCallersMB float64 `json:"idleMB"`
 	IdleCallers   int     `json:"idle"`
 }
 
-// RateRow compares the two ways at one rate. Rounds alternate between them, so
-// that a noisy moment meets both.
+// RateRow compares direct calls with calls through a box at one rate. Rounds alternate between
+// them, so that noise of the machine affects both.
 type RateRow struct {
 	Rate   int       `json:"rate"`
 	Direct Latencies `json:"direct"`
 	ViaBox Latencies `json:"through"`
 }
 
-// rounds is how often the two ways alternate.
+// rounds is the number of rounds of direct calls and of calls through a box.
 const rounds = 4
 
-// speedRun is one run of the measurement.
+// speedRun is one run of the speed benchmark.
 type speedRun struct {
 	SpeedSettings
 	cluster *Cluster
 	target  *TargetProcess
 }
 
-// RunSpeed measures what a box adds to calls that are made directly to the same
-// stand-in target.
+// RunSpeed measures the latency, processor time and memory that a box adds to calls of a stand-in
+// target.
 func RunSpeed(s SpeedSettings) (*SpeedResult, error) {
 	x := &speedRun{SpeedSettings: s}
 	defer x.stop()
@@ -169,8 +170,8 @@
 	return time.Since(started), err
 }
 
-// openLoop makes calls at a steady rate, whether or not earlier ones have been
-// answered.
+// openLoop makes calls at a steady rate, in calls a second, whether or not earlier ones have been
+// answered, and returns the latencies of those that succeeded.
 func openLoop(address string, rate int, d time.Duration) []time.Duration {
 	client := newSpeedClient(address)
 	defer client.CloseIdleConnections()
@@ -200,8 +201,7 @@
 	return all
 }
 
-// throughput makes calls without a pause and returns how many a second were
-// answered.
+// throughput makes closed-loop calls and returns the successful ones per second.
 func (x *speedRun) throughput(address string) float64 {
 	client := newSpeedClient(address)
 	defer client.CloseIdleConnections()
@@ -239,7 +239,7 @@
 	return Latencies{Calls: len(all), P50: at(0.5), P99: at(0.99), P999: at(0.999)}
 }
 
-// Page returns the result as a page.
+// Page formats the result as a Markdown page that names the command.
 func (r *SpeedResult) Page(command string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# Speed: what a box adds\n\nMachine: %s. Date: %s. Command: `%s`.\n\n", r.Machine, r.Date, command)
--- a/pkg/lab/subscriber.go
+++ b/pkg/lab/subscriber.go
@@ -16,9 +16,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// Subscriber is a box's subscription without the rest of the box: the real core
-// on a real connection. Many of them in one process show what many boxes ask of
-// the control replicas.
+// Subscriber runs only the subscription of a box: the real subscription core on a real
+// connection. Many of them in one process put the load of many boxes on the control replicas.
 type Subscriber struct {
 	lock       sync.Mutex
 	core       *subscription.Subscription
@@ -26,21 +25,21 @@
 	addresses  map[units.ReplicaID]string
 	conn       *transport.Conn
 	attachment subscription.Attachment
-	// onRevision is called with each new revision.
+	// onRevision is called with the revision of each new table; may be nil.
 	onRevision func(units.Revision)
 	done       chan struct{}
 	Messages   atomic.Int64
 	Bytes      atomic.Int64
 }
 
-// subscriberTickPeriod is how often a subscriber's core gets a tick.
+// subscriberTickPeriod is the interval between ticks of a subscriber's core.
 const subscriberTickPeriod = 20 * time.Millisecond
 
-// StartSubscriber starts a subscriber under a box's name. shown may be nil.
-func StartSubscriber(id units.BoxID, addresses map[units.ReplicaID]string, order []units.ReplicaID, seed uint64, shown func(units.Revision)) *Subscriber {
+// StartSubscriber starts a subscriber with a box id. order lists the replicas; onRevision may be nil.
+func StartSubscriber(id units.BoxID, addresses map[units.ReplicaID]string, order []units.ReplicaID, seed uint64, onRevision func(units.Revision)) *Subscriber {
 	c := clock.NewClock()
 	s := &Subscriber{
-		clock: c, addresses: addresses, onRevision: shown, done: make(chan struct{}),
+		clock: c, addresses: addresses, onRevision: onRevision, done: make(chan struct{}),
 		core: subscription.NewSubscription(subscription.Settings{
 			Box: table.Box{ID: id, Address: "127.0.0.1:1"}, Replicas: order, RenewEvery: subscription.DefaultRenewEvery,
 			Silence: subscription.DefaultSilence, Start: seed, Seed: seed,
@@ -50,7 +49,7 @@
 	return s
 }
 
-// Stop ends the subscriber.
+// Stop stops the subscriber and closes its connection.
 func (s *Subscriber) Stop() {
 	close(s.done)
 	s.lock.Lock()
@@ -101,8 +100,8 @@
 	go s.dial(e.Replicas, e.Attachment, e.DialLimit)
 }
 
-func (s *Subscriber) dial(replicas []units.ReplicaID, n subscription.Attachment, limit time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+func (s *Subscriber) dial(replicas []units.ReplicaID, n subscription.Attachment, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	addresses := make([]string, 0, len(replicas))
 	for _, id := range replicas {
@@ -137,7 +136,8 @@
 	}
 }
 
-// frameOverheadBytes is what yamux, the message's length and TCP over IP add.
+// frameOverheadBytes is what the yamux header, the message's length prefix and the TCP and IP headers add to a
+// message, in bytes.
 const frameOverheadBytes = 12 + 2 + 40
 
 func (s *Subscriber) count(m *wire.Envelope) {
--- a/pkg/lab/target.go
+++ b/pkg/lab/target.go
@@ -34,23 +34,22 @@
 	KeyHeader         = "X-Api-Key"
 )
 
-// TargetSettings are what a stand-in target is like.
+// TargetSettings configure a stand-in target.
 type TargetSettings struct {
 	Name   string
 	Listen string
-	// Slots is how many calls it runs at once; Queue is how many more may wait.
+	// Slots is how many calls run concurrently; Queue is how many more may wait.
 	Slots int
 	Queue int
-	// Work is how long a call takes that doesn't say so itself.
+	// Work is the duration of a call without a WorkHeader.
 	Work time.Duration
-	// Journal is the file of calls that were run; empty for none.
+	// Journal is the path of the journal; empty for none.
 	Journal string
-	// CrashBody is what the bodies of calls begin with that end the process which runs them;
-	// empty for none.
+	// CrashBody is the prefix of call bodies that make the process exit; empty for none.
 	CrashBody string
 }
 
-// Target is a stand-in target: a few slots, a queue, shedding, faults on demand.
+// Target is a stand-in target with slots, a bounded queue, shedding and injected faults.
 type Target struct {
 	settings TargetSettings
 	server   *fasthttp.Server
@@ -68,44 +67,44 @@
 	limits   limitMonitor
 }
 
-// Behavior is what a target does for the time being.
+// Behavior selects the faults and announcements of a target; see SetBehavior.
 type Behavior struct {
-	// Slow is added to each call's work.
+	// Slow is added to the duration of each call.
 	Slow time.Duration
-	// Fail answers 500 at once.
+	// Fail answers calls with 500 and probes with 503 at once.
 	Fail bool
-	// Shed refuses every call unrun.
+	// Shed refuses every call without running it.
 	Shed bool
-	// Rest is for how long a target that sheds wants nothing more; zero when it doesn't say.
+	// Rest is the rest that a shed answer asks for in Retry-After; zero for none.
 	Rest time.Duration
-	// Leaving says in every answer that the target is about to end.
+	// Leaving announces in every answer that the target is about to stop.
 	Leaving bool
-	// Limited names in every answer the Limit, in calls a second, that the target takes from all boxes.
+	// Limited reports Limit in every answer: the calls a second that the target accepts from all boxes.
 	Limited bool
 	Limit   float64
 	// Unhealthy answers probes with 503.
 	Unhealthy bool
-	// HideLoad reports no load, whatever there is.
+	// HideLoad reports zero calls in flight, whatever the load.
 	HideLoad bool
-	// Hang never answers a call that can't be queued, and then nothing more on its
-	// connection.
+	// Hang never answers a call that exceeds the queue, nor later requests on its connection;
+	// without it such a call is shed.
 	Hang bool
-	// Version is what a bad version of the target's software does beside that.
+	// Version is the additional fault of a bad version of the target's software.
 	Version VersionFault
 }
 
-// VersionFault is what is wrong with a version of a target's software.
+// VersionFault is the fault of a bad version of a target's software.
 type VersionFault struct {
-	// FailPercent is how many of a hundred calls get 500, Slow is added to each call's work.
+	// FailPercent is the percentage of calls that get 500; Slow is added to the duration of each call.
 	FailPercent int
 	Slow        time.Duration
-	// HealthyRuns is how many calls the target runs well first, Host the only host name whose calls
-	// meet the fault; empty for all.
+	// HealthyRuns is how many calls the target runs before the fault begins; Host limits the fault to
+	// calls of one host name, empty for all.
 	HealthyRuns int64
 	Host        string
 }
 
-// applies tells whether a call applies the fault, as the target's n-th.
+// applies reports whether the fault affects the target's n-th call.
 func (v *VersionFault) applies(host string, n int64) bool {
 	return n > v.HealthyRuns && (v.Host == "" || v.Host == host)
 }
@@ -129,10 +128,10 @@
 	return t, nil
 }
 
-// Address is where the target listens.
+// Address returns the address that the target listens on.
 func (t *Target) Address() string { return t.listener.Addr().String() }
 
-// SetBehavior changes what the target does from now on.
+// SetBehavior changes the target's behavior for later requests.
 func (t *Target) SetBehavior(b Behavior) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -146,7 +145,7 @@
 	return t.behavior
 }
 
-// Stop ends the target at once.
+// Stop shuts the target down without waiting for its calls.
 func (t *Target) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
@@ -191,22 +190,23 @@
 	ctx.SetBodyString("healthy\n")
 }
 
-// TargetStats is what a target knows of its own load.
+// TargetStats are a target's counts since its start.
 type TargetStats struct {
-	// Peak is the most calls that were there at once.
+	// Peak is the highest number of calls in flight; Runs counts the calls that ran.
 	Peak int64 `json:"peak"`
 	Runs int64 `json:"runs"`
-	// Probes is how often it was asked for its health.
+	// Probes counts the health probes.
 	Probes int64 `json:"probes"`
-	// Dropped counts the calls that it never answered.
+	// Dropped counts the calls left without an answer; see Behavior.Hang.
 	Dropped int64 `json:"dropped"`
-	// Rests is how often it began to rest; Unrested and UnrestedProbes are how many calls and probes came while the target rested,
-	// more than half a second after it had asked for it.
+	// Rests counts the rest periods; CallsInRest and ProbesInRest count the calls and probes during
+	// them, later than restGrace after the target first asked.
 	Rests        int64 `json:"rests"`
 	CallsInRest  int64 `json:"unrested"`
 	ProbesInRest int64 `json:"unrestedProbes"`
-	// CallsWhileLimited and LimitedProbes are how many calls and probes came while the target named a limit,
-	// LimitBreaches how many calls too many, WorstBreach the window that was exceeded by most.
+	// CallsWhileLimited and ProbesWhileLimited count the calls and probes while the target reported a limit;
+	// LimitBreaches counts the calls beyond what the check allows, WorstBreach is the window with the
+	// greatest excess.
 	CallsWhileLimited  int64        `json:"limited"`
 	ProbesWhileLimited int64        `json:"limitedProbes"`
 	LimitBreaches      int64        `json:"limitBreaches"`
@@ -225,7 +225,7 @@
 	ctx.SetBody(data)
 }
 
-// handleBehave lets another process change what this one does.
+// handleBehave handles a request that changes the behavior; it lets other processes control the target.
 func (t *Target) handleBehave(ctx *fasthttp.RequestCtx) {
 	q := ctx.QueryArgs()
 	t.SetBehavior(Behavior{
@@ -288,10 +288,10 @@
 	t.runCall(ctx, b)
 }
 
-// crashExitCode is the exit code of a target that a call has ended.
+// crashExitCode is the exit code of a target that a crashing call has ended.
 const crashExitCode = 3
 
-// dropCall leaves a call without an answer and its connection open, until the other side ends it.
+// dropCall leaves a call without an answer and keeps its connection open until the box closes it.
 func (t *Target) dropCall(ctx *fasthttp.RequestCtx) {
 	t.dropped.Add(1)
 	ctx.HijackSetNoResponse(true)
@@ -340,7 +340,7 @@
 	return t.settings.Work
 }
 
-// sentAt is when a call's caller made it.
+// sentAt returns when the caller sent a call.
 func sentAt(ctx *fasthttp.RequestCtx) time.Time {
 	return time.UnixMicro(int64(intHeader(ctx, SentAtHeader)))
 }
@@ -350,8 +350,8 @@
 	return n
 }
 
-// AnswerBody is the answer that belongs to a request, padded to a size. It
-// begins with the request's own id, so that nobody else's can pass for it.
+// AnswerBody returns the answer to a request, padded to at least a size in bytes. It begins with the
+// request id, so that the answer to another request never matches.
 func AnswerBody(request string, size int) []byte {
 	body := []byte("answer to " + request + "\n")
 	for n := 0; len(body) < size; n++ {
@@ -361,14 +361,14 @@
 	return body
 }
 
-// Checksum sums up an answer.
+// Checksum returns the FNV-1a hash of an answer in hexadecimal.
 func Checksum(body []byte) string {
 	h := fnv.New64a()
 	h.Write(body)
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// truncations are the ways in which an answer can be cut short, as its raw bytes.
+// truncations are the malformed answers by name, each as the raw bytes to send for a body.
 var truncations = map[string]func(body []byte) string{
 	"none":       func([]byte) string { return "" },
 	"head":       func([]byte) string { return "HTTP/1.1 200 OK\r\nContent-Le" },
@@ -381,7 +381,7 @@
 	},
 }
 
-// Truncations returns the names of the ways in which an answer can be cut short.
+// Truncations returns the names of the malformed answers that a call can ask for.
 func Truncations() []string {
 	return []string{"none", "head", "mid-body", "before-end", "too-long", "no-length", "chunked"}
 }
--- a/pkg/lab/target_test.go
+++ b/pkg/lab/target_test.go
@@ -8,8 +8,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// TestATargetThatHangsAnswersNothingMoreOnThatConnection sends a target more than it can
-// queue.
+// TestATargetThatHangsAnswersNothingMoreOnThatConnection fills a target's slots and
+// queue; a call beyond them must get no answer, and neither may a later request on its
+// connection.
 func TestATargetThatHangsAnswersNothingMoreOnThatConnection(t *testing.T) {
 	target, err := StartTarget(TargetSettings{Name: "t", Listen: "127.0.0.1:0", Slots: 1, Queue: 0, Work: 5 * time.Second})
 	if err != nil {
@@ -24,9 +25,9 @@
 		t.Fatal(err)
 	}
 	expectNoBytes(t, dropped)
-	// Others are still served.
+	// Other connections are still served.
 	if status, _, err := fasthttp.Get(nil, "http://"+target.Address()+"/healthz"); err != nil || status != fasthttp.StatusOK {
-		t.Errorf("its health: %d %v", status, err)
+		t.Errorf("health check on another connection: status %d, error %v", status, err)
 	}
 	busy.Close()
 }
@@ -46,7 +47,7 @@
 func awaitInFlight(t *testing.T, target *Target) {
 	for end := time.Now().Add(5 * time.Second); target.inFlight.Load() == 0; {
 		if time.Now().After(end) {
-			t.Fatal("the call didn't come")
+			t.Fatal("the call did not reach the target")
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -56,6 +57,6 @@
 	conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	n, err := conn.Read(make([]byte, 1))
 	if timeout, ok := err.(net.Error); n > 0 || !ok || !timeout.Timeout() {
-		t.Errorf("%d bytes, %v, on a connection that should be silent", n, err)
+		t.Errorf("read %d bytes, error %v; want a read timeout", n, err)
 	}
 }
--- a/pkg/lab/try.go
+++ b/pkg/lab/try.go
@@ -11,17 +11,17 @@
 	"github.com/madderpond/madderpond/pkg/sheet"
 )
 
-// TrySettings say where the embedded default finds what it needs.
+// TrySettings configure RunTry.
 type TrySettings struct {
 	Program  string
 	Examples string
 	Out      io.Writer
-	// Wait returns when the trial is over.
+	// Wait blocks until the run should end.
 	Wait func()
 }
 
-// RunTry runs the embedded default: one process with both roles from
-// local.jsonc, with a stand-in target behind it.
+// RunTry runs the example configuration: one process with both roles, configured by
+// local.jsonc, and a stand-in target.
 func RunTry(s TrySettings) error {
 	settings, err := config.Load(filepath.Join(s.Examples, "local.jsonc"))
 	if err != nil {
@@ -82,7 +82,7 @@
 	return s, err
 }
 
-// applyIfEmpty applies the sheets unless an earlier trial has left a table.
+// applyIfEmpty applies the sheets unless an earlier run has left services in the table.
 func applyIfEmpty(api *client.Client, s sheet.Sheets) error {
 	t, err := api.Table()
 	if err != nil || len(t.Services) > 0 {
