--- a/pkg/replay/arrivals.go
+++ b/pkg/replay/arrivals.go
@@ -6,12 +6,12 @@
 	"github.com/madderpond/madderpond/pkg/core/routing"
 )
 
-// arrival takes a call that comes to a box.
-type arrival func(box int, spec *Service, work time.Duration)
+// arrivalHandler takes a call that comes to a box.
+type arrivalHandler func(box int, spec *Service, work time.Duration)
 
 // scheduleArrival brings about a service's next call, and all that follow.
-func (s *simulation) scheduleArrival(spec *Service, arrive arrival) {
-	gap := s.arrivals.ExpFloat64() / (spec.rate() * max(1, s.burst[spec.Name]))
+func (s *simulation) scheduleArrival(spec *Service, arrive arrivalHandler) {
+	gap := s.arrivals.ExpFloat64() / (spec.callRate() * max(1, s.loadFactor[spec.Name]))
 	s.after(time.Duration(gap*float64(time.Second)), func() {
 		if s.ended {
 			return
@@ -23,8 +23,8 @@
 	})
 }
 
-// rate is how many calls a second come.
-func (v *Service) rate() float64 {
+// callRate is how many calls a second come.
+func (v *Service) callRate() float64 {
 	return v.Load * float64(v.Targets*v.Slots) / v.Mean.Std().Seconds()
 }
 
@@ -35,52 +35,52 @@
 	}
 	for {
 		i := s.arrivals.IntN(len(s.boxes))
-		if !s.boxes[i].shunned {
+		if !s.boxes[i].excluded {
 			return i
 		}
 	}
 }
 
-// checkPeriod is how often the platform asks the boxes whether they are ready; it
+// readinessCheckPeriod is how often the platform asks the boxes whether they are ready; it
 // acts on what it saw one period later.
-const checkPeriod = 500 * time.Millisecond
+const readinessCheckPeriod = 500 * time.Millisecond
 
-// checkBoxes is the platform's balancer learning, late, which boxes are ready.
-func (s *simulation) checkBoxes() {
+// checkReadiness is the platform's balancer learning, late, which boxes are ready.
+func (s *simulation) checkReadiness() {
 	for _, b := range s.boxes {
-		stale := s.now.Sub(b.renewed) > leaseTime/2
+		stale := s.now.Sub(b.renewedAt) > leaseTime/2
 		shunned := b.dead || b.frozen || stale || !b.router.Serving(s.now)
-		s.after(checkPeriod, func() { b.shunned = shunned && s.someServe() })
+		s.after(readinessCheckPeriod, func() { b.excluded = shunned && s.mayExcludeBox() })
 	}
 	if !s.ended {
-		s.after(checkPeriod, s.checkBoxes)
+		s.after(readinessCheckPeriod, s.checkReadiness)
 	}
 }
 
-// someServe keeps the balancer from having nowhere to send calls.
-func (s *simulation) someServe() bool {
+// mayExcludeBox keeps the balancer from having nowhere to send calls.
+func (s *simulation) mayExcludeBox() bool {
 	n := 0
 	for _, b := range s.boxes {
-		if !b.shunned {
+		if !b.excluded {
 			n++
 		}
 	}
 	return n > 1
 }
 
-func (s *simulation) arriveCall(i int, spec *Service, work time.Duration) {
+func (s *simulation) receiveCall(i int, spec *Service, work time.Duration) {
 	b := s.boxes[i]
-	counted := s.counts(s.now)
+	counted := s.isMeasured(s.now)
 	if counted {
 		s.result.Offered++
 	}
 	if b.dead {
 		// A caller that finds a box dead is no matter of the routing.
 		if counted {
-			s.result.refuse("dead-box", 0)
+			s.result.addRefusal("dead-box", 0)
 		}
 		return
 	}
-	c := &call{service: spec, arrived: s.now, work: work, box: b, overload: s.burst[spec.Name]*spec.Load > 1}
-	s.give(b, &routing.CallArrived{Owner: c, Host: []byte(spec.Name), Path: []byte("/")})
+	c := &call{service: spec, arrived: s.now, work: work, box: b, duringOverload: s.loadFactor[spec.Name]*spec.Load > 1}
+	s.reduce(b, &routing.CallArrived{Owner: c, Host: []byte(spec.Name), Path: []byte("/")})
 }
--- a/pkg/replay/events.go
+++ b/pkg/replay/events.go
@@ -9,31 +9,31 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// happenings are the kinds of event that a trace can name, with what begins and
+// eventKinds are the kinds of event that a trace can name, with what begins and
 // what ends each.
-var happenings = map[string]struct {
+var eventKinds = map[string]struct {
 	begin func(*simulation, Event)
 	end   func(*simulation, Event)
 }{
 	"slow":   {func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.slow = e.Factor }) }, func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.slow = 1 }) }},
 	"fail":   {func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.fails = true }) }, func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.fails = false }) }},
 	"shed":   {func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.sheds = true }) }, func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.sheds = false }) }},
-	"lie":    {func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.lies = true }) }, func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.lies = false }) }},
-	"freeze": {func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.frozen = true }) }, func(s *simulation, e Event) { s.eachTarget(e, s.thawTarget) }},
-	"burst":  {(*simulation).beginBurst, func(s *simulation, e Event) { s.burst[e.Service] = 1 }},
+	"lie":    {func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.hidesLoad = true }) }, func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.hidesLoad = false }) }},
+	"freeze": {func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.frozen = true }) }, func(s *simulation, e Event) { s.eachTarget(e, s.unfreezeTarget) }},
+	"burst":  {(*simulation).beginBurst, func(s *simulation, e Event) { s.loadFactor[e.Service] = 1 }},
 	"leave":  {func(s *simulation, e Event) { s.editRows(e, func(r *table.Row, _ int) { r.State = table.Leaving }) }, func(s *simulation, e Event) { s.editRows(e, func(r *table.Row, _ int) { r.State = table.Active }) }},
 	"weights": {func(s *simulation, e Event) {
 		s.editRows(e, func(r *table.Row, k int) { r.Weight = e.Weights[k%len(e.Weights)] })
 	}, nil},
-	"kill-box":    {func(s *simulation, e Event) { s.boxes[e.Box].dead = true; s.dropBox(e.Box) }, nil},
-	"freeze-box":  {func(s *simulation, e Event) { s.boxes[e.Box].frozen = true; s.dropBoxIfSilent(e) }, func(s *simulation, e Event) { s.thawBox(e.Box) }},
-	"cut-control": {func(s *simulation, e Event) { s.boxes[e.Box].cutControl = true; s.dropBoxIfSilent(e) }, func(s *simulation, e Event) { s.rejoinBox(e.Box) }},
-	"cut-box":     {func(s *simulation, e Event) { s.boxes[e.Box].cut = true; s.dropBoxIfSilent(e) }, func(s *simulation, e Event) { s.rejoinBox(e.Box) }},
+	"kill-box":    {func(s *simulation, e Event) { s.boxes[e.Box].dead = true; s.delistBox(e.Box) }, nil},
+	"freeze-box":  {func(s *simulation, e Event) { s.boxes[e.Box].frozen = true; s.delistBoxIfLeaseExpires(e) }, func(s *simulation, e Event) { s.unfreezeBox(e.Box) }},
+	"cut-control": {func(s *simulation, e Event) { s.boxes[e.Box].cutControl = true; s.delistBoxIfLeaseExpires(e) }, func(s *simulation, e Event) { s.reconnectBox(e.Box) }},
+	"cut-box":     {func(s *simulation, e Event) { s.boxes[e.Box].cut = true; s.delistBoxIfLeaseExpires(e) }, func(s *simulation, e Event) { s.reconnectBox(e.Box) }},
 }
 
-// happen brings an event about, and its end when it has one.
-func (s *simulation) happen(e Event) {
-	h := happenings[e.Kind]
+// startEvent brings an event about, and its end when it has one.
+func (s *simulation) startEvent(e Event) {
+	h := eventKinds[e.Kind]
 	h.begin(s, e)
 	if e.For > 0 && h.end != nil {
 		s.after(e.For.Std(), func() { h.end(s, e) })
@@ -43,15 +43,15 @@
 // beginBurst raises a service's load; where that is more than its slots can do,
 // the slot time of the burst is what the goodput is compared with.
 func (s *simulation) beginBurst(e Event) {
-	s.burst[e.Service] = e.Factor
+	s.loadFactor[e.Service] = e.Factor
 	if spec := s.spec(e.Service); e.Factor*spec.Load > 1 {
-		s.overload += time.Duration(spec.Targets*spec.Slots) * e.For.Std()
+		s.overloadCapacity += time.Duration(spec.Targets*spec.Slots) * e.For.Std()
 	}
 }
 
 // eachTarget calls f for the targets that an event names.
 func (s *simulation) eachTarget(e Event, f func(*target)) {
-	for _, t := range s.order {
+	for _, t := range s.targetOrder {
 		if e.Service != "" && t.row.Service != e.Service || e.Domain != "" && t.row.Domain != e.Domain {
 			continue
 		}
@@ -65,7 +65,7 @@
 // indexOf is a target's place among its service's targets.
 func (s *simulation) indexOf(t *target) int {
 	k := 0
-	for _, o := range s.order {
+	for _, o := range s.targetOrder {
 		if o == t {
 			return k
 		}
@@ -76,7 +76,7 @@
 	return -1
 }
 
-func (s *simulation) thawTarget(t *target) {
+func (s *simulation) unfreezeTarget(t *target) {
 	t.frozen = false
 	for _, j := range s.busyJobs(t) {
 		s.after(j.work, func() { s.complete(t, j, routing.Answered) })
@@ -122,25 +122,25 @@
 	for _, b := range s.boxes {
 		s.after(editDelay, func() {
 			if !b.cut && !b.cutControl {
-				s.giveTable(b, next)
+				s.updateTable(b, next)
 			}
 		})
 	}
 }
 
-// dropBox takes a lost box off the list once its lease has run out.
-func (s *simulation) dropBox(i int) {
-	s.after(lossDelay, func() { s.listBoxes(func(id units.BoxID) bool { return id != s.boxes[i].id }) })
+// delistBox takes a lost box off the list once its lease has run out.
+func (s *simulation) delistBox(i int) {
+	s.after(boxLossDelay, func() { s.publishBoxes(func(id units.BoxID) bool { return id != s.boxes[i].id }) })
 }
 
-// dropBoxIfSilent does so when the box will be silent for long enough.
-func (s *simulation) dropBoxIfSilent(e Event) {
-	if e.For == 0 || e.For.Std() > lossDelay {
-		s.dropBox(e.Box)
+// delistBoxIfLeaseExpires does so when the box will be silent for long enough.
+func (s *simulation) delistBoxIfLeaseExpires(e Event) {
+	if e.For == 0 || e.For.Std() > boxLossDelay {
+		s.delistBox(e.Box)
 	}
 }
 
-func (s *simulation) listBoxes(keep func(units.BoxID) bool) {
+func (s *simulation) publishBoxes(keep func(units.BoxID) bool) {
 	var boxes []table.Box
 	for _, b := range s.boxes {
 		if keep(b.id) && !b.dead {
@@ -150,32 +150,32 @@
 	s.publish(&table.Delta{Boxes: table.BoxDifference(s.table.Boxes, boxes)})
 }
 
-func (s *simulation) thawBox(i int) {
+func (s *simulation) unfreezeBox(i int) {
 	b := s.boxes[i]
 	b.frozen = false
-	held := b.held
-	b.held = nil
+	held := b.pendingEvents
+	b.pendingEvents = nil
 	for _, e := range held {
 		if lease, ok := e.(*routing.LeaseChanged); ok && lease.Until < s.now {
 			continue
 		}
-		s.give(b, e)
+		s.reduce(b, e)
 	}
-	s.rejoinBox(i)
+	s.reconnectBox(i)
 }
 
-// rejoinBox lets a box that was silent have the present table and its place.
-func (s *simulation) rejoinBox(i int) {
+// reconnectBox lets a box that was silent have the present table and its place.
+func (s *simulation) reconnectBox(i int) {
 	s.boxes[i].cut, s.boxes[i].cutControl = false, false
-	s.listBoxes(func(units.BoxID) bool { return true })
-	s.wake(s.boxes[i])
+	s.publishBoxes(func(units.BoxID) bool { return true })
+	s.scheduleWake(s.boxes[i])
 }
 
-// noteWeights remembers the services' rows at the beginning of each second.
-func (s *simulation) noteWeights() {
-	s.entries[int(s.now/units.Instant(time.Second))] = s.table.Services
+// recordEntries remembers the services' rows at the beginning of each second.
+func (s *simulation) recordEntries() {
+	s.entriesBySecond[int(s.now/units.Instant(time.Second))] = s.table.Services
 	if !s.ended {
-		s.after(time.Second, s.noteWeights)
+		s.after(time.Second, s.recordEntries)
 	}
 }
 
@@ -184,14 +184,14 @@
 // seconds in which the weights didn't change.
 func (s *simulation) weightError() float64 {
 	worst := 0.0
-	first := int((origin + units.Instant(s.trace.warmup())) / units.Instant(time.Second))
-	last := int((origin + units.Instant(s.trace.end())) / units.Instant(time.Second))
+	first := int((startInstant + units.Instant(s.trace.warmup())) / units.Instant(time.Second))
+	last := int((startInstant + units.Instant(s.trace.end())) / units.Instant(time.Second))
 	for second := first; second < last; second++ {
 		for _, n := range s.table.ServiceNames() {
 			// The second before must have had the same rows too, since an edit takes
 			// a moment to reach the boxes.
-			entry := s.entries[second-1][n]
-			if entry == s.entries[second][n] && entry == s.entries[second+1][n] {
+			entry := s.entriesBySecond[second-1][n]
+			if entry == s.entriesBySecond[second][n] && entry == s.entriesBySecond[second+1][n] {
 				worst = max(worst, s.weightErrorAt(entry, second))
 			}
 		}
--- a/pkg/replay/oracle.go
+++ b/pkg/replay/oracle.go
@@ -14,18 +14,18 @@
 // that will end it first, and pays the network both ways.
 func runOracle(t *Trace) *Result {
 	s := &simulation{
-		trace: t, now: origin, arrivals: rand.New(rand.NewPCG(t.Seed, 1)),
+		trace: t, now: startInstant, arrivals: rand.New(rand.NewPCG(t.Seed, 1)),
 		events:  container.NewHeap(func(a, b scheduled) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }),
-		targets: map[units.TargetID]*target{}, burst: map[units.ServiceName]float64{},
+		targets: map[units.TargetID]*target{}, loadFactor: map[units.ServiceName]float64{},
 		result: newResult(t.Name, "oracle"),
 	}
 	s.table = s.makeTable()
-	o := &oracle{simulation: s, waiting: map[units.ServiceName][]*call{}}
+	o := &oracle{simulation: s, queues: map[units.ServiceName][]*call{}}
 	for _, n := range s.table.ServiceNames() {
 		for row := range s.table.Services[n].Rows.All() {
 			tt := &target{row: *row, slots: s.spec(n).Slots, slow: 1, busy: map[*job]bool{}, perSecond: map[int]int{}}
 			s.targets[row.Target] = tt
-			s.order = append(s.order, tt)
+			s.targetOrder = append(s.targetOrder, tt)
 		}
 	}
 	for i := range t.Boxes {
@@ -33,71 +33,71 @@
 	}
 	s.after(settleTime, func() {
 		for i := range t.Services {
-			o.scheduleArrival(&t.Services[i], o.arriveCall)
+			o.scheduleArrival(&t.Services[i], o.receiveCall)
 		}
 	})
 	for _, e := range t.Events {
 		if strings.HasSuffix(e.Kind, "-box") || e.Kind == "cut-control" {
 			continue
 		}
-		s.after(t.warmup()+e.At.Std(), func() { s.happen(e) })
+		s.after(t.warmup()+e.At.Std(), func() { s.startEvent(e) })
 	}
 	s.run()
-	s.result.close()
+	s.result.computeQuantiles()
 	return &s.result
 }
 
 type oracle struct {
 	*simulation
-	waiting map[units.ServiceName][]*call
+	queues map[units.ServiceName][]*call
 }
 
-// arriveCall puts a call at the end of its service's queue.
-func (o *oracle) arriveCall(i int, spec *Service, work time.Duration) {
+// receiveCall puts a call at the end of its service's queue.
+func (o *oracle) receiveCall(i int, spec *Service, work time.Duration) {
 	c := &call{service: spec, arrived: o.now, work: work, box: o.boxes[i]}
-	if o.counts(o.now) {
+	if o.isMeasured(o.now) {
 		o.result.Offered++
 	}
-	o.waiting[spec.Name] = append(o.waiting[spec.Name], c)
-	o.serve(spec.Name)
+	o.queues[spec.Name] = append(o.queues[spec.Name], c)
+	o.startQueued(spec.Name)
 }
 
-// serve starts waiting calls while there are free slots.
-func (o *oracle) serve(service units.ServiceName) {
-	for len(o.waiting[service]) > 0 {
-		c := o.waiting[service][0]
-		t := o.best(c)
+// startQueued starts waiting calls while there are free slots.
+func (o *oracle) startQueued(service units.ServiceName) {
+	for len(o.queues[service]) > 0 {
+		c := o.queues[service][0]
+		t := o.fastestTarget(c)
 		if t == nil {
 			return
 		}
-		o.waiting[service] = o.waiting[service][1:]
+		o.queues[service] = o.queues[service][1:]
 		j := &job{call: c, work: c.work}
 		t.busy[j] = true
-		if o.counts(c.arrived) {
+		if o.isMeasured(c.arrived) {
 			o.result.Sends++
 		}
-		o.after(time.Duration(float64(c.work)*t.slow), func() { o.end(t, j) })
+		o.after(time.Duration(float64(c.work)*t.slow), func() { o.finishJob(t, j) })
 	}
 }
 
-func (o *oracle) end(t *target, j *job) {
+func (o *oracle) finishJob(t *target, j *job) {
 	delete(t.busy, j)
 	c := j.call
-	if o.counts(c.arrived) {
-		o.result.answer(c.service.Name, o.now.Sub(c.arrived)+2*o.delay(c.box.domain, t.row.Domain))
+	if o.isMeasured(c.arrived) {
+		o.result.addAnswer(c.service.Name, o.now.Sub(c.arrived)+2*o.networkDelay(c.box.domain, t.row.Domain))
 	}
-	o.serve(c.service.Name)
+	o.startQueued(c.service.Name)
 }
 
-// best is the free target that ends the call first.
-func (o *oracle) best(c *call) *target {
+// fastestTarget is the free target that ends the call first.
+func (o *oracle) fastestTarget(c *call) *target {
 	var best *target
 	var bestTime time.Duration
-	for _, t := range o.order {
+	for _, t := range o.targetOrder {
 		if t.row.Service != c.service.Name || !t.usable() || len(t.busy) >= t.slots {
 			continue
 		}
-		took := time.Duration(float64(c.work)*t.slow) + 2*o.delay(c.box.domain, t.row.Domain)
+		took := time.Duration(float64(c.work)*t.slow) + 2*o.networkDelay(c.box.domain, t.row.Domain)
 		if best == nil || took < bestTime {
 			best, bestTime = t, took
 		}
--- a/pkg/replay/replay_test.go
+++ b/pkg/replay/replay_test.go
@@ -56,7 +56,7 @@
 
 func TestOutcomesThatAreMissedAreNamed(t *testing.T) {
 	high, low := 100.0, 0.5
-	trace := &Trace{Name: "x", Outcomes: []Bound{
+	trace := &Trace{Name: "x", Outcomes: []OutcomeBound{
 		{Variant: "product", Measure: "p99", Max: &low},
 		{Variant: "product", Measure: "p99", Min: &high},
 		{Variant: "product", Measure: "nonsense", Max: &low},
--- a/pkg/replay/result.go
+++ b/pkg/replay/result.go
@@ -80,24 +80,24 @@
 	}
 }
 
-func (r *Result) count(counted bool, into *int) {
+func (r *Result) incrementIf(counted bool, into *int) {
 	if counted {
 		*into++
 	}
 }
 
-func (r *Result) refuse(reason string, took time.Duration) {
+func (r *Result) addRefusal(reason string, took time.Duration) {
 	r.Refused[reason]++
 	r.refusals = append(r.refusals, took)
 }
 
-func (r *Result) answer(service units.ServiceName, took time.Duration) {
+func (r *Result) addAnswer(service units.ServiceName, took time.Duration) {
 	r.Answered++
 	r.latencies[service] = append(r.latencies[service], took)
 }
 
-// close works out the quantiles.
-func (r *Result) close() {
+// computeQuantiles works out the quantiles.
+func (r *Result) computeQuantiles() {
 	var all []time.Duration
 	for n, l := range r.latencies {
 		slices.Sort(l)
--- a/pkg/replay/setup.go
+++ b/pkg/replay/setup.go
@@ -13,9 +13,9 @@
 	for _, n := range s.table.ServiceNames() {
 		for row := range s.table.Services[n].Rows.All() {
 			spec := s.spec(n)
-			t := &target{row: *row, slots: spec.Slots, limit: spec.Queue, slow: 1, busy: map[*job]bool{}, perSecond: map[int]int{}}
+			t := &target{row: *row, slots: spec.Slots, queueLimit: spec.Queue, slow: 1, busy: map[*job]bool{}, perSecond: map[int]int{}}
 			s.targets[row.Target] = t
-			s.order = append(s.order, t)
+			s.targetOrder = append(s.targetOrder, t)
 		}
 	}
 	for i := range s.trace.Boxes {
@@ -25,11 +25,11 @@
 	}
 	s.after(settleTime, func() {
 		for i := range s.trace.Services {
-			s.scheduleArrival(&s.trace.Services[i], s.arriveCall)
+			s.scheduleArrival(&s.trace.Services[i], s.receiveCall)
 		}
 	})
 	for _, e := range s.trace.Events {
-		s.after(s.trace.warmup()+e.At.Std(), func() { s.happen(e) })
+		s.after(s.trace.warmup()+e.At.Std(), func() { s.startEvent(e) })
 	}
 	return nil
 }
@@ -49,9 +49,9 @@
 	}
 	b.router = router
 	s.boxes = append(s.boxes, b)
-	s.renew(b)
-	s.giveTable(b, s.table)
-	s.wake(b)
+	s.renewLease(b)
+	s.updateTable(b, s.table)
+	s.scheduleWake(b)
 	return nil
 }
 
--- a/pkg/replay/simulation.go
+++ b/pkg/replay/simulation.go
@@ -12,26 +12,26 @@
 
 // simulation is one run of a trace with one variant.
 type simulation struct {
-	trace    *Trace
-	variant  Variant
-	arrivals *rand.Rand
-	network  *rand.Rand
-	now      units.Instant
-	events   *container.Heap[scheduled]
-	sequence int
-	boxes    []*box
-	targets  map[units.TargetID]*target
-	order    []*target
-	table    *table.Table
-	burst    map[units.ServiceName]float64
-	// useful is the work of answered calls that arrived during an overload, and
+	trace       *Trace
+	variant     Variant
+	arrivals    *rand.Rand
+	network     *rand.Rand
+	now         units.Instant
+	events      *container.Heap[scheduled]
+	sequence    int
+	boxes       []*box
+	targets     map[units.TargetID]*target
+	targetOrder []*target
+	table       *table.Table
+	loadFactor  map[units.ServiceName]float64
+	// usefulWork is the work of answered calls that arrived during an overload, and
 	// overload the slot time of that span.
-	useful   time.Duration
-	overload time.Duration
-	// entries are the services' rows at the beginning of each second.
-	entries map[int]map[units.ServiceName]*table.Entry
-	result  Result
-	ended   bool
+	usefulWork       time.Duration
+	overloadCapacity time.Duration
+	// entriesBySecond are the services' rows at the beginning of each second.
+	entriesBySecond map[int]map[units.ServiceName]*table.Entry
+	result          Result
+	ended           bool
 }
 
 type scheduled struct {
@@ -52,13 +52,13 @@
 	frozen bool
 	cut    bool
 	// cutControl is set while only the control state can't reach the box.
-	cutControl bool
-	held       []routing.Event
-	wakeAt     units.Instant
-	// renewed is when the lease was last renewed.
-	renewed units.Instant
-	// shunned is set while the platform's balancer sends nothing here.
-	shunned bool
+	cutControl    bool
+	pendingEvents []routing.Event
+	wakeAt        units.Instant
+	// renewedAt is when the lease was last renewedAt.
+	renewedAt units.Instant
+	// excluded is set while the platform's balancer sends nothing here.
+	excluded bool
 }
 
 // call is a caller's call.
@@ -71,12 +71,12 @@
 	sends   int
 	ended   bool
 	box     *box
-	// overload is set when the call came during an overload.
-	overload bool
+	// duringOverload is set when the call came during an duringOverload.
+	duringOverload bool
 }
 
-// origin keeps the zero instant free.
-const origin = units.Instant(time.Second)
+// startInstant keeps the zero instant free.
+const startInstant = units.Instant(time.Second)
 
 // The control state's part in a replay: what it promises the boxes.
 const (
@@ -88,8 +88,8 @@
 	settleTime = shareDelay + 100*time.Millisecond
 	// editDelay is how long an accepted edit takes to reach a box.
 	editDelay = 20 * time.Millisecond
-	// lossDelay is when the list of boxes lacks a box that was lost.
-	lossDelay = leaseTime + 500*time.Millisecond
+	// boxLossDelay is when the list of boxes lacks a box that was lost.
+	boxLossDelay = leaseTime + 500*time.Millisecond
 )
 
 // Run replays a trace with a variant.
@@ -98,20 +98,20 @@
 		return runOracle(t), nil
 	}
 	s := &simulation{
-		trace: t, variant: v, now: origin,
+		trace: t, variant: v, now: startInstant,
 		arrivals: rand.New(rand.NewPCG(t.Seed, 1)), network: rand.New(rand.NewPCG(t.Seed, 2)),
 		events:  container.NewHeap(func(a, b scheduled) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }),
-		targets: map[units.TargetID]*target{}, burst: map[units.ServiceName]float64{},
-		entries: map[int]map[units.ServiceName]*table.Entry{},
-		result:  newResult(t.Name, v.Name),
+		targets: map[units.TargetID]*target{}, loadFactor: map[units.ServiceName]float64{},
+		entriesBySecond: map[int]map[units.ServiceName]*table.Entry{},
+		result:          newResult(t.Name, v.Name),
 	}
 	if err := s.prepare(); err != nil {
 		return nil, err
 	}
-	s.noteWeights()
-	s.checkBoxes()
+	s.recordEntries()
+	s.checkReadiness()
 	s.run()
-	s.finish()
+	s.computeResult()
 	return &s.result, nil
 }
 
@@ -121,7 +121,7 @@
 }
 
 func (s *simulation) run() {
-	end := origin.Add(s.trace.end())
+	end := startInstant.Add(s.trace.end())
 	for {
 		e, ok := s.events.Peek()
 		if !ok || e.at > end.Add(drainTime) {
@@ -137,36 +137,36 @@
 // drainTime lets the last calls end.
 const drainTime = 2 * time.Second
 
-// counts tells whether what began at a time is counted.
-func (s *simulation) counts(at units.Instant) bool {
-	return at >= origin.Add(s.trace.warmup()) && at < origin.Add(s.trace.end())
+// isMeasured tells whether what began at a time is counted.
+func (s *simulation) isMeasured(at units.Instant) bool {
+	return at >= startInstant.Add(s.trace.warmup()) && at < startInstant.Add(s.trace.end())
 }
 
-func (s *simulation) delay(a, b units.Domain) time.Duration {
+func (s *simulation) networkDelay(a, b units.Domain) time.Duration {
 	if a == b {
 		return s.trace.Network.Same.Std()
 	}
 	return s.trace.Network.Cross.Std()
 }
 
-// give hands an event to a box's core; a frozen box gets it when it wakes.
-func (s *simulation) give(b *box, e routing.Event) {
+// reduce hands an event to a box's core; a frozen box gets it when it wakes.
+func (s *simulation) reduce(b *box, e routing.Event) {
 	if b.dead || b.router == nil {
 		return
 	}
 	if b.frozen {
-		b.held = append(b.held, e)
+		b.pendingEvents = append(b.pendingEvents, e)
 		return
 	}
 	b.effects.Reset()
 	b.router.Reduce(s.now, e, &b.effects)
 	for i := range b.effects.List {
-		s.carryOut(b, b.effects.List[i])
+		s.applyEffect(b, b.effects.List[i])
 	}
-	s.wake(b)
+	s.scheduleWake(b)
 }
 
-func (s *simulation) wake(b *box) {
+func (s *simulation) scheduleWake(b *box) {
 	if b.router == nil {
 		return
 	}
@@ -178,22 +178,22 @@
 	s.after(next.Sub(s.now), func() {
 		if b.wakeAt == next {
 			b.wakeAt = 0
-			s.give(b, &routing.Tick{})
+			s.reduce(b, &routing.Tick{})
 		}
 	})
 }
 
-func (s *simulation) carryOut(b *box, x routing.Effect) {
+func (s *simulation) applyEffect(b *box, x routing.Effect) {
 	switch x.Kind {
 	case routing.Send:
 		s.send(b, x)
 	case routing.Hold:
 		x.Owner.(*call).id = x.Call
-		s.result.count(s.counts(x.Owner.(*call).arrived), &s.result.Held)
+		s.result.incrementIf(s.isMeasured(x.Owner.(*call).arrived), &s.result.Held)
 	case routing.Refuse:
-		s.refused(x.Owner.(*call), x.Refusal)
+		s.recordRefused(x.Owner.(*call), x.Refusal)
 	case routing.Deliver:
-		s.delivered(x.Owner.(*call))
+		s.recordDelivered(x.Owner.(*call))
 	case routing.Cancel:
 		s.cancelAttempt(x)
 	case routing.Probe:
@@ -210,16 +210,16 @@
 	t := s.targets[x.Endpoint.Target]
 	j := &job{box: b, call: c, attempt: x.Attempt, endpoint: x.Endpoint, work: c.work, target: t}
 	c.jobs = append(c.jobs, j)
-	d := s.delay(b.domain, t.row.Domain)
+	d := s.networkDelay(b.domain, t.row.Domain)
 	if b.idle[t.row.Target] > 0 {
 		b.idle[t.row.Target]--
 	} else {
 		d += s.trace.Network.Connect.Std()
 	}
-	if s.counts(c.arrived) {
+	if s.isMeasured(c.arrived) {
 		s.result.Sends++
 	}
-	s.after(d, func() { s.arrive(t, j) })
+	s.after(d, func() { s.receiveJob(t, j) })
 }
 
 func (s *simulation) cancelAttempt(x routing.Effect) {
@@ -233,7 +233,7 @@
 func (s *simulation) probe(b *box, x routing.Effect) {
 	t := s.targets[x.Endpoint.Target]
 	j := &job{box: b, endpoint: x.Endpoint, work: s.trace.Network.Probe.Std(), probe: true, target: t}
-	s.after(s.delay(b.domain, t.row.Domain), func() { s.arrive(t, j) })
+	s.after(s.networkDelay(b.domain, t.row.Domain), func() { s.receiveJob(t, j) })
 }
 
 func (s *simulation) sendPeer(b *box, x routing.Effect) {
@@ -243,9 +243,9 @@
 	}
 	s.result.PeerMessages++
 	m := x.Loan
-	s.after(s.delay(b.domain, to.domain), func() {
+	s.after(s.networkDelay(b.domain, to.domain), func() {
 		if !to.cut {
-			s.give(to, &routing.PeerLoan{From: b.id, Message: m})
+			s.reduce(to, &routing.PeerLoan{From: b.id, Message: m})
 		}
 	})
 }
@@ -259,58 +259,58 @@
 	return nil
 }
 
-func (s *simulation) refused(c *call, r routing.Refusal) {
+func (s *simulation) recordRefused(c *call, r routing.Refusal) {
 	if c.ended {
 		return
 	}
 	c.ended = true
-	if s.counts(c.arrived) {
-		s.result.refuse(r.Reason.String(), s.now.Sub(c.arrived))
+	if s.isMeasured(c.arrived) {
+		s.result.addRefusal(r.Reason.String(), s.now.Sub(c.arrived))
 	}
 }
 
-func (s *simulation) delivered(c *call) {
+func (s *simulation) recordDelivered(c *call) {
 	if c.ended {
 		return
 	}
 	c.ended = true
-	if s.counts(c.arrived) {
-		s.result.answer(c.service.Name, s.now.Sub(c.arrived))
+	if s.isMeasured(c.arrived) {
+		s.result.addAnswer(c.service.Name, s.now.Sub(c.arrived))
 	}
-	if c.overload && s.burst[c.service.Name] > 1 {
-		s.useful += c.work
+	if c.duringOverload && s.loadFactor[c.service.Name] > 1 {
+		s.usefulWork += c.work
 	}
 }
 
-func (s *simulation) renew(b *box) {
+func (s *simulation) renewLease(b *box) {
 	if b.dead {
 		return
 	}
 	if !b.cut && !b.cutControl {
-		b.renewed = s.now
-		s.give(b, &routing.LeaseChanged{Until: s.now.Add(leaseTime)})
+		b.renewedAt = s.now
+		s.reduce(b, &routing.LeaseChanged{Until: s.now.Add(leaseTime)})
 	}
 	if !s.ended {
-		s.after(renewPeriod, func() { s.renew(b) })
+		s.after(renewPeriod, func() { s.renewLease(b) })
 	}
 }
 
-// giveTable lets a box have a table, unless it is cut off.
-func (s *simulation) giveTable(b *box, t *table.Table) {
-	s.give(b, &routing.TableChanged{Table: t})
+// updateTable lets a box have a table, unless it is cut off.
+func (s *simulation) updateTable(b *box, t *table.Table) {
+	s.reduce(b, &routing.TableChanged{Table: t})
 }
 
-// finish gathers what the targets and cores know.
-func (s *simulation) finish() {
+// computeResult gathers what the targets and cores know.
+func (s *simulation) computeResult() {
 	seconds := s.trace.end().Seconds()
-	for _, t := range s.order {
+	for _, t := range s.targetOrder {
 		spec := s.spec(t.row.Service)
 		over := 0
 		if s.variant.Limits {
 			over = max(0, t.peak-spec.Limit)
 		}
 		s.result.OverLimit = max(s.result.OverLimit, over)
-		share := t.probed.Seconds() / (float64(t.slots) * seconds) * 100
+		share := t.probeTime.Seconds() / (float64(t.slots) * seconds) * 100
 		s.result.ProbeShare = max(s.result.ProbeShare, share)
 	}
 	for _, b := range s.boxes {
@@ -321,14 +321,14 @@
 	}
 	s.result.WeightError = s.weightError()
 	s.result.Goodput = s.goodput()
-	s.result.close()
+	s.result.computeQuantiles()
 }
 
 // goodput is measured while an overload lasts, from the targets' own counts: the
 // slot time that answered calls took over all slot time.
 func (s *simulation) goodput() float64 {
-	if s.overload == 0 {
+	if s.overloadCapacity == 0 {
 		return 0
 	}
-	return 100 * s.useful.Seconds() / s.overload.Seconds()
+	return 100 * s.usefulWork.Seconds() / s.overloadCapacity.Seconds()
 }
--- a/pkg/replay/target.go
+++ b/pkg/replay/target.go
@@ -11,21 +11,21 @@
 
 // target is a stand-in target: slots, a queue, shedding, readings.
 type target struct {
-	row    table.Row
-	slots  int
-	queue  []*job
-	limit  int
-	busy   map[*job]bool
-	slow   float64
-	fails  bool
-	lies   bool
-	sheds  bool
-	frozen bool
+	row        table.Row
+	slots      int
+	queue      []*job
+	queueLimit int
+	busy       map[*job]bool
+	slow       float64
+	fails      bool
+	hidesLoad  bool
+	sheds      bool
+	frozen     bool
 	// peak is the most calls that were there at once.
 	peak int
-	// probed is the slot time that probes took.
-	probed time.Duration
-	runs   int
+	// probeTime is the slot time that probes took.
+	probeTime time.Duration
+	runs      int
 	// perSecond counts the runs of each second, for the shares.
 	perSecond map[int]int
 }
@@ -43,21 +43,21 @@
 	target   *target
 }
 
-// load is what the target says of itself.
-func (t *target) load() routing.Reading {
-	if t.lies {
+// reading is what the target says of itself.
+func (t *target) reading() routing.Reading {
+	if t.hidesLoad {
 		return routing.Reading{HasLoad: true}
 	}
 	return routing.Reading{HasLoad: true, InFlight: float64(len(t.busy) + len(t.queue))}
 }
 
-// arrive takes a job in, or sheds it.
-func (s *simulation) arrive(t *target, j *job) {
+// receiveJob takes a job in, or sheds it.
+func (s *simulation) receiveJob(t *target, j *job) {
 	if j.canceled {
 		return
 	}
 	present := len(t.busy) + len(t.queue)
-	if t.sheds || present >= t.slots+t.limit {
+	if t.sheds || present >= t.slots+t.queueLimit {
 		s.reply(t, j, routing.Shed)
 		return
 	}
@@ -65,22 +65,22 @@
 		t.peak = max(t.peak, present+1)
 	}
 	if len(t.busy) < t.slots {
-		s.begin(t, j)
+		s.startJob(t, j)
 		return
 	}
 	t.queue = append(t.queue, j)
 }
 
-func (s *simulation) begin(t *target, j *job) {
+func (s *simulation) startJob(t *target, j *job) {
 	t.busy[j] = true
 	if j.probe {
-		t.probed += s.trace.Network.Probe.Std()
+		t.probeTime += s.trace.Network.Probe.Std()
 	} else {
 		t.runs++
 		t.perSecond[int(s.now/units.Instant(time.Second))]++
 	}
 	if t.fails {
-		s.after(failTime, func() { s.complete(t, j, routing.Failed) })
+		s.after(failureDelay, func() { s.complete(t, j, routing.Failed) })
 		return
 	}
 	if t.frozen {
@@ -89,52 +89,52 @@
 	s.after(time.Duration(float64(j.work)*t.slow), func() { s.complete(t, j, routing.Answered) })
 }
 
-// failTime is how quickly a failing target answers.
-const failTime = 200 * time.Microsecond
+// failureDelay is how quickly a failing target answers.
+const failureDelay = 200 * time.Microsecond
 
 func (s *simulation) complete(t *target, j *job, result routing.AttemptResult) {
 	if !t.busy[j] {
 		return
 	}
-	s.leave(t, j)
+	s.freeSlot(t, j)
 	s.reply(t, j, result)
 }
 
-// leave frees the job's slot for the next one.
-func (s *simulation) leave(t *target, j *job) {
+// freeSlot frees the job's slot for the next one.
+func (s *simulation) freeSlot(t *target, j *job) {
 	delete(t.busy, j)
 	for len(t.queue) > 0 && len(t.busy) < t.slots {
 		next := t.queue[0]
 		t.queue = t.queue[1:]
-		s.begin(t, next)
+		s.startJob(t, next)
 	}
 }
 
 // reply sends a job's end back to its box.
 func (s *simulation) reply(t *target, j *job, result routing.AttemptResult) {
-	reading := t.load()
-	s.after(s.delay(t.row.Domain, j.box.domain), func() {
+	reading := t.reading()
+	s.after(s.networkDelay(t.row.Domain, j.box.domain), func() {
 		j.done = true
 		if j.probe {
-			s.give(j.box, &routing.ProbeEnded{Target: j.endpoint, Healthy: result == routing.Answered, Reading: reading})
+			s.reduce(j.box, &routing.ProbeEnded{Target: j.endpoint, Healthy: result == routing.Answered, Reading: reading})
 			return
 		}
 		j.box.idle[t.row.Target]++
-		s.give(j.box, &routing.AttemptEnded{Call: j.call.id, Attempt: j.attempt, Result: result, Reading: reading})
+		s.reduce(j.box, &routing.AttemptEnded{Call: j.call.id, Attempt: j.attempt, Result: result, Reading: reading})
 	})
 }
 
 // cancel takes a job away once the word has reached the target.
 func (s *simulation) cancel(j *job) {
 	t := j.target
-	s.after(s.delay(t.row.Domain, j.box.domain), func() {
+	s.after(s.networkDelay(t.row.Domain, j.box.domain), func() {
 		if j.done || j.canceled {
 			return
 		}
 		j.canceled = true
 		t.queue = slices.DeleteFunc(t.queue, func(o *job) bool { return o == j })
 		if t.busy[j] {
-			s.leave(t, j)
+			s.freeSlot(t, j)
 		}
 	})
 }
--- a/pkg/replay/trace.go
+++ b/pkg/replay/trace.go
@@ -34,9 +34,9 @@
 	Services []Service       `json:"services"`
 	Events   []Event         `json:"events"`
 	// BusyBoxes get BusyShare of all calls; the rest is spread evenly.
-	BusyBoxes int     `json:"busyBoxes"`
-	BusyShare float64 `json:"busyShare"`
-	Outcomes  []Bound `json:"outcomes"`
+	BusyBoxes int            `json:"busyBoxes"`
+	BusyShare float64        `json:"busyShare"`
+	Outcomes  []OutcomeBound `json:"outcomes"`
 }
 
 // Network is how long a message takes one way.
@@ -85,9 +85,9 @@
 	Weights []int           `json:"weights"`
 }
 
-// Bound is a stated outcome: a measure of one variant is at most Max and at
+// OutcomeBound is a stated outcome: a measure of one variant is at most Max and at
 // least Min.
-type Bound struct {
+type OutcomeBound struct {
 	Variant string   `json:"variant"`
 	Measure string   `json:"measure"`
 	Max     *float64 `json:"max"`
