--- a/pkg/replay/arrivals.go
+++ b/pkg/replay/arrivals.go
@@ -6,10 +6,10 @@
 	"github.com/madderpond/madderpond/pkg/core/routing"
 )
 
-// arrivalHandler takes a call that comes to a box.
+// arrivalHandler handles a call that arrives at a box, with its service and the time that it runs.
 type arrivalHandler func(box int, spec *Service, work time.Duration)
 
-// scheduleArrival brings about a service's next call, and all that follow.
+// scheduleArrival schedules a service's next call; each arrival schedules the following one.
 func (s *simulation) scheduleArrival(spec *Service, arrive arrivalHandler) {
 	gap := s.arrivals.ExpFloat64() / (spec.callRate() * max(1, s.loadFactor[spec.Name]))
 	s.after(time.Duration(gap*float64(time.Second)), func() {
@@ -23,12 +23,13 @@
 	})
 }
 
-// callRate is how many calls a second come.
+// callRate is the service's offered load in calls a second.
 func (v *Service) callRate() float64 {
 	return v.Load * float64(v.Targets*v.Slots) / v.Mean.Std().Seconds()
 }
 
-// pickBox is the platform's balancer, which learns late of boxes that are gone.
+// pickBox chooses the box of a call as the platform's load balancer does, which excludes boxes
+// that are gone only after a delay.
 func (s *simulation) pickBox() int {
 	if s.trace.BusyBoxes > 0 && s.arrivals.Float64() < s.trace.BusyShare {
 		return s.arrivals.IntN(s.trace.BusyBoxes)
@@ -41,11 +42,11 @@
 	}
 }
 
-// readinessCheckPeriod is how often the platform asks the boxes whether they are ready; it
-// acts on what it saw one period later.
+// readinessCheckPeriod is the interval of the platform's readiness checks; the load balancer
+// applies their results one period later.
 const readinessCheckPeriod = 500 * time.Millisecond
 
-// checkReadiness is the platform's balancer learning, late, which boxes are ready.
+// checkReadiness updates, after a delay, the boxes that the platform's load balancer excludes.
 func (s *simulation) checkReadiness() {
 	for _, b := range s.boxes {
 		stale := s.now.Sub(b.renewedAt) > leaseTime/2
@@ -57,7 +58,7 @@
 	}
 }
 
-// mayExcludeBox keeps the balancer from having nowhere to send calls.
+// mayExcludeBox reports whether another box remains, so that the load balancer never excludes all.
 func (s *simulation) mayExcludeBox() bool {
 	n := 0
 	for _, b := range s.boxes {
@@ -75,7 +76,7 @@
 		s.result.Offered++
 	}
 	if b.dead {
-		// A caller that finds a box dead is no matter of the routing.
+		// Routing has no part in a call to a dead box.
 		if counted {
 			s.result.addRefusal("dead-box", 0)
 		}
--- a/pkg/replay/events.go
+++ b/pkg/replay/events.go
@@ -9,8 +9,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// eventKinds are the kinds of event that a trace can name, with what begins and
-// what ends each.
+// eventKinds maps each kind of event of a trace to the functions that start and end it; end is nil for
+// events that last.
 var eventKinds = map[string]struct {
 	begin func(*simulation, Event)
 	end   func(*simulation, Event)
@@ -31,7 +31,7 @@
 	"cut-box":     {func(s *simulation, e Event) { s.boxes[e.Box].cut = true; s.delistBoxIfLeaseExpires(e) }, func(s *simulation, e Event) { s.reconnectBox(e.Box) }},
 }
 
-// startEvent brings an event about, and its end when it has one.
+// startEvent starts an event and schedules its end, if it has one.
 func (s *simulation) startEvent(e Event) {
 	h := eventKinds[e.Kind]
 	h.begin(s, e)
@@ -40,8 +40,8 @@
 	}
 }
 
-// beginBurst raises a service's load; where that is more than its slots can do,
-// the slot time of the burst is what the goodput is compared with.
+// beginBurst raises a service's load. If that exceeds the capacity of its slots, the slot time of
+// the burst is added to the capacity that the goodput is measured against.
 func (s *simulation) beginBurst(e Event) {
 	s.loadFactor[e.Service] = e.Factor
 	if spec := s.spec(e.Service); e.Factor*spec.Load > 1 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// eachTarget calls f for the targets that an event names.
+// eachTarget calls f for the targets that an event selects.
 func (s *simulation) eachTarget(e Event, f func(*target)) {
 	for _, t := range s.targetOrder {
 		if e.Service != "" && t.row.Service != e.Service || e.Domain != "" && t.row.Domain != e.Domain {
@@ -62,7 +62,7 @@
 	}
 }
 
-// indexOf is a target's place among its service's targets.
+// indexOf returns a target's index among its service's targets, or -1.
 func (s *simulation) indexOf(t *target) int {
 	k := 0
 	for _, o := range s.targetOrder {
@@ -83,8 +83,7 @@
 	}
 }
 
-// busyJobs returns a target's jobs in an order that doesn't change from run to
-// run.
+// busyJobs returns a target's running jobs in an order that is the same in every run.
 func (s *simulation) busyJobs(t *target) []*job {
 	jobs := make([]*job, 0, len(t.busy))
 	for j := range t.busy {
@@ -99,8 +98,8 @@
 	return jobs
 }
 
-// editRows changes rows of a service by an accepted edit, which reaches the
-// boxes a little later.
+// editRows changes the selected rows of a service in an accepted edit, which reaches the boxes
+// after editDelay.
 func (s *simulation) editRows(e Event, change func(*table.Row, int)) {
 	old := s.table.Services[e.Service]
 	entry := &table.Entry{Service: old.Service, Version: old.Version + 1, Rows: old.Rows}
@@ -114,7 +113,8 @@
 	s.publish(&table.Delta{Changed: []*table.Entry{entry}})
 }
 
-// publish accepts a change and sends it to every box.
+// publish applies a change to the table and sends the new table to every connected box after
+// editDelay.
 func (s *simulation) publish(d *table.Delta) {
 	d.From, d.Revision = s.table.Revision, s.table.Revision+1
 	s.table, _ = s.table.Patch(d)
@@ -128,12 +128,12 @@
 	}
 }
 
-// delistBox takes a lost box off the list once its lease has run out.
+// delistBox removes a lost box from the table once its lease has expired.
 func (s *simulation) delistBox(i int) {
 	s.after(boxLossDelay, func() { s.publishBoxes(func(id units.BoxID) bool { return id != s.boxes[i].id }) })
 }
 
-// delistBoxIfLeaseExpires does so when the box will be silent for long enough.
+// delistBoxIfLeaseExpires removes a box from the table if the event outlasts the box's lease.
 func (s *simulation) delistBoxIfLeaseExpires(e Event) {
 	if e.For == 0 || e.For.Std() > boxLossDelay {
 		s.delistBox(e.Box)
@@ -164,14 +164,14 @@
 	s.reconnectBox(i)
 }
 
-// reconnectBox lets a box that was silent have the present table and its place.
+// reconnectBox reconnects a box to the control state and adds it to the table's boxes again.
 func (s *simulation) reconnectBox(i int) {
 	s.boxes[i].cut, s.boxes[i].cutControl = false, false
 	s.publishBoxes(func(units.BoxID) bool { return true })
 	s.scheduleWake(s.boxes[i])
 }
 
-// recordEntries remembers the services' rows at the beginning of each second.
+// recordEntries records the services' rows at the beginning of each second.
 func (s *simulation) recordEntries() {
 	s.entriesBySecond[int(s.now/units.Instant(time.Second))] = s.table.Services
 	if !s.ended {
@@ -179,17 +179,17 @@
 	}
 }
 
-// weightError is the greatest difference between a target's part of its
-// service's calls in a second and its part of the weights, in points, over the
-// seconds in which the weights didn't change.
+// weightError returns the greatest difference between a target's fraction of its service's calls in
+// a second and its fraction of the weights, in percentage points, over the seconds in which the
+// weights didn't change.
 func (s *simulation) weightError() float64 {
 	worst := 0.0
 	first := int((startInstant + units.Instant(s.trace.warmup())) / units.Instant(time.Second))
 	last := int((startInstant + units.Instant(s.trace.end())) / units.Instant(time.Second))
 	for second := first; second < last; second++ {
 		for _, n := range s.table.ServiceNames() {
-			// The second before must have had the same rows too, since an edit takes
-			// a moment to reach the boxes.
+			// The previous second must have the same rows, since an edit reaches the
+			// boxes after editDelay.
 			entry := s.entriesBySecond[second-1][n]
 			if entry == s.entriesBySecond[second][n] && entry == s.entriesBySecond[second+1][n] {
 				worst = max(worst, s.weightErrorAt(entry, second))
@@ -212,12 +212,12 @@
 	}
 	worst := 0.0
 	for r := range entry.Rows.All() {
-		part := float64(s.targets[r.Target].perSecond[second]) / float64(runs)
+		fraction := float64(s.targets[r.Target].perSecond[second]) / float64(runs)
 		want := 0.0
 		if r.State == table.Active {
 			want = float64(r.Weight) / float64(weights)
 		}
-		worst = max(worst, 100*max(part-want, want-part))
+		worst = max(worst, 100*max(fraction-want, want-fraction))
 	}
 	return worst
 }
--- a/pkg/replay/oracle.go
+++ b/pkg/replay/oracle.go
@@ -9,9 +9,9 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// runOracle answers the same calls with one queue a service and perfect
-// knowledge at no delay: a call starts the moment a slot is free, on the target
-// that will end it first, and pays the network both ways.
+// runOracle runs the same calls with one queue per service and perfect knowledge without delay: a
+// call starts as soon as a slot is free, on the target that finishes it first, and its latency
+// includes the network delay in both directions.
 func runOracle(t *Trace) *Result {
 	s := &simulation{
 		trace: t, now: startInstant, arrivals: rand.New(rand.NewPCG(t.Seed, 1)),
@@ -52,7 +52,7 @@
 	queues map[units.ServiceName][]*call
 }
 
-// receiveCall puts a call at the end of its service's queue.
+// receiveCall appends a call to its service's queue.
 func (o *oracle) receiveCall(i int, spec *Service, work time.Duration) {
 	c := &call{service: spec, arrived: o.now, work: work, box: o.boxes[i]}
 	if o.isMeasured(o.now) {
@@ -62,7 +62,7 @@
 	o.startQueued(spec.Name)
 }
 
-// startQueued starts waiting calls while there are free slots.
+// startQueued starts queued calls while slots are free.
 func (o *oracle) startQueued(service units.ServiceName) {
 	for len(o.queues[service]) > 0 {
 		c := o.queues[service][0]
@@ -89,7 +89,7 @@
 	o.startQueued(c.service.Name)
 }
 
-// fastestTarget is the free target that ends the call first.
+// fastestTarget returns the target with a free slot that finishes the call first, or nil.
 func (o *oracle) fastestTarget(c *call) *target {
 	var best *target
 	var bestTime time.Duration
@@ -105,7 +105,7 @@
 	return best
 }
 
-// usable tells whether the oracle would send anything there.
+// usable reports whether the oracle may send calls to the target.
 func (t *target) usable() bool {
 	return t.row.State.String() == "active" && t.row.Weight > 0 && !t.fails && !t.sheds && !t.frozen
 }
--- a/pkg/replay/replay_test.go
+++ b/pkg/replay/replay_test.go
@@ -24,13 +24,13 @@
 		t.Fatal(err)
 	}
 	if len(traces) == 0 {
-		t.Fatal("there are no traces")
+		t.Fatal("no traces were found")
 	}
 	for _, trace := range traces {
 		t.Run(trace.Name, func(t *testing.T) {
 			t.Parallel()
 			if len(trace.Outcomes) == 0 {
-				t.Fatal("the trace states no outcome")
+				t.Fatal("the trace has no expected outcome")
 			}
 			results := map[string]*Result{"oracle": run(t, trace, "oracle"), "product": run(t, trace, "product")}
 			if results["product"].Answered == 0 {
@@ -64,7 +64,7 @@
 	}}
 	results := map[string]*Result{"product": {P99: 10}, "oracle": {P99: 1}}
 	if missed := CheckOutcomes(trace, results); len(missed) != len(trace.Outcomes) {
-		t.Fatalf("of %d missed outcomes these were named: %q", len(trace.Outcomes), missed)
+		t.Fatalf("of %d missed outcomes, these were reported: %q", len(trace.Outcomes), missed)
 	}
 }
 
@@ -77,7 +77,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			if _, err := ParseTrace([]byte(s.text), "here"); err == nil {
-				t.Fatal("it was taken")
+				t.Fatal("the invalid trace was accepted")
 			}
 		})
 	}
--- a/pkg/replay/report.go
+++ b/pkg/replay/report.go
@@ -10,17 +10,18 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Report is the results of a set of traces, by trace and variant.
+// Report holds the results of a set of traces, by trace name and variant name.
 type Report struct {
 	Traces  []*Trace
 	Results map[string]map[string]*Result
 }
 
-// reportHeader are the columns of a report.
+// reportHeader lists the columns of a report.
 var reportHeader = []string{"trace", "variant", "offered", "answered", "refused %", "p50 ms", "p99 ms", "p99.9 ms",
 	"p99 / oracle", "p99.9 / oracle", "extra sends %", "hedges", "probe %", "over limit", "weight error", "peer messages"}
 
-// each calls f for every result in order.
+// each calls f for every result with the oracle's result of the same trace, in order of traces and
+// variants.
 func (r *Report) each(f func(x, oracle *Result)) {
 	for _, t := range r.Traces {
 		results := r.Results[t.Name]
@@ -43,7 +44,7 @@
 	}
 }
 
-// Text returns the report for a terminal.
+// Text formats the report for a terminal.
 func (r *Report) Text() string {
 	var b strings.Builder
 	format := "%-26s %-16s %8s %8s %8s %8s %8s %8s %7s %7s %7s %7s %7s %5s %6s %8s\n"
@@ -59,7 +60,7 @@
 	return b.String()
 }
 
-// Page returns the report as a page, with the plot when there is one.
+// Page formats the report as a Markdown page; it includes the plot unless plotFile is empty.
 func (r *Report) Page(plotFile string) string {
 	var b strings.Builder
 	b.WriteString("# Replay: each trace with each way of routing\n\n")
@@ -73,7 +74,7 @@
 	return b.String()
 }
 
-// Missed returns the stated outcomes that were missed.
+// Missed describes the expected outcomes that the results miss.
 func (r *Report) Missed() []string {
 	var missed []string
 	for _, t := range r.Traces {
@@ -82,7 +83,7 @@
 	return missed
 }
 
-// Draw writes a plot of each variant's p99 over the oracle's.
+// Draw writes a plot of the ratio of each variant's p99 to the oracle's to a file.
 func (r *Report) Draw(file string) error {
 	p := plot.New()
 	p.Title.Text = "p99 over the oracle's, by trace"
--- a/pkg/replay/result.go
+++ b/pkg/replay/result.go
@@ -9,7 +9,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Result is what came of a trace with a variant.
+// Result is the outcome of replaying a trace with a variant.
 type Result struct {
 	Trace    string         `json:"trace"`
 	Variant  string         `json:"variant"`
@@ -20,29 +20,28 @@
 	Refused  map[string]int `json:"refused"`
 	Hedges   uint64         `json:"hedges"`
 	Retries  uint64         `json:"retries"`
-	// OverLimit is by how many calls a target's limit was exceeded at the worst.
+	// OverLimit is the greatest number of calls by which a target's limit was exceeded.
 	OverLimit int `json:"overLimit"`
-	// ProbeShare is the greatest part of a target's capacity that probes took, in
-	// percent.
+	// ProbeShare is the greatest share of a target's capacity that probes used, in percent.
 	ProbeShare   float64 `json:"probeShare"`
 	PeerMessages int     `json:"peerMessages"`
 	WeightError  float64 `json:"weightError"`
-	// P50 to P999 are over all services, in milliseconds.
+	// P50 to P999 are latency quantiles over all services, in milliseconds.
 	P50  float64 `json:"p50"`
 	P99  float64 `json:"p99"`
 	P999 float64 `json:"p999"`
 	// Services holds each service's own quantiles.
 	Services map[units.ServiceName]Quantiles `json:"services"`
-	// Goodput is the calls answered over the work that all slots could do in the
-	// same time, in percent; in an overload it says how much of it is left.
+	// Goodput is the work of answered calls divided by the capacity of the slots during overloads, in
+	// percent; zero without an overload.
 	Goodput float64 `json:"goodput"`
-	// RefusalP99 is how long a refused caller waited to hear it, in milliseconds.
+	// RefusalP99 is the p99 of the time from a call's arrival to its refusal, in milliseconds.
 	RefusalP99 float64 `json:"refusalP99"`
 	refusals   []time.Duration
 	latencies  map[units.ServiceName][]time.Duration
 }
 
-// Quantiles are of one service, in milliseconds.
+// Quantiles are the latency quantiles of one service, in milliseconds.
 type Quantiles struct {
 	P50  float64 `json:"p50"`
 	P99  float64 `json:"p99"`
@@ -53,12 +52,12 @@
 	return Quantiles{P50: quantile(sorted, 0.5), P99: quantile(sorted, 0.99), P999: quantile(sorted, 0.999)}
 }
 
-// RatioP99 is the greatest of the services' P99 over the oracle's.
+// RatioP99 returns the greatest ratio of a service's P99 to the oracle's.
 func (r *Result) RatioP99(oracle *Result) float64 {
 	return r.worstRatio(oracle, func(q Quantiles) float64 { return q.P99 })
 }
 
-// RatioP999 is RatioP99 for P999.
+// RatioP999 returns the greatest ratio of a service's P999 to the oracle's.
 func (r *Result) RatioP999(oracle *Result) float64 {
 	return r.worstRatio(oracle, func(q Quantiles) float64 { return q.P999 })
 }
@@ -96,7 +95,7 @@
 	r.latencies[service] = append(r.latencies[service], took)
 }
 
-// computeQuantiles works out the quantiles.
+// computeQuantiles computes the quantiles and discards the samples.
 func (r *Result) computeQuantiles() {
 	var all []time.Duration
 	for n, l := range r.latencies {
@@ -111,7 +110,7 @@
 	r.latencies, r.refusals = nil, nil
 }
 
-// quantile is in milliseconds.
+// quantile returns the q-quantile of sorted durations, in milliseconds; zero for none.
 func quantile(sorted []time.Duration, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
@@ -120,7 +119,7 @@
 	return float64(sorted[i].Microseconds()) / 1000
 }
 
-// RefusedTotal is the number of refused calls.
+// RefusedTotal returns the number of refused calls.
 func (r *Result) RefusedTotal() int {
 	n := 0
 	for _, k := range r.Refused {
@@ -129,7 +128,7 @@
 	return n
 }
 
-// ExtraShare is the sends beyond each offered call's first, in percent.
+// ExtraShare returns the sends beyond one per offered call, in percent of the offered calls.
 func (r *Result) ExtraShare() float64 {
 	if r.Offered == 0 {
 		return 0
@@ -137,8 +136,8 @@
 	return 100 * float64(r.Sends-r.Offered) / float64(r.Offered)
 }
 
-// measures are what a stated outcome can name. Those on the oracle compare with
-// its result in the same run.
+// measures are the measures that an expected outcome can use. Those relative to the oracle compare
+// with its result on the same trace.
 var measures = map[string]func(r, oracle *Result) float64{
 	"p99":             func(r, _ *Result) float64 { return r.P99 },
 	"p999":            func(r, _ *Result) float64 { return r.P999 },
@@ -153,8 +152,7 @@
 	"weight-error":    func(r, _ *Result) float64 { return r.WeightError },
 }
 
-// Measure returns a measure of a result by its name; ok is false when there is
-// no such measure.
+// Measure returns a measure of a result by name; ok is false for an unknown name.
 func Measure(name string, r, oracle *Result) (value float64, ok bool) {
 	f := measures[name]
 	if f == nil {
@@ -163,7 +161,7 @@
 	return f(r, oracle), true
 }
 
-// MeasureNames lists the measures.
+// MeasureNames returns the sorted names of the measures.
 func MeasureNames() []string {
 	names := make([]string, 0, len(measures))
 	for n := range measures {
@@ -173,7 +171,7 @@
 	return names
 }
 
-// CheckOutcomes returns the stated outcomes of a trace that its results miss.
+// CheckOutcomes describes the expected outcomes of a trace that its results miss.
 func CheckOutcomes(t *Trace, results map[string]*Result) []string {
 	var missed []string
 	oracle := results["oracle"]
--- a/pkg/replay/setup.go
+++ b/pkg/replay/setup.go
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// makeTable is the table at the beginning.
+// makeTable returns the initial table.
 func (s *simulation) makeTable() *table.Table {
 	t := table.NewTable()
 	t.Revision = 1
--- a/pkg/replay/simulation.go
+++ b/pkg/replay/simulation.go
@@ -24,11 +24,11 @@
 	targetOrder []*target
 	table       *table.Table
 	loadFactor  map[units.ServiceName]float64
-	// usefulWork is the work of answered calls that arrived during an overload, and
-	// overload the slot time of that span.
+	// usefulWork is the work of the calls that arrived and were answered during overloads, and
+	// overloadCapacity the slot time of the overloads.
 	usefulWork       time.Duration
 	overloadCapacity time.Duration
-	// entriesBySecond are the services' rows at the beginning of each second.
+	// entriesBySecond holds the services' rows at the beginning of each second, by second.
 	entriesBySecond map[int]map[units.ServiceName]*table.Entry
 	result          Result
 	ended           bool
@@ -40,28 +40,28 @@
 	run      func()
 }
 
-// box is a real core with what it met.
+// box is a real routing core with its simulated environment.
 type box struct {
 	id      units.BoxID
 	domain  units.Domain
 	router  *routing.Router
 	effects routing.Effects
-	// idle counts its idle connections to each target.
+	// idle counts the idle connections to each target.
 	idle   map[units.TargetID]int
 	dead   bool
 	frozen bool
 	cut    bool
-	// cutControl is set while only the control state can't reach the box.
+	// cutControl is set while the box is cut off only from the control state.
 	cutControl    bool
 	pendingEvents []routing.Event
 	wakeAt        units.Instant
-	// renewedAt is when the lease was last renewedAt.
+	// renewedAt is when the box's lease was last renewed.
 	renewedAt units.Instant
-	// excluded is set while the platform's balancer sends nothing here.
+	// excluded is set while the platform's load balancer sends no calls to the box.
 	excluded bool
 }
 
-// call is a caller's call.
+// call is a caller's call with its sends.
 type call struct {
 	id      routing.CallID
 	service *Service
@@ -71,28 +71,28 @@
 	sends   int
 	ended   bool
 	box     *box
-	// duringOverload is set when the call came during an duringOverload.
+	// duringOverload is set if the call arrived during an overload.
 	duringOverload bool
 }
 
-// startInstant keeps the zero instant free.
+// startInstant is the instant at which a simulation starts; the zero instant means unset.
 const startInstant = units.Instant(time.Second)
 
-// The control state's part in a replay: what it promises the boxes.
+// The simulated control state's timing.
 const (
 	leaseTime   = 2 * time.Second
 	renewPeriod = 250 * time.Millisecond
 	shareDelay  = 2500 * time.Millisecond
-	// settleTime passes before the first call, as a box isn't ready before its
-	// shares have settled.
+	// settleTime is the time before the first call: a box isn't ready until its shares have
+	// taken effect.
 	settleTime = shareDelay + 100*time.Millisecond
 	// editDelay is how long an accepted edit takes to reach a box.
 	editDelay = 20 * time.Millisecond
-	// boxLossDelay is when the list of boxes lacks a box that was lost.
+	// boxLossDelay is how long after its loss a box is removed from the table.
 	boxLossDelay = leaseTime + 500*time.Millisecond
 )
 
-// Run replays a trace with a variant.
+// Run replays a trace with a variant. The error is that of an invalid routing setting.
 func Run(t *Trace, v Variant) (*Result, error) {
 	if v.Policy == "" {
 		return runOracle(t), nil
@@ -134,10 +134,10 @@
 	}
 }
 
-// drainTime lets the last calls end.
+// drainTime is the time after the end of a trace in which remaining calls may finish.
 const drainTime = 2 * time.Second
 
-// isMeasured tells whether what began at a time is counted.
+// isMeasured reports whether an instant is in the measured part of the trace.
 func (s *simulation) isMeasured(at units.Instant) bool {
 	return at >= startInstant.Add(s.trace.warmup()) && at < startInstant.Add(s.trace.end())
 }
@@ -149,7 +149,7 @@
 	return s.trace.Network.Cross.Std()
 }
 
-// reduce hands an event to a box's core; a frozen box gets it when it wakes.
+// reduce passes an event to a box's core and applies the effects; a frozen box gets it when it is unfrozen.
 func (s *simulation) reduce(b *box, e routing.Event) {
 	if b.dead || b.router == nil {
 		return
@@ -295,12 +295,12 @@
 	}
 }
 
-// updateTable lets a box have a table, unless it is cut off.
+// updateTable passes a table to a box's core.
 func (s *simulation) updateTable(b *box, t *table.Table) {
 	s.reduce(b, &routing.TableChanged{Table: t})
 }
 
-// computeResult gathers what the targets and cores know.
+// computeResult computes the result from the state of the targets and the cores.
 func (s *simulation) computeResult() {
 	seconds := s.trace.end().Seconds()
 	for _, t := range s.targetOrder {
@@ -324,8 +324,8 @@
 	s.result.computeQuantiles()
 }
 
-// goodput is measured while an overload lasts, from the targets' own counts: the
-// slot time that answered calls took over all slot time.
+// goodput returns the work of the calls answered during overloads divided by the slot time of the
+// overloads, in percent; zero without an overload.
 func (s *simulation) goodput() float64 {
 	if s.overloadCapacity == 0 {
 		return 0
--- a/pkg/replay/target.go
+++ b/pkg/replay/target.go
@@ -9,7 +9,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// target is a stand-in target: slots, a queue, shedding, readings.
+// target is a simulated target with slots, a bounded queue, shedding and load readings.
 type target struct {
 	row        table.Row
 	slots      int
@@ -21,16 +21,16 @@
 	hidesLoad  bool
 	sheds      bool
 	frozen     bool
-	// peak is the most calls that were there at once.
+	// peak is the highest number of jobs present when a call was accepted.
 	peak int
-	// probeTime is the slot time that probes took.
+	// probeTime is the slot time that probes used.
 	probeTime time.Duration
 	runs      int
-	// perSecond counts the runs of each second, for the shares.
+	// perSecond counts the calls started in each second; weightError uses it.
 	perSecond map[int]int
 }
 
-// job is a send or a probe on its way through a target.
+// job is a call attempt or a probe at a target.
 type job struct {
 	box      *box
 	call     *call
@@ -43,7 +43,7 @@
 	target   *target
 }
 
-// reading is what the target says of itself.
+// reading returns the load that the target reports.
 func (t *target) reading() routing.Reading {
 	if t.hidesLoad {
 		return routing.Reading{HasLoad: true}
@@ -51,7 +51,7 @@
 	return routing.Reading{HasLoad: true, InFlight: float64(len(t.busy) + len(t.queue))}
 }
 
-// receiveJob takes a job in, or sheds it.
+// receiveJob starts, queues or sheds a job that reaches a target.
 func (s *simulation) receiveJob(t *target, j *job) {
 	if j.canceled {
 		return
@@ -89,7 +89,7 @@
 	s.after(time.Duration(float64(j.work)*t.slow), func() { s.complete(t, j, routing.Answered) })
 }
 
-// failureDelay is how quickly a failing target answers.
+// failureDelay is the time in which a failing target answers.
 const failureDelay = 200 * time.Microsecond
 
 func (s *simulation) complete(t *target, j *job, result routing.AttemptResult) {
@@ -100,7 +100,7 @@
 	s.reply(t, j, result)
 }
 
-// freeSlot frees the job's slot for the next one.
+// freeSlot frees a job's slot and starts queued jobs.
 func (s *simulation) freeSlot(t *target, j *job) {
 	delete(t.busy, j)
 	for len(t.queue) > 0 && len(t.busy) < t.slots {
@@ -110,7 +110,7 @@
 	}
 }
 
-// reply sends a job's end back to its box.
+// reply sends a job's result back to its box.
 func (s *simulation) reply(t *target, j *job, result routing.AttemptResult) {
 	reading := t.reading()
 	s.after(s.networkDelay(t.row.Domain, j.box.domain), func() {
@@ -124,7 +124,7 @@
 	})
 }
 
-// cancel takes a job away once the word has reached the target.
+// cancel removes a job from its target after the network delay.
 func (s *simulation) cancel(j *job) {
 	t := j.target
 	s.after(s.networkDelay(t.row.Domain, j.box.domain), func() {
--- a/pkg/replay/trace.go
+++ b/pkg/replay/trace.go
@@ -1,7 +1,6 @@
-// Package replay runs recorded traces through the real cores of all boxes in
-// virtual time. Around the cores stand small fakes of what they meet: targets of
-// a few slots, a network of fixed delays, a control state that hands out tables
-// and leases. The same trace and seed give the same figures to the digit.
+// Package replay runs recorded traces through the real routing cores of all boxes in virtual time.
+// Their environment is simulated: targets with a few slots, a network with fixed delays, and a control
+// state that distributes tables and leases. The same trace and seed give exactly the same figures.
 package replay
 
 import (
@@ -19,13 +18,13 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Trace is a recorded course of events with its stated outcomes.
+// Trace describes a workload, the events during it and the expected outcomes.
 type Trace struct {
 	Name string `json:"name"`
-	// About says what the trace is for.
+	// About is the purpose of the trace.
 	About string `json:"about"`
 	Seed  uint64 `json:"seed"`
-	// Warmup passes before anything is counted; Duration follows it.
+	// Warmup is the time before anything is measured; Duration is the measured time after it.
 	Warmup   config.Duration `json:"warmup"`
 	Duration config.Duration `json:"duration"`
 	Domains  []units.Domain  `json:"domains"`
@@ -33,32 +32,33 @@
 	Network  Network         `json:"network"`
 	Services []Service       `json:"services"`
 	Events   []Event         `json:"events"`
-	// BusyBoxes get BusyShare of all calls; the rest is spread evenly.
+	// BusyBoxes is the number of boxes that get the fraction BusyShare of all calls; the rest is spread
+	// evenly over all boxes.
 	BusyBoxes int            `json:"busyBoxes"`
 	BusyShare float64        `json:"busyShare"`
 	Outcomes  []OutcomeBound `json:"outcomes"`
 }
 
-// Network is how long a message takes one way.
+// Network holds the one-way delays of messages: Same within a domain, Cross between domains.
 type Network struct {
 	Same  config.Duration `json:"same"`
 	Cross config.Duration `json:"cross"`
-	// Connect is what opening a connection costs.
+	// Connect is the additional delay of opening a connection.
 	Connect config.Duration `json:"connect"`
-	// Probe is how long a probe keeps a slot busy.
+	// Probe is how long a probe occupies a slot.
 	Probe config.Duration `json:"probe"`
 }
 
-// Service is a service with its targets and its load.
+// Service describes a service, its targets and its load.
 type Service struct {
 	Name    units.ServiceName `json:"name"`
 	Work    string            `json:"work"`
 	Targets int               `json:"targets"`
 	Slots   int               `json:"slots"`
 	Queue   int               `json:"queue"`
-	// Mean is how long a call takes on average; times are exponential.
+	// Mean is the mean duration of a call; durations are exponentially distributed.
 	Mean config.Duration `json:"mean"`
-	// Load is the offered load as a part of the capacity of all slots.
+	// Load is the offered load as a fraction of the capacity of all slots.
 	Load float64 `json:"load"`
 	// Limit is max_in_flight of each row.
 	Limit         int             `json:"limit"`
@@ -68,25 +68,25 @@
 	MeasureBudget float64         `json:"measureBudget"`
 }
 
-// Event is something that happens during a trace.
+// Event is a fault or a change during a trace.
 type Event struct {
-	// At counts from the end of the warmup.
+	// At is the time of the event after the end of the warmup.
 	At   config.Duration `json:"at"`
 	Kind string          `json:"kind"`
-	// Service and Targets name targets; no targets means all in Domain, or all.
+	// Service, Targets (indexes within the service) and Domain select targets; an empty one doesn't
+	// restrict the selection.
 	Service units.ServiceName `json:"service"`
 	Targets []int             `json:"targets"`
 	Domain  units.Domain      `json:"domain"`
-	// Factor is what a slow target's times, or a burst's load, are multiplied by.
+	// Factor multiplies the durations of a slow target or the load of a burst.
 	Factor float64 `json:"factor"`
 	Box    int     `json:"box"`
-	// For is how long it lasts; zero means to the end.
+	// For is how long the event lasts; zero means to the end of the trace.
 	For     config.Duration `json:"for"`
 	Weights []int           `json:"weights"`
 }
 
-// OutcomeBound is a stated outcome: a measure of one variant is at most Max and at
-// least Min.
+// OutcomeBound is an expected outcome: a measure of one variant is at most Max and at least Min.
 type OutcomeBound struct {
 	Variant string   `json:"variant"`
 	Measure string   `json:"measure"`
@@ -94,7 +94,7 @@
 	Min     *float64 `json:"min"`
 }
 
-// LoadTrace reads a trace file. The error is an Invalid fault.
+// LoadTrace reads a trace file. The error is a fault of kind Invalid.
 func LoadTrace(path string) (*Trace, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return ParseTrace(data, path)
 }
 
-// ParseTrace reads a trace; place is named in errors.
+// ParseTrace parses a trace; errors name place as its origin. The error is a fault of kind Invalid.
 func ParseTrace(data []byte, place string) (*Trace, error) {
 	plain, err := hujson.Standardize(bytes.Clone(data))
 	if err != nil {
@@ -118,7 +118,7 @@
 	return t, nil
 }
 
-// LoadTraces reads all traces of a folder, by name.
+// LoadTraces reads all traces of a folder, ordered by file name.
 func LoadTraces(folder string) ([]*Trace, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.jsonc"))
 	if err != nil {
@@ -136,7 +136,7 @@
 	return traces, nil
 }
 
-// Variant is a way of routing that a trace is run with.
+// Variant is a routing configuration that a trace is replayed with.
 type Variant struct {
 	Name string
 	// Policy is empty for the oracle.
@@ -146,8 +146,8 @@
 	Hedges bool
 }
 
-// Variants are the ways that are compared: the oracle that knows all at no
-// delay, the product as it is, the product without single parts, and baselines.
+// Variants are the configurations to compare: the oracle with perfect knowledge and no delay, the
+// product, the product without one or more of its features, and baselines.
 var Variants = []Variant{
 	{Name: "oracle"},
 	{Name: "product", Policy: "cost", Limits: true, Loans: true, Hedges: true},
@@ -159,7 +159,7 @@
 	{Name: "two-choices", Policy: "two-choices-reported"},
 }
 
-// FindVariant returns the variant of a name, or nil.
+// FindVariant returns the variant with a name, or nil.
 func FindVariant(name string) *Variant {
 	for i := range Variants {
 		if Variants[i].Name == name {
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// SetMeasureBudget gives every service another measuring budget, in percent.
+// SetMeasureBudget sets the measuring budget of every service, in percent.
 func (t *Trace) SetMeasureBudget(percent float64) {
 	for i := range t.Services {
 		t.Services[i].MeasureBudget = percent
