--- a/pkg/lab/authority.go
+++ b/pkg/lab/authority.go
@@ -22,8 +22,8 @@
 	File string
 }
 
-// certificateLife is how long a lab certificate is valid.
-const certificateLife = 24 * time.Hour
+// certificateLifetime is how long a lab certificate is valid.
+const certificateLifetime = 24 * time.Hour
 
 // NewAuthority creates an authority that writes its files to a folder.
 func NewAuthority(folder, name string) (*Authority, error) {
@@ -48,7 +48,7 @@
 		SerialNumber: big.NewInt(time.Now().UnixNano()),
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    time.Now().Add(-time.Minute),
-		NotAfter:     time.Now().Add(certificateLife),
+		NotAfter:     time.Now().Add(certificateLifetime),
 		KeyUsage:     x509.KeyUsageDigitalSignature,
 	}
 }
--- a/pkg/lab/caller.go
+++ b/pkg/lab/caller.go
@@ -59,12 +59,12 @@
 
 // Caller makes calls to entry boxes, checks every answer and records all calls.
 type Caller struct {
-	client    *fasthttp.Client
-	lock      sync.Mutex
-	calls     []Call
-	next      atomic.Uint64
-	addresses atomic.Pointer[[]string]
-	key       atomic.Pointer[string]
+	client      *fasthttp.Client
+	lock        sync.Mutex
+	calls       []Call
+	nextAddress atomic.Uint64
+	addresses   atomic.Pointer[[]string]
+	key         atomic.Pointer[string]
 }
 
 const (
@@ -94,7 +94,7 @@
 // Do makes one call, records it and returns its outcome.
 func (c *Caller) Do(p CallSpec) Call {
 	addresses := *c.addresses.Load()
-	address := addresses[int(c.next.Add(1))%len(addresses)]
+	address := addresses[int(c.nextAddress.Add(1))%len(addresses)]
 	x := Call{RequestID: uuid.NewString(), Host: p.Host, AtMostOnce: p.AtMostOnce}
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/pkg/lab/cluster.go
+++ b/pkg/lab/cluster.go
@@ -42,7 +42,7 @@
 	Settings *config.Settings
 	Process  *Process
 	Started
-	file string
+	settingsFile string
 }
 
 // Cluster is a set of real processes on the loopback address.
@@ -51,8 +51,8 @@
 	Replicas []*Node
 	Boxes    []*Node
 	// Proxies are in front of the replicas' peer ports; empty unless Proxied is set.
-	Proxies  []*FaultProxy
-	replicas []config.Replica
+	Proxies         []*FaultProxy
+	replicaSettings []config.Replica
 }
 
 // StartCluster starts control replicas and entry boxes and forms the cluster.
@@ -72,7 +72,7 @@
 		return err
 	}
 	for i := range c.settings.Replicas {
-		n, err := c.addNode(c.replicas[i].Box, config.RoleControl, direct[i])
+		n, err := c.addNode(c.replicaSettings[i].Box, config.RoleControl, direct[i])
 		if err != nil {
 			return err
 		}
@@ -111,7 +111,7 @@
 			c.Proxies = append(c.Proxies, p)
 			public = p.Address()
 		}
-		c.replicas = append(c.replicas, config.Replica{Box: fmt.Sprintf("control-%d", i+1), Address: public})
+		c.replicaSettings = append(c.replicaSettings, config.Replica{Box: fmt.Sprintf("control-%d", i+1), Address: public})
 	}
 	return direct, nil
 }
@@ -121,7 +121,7 @@
 	s.Box = name
 	s.Roles = []config.Role{role}
 	s.Peer.Listen = peer
-	s.Replicas = c.replicas
+	s.Replicas = c.replicaSettings
 	if c.settings.Seeds > 0 {
 		c.setSeeds(s)
 	}
@@ -131,7 +131,7 @@
 	if c.settings.Adjust != nil {
 		c.settings.Adjust(s)
 	}
-	n := &Node{Settings: s, file: filepath.Join(c.settings.Folder, name+".json")}
+	n := &Node{Settings: s, settingsFile: filepath.Join(c.settings.Folder, name+".json")}
 	return n, c.StartNode(n)
 }
 
@@ -141,7 +141,7 @@
 	s.Replicas = []config.Replica{}
 	s.Control.Growth.Bootstrap = true
 	s.Seeds = []string{}
-	for i, r := range c.replicas {
+	for i, r := range c.replicaSettings {
 		if i < c.settings.Seeds {
 			s.Seeds = append(s.Seeds, r.Address)
 		}
@@ -156,7 +156,7 @@
 	if err := n.WriteSettings(); err != nil {
 		return err
 	}
-	if n.Process, err = StartProcess(n.Settings.Box, c.settings.Program, "--settings", n.file); err != nil {
+	if n.Process, err = StartProcess(n.Settings.Box, c.settings.Program, "--settings", n.settingsFile); err != nil {
 		return err
 	}
 	n.Started, err = n.Process.AwaitStarted(startTimeout)
@@ -174,11 +174,11 @@
 	if err != nil {
 		return err
 	}
-	next := n.file + ".next"
+	next := n.settingsFile + ".next"
 	if err := os.WriteFile(next, data, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(next, n.file)
+	return os.Rename(next, n.settingsFile)
 }
 
 // EraseData removes a stopped replica's data folder.
--- a/pkg/lab/control_measure.go
+++ b/pkg/lab/control_measure.go
@@ -37,7 +37,7 @@
 // Run makes all measurements and returns them as a Markdown page that names the command.
 func (m *ControlBenchmark) Run(command string) (string, error) {
 	m.printLine("# The control state, measured\n")
-	m.printLine("Machine: %s. Date: %s. Command: `%s`. Real replicas on loopback with synced writes; all share the machine.\n", machine(), time.Now().UTC().Format(time.RFC3339), command)
+	m.printLine("Machine: %s. Date: %s. Command: `%s`. Real replicas on loopback with synced writes; all share the machine.\n", machineDescription(), time.Now().UTC().Format(time.RFC3339), command)
 	steps := []func() error{m.edits, m.propagation, m.recovery}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -141,7 +141,7 @@
 		}()
 	}
 	wait.Wait()
-	return summarize(all), float64(len(all)) / time.Since(started).Seconds(), failed
+	return latencyQuantiles(all), float64(len(all)) / time.Since(started).Seconds(), failed
 }
 
 // serviceEdit returns an edit that writes a service with seven rows, the size of the
@@ -247,7 +247,7 @@
 	}
 	spent := time.Since(started).Seconds()
 	editBytes := (float64(subscriberTraffic(subscribers, true)-bytes)/float64(boxes) - restBytes*spent) / float64(len(took))
-	l := summarize(took)
+	l := latencyQuantiles(took)
 	return fmt.Sprintf("| %d | %.2f | %.2f | %.2f | %.1f | %.0f | %.0f | %.2f | %.1f |", boxes, l.P50/1000, l.P99/1000,
 		float64(slices.Max(took).Microseconds())/1000, restMessages, restBytes, editBytes,
 		100*cpu.Seconds()/m.IdleTime.Seconds(), residentMB(leader.Process.PID())), nil
@@ -256,7 +256,7 @@
 func (c *Cluster) subscribe(n int, onRevision func(units.Revision)) []*Subscriber {
 	addresses := map[units.ReplicaID]string{}
 	var order []units.ReplicaID
-	for _, r := range c.replicas {
+	for _, r := range c.replicaSettings {
 		addresses[units.ReplicaID(r.Box)] = r.Address
 		order = append(order, units.ReplicaID(r.Box))
 	}
--- a/pkg/lab/process.go
+++ b/pkg/lab/process.go
@@ -49,11 +49,11 @@
 	if err := p.command.Start(); err != nil {
 		return nil, err
 	}
-	go p.follow(output)
+	go p.readOutput(output)
 	return p, nil
 }
 
-func (p *Process) follow(log io.Reader) {
+func (p *Process) readOutput(log io.Reader) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
--- a/pkg/lab/procfs.go
+++ b/pkg/lab/procfs.go
@@ -44,7 +44,7 @@
 	return time.Duration(a+b) * time.Second / clockTicks
 }
 
-func machine() string {
+func machineDescription() string {
 	model := runtime.GOARCH
 	data, _ := os.ReadFile("/proc/cpuinfo")
 	for line := range strings.SplitSeq(string(data), "\n") {
--- a/pkg/lab/speed.go
+++ b/pkg/lab/speed.go
@@ -83,7 +83,7 @@
 	if err := x.start(); err != nil {
 		return nil, err
 	}
-	r := &SpeedResult{Machine: machine(), Date: time.Now().UTC().Format(time.RFC3339), IdleCallers: s.IdleCallers}
+	r := &SpeedResult{Machine: machineDescription(), Date: time.Now().UTC().Format(time.RFC3339), IdleCallers: s.IdleCallers}
 	box := x.cluster.Boxes[0]
 	r.InitialMB = residentMB(box.Process.PID())
 	for _, rate := range s.Rates {
@@ -147,7 +147,7 @@
 		direct = append(direct, openLoop(x.target.Address, rate, x.Duration/rounds)...)
 		through = append(through, openLoop(x.cluster.Boxes[0].Entry, rate, x.Duration/rounds)...)
 	}
-	return RateRow{Rate: rate, Direct: summarize(direct), ViaBox: summarize(through)}
+	return RateRow{Rate: rate, Direct: latencyQuantiles(direct), ViaBox: latencyQuantiles(through)}
 }
 
 func newSpeedClient(address string) *fasthttp.HostClient {
@@ -228,7 +228,7 @@
 	return float64(total) / x.Duration.Seconds()
 }
 
-func summarize(all []time.Duration) Latencies {
+func latencyQuantiles(all []time.Duration) Latencies {
 	slices.Sort(all)
 	at := func(q float64) float64 {
 		if len(all) == 0 {
--- a/pkg/replay/arrivals.go
+++ b/pkg/replay/arrivals.go
@@ -50,8 +50,8 @@
 func (s *simulation) checkReadiness() {
 	for _, b := range s.boxes {
 		stale := s.now.Sub(b.renewedAt) > leaseTime/2
-		shunned := b.dead || b.frozen || stale || !b.router.Serving(s.now)
-		s.after(readinessCheckPeriod, func() { b.excluded = shunned && s.mayExcludeBox() })
+		excluded := b.dead || b.frozen || stale || !b.router.Serving(s.now)
+		s.after(readinessCheckPeriod, func() { b.excluded = excluded && s.mayExcludeBox() })
 	}
 	if !s.ended {
 		s.after(readinessCheckPeriod, s.checkReadiness)
--- a/pkg/replay/events.go
+++ b/pkg/replay/events.go
@@ -153,9 +153,9 @@
 func (s *simulation) unfreezeBox(i int) {
 	b := s.boxes[i]
 	b.frozen = false
-	held := b.pendingEvents
+	pending := b.pendingEvents
 	b.pendingEvents = nil
-	for _, e := range held {
+	for _, e := range pending {
 		if lease, ok := e.(*routing.LeaseChanged); ok && lease.Until < s.now {
 			continue
 		}
