--- a/pkg/lab/limit.go
+++ b/pkg/lab/limit.go
@@ -90,7 +90,7 @@
 func (w *limitMonitor) recordInformed(box string, now time.Time) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	if _, told := w.informedAt[box]; !w.limitedSince.IsZero() && !told {
+	if _, informed := w.informedAt[box]; !w.limitedSince.IsZero() && !informed {
 		w.informedAt[box] = now
 	}
 }
@@ -111,7 +111,7 @@
 		return nil
 	}
 	w.calls++
-	if told, ok := w.informedAt[box]; !ok || now.Sub(told) < informedGrace {
+	if informed, ok := w.informedAt[box]; !ok || now.Sub(informed) < informedGrace {
 		return nil
 	}
 	w.arrivals = append(w.arrivals, limitedArrival{at: now, box: box})
