--- a/pkg/lab/caller.go
+++ b/pkg/lab/caller.go
@@ -11,133 +11,133 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Verdict says what a caller was told, checked against its own request.
+// Verdict classifies the outcome of a call as its caller observed it.
 type Verdict int
 
 // The verdicts.
 const (
-	// Whole: the caller's own answer came whole.
-	Whole Verdict = iota + 1
-	// NotRun: a refusal that says that nothing was run.
+	// Complete means that the answer belongs to this request and is complete.
+	Complete Verdict = iota + 1
+	// NotRun means that the call was refused and that no target ran it.
 	NotRun
-	// Unknown: a refusal or a broken connection that leaves it open.
+	// Unknown means a refusal or a connection failure after which the call may or may not have run.
 	Unknown
-	// TargetError: the target's own error came through.
+	// TargetError means that the target itself answered with an error.
 	TargetError
-	// Wrong: an answer that isn't the one to this request, or isn't whole.
+	// Wrong means an answer that belongs to another request or is incomplete.
 	Wrong
 )
 
-// Call is one call as a caller made it.
+// Call is one call with the outcome that its caller observed.
 type Call struct {
-	Request string
-	Host    string
-	// Once is set for work that must not run twice.
-	Once    bool
-	Verdict Verdict
-	Status  int
-	Reason  string
-	Target  string
-	Took    time.Duration
-	// RetryAfter is when the caller was told to come back.
+	RequestID string
+	Host      string
+	// AtMostOnce is set for work that must not run twice.
+	AtMostOnce bool
+	Verdict    Verdict
+	Status     int
+	Reason     string
+	Target     string
+	Latency    time.Duration
+	// RetryAfter is the delay that the refusal asked for; zero for none.
 	RetryAfter time.Duration
 	Detail     string
 }
 
-// Plan says what a call should be like.
-type Plan struct {
-	Host     string
-	Once     bool
-	Work     time.Duration
-	Size     int
-	Cut      string
-	Deadline time.Duration
-	Body     []byte
-	// Key is presented in place of the caller's own; empty presents that.
+// CallSpec describes a call to make.
+type CallSpec struct {
+	Host        string
+	AtMostOnce  bool
+	Work        time.Duration
+	AnswerBytes int
+	Truncation  string
+	Deadline    time.Duration
+	Body        []byte
+	// Key is the API key to send; empty sends the caller's own.
 	Key string
 }
 
-// Caller makes calls to entry boxes and checks every answer.
+// Caller makes calls to entry boxes, checks every answer and records all calls.
 type Caller struct {
-	client *fasthttp.Client
-	lock   sync.Mutex
-	calls  []Call
-	next   atomic.Uint64
-	addrs  atomic.Pointer[[]string]
-	key    atomic.Pointer[string]
+	client      *fasthttp.Client
+	lock        sync.Mutex
+	calls       []Call
+	nextAddress atomic.Uint64
+	addresses   atomic.Pointer[[]string]
+	key         atomic.Pointer[string]
 }
 
 const (
-	callLimit    = 3 * time.Minute
-	maxAnswer    = 64 << 20
-	callerConns  = 4096
-	idleCallConn = 5 * time.Second
+	callTimeout     = 3 * time.Minute
+	maxAnswerBytes  = 64 << 20
+	maxCallerConns  = 4096
+	idleConnTimeout = 5 * time.Second
 )
 
-// NewCaller returns a caller that spreads its calls over addresses in turn.
+// NewCaller returns a caller that uses the addresses in round-robin order.
 func NewCaller(addresses ...string) *Caller {
 	c := &Caller{client: &fasthttp.Client{
-		MaxIdemponentCallAttempts: 1, MaxConnsPerHost: callerConns, MaxResponseBodySize: maxAnswer,
-		ReadTimeout: callLimit, MaxIdleConnDuration: idleCallConn, NoDefaultUserAgentHeader: true,
+		MaxIdemponentCallAttempts: 1, MaxConnsPerHost: maxCallerConns, MaxResponseBodySize: maxAnswerBytes,
+		ReadTimeout: callTimeout, MaxIdleConnDuration: idleConnTimeout, NoDefaultUserAgentHeader: true,
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}}
 	c.SetAddresses(addresses...)
 	return c
 }
 
-// SetAddresses changes where the calls go from now on.
-func (c *Caller) SetAddresses(addresses ...string) { c.addrs.Store(&addresses) }
+// SetAddresses changes the addresses of all later calls.
+func (c *Caller) SetAddresses(addresses ...string) { c.addresses.Store(&addresses) }
 
-// SetKey gives the caller a key, which all its calls present from now on.
+// SetKey sets the API key that later calls send.
 func (c *Caller) SetKey(key string) { c.key.Store(&key) }
 
-// Do makes one call and returns what came of it.
-func (c *Caller) Do(p Plan) Call {
-	addresses := *c.addrs.Load()
-	address := addresses[int(c.next.Add(1))%len(addresses)]
-	x := Call{Request: uuid.NewString(), Host: p.Host, Once: p.Once}
+// Do makes one call, records it and returns its outcome.
+func (c *Caller) Do(p CallSpec) Call {
+	addresses := *c.addresses.Load()
+	address := addresses[int(c.nextAddress.Add(1))%len(addresses)]
+	x := Call{RequestID: uuid.NewString(), Host: p.Host, AtMostOnce: p.AtMostOnce}
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	if own := c.key.Load(); own != nil && p.Key == "" {
 		p.Key = *own
 	}
-	fill(request, address, &x, p)
+	fillRequest(request, address, &x, p)
 	started := time.Now()
-	err := c.client.DoTimeout(request, response, callLimit)
-	x.Took = time.Since(started)
-	x.judge(response, err, p)
+	err := c.client.DoTimeout(request, response, callTimeout)
+	x.Latency = time.Since(started)
+	x.classify(response, err, p)
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.calls = append(c.calls, x)
 	return x
 }
 
-func fill(request *fasthttp.Request, address string, x *Call, p Plan) {
+func fillRequest(request *fasthttp.Request, address string, x *Call, p CallSpec) {
 	request.SetRequestURI("http://" + address + "/")
 	request.Header.SetHost(p.Host)
 	request.UseHostHeader = true
-	request.Header.Set(RequestHeader, x.Request)
+	request.Header.Set(RequestHeader, x.RequestID)
 	request.Header.Set(EntryHeader, address)
-	request.Header.Set(MadeHeader, strconv.FormatInt(time.Now().UnixMicro(), 10))
+	request.Header.Set(SentAtHeader, strconv.FormatInt(time.Now().UnixMicro(), 10))
 	if p.Key != "" {
 		request.Header.Set(KeyHeader, p.Key)
 	}
 	if p.Work > 0 {
 		request.Header.Set(WorkHeader, strconv.FormatInt(p.Work.Microseconds(), 10))
 	}
-	if p.Size > 0 {
-		request.Header.Set(SizeHeader, strconv.Itoa(p.Size))
+	if p.AnswerBytes > 0 {
+		request.Header.Set(AnswerBytesHeader, strconv.Itoa(p.AnswerBytes))
 	}
-	if p.Cut != "" {
-		request.Header.Set(CutHeader, p.Cut)
+	if p.Truncation != "" {
+		request.Header.Set(TruncationHeader, p.Truncation)
 	}
 	if p.Deadline > 0 {
 		request.Header.Set("X-Deadline-Ms", strconv.FormatInt(p.Deadline.Milliseconds(), 10))
 	}
-	if p.Once {
+	if p.AtMostOnce {
 		request.Header.SetMethod(fasthttp.MethodPost)
-		request.SetBody([]byte("once " + x.Request))
+		request.SetBody([]byte("once " + x.RequestID))
 	}
 	if p.Body != nil {
 		request.Header.SetMethod(fasthttp.MethodPost)
@@ -145,8 +145,8 @@
 	}
 }
 
-// judge compares what came with what belongs to the request.
-func (x *Call) judge(response *fasthttp.Response, err error, p Plan) {
+// classify sets the verdict from the response and the answer expected for the request.
+func (x *Call) classify(response *fasthttp.Response, err error, p CallSpec) {
 	if err != nil {
 		x.Verdict, x.Detail = Unknown, err.Error()
 		return
@@ -164,8 +164,8 @@
 		x.Verdict = Unknown
 	case x.Status >= fasthttp.StatusInternalServerError:
 		x.Verdict = TargetError
-	case string(response.Body()) == string(AnswerBody(x.Request, p.Size)):
-		x.Verdict = Whole
+	case string(response.Body()) == string(AnswerBody(x.RequestID, p.AnswerBytes)):
+		x.Verdict = Complete
 	default:
 		x.Verdict = Wrong
 		x.Detail = fmt.Sprintf("status %d, %d bytes", x.Status, len(response.Body()))
@@ -179,47 +179,47 @@
 	return append([]Call(nil), c.calls...)
 }
 
-// Summary compares what callers were told with what the targets' journals say.
+// Summary compares the outcomes that callers observed with the targets' journals.
 type Summary struct {
-	Sent    int `json:"sent"`
-	Whole   int `json:"whole"`
-	Refused int `json:"refused"`
-	Unknown int `json:"unknown"`
-	Errors  int `json:"targetErrors"`
-	// Lost counts calls answered whole that no target ran.
+	Sent         int `json:"sent"`
+	Complete     int `json:"whole"`
+	Refused      int `json:"refused"`
+	Unknown      int `json:"unknown"`
+	TargetErrors int `json:"targetErrors"`
+	// Lost counts calls with a complete answer that no target ran.
 	Lost int `json:"lost"`
-	// Doubled counts once-calls that ran more than once.
-	Doubled int `json:"doubled"`
-	// Wrong counts answers that weren't the caller's own and whole, and calls that
-	// were run although their callers were told that they weren't.
+	// Duplicated counts calls of at-most-once work that ran more than once.
+	Duplicated int `json:"doubled"`
+	// Wrong counts answers that belonged to another request or were incomplete, and
+	// calls that ran although they were refused as not run.
 	Wrong int `json:"wrong"`
 	// Reasons counts the refusals by reason.
 	Reasons map[string]int `json:"reasons,omitempty"`
-	// Extra counts the runs beyond each call's first.
-	Extra int `json:"extra"`
+	// ExtraRuns counts the runs after each call's first.
+	ExtraRuns int `json:"extra"`
 }
 
-// Summarize compares calls with journals.
-func Summarize(calls []Call, runs Executions) Summary {
+// Summarize compares calls with the runs recorded in journals.
+func Summarize(calls []Call, runs RunCounts) Summary {
 	s := Summary{Reasons: map[string]int{}}
 	for _, x := range calls {
-		s.add(x, runs[x.Request])
+		s.add(x, runs[x.RequestID])
 	}
 	return s
 }
 
 func (s *Summary) add(x Call, runs int) {
 	s.Sent++
-	s.Extra += max(0, runs-1)
-	if x.Once && runs > 1 {
-		s.Doubled++
+	s.ExtraRuns += max(0, runs-1)
+	if x.AtMostOnce && runs > 1 {
+		s.Duplicated++
 	}
 	if x.Reason != "" {
 		s.Reasons[x.Reason]++
 	}
 	switch x.Verdict {
-	case Whole:
-		s.Whole++
+	case Complete:
+		s.Complete++
 		if runs == 0 {
 			s.Lost++
 		}
@@ -231,17 +231,17 @@
 	case Unknown:
 		s.Unknown++
 	case TargetError:
-		s.Errors++
+		s.TargetErrors++
 	case Wrong:
 		s.Wrong++
 	}
 }
 
-// Clean tells whether nothing was lost, doubled or wrong.
-func (s Summary) Clean() bool { return s.Lost == 0 && s.Doubled == 0 && s.Wrong == 0 }
+// Clean reports whether no call was lost, duplicated or wrong.
+func (s Summary) Clean() bool { return s.Lost == 0 && s.Duplicated == 0 && s.Wrong == 0 }
 
-// String tells the summary in one line.
+// String formats the summary on one line.
 func (s Summary) String() string {
 	return fmt.Sprintf("sent %d, answered whole %d, refused %d, unknown %d, target errors %d, lost %d, doubled %d, wrong %d",
-		s.Sent, s.Whole, s.Refused, s.Unknown, s.Errors, s.Lost, s.Doubled, s.Wrong)
+		s.Sent, s.Complete, s.Refused, s.Unknown, s.TargetErrors, s.Lost, s.Duplicated, s.Wrong)
 }
--- a/pkg/lab/cli/replay.go
+++ b/pkg/lab/cli/replay.go
@@ -23,7 +23,7 @@
 	JSON     string   `long:"json" description:"write all results to this file"`
 }
 
-// Execute replays traces with all variants and checks the stated outcomes.
+// Execute replays traces with the selected variants and checks the expected outcomes.
 func (c *runReplay) Execute([]string) error {
 	all, err := replay.LoadTraces(c.Traces)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return writeReport(c.JSON, string(data))
 }
 
-func (c *runReplay) wants(v replay.Variant) bool {
+func (c *runReplay) selects(v replay.Variant) bool {
 	if len(c.Variants) == 0 || v.Policy == "" {
 		return true
 	}
@@ -84,7 +84,7 @@
 	return false
 }
 
-// runAll runs every trace with every wanted variant on a pool of workers.
+// runAll replays every trace with every selected variant on a pool of workers.
 func (c *runReplay) runAll(traces []*replay.Trace) (map[string]map[string]*replay.Result, error) {
 	results := map[string]map[string]*replay.Result{}
 	var lock sync.Mutex
@@ -93,7 +93,7 @@
 	for _, t := range traces {
 		results[t.Name] = map[string]*replay.Result{}
 		for _, v := range replay.Variants {
-			if !c.wants(v) {
+			if !c.selects(v) {
 				continue
 			}
 			group.SubmitErr(func() error {
--- a/pkg/lab/cli/speed.go
+++ b/pkg/lab/cli/speed.go
@@ -16,11 +16,11 @@
 	Report  string        `long:"report" description:"write the page to this file"`
 }
 
-// Execute measures what a box adds to a call.
+// Execute measures the latency, processor time and memory that a box adds.
 func (c *runSpeed) Execute([]string) error {
-	return inFolder("speed", func(folder, self string) error {
+	return withTempFolder("speed", func(folder, self string) error {
 		result, err := lab.RunSpeed(lab.SpeedSettings{
-			Folder: folder, Program: c.Program, Self: self, Rates: c.Rates, For: c.For, Callers: c.Callers, Idle: c.Idle,
+			Folder: folder, Program: c.Program, LabProgram: self, Rates: c.Rates, Duration: c.For, Callers: c.Callers, IdleCallers: c.Idle,
 		})
 		if err != nil {
 			return err
--- a/pkg/lab/cluster.go
+++ b/pkg/lab/cluster.go
@@ -16,23 +16,24 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// startLimit is how long a process may take until it serves.
-const startLimit = 20 * time.Second
+// startTimeout is the longest wait for a process, a cluster or a box to become ready.
+const startTimeout = 20 * time.Second
 
-// ClusterSettings say what a cluster of real processes is made of.
+// ClusterSettings describe a cluster of real processes.
 type ClusterSettings struct {
-	// Folder holds settings, data and journals.
+	// Folder holds the settings files and data folders of all processes.
 	Folder string
-	// Program is the daemon.
+	// Program is the path of the daemon.
 	Program  string
 	Replicas int
 	Boxes    int
-	// Proxied puts a fault proxy before each replica's peer port.
+	// Proxied puts a fault proxy in front of each replica's peer port.
 	Proxied bool
-	// Seeds is how many replicas all processes know; the cluster then forms and grows
-	// by itself. Zero has them all in the settings, and forms the cluster by hand.
+	// Seeds is how many replicas the settings list as seeds; the cluster then forms and
+	// grows by itself. With zero, the settings list all replicas and StartCluster forms
+	// the cluster by an explicit call.
 	Seeds int
-	// Adjust may change a process's settings before it starts.
+	// Adjust, if set, changes a process's settings before it starts.
 	Adjust func(*config.Settings)
 }
 
@@ -41,7 +42,7 @@
 	Settings *config.Settings
 	Process  *Process
 	Started
-	file string
+	settingsFile string
 }
 
 // Cluster is a set of real processes on the loopback address.
@@ -49,13 +50,13 @@
 	settings ClusterSettings
 	Replicas []*Node
 	Boxes    []*Node
-	// Proxies stand before the replicas' peer ports, where there are any.
-	Proxies  []*FaultProxy
-	replicas []config.Replica
+	// Proxies are in front of the replicas' peer ports; empty unless Proxied is set.
+	Proxies         []*FaultProxy
+	replicaSettings []config.Replica
 }
 
 // StartCluster starts control replicas and entry boxes and forms the cluster.
-// Stop must be called whatever comes.
+// After an error everything is stopped already; otherwise the caller must call Stop.
 func StartCluster(s ClusterSettings) (*Cluster, error) {
 	c := &Cluster{settings: s}
 	if err := c.start(); err != nil {
@@ -66,12 +67,12 @@
 }
 
 func (c *Cluster) start() error {
-	direct, err := c.placeReplicas()
+	direct, err := c.assignAddresses()
 	if err != nil {
 		return err
 	}
 	for i := range c.settings.Replicas {
-		n, err := c.startNode(c.replicas[i].Box, config.RoleControl, direct[i])
+		n, err := c.addNode(c.replicaSettings[i].Box, config.RoleControl, direct[i])
 		if err != nil {
 			return err
 		}
@@ -83,7 +84,7 @@
 		}
 	}
 	for i := range c.settings.Boxes {
-		n, err := c.startNode(fmt.Sprintf("box-%d", i+1), config.RoleEntry, "127.0.0.1:0")
+		n, err := c.addNode(fmt.Sprintf("box-%d", i+1), config.RoleEntry, "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
@@ -92,9 +93,9 @@
 	return nil
 }
 
-// placeReplicas chooses the replicas' addresses; with proxies these differ from
-// where the replicas listen.
-func (c *Cluster) placeReplicas() (direct []string, err error) {
+// assignAddresses chooses the replicas' addresses and returns those that they listen on. With
+// proxies, the public addresses are those of the proxies.
+func (c *Cluster) assignAddresses() (direct []string, err error) {
 	for i := range c.settings.Replicas {
 		address, err := FreeAddress()
 		if err != nil {
@@ -110,19 +111,19 @@
 			c.Proxies = append(c.Proxies, p)
 			public = p.Address()
 		}
-		c.replicas = append(c.replicas, config.Replica{Box: fmt.Sprintf("control-%d", i+1), Address: public})
+		c.replicaSettings = append(c.replicaSettings, config.Replica{Box: fmt.Sprintf("control-%d", i+1), Address: public})
 	}
 	return direct, nil
 }
 
-func (c *Cluster) startNode(name string, role config.Role, peer string) (*Node, error) {
+func (c *Cluster) addNode(name string, role config.Role, peer string) (*Node, error) {
 	s := config.Defaults()
 	s.Box = name
 	s.Roles = []config.Role{role}
 	s.Peer.Listen = peer
-	s.Replicas = c.replicas
+	s.Replicas = c.replicaSettings
 	if c.settings.Seeds > 0 {
-		c.giveSeeds(s)
+		c.setSeeds(s)
 	}
 	s.Control.DataFolder = filepath.Join(c.settings.Folder, name)
 	s.Stop.Leave = config.Duration(300 * time.Millisecond)
@@ -130,17 +131,17 @@
 	if c.settings.Adjust != nil {
 		c.settings.Adjust(s)
 	}
-	n := &Node{Settings: s, file: filepath.Join(c.settings.Folder, name+".json")}
-	return n, c.StartAgain(n)
+	n := &Node{Settings: s, settingsFile: filepath.Join(c.settings.Folder, name+".json")}
+	return n, c.StartNode(n)
 }
 
-// giveSeeds lets a process know some replicas only, and a replica the address by which
-// the others reach it.
-func (c *Cluster) giveSeeds(s *config.Settings) {
+// setSeeds lists only the first replicas as seeds in a process's settings, and sets the
+// address that a replica advertises to the others.
+func (c *Cluster) setSeeds(s *config.Settings) {
 	s.Replicas = []config.Replica{}
 	s.Control.Growth.Bootstrap = true
 	s.Seeds = []string{}
-	for i, r := range c.replicas {
+	for i, r := range c.replicaSettings {
 		if i < c.settings.Seeds {
 			s.Seeds = append(s.Seeds, r.Address)
 		}
@@ -150,40 +151,40 @@
 	}
 }
 
-// StartAgain starts a node's process, for the first time or anew.
-func (c *Cluster) StartAgain(n *Node) (err error) {
+// StartNode starts a node's process, for the first time or after it has ended.
+func (c *Cluster) StartNode(n *Node) (err error) {
 	if err := n.WriteSettings(); err != nil {
 		return err
 	}
-	if n.Process, err = StartProcess(n.Settings.Box, c.settings.Program, "--settings", n.file); err != nil {
+	if n.Process, err = StartProcess(n.Settings.Box, c.settings.Program, "--settings", n.settingsFile); err != nil {
 		return err
 	}
-	n.Started, err = n.Process.AwaitStarted(startLimit)
+	n.Started, err = n.Process.AwaitStarted(startTimeout)
 	if n.Started.Admin != "" {
-		// The same addresses are taken again after a restart.
+		// Keeps the administration address across restarts.
 		n.Settings.Admin.Listen = n.Started.Admin
 	}
 	return err
 }
 
-// WriteSettings writes a node's settings file, whether or not its process runs. Another
-// file takes its place at once, so that no process reads half of it.
+// WriteSettings writes a node's settings file, whether or not its process runs. The file
+// is replaced atomically, so that no process reads a partial one.
 func (n *Node) WriteSettings() error {
 	data, err := json.MarshalIndent(n.Settings, "", "  ")
 	if err != nil {
 		return err
 	}
-	next := n.file + ".next"
+	next := n.settingsFile + ".next"
 	if err := os.WriteFile(next, data, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(next, n.file)
+	return os.Rename(next, n.settingsFile)
 }
 
-// LoseDisk removes a stopped replica's data folder.
-func (c *Cluster) LoseDisk(n *Node) error { return os.RemoveAll(n.Settings.Control.DataFolder) }
+// EraseData removes a stopped replica's data folder.
+func (c *Cluster) EraseData(n *Node) error { return os.RemoveAll(n.Settings.Control.DataFolder) }
 
-// AdminAddresses are the control replicas' administration addresses.
+// AdminAddresses returns the control replicas' administration addresses.
 func (c *Cluster) AdminAddresses() []string {
 	var addresses []string
 	for _, n := range c.Replicas {
@@ -194,7 +195,7 @@
 
 // Client returns a client of all control replicas.
 func (c *Cluster) Client() (*client.Client, error) {
-	return client.NewClient(c.AdminAddresses(), "", startLimit)
+	return client.NewClient(c.AdminAddresses(), "", startTimeout)
 }
 
 func (c *Cluster) form() error {
@@ -202,13 +203,13 @@
 	if err != nil {
 		return err
 	}
-	return Eventually(startLimit, func() error {
+	return Eventually(startTimeout, func() error {
 		_, err := api.FormCluster()
 		return err
 	})
 }
 
-// Apply makes the table what the sheets say, without deleting anything.
+// Apply updates the table to match the sheets, without deleting anything.
 func (c *Cluster) Apply(s sheet.Sheets) (*table.Result, error) {
 	api, err := c.Client()
 	if err != nil {
@@ -217,7 +218,7 @@
 	return ApplySheets(api, s)
 }
 
-// ApplySheets makes the table what the sheets say by one edit.
+// ApplySheets updates the table to match the sheets in one edit, without deleting anything.
 func ApplySheets(api *client.Client, s sheet.Sheets) (*table.Result, error) {
 	t, err := api.Table()
 	if err != nil {
@@ -233,9 +234,9 @@
 	return result, err
 }
 
-// AwaitInForce waits until a box shows at least a revision.
-func (c *Cluster) AwaitInForce(n *Node, revision units.Revision, limit time.Duration) error {
-	return Eventually(limit, func() error {
+// AwaitRevision waits until a box holds a lease and its table is at least at a revision.
+func (c *Cluster) AwaitRevision(n *Node, revision units.Revision, timeout time.Duration) error {
+	return Eventually(timeout, func() error {
 		d, err := n.Dump()
 		if err != nil {
 			return err
@@ -247,9 +248,9 @@
 	})
 }
 
-// AwaitServing waits until a box is ready.
-func (c *Cluster) AwaitServing(n *Node, limit time.Duration) error {
-	return Eventually(limit, func() error {
+// AwaitReady waits until a box is ready.
+func (c *Cluster) AwaitReady(n *Node, timeout time.Duration) error {
+	return Eventually(timeout, func() error {
 		status, err := n.get("/ready", nil)
 		if err == nil && status != 200 {
 			err = fmt.Errorf("%s isn't ready", n.Settings.Box)
@@ -258,10 +259,10 @@
 	})
 }
 
-// Stop ends every process and proxy at once.
+// Stop kills every process and closes every proxy.
 func (c *Cluster) Stop() {
 	for _, n := range append(c.Boxes, c.Replicas...) {
-		if n.Process != nil && !n.Process.Ended() {
+		if n.Process != nil && !n.Process.Exited() {
 			n.Process.Kill()
 		}
 	}
@@ -270,13 +271,12 @@
 	}
 }
 
-// pollPeriod is how often Eventually looks again.
+// pollPeriod is the interval between attempts of Eventually.
 const pollPeriod = 10 * time.Millisecond
 
-// Eventually calls f until it returns no error, or gives its last one when the
-// time is up.
-func Eventually(limit time.Duration, f func() error) error {
-	deadline := time.Now().Add(limit)
+// Eventually calls f until it returns no error; after the timeout it returns f's last error.
+func Eventually(timeout time.Duration, f func() error) error {
+	deadline := time.Now().Add(timeout)
 	for {
 		err := f()
 		if err == nil || time.Now().After(deadline) {
--- a/pkg/lab/demo.go
+++ b/pkg/lab/demo.go
@@ -12,19 +12,19 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// DemoSettings say where the demo finds its programs.
+// DemoSettings configure the demo.
 type DemoSettings struct {
 	Folder  string
 	Program string
-	// Self is the lab's own program, which runs the stand-in targets.
-	Self string
-	// Calls is how many calls are made.
+	// LabProgram is the path of madderlab, which runs the stand-in targets.
+	LabProgram string
+	// Calls is the number of calls to make.
 	Calls int
 	Out   io.Writer
 }
 
-// demo is a migration on one machine: targets old and new, the table that moves
-// weight between them, and callers all the while.
+// demo is a migration on one machine: edits of the table move the weight from old targets
+// to new ones while callers keep making calls.
 type demo struct {
 	DemoSettings
 	cluster *Cluster
@@ -39,7 +39,7 @@
 	demoWorkers  = 24
 )
 
-// RunDemo runs the demo and returns what came of it.
+// RunDemo runs the demo and returns the summary of its calls.
 func RunDemo(s DemoSettings) (Summary, error) {
 	d := &demo{DemoSettings: s}
 	defer d.stop()
@@ -56,11 +56,11 @@
 	return Summarize(d.caller.Calls(), runs), nil
 }
 
-func (d *demo) say(format string, args ...any) { fmt.Fprintf(d.Out, format+"\n", args...) }
+func (d *demo) printLine(format string, args ...any) { fmt.Fprintf(d.Out, format+"\n", args...) }
 
 func (d *demo) start() (err error) {
 	for i := range demoTargets {
-		t, err := StartTargetProcess(d.Self, fmt.Sprintf("target-%d", i+1), d.Folder, "--slots", "3", "--queue", "8", "--work", "2ms")
+		t, err := StartTargetProcess(d.LabProgram, fmt.Sprintf("target-%d", i+1), d.Folder, "--slots", "3", "--queue", "8", "--work", "2ms")
 		if err != nil {
 			return err
 		}
@@ -72,27 +72,27 @@
 	if err != nil {
 		return err
 	}
-	d.say("%d control replicas, %d entry boxes and %d stand-in targets are running", demoReplicas, demoBoxes, demoTargets)
+	d.printLine("%d control replicas, %d entry boxes and %d stand-in targets are running", demoReplicas, demoBoxes, demoTargets)
 	result, err := d.cluster.Apply(d.sheets())
 	if err != nil {
 		return err
 	}
 	var entries []string
 	for _, b := range d.cluster.Boxes {
-		if err := d.cluster.AwaitInForce(b, result.Revision, startLimit); err != nil {
+		if err := d.cluster.AwaitRevision(b, result.Revision, startTimeout); err != nil {
 			return err
 		}
-		if err := d.cluster.AwaitServing(b, startLimit); err != nil {
+		if err := d.cluster.AwaitReady(b, startTimeout); err != nil {
 			return err
 		}
 		entries = append(entries, b.Entry)
 	}
 	d.caller = NewCaller(entries...)
-	d.say("the table is in force on every box at revision %d", result.Revision)
+	d.printLine("the table is in force on every box at revision %d", result.Revision)
 	return nil
 }
 
-// demoServices are one service of each kind of work.
+// demoServices has one service of each kind of work.
 var demoServices = []struct {
 	name string
 	work table.WorkKind
@@ -102,8 +102,7 @@
 	{"report", table.Patient},
 }
 
-// sheets is the table at the beginning: the first half of the targets has all
-// the weight.
+// sheets returns the initial table: the first half of the targets has all the weight.
 func (d *demo) sheets() sheet.Sheets {
 	var s sheet.Sheets
 	for _, x := range demoServices {
@@ -128,17 +127,17 @@
 	return s
 }
 
-// migrate moves the weight while the calls go on.
+// migrate makes all calls and runs the steps of the migration between them.
 func (d *demo) migrate() error {
 	var workers sync.WaitGroup
-	tickets := make(chan int)
+	callNumbers := make(chan int)
 	for range demoWorkers {
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
-			for n := range tickets {
+			for n := range callNumbers {
 				x := demoServices[n%len(demoServices)]
-				d.caller.Do(Plan{Host: x.name + ".test", Once: x.work == table.AtMostOnce, Size: 200 + n%5000})
+				d.caller.Do(CallSpec{Host: x.name + ".test", AtMostOnce: x.work == table.AtMostOnce, AnswerBytes: 200 + n%5000})
 			}
 		}()
 	}
@@ -147,14 +146,14 @@
 		if step := d.stepAt(n); step != nil && failed == nil {
 			failed = step()
 		}
-		tickets <- n
+		callNumbers <- n
 	}
-	close(tickets)
+	close(callNumbers)
 	workers.Wait()
 	return failed
 }
 
-// stepAt returns what happens before the n-th call, if anything does.
+// stepAt returns the migration step to run before the n-th call, or nil.
 func (d *demo) stepAt(n int) func() error {
 	switch n {
 	case d.Calls * 1 / 5:
@@ -162,29 +161,29 @@
 	case d.Calls * 2 / 5:
 		return func() error { return d.setWeights(0, 100) }
 	case d.Calls * 3 / 5:
-		return d.leaveFirst
+		return d.markOldLeaving
 	case d.Calls * 4 / 5:
 		return d.stopBox
 	}
 	return nil
 }
 
-func (d *demo) setWeights(old, fresh int) error {
+func (d *demo) setWeights(old, newWeight int) error {
 	s := d.sheets()
 	for i := range s.Rows {
 		s.Rows[i].Weight = old
 		if i%demoTargets >= demoTargets/2 {
-			s.Rows[i].Weight = fresh
+			s.Rows[i].Weight = newWeight
 		}
 	}
 	result, err := d.cluster.Apply(s)
 	if err == nil {
-		d.say("weights are now %d for the old targets and %d for the new; revision %d", old, fresh, result.Revision)
+		d.printLine("weights are now %d for the old targets and %d for the new; revision %d", old, newWeight, result.Revision)
 	}
 	return err
 }
 
-func (d *demo) leaveFirst() error {
+func (d *demo) markOldLeaving() error {
 	s := d.sheets()
 	for i := range s.Rows {
 		s.Rows[i].Weight = 100
@@ -194,18 +193,18 @@
 	}
 	result, err := d.cluster.Apply(s)
 	if err == nil {
-		d.say("the old targets are marked as leaving; revision %d", result.Revision)
+		d.printLine("the old targets are marked as leaving; revision %d", result.Revision)
 	}
 	return err
 }
 
-// stopBox stops one box as planned; the balancer before the boxes learns of it
-// at the same time.
+// stopBox shuts one box down gracefully; the callers stop using its address at once, as a
+// load balancer in front of the boxes would.
 func (d *demo) stopBox() error {
 	box := d.cluster.Boxes[0]
 	box.Process.Terminate()
 	d.caller.SetAddresses(d.cluster.Boxes[1].Entry, d.cluster.Boxes[2].Entry)
-	d.say("%s is stopping as planned", box.Settings.Box)
+	d.printLine("%s is stopping as planned", box.Settings.Box)
 	return nil
 }
 
@@ -220,8 +219,8 @@
 func (d *demo) stop() {
 	if d.cluster != nil {
 		if len(d.cluster.Boxes) > 0 {
-			// Let the planned stop come to its end.
-			d.cluster.Boxes[0].Process.AwaitEnd(startLimit)
+			// Waits for the graceful shutdown to finish.
+			d.cluster.Boxes[0].Process.AwaitExit(startTimeout)
 		}
 		d.cluster.Stop()
 	}
@@ -230,7 +229,7 @@
 	}
 }
 
-// TargetProcess is a stand-in target in a process of its own.
+// TargetProcess is a stand-in target that runs in its own process.
 type TargetProcess struct {
 	Name    string
 	Address string
@@ -238,7 +237,7 @@
 	Process *Process
 }
 
-// StartTargetProcess starts a stand-in target with the lab's own program.
+// StartTargetProcess starts a stand-in target; self is the path of madderlab.
 func StartTargetProcess(self, name, folder string, arguments ...string) (*TargetProcess, error) {
 	address, err := FreeAddress()
 	if err != nil {
@@ -248,12 +247,12 @@
 	return t, t.Start(self, arguments...)
 }
 
-// Start starts the target's process, for the first time or anew.
+// Start starts the target's process, for the first time or after it has ended.
 func (t *TargetProcess) Start(self string, arguments ...string) (err error) {
 	all := append([]string{"target", "--name", t.Name, "--listen", t.Address, "--journal", t.Journal}, arguments...)
 	if t.Process, err = StartProcess(t.Name, self, all...); err != nil {
 		return err
 	}
-	_, err = t.Process.AwaitStarted(startLimit)
+	_, err = t.Process.AwaitStarted(startTimeout)
 	return err
 }
--- a/pkg/lab/faultproxy.go
+++ b/pkg/lab/faultproxy.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// FaultProxy passes TCP connections on and brings about network faults.
+// FaultProxy forwards TCP connections and injects network faults.
 type FaultProxy struct {
-	listener net.Listener
-	target   string
-	lock     sync.Mutex
-	changed  *sync.Cond
-	silent   [directions]bool
-	delay    time.Duration
-	conns    map[net.Conn]bool
-	closed   bool
-	// generation numbers the connections between two calls of SilenceOpen; those of earlier
-	// ones stay silent for good.
+	listener   net.Listener
+	target     string
+	lock       sync.Mutex
+	changed    *sync.Cond
+	blackholed [directions]bool
+	delay      time.Duration
+	conns      map[net.Conn]bool
+	closed     bool
+	// generation is incremented by each BlackholeOpenConns; connections of earlier
+	// generations stay blackholed.
 	generation int
 }
 
-// Direction is a way that bytes go through a proxy.
+// Direction is the direction of data through a proxy.
 type Direction int
 
 // The directions.
 const (
-	// ToTarget is from whoever connected.
+	// ToTarget is from the client to the target.
 	ToTarget Direction = iota
-	// FromTarget is back to whoever connected.
+	// FromTarget is from the target to the client.
 	FromTarget
 	directions
 )
 
-// StartFaultProxy starts a proxy in front of an address.
+// StartFaultProxy starts a proxy for a target address on a free loopback port.
 func StartFaultProxy(target string) (*FaultProxy, error) {
 	return StartFaultProxyAt("127.0.0.1:0", target)
 }
 
-// StartFaultProxyAt starts a proxy on an address of its own.
+// StartFaultProxyAt starts a proxy for a target address that listens on a given address.
 func StartFaultProxyAt(listen, target string) (*FaultProxy, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -51,40 +51,40 @@
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *FaultProxy) Address() string { return p.listener.Addr().String() }
 
-// Silence cuts everything without a word: bytes stop, connections stay open.
-func (p *FaultProxy) Silence(on bool) {
-	p.SilenceOneWay(ToTarget, on)
-	p.SilenceOneWay(FromTarget, on)
+// Blackhole stops or resumes forwarding in both directions while connections stay open.
+func (p *FaultProxy) Blackhole(on bool) {
+	p.BlackholeOneWay(ToTarget, on)
+	p.BlackholeOneWay(FromTarget, on)
 }
 
-// SilenceOneWay cuts one direction without a word.
-func (p *FaultProxy) SilenceOneWay(d Direction, on bool) {
+// BlackholeOneWay stops or resumes forwarding in one direction while connections stay open.
+func (p *FaultProxy) BlackholeOneWay(d Direction, on bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.silent[d] = on
+	p.blackholed[d] = on
 	p.changed.Broadcast()
 }
 
-// SilenceOpen silences the connections that are open now for good: they pass nothing and
-// aren't closed. New ones work.
-func (p *FaultProxy) SilenceOpen() {
+// BlackholeOpenConns permanently stops forwarding on the connections that are open now, without
+// closing them. New connections work.
+func (p *FaultProxy) BlackholeOpenConns() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.generation++
 	p.changed.Broadcast()
 }
 
-// Delay holds every piece of data up for a while.
-func (p *FaultProxy) Delay(d time.Duration) {
+// SetDelay delays every chunk of data in both directions.
+func (p *FaultProxy) SetDelay(d time.Duration) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.delay = d
 }
 
-// Reset ends every connection with a reset.
+// Reset closes every connection with a TCP reset.
 func (p *FaultProxy) Reset() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -96,11 +96,11 @@
 	}
 }
 
-// Close ends the proxy.
+// Close stops the proxy and resets its connections.
 func (p *FaultProxy) Close() {
 	p.lock.Lock()
 	p.closed = true
-	p.silent = [directions]bool{}
+	p.blackholed = [directions]bool{}
 	p.changed.Broadcast()
 	p.lock.Unlock()
 	p.listener.Close()
@@ -113,22 +113,22 @@
 		if err != nil {
 			return
 		}
-		go p.pass(in)
+		go p.forward(in)
 	}
 }
 
-func (p *FaultProxy) pass(in net.Conn) {
-	defer p.forget(in)
-	generation, open := p.remember(in)
-	if !open || !p.await(ToTarget, generation) {
+func (p *FaultProxy) forward(in net.Conn) {
+	defer p.closeConn(in)
+	generation, open := p.addConn(in)
+	if !open || !p.awaitForwarding(ToTarget, generation) {
 		return
 	}
 	out, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer p.forget(out)
-	if _, open := p.remember(out); !open {
+	defer p.closeConn(out)
+	if _, open := p.addConn(out); !open {
 		return
 	}
 	done := make(chan struct{})
@@ -140,14 +140,14 @@
 	<-done
 }
 
-// copy passes data on in one direction until it ends there.
+// copy forwards data in one direction until that direction is closed.
 func (p *FaultProxy) copy(to, from net.Conn, d Direction, generation int) {
 	defer closeWrite(to)
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			if !p.await(d, generation) {
+			if !p.awaitForwarding(d, generation) {
 				return
 			}
 			if _, err := to.Write(buffer[:n]); err != nil {
@@ -169,10 +169,11 @@
 	}
 }
 
-// await waits as the present fault says; false means that the proxy is closed.
-func (p *FaultProxy) await(d Direction, generation int) bool {
+// awaitForwarding blocks while the direction is blackholed, then for the delay. It returns false
+// if the proxy is closed.
+func (p *FaultProxy) awaitForwarding(d Direction, generation int) bool {
 	p.lock.Lock()
-	for (p.silent[d] || generation != p.generation) && !p.closed {
+	for (p.blackholed[d] || generation != p.generation) && !p.closed {
 		p.changed.Wait()
 	}
 	closed, delay := p.closed, p.delay
@@ -183,15 +184,16 @@
 	return !closed
 }
 
-// remember keeps a connection, and tells its generation and whether the proxy is open.
-func (p *FaultProxy) remember(c net.Conn) (generation int, open bool) {
+// addConn registers a connection; it returns the connection's generation and whether the proxy
+// is open.
+func (p *FaultProxy) addConn(c net.Conn) (generation int, open bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.conns[c] = true
 	return p.generation, !p.closed
 }
 
-func (p *FaultProxy) forget(c net.Conn) {
+func (p *FaultProxy) closeConn(c net.Conn) {
 	c.Close()
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/pkg/replay/events.go
+++ b/pkg/replay/events.go
@@ -9,49 +9,49 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// happenings are the kinds of event that a trace can name, with what begins and
-// what ends each.
-var happenings = map[string]struct {
+// eventKinds maps each kind of event of a trace to the functions that start and end it; end is nil for
+// events that last.
+var eventKinds = map[string]struct {
 	begin func(*simulation, Event)
 	end   func(*simulation, Event)
 }{
 	"slow":   {func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.slow = e.Factor }) }, func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.slow = 1 }) }},
 	"fail":   {func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.fails = true }) }, func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.fails = false }) }},
 	"shed":   {func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.sheds = true }) }, func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.sheds = false }) }},
-	"lie":    {func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.lies = true }) }, func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.lies = false }) }},
-	"freeze": {func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.frozen = true }) }, func(s *simulation, e Event) { s.eachTarget(e, s.thawTarget) }},
-	"burst":  {(*simulation).beginBurst, func(s *simulation, e Event) { s.burst[e.Service] = 1 }},
+	"lie":    {func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.hidesLoad = true }) }, func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.hidesLoad = false }) }},
+	"freeze": {func(s *simulation, e Event) { s.eachTarget(e, func(t *target) { t.frozen = true }) }, func(s *simulation, e Event) { s.eachTarget(e, s.unfreezeTarget) }},
+	"burst":  {(*simulation).beginBurst, func(s *simulation, e Event) { s.loadFactor[e.Service] = 1 }},
 	"leave":  {func(s *simulation, e Event) { s.editRows(e, func(r *table.Row, _ int) { r.State = table.Leaving }) }, func(s *simulation, e Event) { s.editRows(e, func(r *table.Row, _ int) { r.State = table.Active }) }},
 	"weights": {func(s *simulation, e Event) {
 		s.editRows(e, func(r *table.Row, k int) { r.Weight = e.Weights[k%len(e.Weights)] })
 	}, nil},
-	"kill-box":    {func(s *simulation, e Event) { s.boxes[e.Box].dead = true; s.dropBox(e.Box) }, nil},
-	"freeze-box":  {func(s *simulation, e Event) { s.boxes[e.Box].frozen = true; s.dropBoxIfSilent(e) }, func(s *simulation, e Event) { s.thawBox(e.Box) }},
-	"cut-control": {func(s *simulation, e Event) { s.boxes[e.Box].cutControl = true; s.dropBoxIfSilent(e) }, func(s *simulation, e Event) { s.rejoinBox(e.Box) }},
-	"cut-box":     {func(s *simulation, e Event) { s.boxes[e.Box].cut = true; s.dropBoxIfSilent(e) }, func(s *simulation, e Event) { s.rejoinBox(e.Box) }},
+	"kill-box":    {func(s *simulation, e Event) { s.boxes[e.Box].dead = true; s.delistBox(e.Box) }, nil},
+	"freeze-box":  {func(s *simulation, e Event) { s.boxes[e.Box].frozen = true; s.delistBoxIfLeaseExpires(e) }, func(s *simulation, e Event) { s.unfreezeBox(e.Box) }},
+	"cut-control": {func(s *simulation, e Event) { s.boxes[e.Box].cutControl = true; s.delistBoxIfLeaseExpires(e) }, func(s *simulation, e Event) { s.reconnectBox(e.Box) }},
+	"cut-box":     {func(s *simulation, e Event) { s.boxes[e.Box].cut = true; s.delistBoxIfLeaseExpires(e) }, func(s *simulation, e Event) { s.reconnectBox(e.Box) }},
 }
 
-// happen brings an event about, and its end when it has one.
-func (s *simulation) happen(e Event) {
-	h := happenings[e.Kind]
+// startEvent starts an event and schedules its end, if it has one.
+func (s *simulation) startEvent(e Event) {
+	h := eventKinds[e.Kind]
 	h.begin(s, e)
 	if e.For > 0 && h.end != nil {
 		s.after(e.For.Std(), func() { h.end(s, e) })
 	}
 }
 
-// beginBurst raises a service's load; where that is more than its slots can do,
-// the slot time of the burst is what the goodput is compared with.
+// beginBurst raises a service's load. If that exceeds the capacity of its slots, the slot time of
+// the burst is added to the capacity that the goodput is measured against.
 func (s *simulation) beginBurst(e Event) {
-	s.burst[e.Service] = e.Factor
+	s.loadFactor[e.Service] = e.Factor
 	if spec := s.spec(e.Service); e.Factor*spec.Load > 1 {
-		s.overload += time.Duration(spec.Targets*spec.Slots) * e.For.Std()
+		s.overloadCapacity += time.Duration(spec.Targets*spec.Slots) * e.For.Std()
 	}
 }
 
-// eachTarget calls f for the targets that an event names.
+// eachTarget calls f for the targets that an event selects.
 func (s *simulation) eachTarget(e Event, f func(*target)) {
-	for _, t := range s.order {
+	for _, t := range s.targetOrder {
 		if e.Service != "" && t.row.Service != e.Service || e.Domain != "" && t.row.Domain != e.Domain {
 			continue
 		}
@@ -62,10 +62,10 @@
 	}
 }
 
-// indexOf is a target's place among its service's targets.
+// indexOf returns a target's index among its service's targets, or -1.
 func (s *simulation) indexOf(t *target) int {
 	k := 0
-	for _, o := range s.order {
+	for _, o := range s.targetOrder {
 		if o == t {
 			return k
 		}
@@ -76,15 +76,14 @@
 	return -1
 }
 
-func (s *simulation) thawTarget(t *target) {
+func (s *simulation) unfreezeTarget(t *target) {
 	t.frozen = false
 	for _, j := range s.busyJobs(t) {
 		s.after(j.work, func() { s.complete(t, j, routing.Answered) })
 	}
 }
 
-// busyJobs returns a target's jobs in an order that doesn't change from run to
-// run.
+// busyJobs returns a target's running jobs in an order that is the same in every run.
 func (s *simulation) busyJobs(t *target) []*job {
 	jobs := make([]*job, 0, len(t.busy))
 	for j := range t.busy {
@@ -99,8 +98,8 @@
 	return jobs
 }
 
-// editRows changes rows of a service by an accepted edit, which reaches the
-// boxes a little later.
+// editRows changes the selected rows of a service in an accepted edit, which reaches the boxes
+// after editDelay.
 func (s *simulation) editRows(e Event, change func(*table.Row, int)) {
 	old := s.table.Services[e.Service]
 	entry := &table.Entry{Service: old.Service, Version: old.Version + 1, Rows: old.Rows}
@@ -114,7 +113,8 @@
 	s.publish(&table.Delta{Changed: []*table.Entry{entry}})
 }
 
-// publish accepts a change and sends it to every box.
+// publish applies a change to the table and sends the new table to every connected box after
+// editDelay.
 func (s *simulation) publish(d *table.Delta) {
 	d.From, d.Revision = s.table.Revision, s.table.Revision+1
 	s.table, _ = s.table.Patch(d)
@@ -122,25 +122,25 @@
 	for _, b := range s.boxes {
 		s.after(editDelay, func() {
 			if !b.cut && !b.cutControl {
-				s.giveTable(b, next)
+				s.updateTable(b, next)
 			}
 		})
 	}
 }
 
-// dropBox takes a lost box off the list once its lease has run out.
-func (s *simulation) dropBox(i int) {
-	s.after(lossDelay, func() { s.listBoxes(func(id units.BoxID) bool { return id != s.boxes[i].id }) })
+// delistBox removes a lost box from the table once its lease has expired.
+func (s *simulation) delistBox(i int) {
+	s.after(boxLossDelay, func() { s.publishBoxes(func(id units.BoxID) bool { return id != s.boxes[i].id }) })
 }
 
-// dropBoxIfSilent does so when the box will be silent for long enough.
-func (s *simulation) dropBoxIfSilent(e Event) {
-	if e.For == 0 || e.For.Std() > lossDelay {
-		s.dropBox(e.Box)
+// delistBoxIfLeaseExpires removes a box from the table if the event outlasts the box's lease.
+func (s *simulation) delistBoxIfLeaseExpires(e Event) {
+	if e.For == 0 || e.For.Std() > boxLossDelay {
+		s.delistBox(e.Box)
 	}
 }
 
-func (s *simulation) listBoxes(keep func(units.BoxID) bool) {
+func (s *simulation) publishBoxes(keep func(units.BoxID) bool) {
 	var boxes []table.Box
 	for _, b := range s.boxes {
 		if keep(b.id) && !b.dead {
@@ -150,48 +150,48 @@
 	s.publish(&table.Delta{Boxes: table.BoxDifference(s.table.Boxes, boxes)})
 }
 
-func (s *simulation) thawBox(i int) {
+func (s *simulation) unfreezeBox(i int) {
 	b := s.boxes[i]
 	b.frozen = false
-	held := b.held
-	b.held = nil
-	for _, e := range held {
+	pending := b.pendingEvents
+	b.pendingEvents = nil
+	for _, e := range pending {
 		if lease, ok := e.(*routing.LeaseChanged); ok && lease.Until < s.now {
 			continue
 		}
-		s.give(b, e)
+		s.reduce(b, e)
 	}
-	s.rejoinBox(i)
+	s.reconnectBox(i)
 }
 
-// rejoinBox lets a box that was silent have the present table and its place.
-func (s *simulation) rejoinBox(i int) {
+// reconnectBox reconnects a box to the control state and adds it to the table's boxes again.
+func (s *simulation) reconnectBox(i int) {
 	s.boxes[i].cut, s.boxes[i].cutControl = false, false
-	s.listBoxes(func(units.BoxID) bool { return true })
-	s.wake(s.boxes[i])
+	s.publishBoxes(func(units.BoxID) bool { return true })
+	s.scheduleWake(s.boxes[i])
 }
 
-// noteWeights remembers the services' rows at the beginning of each second.
-func (s *simulation) noteWeights() {
-	s.entries[int(s.now/units.Instant(time.Second))] = s.table.Services
+// recordEntries records the services' rows at the beginning of each second.
+func (s *simulation) recordEntries() {
+	s.entriesBySecond[int(s.now/units.Instant(time.Second))] = s.table.Services
 	if !s.ended {
-		s.after(time.Second, s.noteWeights)
+		s.after(time.Second, s.recordEntries)
 	}
 }
 
-// weightError is the greatest difference between a target's part of its
-// service's calls in a second and its part of the weights, in points, over the
-// seconds in which the weights didn't change.
+// weightError returns the greatest difference between a target's fraction of its service's calls in
+// a second and its fraction of the weights, in percentage points, over the seconds in which the
+// weights didn't change.
 func (s *simulation) weightError() float64 {
 	worst := 0.0
-	first := int((origin + units.Instant(s.trace.warmup())) / units.Instant(time.Second))
-	last := int((origin + units.Instant(s.trace.end())) / units.Instant(time.Second))
+	first := int((startInstant + units.Instant(s.trace.warmup())) / units.Instant(time.Second))
+	last := int((startInstant + units.Instant(s.trace.end())) / units.Instant(time.Second))
 	for second := first; second < last; second++ {
 		for _, n := range s.table.ServiceNames() {
-			// The second before must have had the same rows too, since an edit takes
-			// a moment to reach the boxes.
-			entry := s.entries[second-1][n]
-			if entry == s.entries[second][n] && entry == s.entries[second+1][n] {
+			// The previous second must have the same rows, since an edit reaches the
+			// boxes after editDelay.
+			entry := s.entriesBySecond[second-1][n]
+			if entry == s.entriesBySecond[second][n] && entry == s.entriesBySecond[second+1][n] {
 				worst = max(worst, s.weightErrorAt(entry, second))
 			}
 		}
@@ -212,12 +212,12 @@
 	}
 	worst := 0.0
 	for r := range entry.Rows.All() {
-		part := float64(s.targets[r.Target].perSecond[second]) / float64(runs)
+		fraction := float64(s.targets[r.Target].perSecond[second]) / float64(runs)
 		want := 0.0
 		if r.State == table.Active {
 			want = float64(r.Weight) / float64(weights)
 		}
-		worst = max(worst, 100*max(part-want, want-part))
+		worst = max(worst, 100*max(fraction-want, want-fraction))
 	}
 	return worst
 }
--- a/test/residency_test.go
+++ b/test/residency_test.go
@@ -68,7 +68,7 @@
 	x.reportAll()
 	for _, b := range x.cluster.Boxes {
 		x.must(lab.Eventually(patience, func() error { return showsRestriction(b, regions, targets) }))
-		x.must(x.cluster.AwaitServing(b, patience))
+		x.must(x.cluster.AwaitReady(b, patience))
 	}
 }
 
@@ -104,9 +104,9 @@
 // callBoth makes restricted calls and others, and returns the restricted ones.
 func (x *residencyStory) callBoth(n int) []lab.Call {
 	before := len(x.caller.Calls())
-	x.callAll(n, 12, func(i int) lab.Plan {
+	x.callAll(n, 12, func(i int) lab.CallSpec {
 		host := []string{"eu.test", "any.test"}[i%2]
-		return lab.Plan{Host: host, Work: time.Duration(i%30) * time.Millisecond, Deadline: 2 * time.Second}
+		return lab.CallSpec{Host: host, Work: time.Duration(i%30) * time.Millisecond, Deadline: 2 * time.Second}
 	})
 	return slices.DeleteFunc(x.caller.Calls()[before:], func(c lab.Call) bool { return c.Host != "eu.test" })
 }
@@ -118,7 +118,7 @@
 		runs, err := lab.ReadJournals(t.Journal)
 		x.must(err)
 		for _, c := range calls {
-			at[i] += runs[c.Request]
+			at[i] += runs[c.RequestID]
 		}
 	}
 	return at
@@ -159,7 +159,7 @@
 	calls := x.callBoth(40)
 	x.mustStay(calls, 0)
 	for _, c := range calls {
-		if c.Verdict == lab.Whole {
+		if c.Verdict == lab.Complete {
 			t.Errorf("a call was answered though its region is down: %+v", c)
 		}
 	}
--- a/test/soak_residency_test.go
+++ b/test/soak_residency_test.go
@@ -27,7 +27,7 @@
 }
 
 func (x *soak) callResident() {
-	x.caller.Do(lab.Plan{Host: soakResident, Work: time.Duration(x.draw(20)) * time.Millisecond})
+	x.caller.Do(lab.CallSpec{Host: soakResident, Work: time.Duration(x.draw(20)) * time.Millisecond})
 	time.Sleep(soakCallPause)
 }
 
@@ -35,7 +35,7 @@
 func (x *soak) checkResidency() {
 	restricted := map[string]bool{}
 	for _, c := range x.caller.Calls() {
-		restricted[c.Request] = restricted[c.Request] || c.Host == soakResident
+		restricted[c.RequestID] = restricted[c.RequestID] || c.Host == soakResident
 	}
 	ran := 0
 	for i, t := range x.targets {
