--- a/pkg/core/rollout/decide_test.go
+++ b/pkg/core/rollout/decide_test.go
@@ -79,7 +79,7 @@
 		{"too few answers", table.RolloutTrial, func(x *fixture) {
 			x.monitor.judge.total.New, x.input.Elapsed = Counts{Successes: 19}, x.input.Plan.LatestShift
 		}, table.RolloutRolledBack, "too few"},
-		{"all is drained", table.RolloutShifted, func(x *fixture) { x.reportAll() }, table.RolloutCompleted, "no calls are in flight"},
+		{"all is drained", table.RolloutShifted, func(x *fixture) { x.reportAll() }, table.RolloutCompleted, "no calls are under way"},
 		{"a call is under way", table.RolloutShifted, func(x *fixture) { x.reportAll(); x.report("b2", 7, 100, 1) }, 0, ""},
 		{"a box doesn't know of the shift", table.RolloutShifted, func(x *fixture) { x.reportAll(); x.report("b2", 6, 100, 0) }, 0, ""},
 		{"a report is old", table.RolloutShifted, func(x *fixture) { x.reportAll(); x.input.Elapsed += maxReportAge + 1 }, 0, ""},
@@ -88,7 +88,7 @@
 			x.reportAll()
 			x.report("b2", 7, 100, 1)
 			x.monitor.RecordReport(x.input.Elapsed, Report{Box: "b2", Start: 2, Revision: 7})
-		}, table.RolloutCompleted, "no calls are in flight"},
+		}, table.RolloutCompleted, "no calls are under way"},
 		{"time is over", table.RolloutShifted, func(x *fixture) { x.input.Elapsed = x.input.Plan.RollBackAt }, table.RolloutRolledBack, "box b1 may still"},
 	}
 	for _, s := range scenarios {
