--- a/pkg/admin/evacuations.go
+++ b/pkg/admin/evacuations.go
@@ -42,7 +42,7 @@
 	if len(o.Operator) > table.MaxNameLength {
 		return fault.New(fault.Invalid, "use a name of at most 64 characters", "the operator's name is too long")
 	}
-	if err := s.replica.OrderEvacuation(o); err != nil {
+	if err := s.replica.SubmitEvacuation(o); err != nil {
 		return err
 	}
 	return writeJSON(ctx, map[string]any{"domain": o.Domain, "active": evacuate})
--- a/pkg/admin/handlers.go
+++ b/pkg/admin/handlers.go
@@ -148,7 +148,7 @@
 	if err := s.needReplica(); err != nil {
 		return err
 	}
-	if err := s.replica.Form(); err != nil {
+	if err := s.replica.FormCluster(); err != nil {
 		return err
 	}
 	return writeJSON(ctx, s.replica.Status())
--- a/pkg/admin/quarantines.go
+++ b/pkg/admin/quarantines.go
@@ -32,7 +32,7 @@
 	if len(operator) > table.MaxNameLength {
 		return fault.New(fault.Invalid, "use a name of at most 64 characters", "the operator's name is too long")
 	}
-	if err := s.replica.ReleaseCall(f, operator); err != nil {
+	if err := s.replica.SubmitRelease(f, operator); err != nil {
 		return err
 	}
 	return writeJSON(ctx, map[string]string{"released": name})
--- a/pkg/admin/rollouts.go
+++ b/pkg/admin/rollouts.go
@@ -56,7 +56,7 @@
 	}
 	o.Service = units.ServiceName(path.Base(string(ctx.Path())))
 	o.Operator = string(ctx.QueryArgs().Peek("operator"))
-	if err := s.replica.OrderRollout(o); err != nil {
+	if err := s.replica.SubmitRollout(o); err != nil {
 		return err
 	}
 	return writeJSON(ctx, o)
--- a/pkg/app/app.go
+++ b/pkg/app/app.go
@@ -257,7 +257,7 @@
 	if !a.formAlone {
 		return
 	}
-	if err := a.replica.Form(); err != nil {
+	if err := a.replica.FormCluster(); err != nil {
 		a.Log.WithError(err).Info("the cluster wasn't formed anew")
 	}
 }
--- a/pkg/core/box/box.go
+++ b/pkg/core/box/box.go
@@ -75,7 +75,7 @@
 		e.Subscription.Exposures = nil
 	}
 	if x := e.Subscription.Watched; x != nil {
-		b.router.Reduce(now, &routing.WatchedCallsChanged{Term: x.Term, Acknowledged: x.Noted, Calls: x.Calls}, &e.Routing)
+		b.router.Reduce(now, &routing.WatchedCallsChanged{Term: x.Term, Acknowledged: x.Acknowledged, Calls: x.Calls}, &e.Routing)
 		e.Subscription.Watched = nil
 	}
 	if e.Subscription.LeaseChanged {
--- a/pkg/core/control/crash_test.go
+++ b/pkg/core/control/crash_test.go
@@ -15,10 +15,10 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// crashReporters holds what the current start of each box has noted of crashes.
+// crashReporters holds the crash notes of the current process of each box.
 type crashReporters map[*fakeBox]*crashReporter
 
-// crashReporter is one start of a box, which keeps its notes for the next leader.
+// crashReporter is one process of a box, which keeps its notes for the next leader.
 type crashReporter struct {
 	generation   int
 	notes        []crash.Note
@@ -48,7 +48,7 @@
 	if granted.Term != v.term {
 		v.term, v.acknowledged = granted.Term, 0
 	}
-	v.acknowledged = max(v.acknowledged, granted.Noted)
+	v.acknowledged = max(v.acknowledged, granted.Acknowledged)
 	v.watched = granted.Calls
 	for _, c := range granted.Calls {
 		if c.Trial > 0 {
--- a/pkg/core/control/quarantines.go
+++ b/pkg/core/control/quarantines.go
@@ -46,7 +46,8 @@
 
 // quarantineTracker is what a leader knows of crashes and quarantines in addition to the table.
 type quarantineTracker struct {
-	ledger *crash.Tracker
+	// crashes are those that the boxes have reported.
+	crashes *crash.Tracker
 	// verdicts are those that aren't in the table yet.
 	verdicts []pendingVerdict
 	// observations are what boxes have reported of each quarantined call.
@@ -55,9 +56,9 @@
 	trials []activeTrial
 	// watched are the calls that every grant lists.
 	watched []crash.WatchedCall
-	// changed is set when there are new notes or quarantines to evaluate, undecided while the
-	// passing of time alone may lead to a verdict.
-	changed, undecided bool
+	// changed is set when there are new notes or quarantines to evaluate, hasPendingVerdict while a
+	// verdict may follow without a new note.
+	changed, hasPendingVerdict bool
 }
 
 // activeTrial lets one box send a quarantined call once.
@@ -91,11 +92,11 @@
 }
 
 func newQuarantineTracker() quarantineTracker {
-	return quarantineTracker{ledger: crash.NewTracker(crash.CrashesToBlame), observations: map[crash.Fingerprint]*callObservation{}, changed: true}
+	return quarantineTracker{crashes: crash.NewTracker(crash.CrashesToBlame), observations: map[crash.Fingerprint]*callObservation{}, changed: true}
 }
 
 // busy reports whether the leader may have something to decide soon.
-func (t *quarantineTracker) busy() bool { return t.undecided || len(t.verdicts) > 0 }
+func (t *quarantineTracker) busy() bool { return t.hasPendingVerdict || len(t.verdicts) > 0 }
 
 // observationOf returns the observation of a quarantined call, a new one if there is none.
 func (r *Replica) observationOf(q *table.Quarantine) *callObservation {
@@ -115,7 +116,7 @@
 	r.tickAt = r.now
 	r.quarantines.changed = r.quarantines.changed || len(request.CrashNotes) > 0
 	for _, n := range wire.ToCrashNotes(request, r.now) {
-		r.quarantines.ledger.Record(n)
+		r.quarantines.crashes.Record(n)
 		if n.IsAnswer() {
 			r.recordAnswered(n)
 		}
@@ -149,7 +150,7 @@
 	if tracker.changed || tracker.busy() {
 		tracker.changed = false
 		r.proposeQuarantines(log)
-		tracker.undecided = tracker.ledger.HasPendingVerdict()
+		tracker.hasPendingVerdict = tracker.crashes.HasPendingVerdict()
 		tracker.watched = tracker.watchedCalls()
 	}
 	list := r.state.Table().Quarantines
@@ -166,13 +167,13 @@
 	tracker := &r.quarantines
 	t := r.state.Table()
 	for i := range t.Quarantines {
-		tracker.ledger.Attribute(t.Quarantines[i].Call)
+		tracker.crashes.Attribute(t.Quarantines[i].Call)
 	}
 	tracker.verdicts = slices.DeleteFunc(tracker.verdicts, func(v pendingVerdict) bool { return t.Quarantine(v.Fingerprint) != nil })
 	for i := range tracker.verdicts {
-		tracker.ledger.Attribute(tracker.verdicts[i].Fingerprint)
+		tracker.crashes.Attribute(tracker.verdicts[i].Fingerprint)
 	}
-	for _, v := range tracker.ledger.Evaluate(r.now) {
+	for _, v := range tracker.crashes.Evaluate(r.now) {
 		tracker.verdicts = append(tracker.verdicts, pendingVerdict{Verdict: v})
 	}
 	for i := range tracker.verdicts {
@@ -229,7 +230,7 @@
 	for i := range t.verdicts {
 		list = append(list, crash.WatchedCall{Call: t.verdicts[i].Fingerprint, Quarantined: true})
 	}
-	for _, f := range t.ledger.Suspects(maxWatchedSuspects) {
+	for _, f := range t.crashes.Suspects(maxWatchedSuspects) {
 		list = append(list, crash.WatchedCall{Call: f})
 	}
 	return list
@@ -280,7 +281,7 @@
 		Kind: kinds[x.Action], Call: x.Call, Targets: x.Targets, Trial: x.Trial, Operator: x.Operator, Revision: delta.Revision,
 	})
 	if x.Action == table.EndQuarantine {
-		r.quarantines.ledger.Release(x.Call)
+		r.quarantines.crashes.Release(x.Call)
 	}
 	r.tickAt = r.now
 	r.quarantines.changed = true
--- a/pkg/core/control/recovery_test.go
+++ b/pkg/core/control/recovery_test.go
@@ -225,7 +225,7 @@
 		newest := w.acceptEdits(10)
 		w.powerOff(30 * time.Millisecond)
 		b := w.boxes[0]
-		w.renewEvery, w.silence = 4*time.Second, 4*time.Second
+		w.renewInterval, w.replicaTimeout = 4*time.Second, 4*time.Second
 		w.startBox(b)
 		w.timeToLeader(3 * testElection)
 		elected := w.now
--- a/pkg/core/control/requests.go
+++ b/pkg/core/control/requests.go
@@ -52,7 +52,7 @@
 }
 
 // commandKey identifies a command across replicas: by the replica that it was submitted to, that
-// replica's start, and its number there.
+// replica's process, and its number there.
 type commandKey struct {
 	origin string
 	number commandNumber
@@ -126,7 +126,7 @@
 	}
 	departure := &wire.Departure{Target: string(v.Target)}
 	if registered := r.state.Registration(v.Target); registered != nil {
-		// A later start of the target that registers while the command is in flight stays.
+		// A later incarnation of the target that registers while the command is in flight stays.
 		departure.Born = int64(registered.Born)
 	}
 	c := &wire.Command{Kind: &wire.Command_Departure{Departure: departure}}
@@ -186,7 +186,7 @@
 	return w
 }
 
-// origin identifies this start of this replica in the commands that are submitted to it.
+// origin identifies this process of this replica in the commands that are submitted to it.
 func (r *Replica) origin() string {
 	return originOf(r.settings.Replication.Incarnation, r.settings.Replication.Boot)
 }
--- a/pkg/core/control/rollouts.go
+++ b/pkg/core/control/rollouts.go
@@ -29,10 +29,10 @@
 	// persistPeriod is how often a leader replicates the elapsed time of a rollout, so that the
 	// loss of all replicas' processes makes the rollout longer by at most this period.
 	persistPeriod = 2 * time.Second
-	// adoptPeriod is how often a leader looks for services without a version in force. Each search
+	// softwareCheckPeriod is how often a leader looks for services without a version in force. Each search
 	// iterates over all registered targets; calls of a service whose version in force has no target
-	// left are refused until a search has adopted another version.
-	adoptPeriod = 500 * time.Millisecond
+	// left are refused until another version is in force.
+	softwareCheckPeriod = 500 * time.Millisecond
 	// missingTargetsTimeout is how long no target of the version in force may be registered before
 	// the most common registered version takes its place. Targets that are replaced one after the
 	// other, or that restart together, are back sooner.
@@ -44,13 +44,13 @@
 	// started is when the last rollout of each service was ordered, on this replica's monotonic
 	// clock.
 	started map[units.ServiceName]startedRollout
-	// watches are the leader's watches of the rollouts in progress.
-	watches map[units.ServiceName]*rolloutWatch
-	// adoptAt is when the leader next looks for services without a version in force. allAdoptedAt
-	// is the revision at which all services had one; targetsMissingSince is since when no target of
-	// a service's version in force has been registered.
-	adoptAt             units.Instant
-	allAdoptedAt        units.Revision
+	// monitors are the leader's monitors of the rollouts in progress.
+	monitors map[units.ServiceName]*rolloutMonitor
+	// softwareCheckAt is when the leader next looks for services without a version in force.
+	// allInForceAt is the revision at which all services had one; targetsMissingSince is since when
+	// no target of a service's version in force has been registered.
+	softwareCheckAt     units.Instant
+	allInForceAt        units.Revision
 	targetsMissingSince map[units.ServiceName]units.Instant
 }
 
@@ -59,9 +59,9 @@
 	at    units.Instant
 }
 
-// rolloutWatch is a leader's watch of a rollout: it collects the boxes' evidence and decides the
+// rolloutMonitor is a leader's monitor of a rollout: it collects the boxes' evidence and decides the
 // next step.
-type rolloutWatch struct {
+type rolloutMonitor struct {
 	*rollout.Monitor
 	// proposedAt is when the last step was proposed, persistAt is when the elapsed time is next
 	// replicated.
@@ -79,13 +79,13 @@
 
 // clearLeaderState drops the state that only a leader has.
 func (t *rolloutTracker) clearLeaderState() {
-	t.watches = map[units.ServiceName]*rolloutWatch{}
+	t.monitors = map[units.ServiceName]*rolloutMonitor{}
 	t.targetsMissingSince = map[units.ServiceName]units.Instant{}
-	t.allAdoptedAt = 0
+	t.allInForceAt = 0
 }
 
 // busy reports whether this replica decides on a rollout in progress.
-func (t *rolloutTracker) busy() bool { return len(t.watches) > 0 }
+func (t *rolloutTracker) busy() bool { return len(t.monitors) > 0 }
 
 // updateRecord updates the state of a rollout from its replicated record. Of the start times that
 // its records imply, the earliest is kept, since each record arrives a little after the time that
@@ -96,7 +96,7 @@
 		at = min(at, start.at)
 	}
 	t.started[x.Service] = startedRollout{order: x.Order, at: at}
-	if w := t.watches[x.Service]; w != nil && w.Order() == x.Order {
+	if w := t.monitors[x.Service]; w != nil && w.Order() == x.Order {
 		w.Update(*x)
 		w.proposedAt = 0
 	}
@@ -112,22 +112,22 @@
 	return r.now.Sub(start.at)
 }
 
-// watchOf returns the leader's watch of a rollout in progress.
-func (r *Replica) watchOf(x *table.Rollout) *rolloutWatch {
-	w := r.rollouts.watches[x.Service]
+// monitorOf returns the leader's monitor of a rollout in progress.
+func (r *Replica) monitorOf(x *table.Rollout) *rolloutMonitor {
+	w := r.rollouts.monitors[x.Service]
 	if w == nil || w.Order() != x.Order {
-		w = &rolloutWatch{Monitor: rollout.NewMonitor(*x, r.settings.Rollouts.Limits), persistAt: r.now.Add(persistPeriod)}
-		r.rollouts.watches[x.Service] = w
+		w = &rolloutMonitor{Monitor: rollout.NewMonitor(*x, r.settings.Rollouts.Limits), persistAt: r.now.Add(persistPeriod)}
+		r.rollouts.monitors[x.Service] = w
 	}
 	return w
 }
 
 // eachActive calls f with every rollout in progress.
-func (r *Replica) eachActive(f func(*table.Rollout, *rolloutWatch)) {
+func (r *Replica) eachActive(f func(*table.Rollout, *rolloutMonitor)) {
 	list := r.state.Table().Rollouts
 	for i := range list {
 		if list[i].Active() {
-			f(&list[i], r.watchOf(&list[i]))
+			f(&list[i], r.monitorOf(&list[i]))
 		}
 	}
 }
@@ -141,14 +141,14 @@
 		Box: units.BoxID(request.Box.Id), Start: request.Start, Revision: units.Revision(request.Revision),
 		Evidence: wire.ToEvidence(request.Evidence),
 	}
-	r.eachActive(func(x *table.Rollout, w *rolloutWatch) { w.RecordReport(r.elapsed(x), report) })
+	r.eachActive(func(x *table.Rollout, w *rolloutMonitor) { w.RecordReport(r.elapsed(x), report) })
 }
 
 // exposures returns the exposures that a grant carries: one for each rollout in progress whose new
 // version may get calls.
 func (r *Replica) exposures() []*wire.Exposure {
 	var list []*wire.Exposure
-	r.eachActive(func(x *table.Rollout, w *rolloutWatch) {
+	r.eachActive(func(x *table.Rollout, w *rolloutMonitor) {
 		if w.rollingBack || x.Stage == table.RolloutTrial && len(x.Targets) == 0 {
 			return
 		}
@@ -163,12 +163,12 @@
 	if !r.settings.Rollouts.Enabled || !r.node.HasLease(r.now) {
 		return
 	}
-	r.adoptSoftware(log)
-	maps.DeleteFunc(r.rollouts.watches, func(name units.ServiceName, w *rolloutWatch) bool {
+	r.proposeSoftwareInForce(log)
+	maps.DeleteFunc(r.rollouts.monitors, func(name units.ServiceName, w *rolloutMonitor) bool {
 		x := r.state.Table().Rollout(name)
 		return !x.Active() || x.Order != w.Order()
 	})
-	r.eachActive(func(x *table.Rollout, w *rolloutWatch) {
+	r.eachActive(func(x *table.Rollout, w *rolloutMonitor) {
 		if r.now.Sub(w.proposedAt) >= retryPeriod {
 			r.advanceRollout(x, w, log)
 		}
@@ -176,14 +176,14 @@
 }
 
 // advanceRollout proposes a rollout's next step if one is due, or else replicates its elapsed time.
-func (r *Replica) advanceRollout(x *table.Rollout, w *rolloutWatch, log *replication.Effects) {
-	facts := &rollout.DecisionInput{
+func (r *Replica) advanceRollout(x *table.Rollout, w *rolloutMonitor, log *replication.Effects) {
+	input := &rollout.DecisionInput{
 		Elapsed: r.elapsed(x), LeaderFor: r.now.Sub(r.leaderSince), Plan: r.rolloutPlan(x), Boxes: boxIDs(r.liveBoxes()),
-		Old: r.side(x.Service, x.From), New: r.side(x.Service, x.To),
+		Old: r.candidates(x.Service, x.From), New: r.candidates(x.Service, x.To),
 	}
-	step := w.Decide(facts)
+	step := w.Decide(input)
 	if step == nil && r.now >= w.persistAt {
-		step = &table.RolloutStep{Service: x.Service, Order: x.Order, Stage: x.Stage, Share: x.Share, Targets: x.Targets, Elapsed: facts.Elapsed}
+		step = &table.RolloutStep{Service: x.Service, Order: x.Order, Stage: x.Stage, Share: x.Share, Targets: x.Targets, Elapsed: input.Elapsed}
 	}
 	if step == nil {
 		return
@@ -209,16 +209,16 @@
 	return rollout.NewPlan(x.Duration, longest)
 }
 
-// side returns the targets of a version that are available now.
-func (r *Replica) side(service units.ServiceName, software units.SoftwareVersion) rollout.Candidates {
-	var side rollout.Candidates
+// candidates returns the targets of a version that are available now.
+func (r *Replica) candidates(service units.ServiceName, software units.SoftwareVersion) rollout.Candidates {
+	var candidates rollout.Candidates
 	r.state.EachRegistration(func(t *table.Registration) {
 		if t.Service != service || t.Software != software || t.State != table.Active || t.Silent || r.state.Table().Evacuated(t.Domain) {
 			return
 		}
-		side = append(side, rollout.Candidate{Target: t.Target, Domain: t.Domain, Slots: t.Slots, Cold: t.Cold > 0})
+		candidates = append(candidates, rollout.Candidate{Target: t.Target, Domain: t.Domain, Slots: t.Slots, Cold: t.Cold > 0})
 	})
-	return side
+	return candidates
 }
 
 func boxIDs(boxes []table.Box) []units.BoxID {
@@ -229,16 +229,16 @@
 	return ids
 }
 
-// adoptSoftware proposes a version in force for services that have none, or whose version in force
-// has had no registered target for a while.
-func (r *Replica) adoptSoftware(log *replication.Effects) {
+// proposeSoftwareInForce proposes a version in force for services that have none, or whose version
+// in force has had no registered target for a while.
+func (r *Replica) proposeSoftwareInForce(log *replication.Effects) {
 	tracker := &r.rollouts
 	t := r.state.Table()
-	if r.now < tracker.adoptAt || tracker.allAdoptedAt == t.Revision {
+	if r.now < tracker.softwareCheckAt || tracker.allInForceAt == t.Revision {
 		return
 	}
-	tracker.adoptAt = r.now.Add(adoptPeriod)
-	tracker.allAdoptedAt = t.Revision
+	tracker.softwareCheckAt = r.now.Add(softwareCheckPeriod)
+	tracker.allInForceAt = t.Revision
 	registered := r.registeredSoftware()
 	for _, service := range slices.Sorted(maps.Keys(registered)) {
 		current := t.SoftwareInForce(service)
@@ -246,7 +246,7 @@
 			delete(tracker.targetsMissingSince, service)
 			continue
 		}
-		tracker.allAdoptedAt = 0
+		tracker.allInForceAt = 0
 		if current != "" && !r.targetsMissingTooLong(service) {
 			continue
 		}
@@ -312,7 +312,7 @@
 		if start, ok := r.rollouts.started[x.Service]; ok && start.order == x.Order && x.Active() {
 			s.ElapsedNow = now.Sub(start.at)
 		}
-		if w := r.rollouts.watches[x.Service]; w != nil && w.Order() == x.Order {
+		if w := r.rollouts.monitors[x.Service]; w != nil && w.Order() == x.Order {
 			total := w.Total()
 			s.New = AnswerCounts{Good: total.New.Successes, Bad: total.New.Failures}
 			s.Old = AnswerCounts{Good: total.Old.Successes, Bad: total.Old.Failures}
--- a/pkg/core/control/starts_test.go
+++ b/pkg/core/control/starts_test.go
@@ -10,15 +10,15 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// restartingTarget is a target that crashes and restarts under the same id. Each start keeps
-// reporting, to any replica, until it has left or the next start begins; reports of earlier starts
-// arrive late.
+// restartingTarget is a target that crashes and restarts under the same id. Each incarnation
+// keeps reporting, to any replica, until it has left or the next one starts; reports of earlier
+// incarnations arrive late.
 type restartingTarget struct {
 	world *world
-	// born identifies the current start, acknowledged is the last start whose report was
+	// born identifies the current incarnation, acknowledged is the last one whose report was
 	// acknowledged.
 	born, acknowledged units.WallTime
-	// left is the last start whose departure was acknowledged.
+	// left is the last incarnation whose departure was acknowledged.
 	left units.WallTime
 }
 
@@ -30,8 +30,8 @@
 	}
 }
 
-// startAgain begins a new start, whose first reports have low sequence numbers.
-func (x *restartingTarget) startAgain() {
+// restart starts a new incarnation, whose first reports have low sequence numbers.
+func (x *restartingTarget) restart() {
 	x.born += 1000
 	x.report(x.born, 1)
 }
@@ -52,7 +52,7 @@
 	w.after(200*time.Millisecond, func() { x.report(born, sequence+1) })
 }
 
-// sendLateReports sends reports of all earlier starts, with far higher sequence numbers than those
+// sendLateReports sends reports of all earlier incarnations, with far higher sequence numbers than those
 // of the current one.
 func (x *restartingTarget) sendLateReports() {
 	w := x.world
@@ -64,7 +64,7 @@
 	}
 }
 
-// depart has the current start leave for good, if its registration was acknowledged.
+// depart has the current incarnation leave permanently, if its registration was acknowledged.
 func (x *restartingTarget) depart() {
 	if x.acknowledged != x.born || x.left == x.born {
 		return
@@ -79,23 +79,23 @@
 	})
 }
 
-// check checks that the current start is registered on all replicas, unless it has left.
+// check checks that the current incarnation is registered on all replicas, unless it has left.
 func (x *restartingTarget) check(t *rapid.T) {
 	for _, r := range x.world.replicas {
 		held := r.core.state.Registration(restartingTargetID)
 		switch {
 		case x.left == x.born:
 			if held != nil {
-				t.Fatalf("%s has the start of %d, whose departure was acknowledged", r.id, held.Born)
+				t.Fatalf("%s has the incarnation of %d, whose departure was acknowledged", r.id, held.Born)
 			}
 		case held == nil || held.Born != x.born || held.State != table.Active:
-			t.Fatalf("%s has %+v, the current start is that of %d", r.id, held, x.born)
+			t.Fatalf("%s has %+v, the current incarnation is that of %d", r.id, held, x.born)
 		}
 	}
 }
 
-// Under any faults that the cluster tolerates, the last start of a target is in force in the end,
-// whatever arrives late from earlier starts.
+// Under any faults that the cluster tolerates, the last incarnation of a target is the registered one
+// in the end, whatever arrives late from earlier incarnations.
 func TestTheLastStartHolds(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -103,21 +103,21 @@
 		w.putDocument(w.leader(), false)
 		w.run(500 * time.Millisecond)
 		x := &restartingTarget{world: w}
-		x.startAgain()
+		x.restart()
 		steps := rapid.SliceOfN(rapid.IntRange(0, len(growthFaults)*1000-1), 1, 25).Draw(t, "faults")
 		for i, s := range steps {
 			switch i % 4 {
 			case 1:
 				x.sendLateReports()
 			case 2:
-				x.startAgain()
+				x.restart()
 			}
 			growthFaults[s%len(growthFaults)].do(w, s/len(growthFaults))
 			w.run(stepDuration(s))
 		}
 		w.checkRecovery()
 		if s := steps[0]; s%3 == 0 {
-			// An order that was given up must no longer be in flight when the next start begins.
+			// An order that was given up must no longer be in flight when the next incarnation starts.
 			w.run(w.settings.EditTimeout)
 			x.depart()
 		}
--- a/pkg/core/control/traffic_test.go
+++ b/pkg/core/control/traffic_test.go
@@ -26,7 +26,7 @@
 	replaced map[units.SoftwareVersion]bool
 }
 
-// boxTraffic is the calls of one start of a box and the exposures that it was granted.
+// boxTraffic is the calls of one process of a box and the exposures that it was granted.
 type boxTraffic struct {
 	generation  int
 	requestedAt map[uint64]units.Instant
--- a/pkg/core/control/world_test.go
+++ b/pkg/core/control/world_test.go
@@ -36,8 +36,8 @@
 	lossRate      float64
 	duplicateRate float64
 	settings      Settings
-	// renewEvery and silence are the boxes' settings RenewEvery and Silence.
-	renewEvery, silence time.Duration
+	// renewInterval and replicaTimeout are the settings RenewInterval and ReplicaTimeout of the boxes.
+	renewInterval, replicaTimeout time.Duration
 
 	answers  map[units.EditID]table.Result
 	accepted map[units.Revision]acceptedEdit
@@ -131,7 +131,7 @@
 		accepted:         map[units.Revision]acceptedEdit{},
 		tablesByRevision: map[units.Revision]*table.Table{},
 		leaders:          map[units.Term]units.ReplicaID{},
-		renewEvery:       50 * time.Millisecond, silence: 150 * time.Millisecond,
+		renewInterval:    50 * time.Millisecond, replicaTimeout: 150 * time.Millisecond,
 		settings: Settings{
 			Lease: testLease, LeaseMargin: 100 * time.Millisecond, EditTimeout: time.Second,
 			SnapshotEvery: 20, KeepEntries: 5, ReadTimeout: 300 * time.Millisecond, SilentAfter: time.Second,
@@ -405,8 +405,8 @@
 		}
 	}
 	b.core = subscription.NewSubscription(subscription.Settings{
-		Box: table.Box{ID: b.id, Address: "127.0.0.1:1"}, Replicas: ids, RenewInterval: w.renewEvery,
-		ReplicaTimeout: w.silence, Start: uint64(b.generation), Seed: w.random.Uint64(),
+		Box: table.Box{ID: b.id, Address: "127.0.0.1:1"}, Replicas: ids, RenewInterval: w.renewInterval,
+		ReplicaTimeout: w.replicaTimeout, Start: uint64(b.generation), Seed: w.random.Uint64(),
 	}, w.now)
 	w.tickBox(b, b.generation)
 }
--- a/pkg/core/crash/note.go
+++ b/pkg/core/crash/note.go
@@ -17,8 +17,8 @@
 // suspect. Several boxes may note the same crash; each lists the calls that it had in flight at the
 // target.
 type Note struct {
-	// Box, Start and Number identify the note: the box, its process start, and a sequence number
-	// that counts from 1 in each start.
+	// Box, Start and Number identify the note: the box, its process, and a sequence number
+	// that counts from 1 in each process.
 	Box    units.BoxID
 	Start  uint64
 	Number uint64
--- a/pkg/core/rollout/monitor.go
+++ b/pkg/core/rollout/monitor.go
@@ -53,7 +53,7 @@
 // Report is the part of a box's lease request that concerns rollouts.
 type Report struct {
 	Box units.BoxID
-	// Start identifies the box's process start; counts restart from zero with each.
+	// Start identifies the box's process; counts restart from zero with each.
 	Start    uint64
 	Revision units.Revision
 	Evidence []Evidence
--- a/pkg/core/routing/closed.go
+++ b/pkg/core/routing/closed.go
@@ -81,7 +81,7 @@
 }
 
 // blockedReason returns why all targets that a call may use are blocked: TargetsLimited if one of
-// them only lacks a permit, otherwise TargetsRest.
+// them only lacks a permit, otherwise TargetsResting.
 func (s *service) blockedReason(c *call, now units.Instant) Reason {
 	for _, t := range s.targets {
 		if t.isEligible() && c.mayUse(t) && !t.notice.isResting(now) && t.lacksPermit(now) {
--- a/pkg/core/subscription/subscription.go
+++ b/pkg/core/subscription/subscription.go
@@ -30,7 +30,7 @@
 	RenewInterval time.Duration
 	// ReplicaTimeout is how long a replica may go without activity before the box leaves it.
 	ReplicaTimeout time.Duration
-	// Start identifies this run of the box, so that grants for an earlier run are
+	// Start identifies this process of the box, so that grants for an earlier one are
 	// ignored.
 	Start uint64
 	// Seed is the seed of the order of the replicas and the jitter of delays.
--- a/pkg/core/subscription/watched.go
+++ b/pkg/core/subscription/watched.go
@@ -8,11 +8,11 @@
 
 // Watched holds a grant's data on calls that may crash targets.
 type Watched struct {
-	// Term is the leader's term, Noted the number of the last crash note of this box that it has received,
-	// and Calls are the calls to watch.
-	Term  units.Term
-	Noted uint64
-	Calls []crash.WatchedCall
+	// Term is the leader's term, Acknowledged the number of the last crash note of this box that it
+	// has received, and Calls are the calls to watch.
+	Term         units.Term
+	Acknowledged uint64
+	Calls        []crash.WatchedCall
 }
 
 // applyWatched reports a grant's watched calls in e, unless a later request has already been
@@ -28,5 +28,5 @@
 	}
 	s.hasWatched = len(r.Watched) > 0
 	s.watchedTerm = term
-	e.Watched = &Watched{Term: term, Noted: r.Noted, Calls: wire.ToWatchedCalls(r.Watched)}
+	e.Watched = &Watched{Term: term, Acknowledged: r.Noted, Calls: wire.ToWatchedCalls(r.Watched)}
 }
--- a/pkg/core/table/registration.go
+++ b/pkg/core/table/registration.go
@@ -8,10 +8,11 @@
 )
 
 // Registration is a target's report of itself, for a target that registers by itself. A target
-// may restart under the same id; Born distinguishes its starts.
+// may restart under the same id; Born distinguishes its incarnations.
 type Registration struct {
 	Target units.TargetID `json:"target"`
-	// Born is the time of this start of the target, by its own clock; zero if it isn't reported.
+	// Born is the start time of this incarnation of the target, by its own clock; zero if it isn't
+	// reported.
 	Born    units.WallTime    `json:"born,omitempty"`
 	Service units.ServiceName `json:"service"`
 	// Address is an IP address and a port.
@@ -21,7 +22,7 @@
 	Software units.SoftwareVersion `json:"software,omitempty"`
 	Slots    int                   `json:"slots,omitempty"`
 	State    RowState              `json:"state"`
-	// Sequence increases with each report of a start, so that a delayed one can be recognized.
+	// Sequence increases with each report of an incarnation, so that a delayed one can be recognized.
 	Sequence uint64 `json:"sequence"`
 	// Cold is the remaining time for which the target expects to be cold, as of the last change of
 	// that; zero for a warm target.
@@ -106,25 +107,25 @@
 	switch {
 	case s.Outdated(r) || s.Foreign(r):
 		return false
-	case current == nil || r.isDifferentStart(current):
+	case current == nil || r.isOtherIncarnation(current):
 		return true
 	}
 	return r.Sequence > current.Sequence && !current.SameContent(r)
 }
 
-// Outdated reports whether a report is of an earlier start of its target than the registered or departed
-// one, or of an earlier target at its address. If the registered target is silent, a report of a seemingly
-// earlier start is of a later one whose clock is behind: reports delayed by a network partition arrive before
-// their target becomes silent.
+// Outdated reports whether a report is of an earlier incarnation of its target than the registered or
+// departed one, or of an earlier target at its address. If the registered target is silent, a report of a
+// seemingly earlier incarnation is of a later one whose clock is behind: reports delayed by a network partition
+// arrive before their target becomes silent.
 func (s *State) Outdated(r *Registration) bool {
-	if lastStart, departed := s.departed[r.Target]; departed && (lastStart == 0 || r.Born <= lastStart) {
+	if lastBorn, departed := s.departed[r.Target]; departed && (lastBorn == 0 || r.Born <= lastBorn) {
 		return true
 	}
 	current := s.targets[r.Target]
 	if current == nil {
 		current = s.targets[s.byAddress[r.Address]]
 	}
-	return current != nil && r.isDifferentStart(current) && r.Born < current.Born && !current.Silent
+	return current != nil && r.isOtherIncarnation(current) && r.Born < current.Born && !current.Silent
 }
 
 // Foreign reports whether a report must be ignored because it would remove a working target: it names a
@@ -140,8 +141,8 @@
 	return current != nil && s.table.Services[r.Service] == nil && s.table.Services[current.Service] != nil
 }
 
-// isDifferentStart reports whether two reports are known to be of different starts of a target.
-func (r *Registration) isDifferentStart(o *Registration) bool {
+// isOtherIncarnation reports whether two reports are known to be of different incarnations of a target.
+func (r *Registration) isOtherIncarnation(o *Registration) bool {
 	return r.Born != 0 && o.Born != 0 && r.Born != o.Born
 }
 
@@ -185,8 +186,8 @@
 	}
 }
 
-// ApplyDeparture permanently removes the start of a target that has the given time, or its current start
-// if born is zero. A later start stays. The delta is nil if the table isn't changed.
+// ApplyDeparture permanently removes the incarnation of a target that started at the given time, or its current
+// one if born is zero. A later incarnation stays. The delta is nil if the table isn't changed.
 func (s *State) ApplyDeparture(id units.TargetID, born units.WallTime) *Delta {
 	r := s.targets[id]
 	if r == nil || born != 0 && r.Born > born {
@@ -260,11 +261,11 @@
 	}
 }
 
-// recordDeparture records that the target's starts up to the given time have left. A born of zero
-// means all of them, unless a time is already recorded.
+// recordDeparture records that the target's incarnations started up to the given time have left. A born
+// of zero means all of them, unless a time is already recorded.
 func (s *State) recordDeparture(id units.TargetID, born units.WallTime) {
-	if lastStart, departed := s.departed[id]; departed {
-		s.departed[id] = max(lastStart, born)
+	if lastBorn, departed := s.departed[id]; departed {
+		s.departed[id] = max(lastBorn, born)
 		return
 	}
 	if len(s.departedOrder) >= MaxDeparted {
--- a/pkg/core/table/row.go
+++ b/pkg/core/table/row.go
@@ -43,7 +43,7 @@
 	Silent bool `json:"silent,omitempty"`
 	// Software is the software version that a registered target reports.
 	Software units.SoftwareVersion `json:"software,omitempty"`
-	// Born is the time of a registered target's start, which distinguishes its starts; zero if it
-	// isn't reported.
+	// Born is the start time of a registered target, which distinguishes its incarnations; zero if
+	// it isn't reported.
 	Born units.WallTime `json:"born,omitempty"`
 }
--- a/pkg/core/table/starts_test.go
+++ b/pkg/core/table/starts_test.go
@@ -10,9 +10,9 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// startCommands are the commands of the files in testdata/starts, which apply reports, departures and
+// registrationCommands are the commands of the files in testdata/starts, which apply reports, departures and
 // silence of one service's registered targets.
-var startCommands = map[string]func(t *testing.T, s *State, d *datadriven.TestData) string{
+var registrationCommands = map[string]func(t *testing.T, s *State, d *datadriven.TestData) string{
 	// report TARGET born=N sequence=N [address=A] [service=S] [leaving]
 	"report": func(t *testing.T, s *State, d *datadriven.TestData) string {
 		r := &Registration{Target: units.TargetID(d.CmdArgs[0].Key), Service: "s", State: Active}
@@ -58,7 +58,7 @@
 	datadriven.Walk(t, "testdata/starts", func(t *testing.T, path string) {
 		s := newStateWithService()
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			command := startCommands[d.Cmd]
+			command := registrationCommands[d.Cmd]
 			if command == nil {
 				d.Fatalf(t, "there is no command %s", d.Cmd)
 			}
--- a/pkg/core/table/state.go
+++ b/pkg/core/table/state.go
@@ -39,8 +39,8 @@
 	targets map[units.TargetID]*Registration
 	// byAddress maps addresses to registered targets. Each target has one address.
 	byAddress map[string]units.TargetID
-	// departed maps targets that left permanently to the time of the last start that left, or zero
-	// if that isn't known. departedOrder holds their ids, oldest first.
+	// departed maps targets that left permanently to the start time of the last incarnation that
+	// left, or zero if that isn't known. departedOrder holds their ids, oldest first.
 	departed      map[units.TargetID]units.WallTime
 	departedOrder []units.TargetID
 }
@@ -73,7 +73,7 @@
 // Departure is a target that left permanently.
 type Departure struct {
 	Target units.TargetID
-	// Born is the time of the last start that left; zero if it isn't known.
+	// Born is the start time of the last incarnation that left; zero if it isn't known.
 	Born units.WallTime
 }
 
--- a/pkg/replica/edits.go
+++ b/pkg/replica/edits.go
@@ -23,8 +23,8 @@
 	return *a.Result, nil
 }
 
-// Form forms the cluster; see replication.Node.Form for the errors.
-func (r *Replica) Form() error {
+// FormCluster forms the cluster; see replication.Node.Form for the errors.
+func (r *Replica) FormCluster() error {
 	return r.request(func(id control.RequestID) control.Event {
 		return control.FormRequested{Request: id, Cluster: uuid.NewString()}
 	}).Err
--- a/pkg/replica/requests.go
+++ b/pkg/replica/requests.go
@@ -45,28 +45,28 @@
 	}).Err
 }
 
-// OrderEvacuation evacuates a failure domain or restores it. If it returns no error, the order
+// SubmitEvacuation evacuates a failure domain or restores it. If it returns no error, the order
 // is committed. The error is of kind Invalid, NotFound if no box or target is in the domain,
 // Unavailable if another order came first, or Unknown.
-func (r *Replica) OrderEvacuation(o table.EvacuationOrder) error {
+func (r *Replica) SubmitEvacuation(o table.EvacuationOrder) error {
 	return r.request(func(id control.RequestID) control.Event {
 		return control.EvacuationOrdered{Request: id, Order: o}
 	}).Err
 }
 
-// OrderRollout starts a rollout, or aborts the one in progress. If it returns no error, the order
+// SubmitRollout starts a rollout, or aborts the one in progress. If it returns no error, the order
 // is committed. The error is of kind Invalid, NotFound for an unknown service, Conflict if another
 // rollout is in progress, Unavailable if no version is in force yet, or Unknown.
-func (r *Replica) OrderRollout(o table.RolloutOrder) error {
+func (r *Replica) SubmitRollout(o table.RolloutOrder) error {
 	return r.request(func(id control.RequestID) control.Event {
 		return control.RolloutOrdered{Request: id, Order: o}
 	}).Err
 }
 
-// ReleaseCall ends the quarantine of a call. If it returns no error, the release is committed, or
+// SubmitRelease ends the quarantine of a call. If it returns no error, the release is committed, or
 // the call isn't in quarantine. The error is of kind Unavailable if the call has been quarantined
 // again since, or Unknown.
-func (r *Replica) ReleaseCall(f crash.Fingerprint, operator string) error {
+func (r *Replica) SubmitRelease(f crash.Fingerprint, operator string) error {
 	return r.request(func(id control.RequestID) control.Event {
 		return control.ReleaseOrdered{Request: id, Call: f, Operator: operator}
 	}).Err
