--- a/pkg/core/box/fleet_test.go
+++ b/pkg/core/box/fleet_test.go
@@ -246,7 +246,7 @@
 	})
 }
 
-// leader is the control side: it grants leases and exposures and collects evidence, by which runStage
+// leader replaces the control replicas: it grants leases and exposures and collects evidence, by which runStage
 // rolls back at 50 failures.
 type leader struct {
 	f     *fleet
@@ -256,8 +256,8 @@
 	down, withholdsExposures bool
 	// stageStartedAt is when the current stage started, rolledBackAt when the rollout was rolled back.
 	stageStartedAt, rolledBackAt units.Instant
-	// failuresByRun are the new version's failures that each run of a box has reported.
-	failuresByRun map[string]uint64
+	// failuresByProcess are the new version's failures that each process of a box has reported.
+	failuresByProcess map[string]uint64
 }
 
 func (l *leader) setUpTable(boxes int) {
@@ -281,7 +281,7 @@
 		t.Boxes = append(t.Boxes, table.Box{ID: boxName(i)})
 	}
 	t.InForce = []table.SoftwareInForce{{Service: testService, Software: oldSoftware}}
-	l.table, l.failuresByRun = t, map[string]uint64{}
+	l.table, l.failuresByProcess = t, map[string]uint64{}
 }
 
 func (l *leader) rollout() *table.Rollout { return l.table.Rollout(testService) }
@@ -329,7 +329,7 @@
 	request := x.GetRenewRequest()
 	for _, v := range wire.ToEvidence(request.Evidence) {
 		if v.Software == newSoftware {
-			l.failuresByRun[fmt.Sprintf("%d/%d", m.index, request.Start)] = v.Failures
+			l.failuresByProcess[fmt.Sprintf("%d/%d", m.index, request.Start)] = v.Failures
 		}
 	}
 	l.recordDrained(m, request)
@@ -346,7 +346,7 @@
 
 func (l *leader) knownFailures() uint64 {
 	sum := uint64(0)
-	for _, n := range l.failuresByRun {
+	for _, n := range l.failuresByProcess {
 		sum += n
 	}
 	return sum
--- a/pkg/core/control/apply.go
+++ b/pkg/core/control/apply.go
@@ -36,8 +36,8 @@
 	r.answerRestoredEdits(e)
 }
 
-// applyCommitted applies a committed entry. Entries that are replayed after a start were already
-// logged by an earlier run of this replica, so their changes are not logged again: hundreds of
+// applyCommitted applies a committed entry. Entries that are replayed after a restart were already
+// logged by an earlier process of this replica, so their changes are not logged again: hundreds of
 // lines at once would delay its boxes.
 func (r *Replica) applyCommitted(entry *wire.Entry, e *Effects) {
 	changes := len(e.Changes)
@@ -48,7 +48,7 @@
 	}
 }
 
-// finishReplay ends the replay of the log after a start and reports how many entries it read.
+// finishReplay ends the replay of the log after a restart and reports how many entries it read.
 func (r *Replica) finishReplay(e *Effects) {
 	if !r.replaying {
 		return
--- a/pkg/core/control/crash_test.go
+++ b/pkg/core/control/crash_test.go
@@ -39,7 +39,7 @@
 	return v
 }
 
-// receiveGrant records what a grant says about quarantines.
+// receiveGrant records a grant's data on quarantines.
 func (x crashReporters) receiveGrant(b *fakeBox, granted *subscription.Watched) {
 	if x == nil || granted == nil {
 		return
--- a/pkg/core/control/evacuation_test.go
+++ b/pkg/core/control/evacuation_test.go
@@ -23,9 +23,9 @@
 	number       int
 }
 
-// resendEvery is how long the operator waits for an answer. Replicas wait much longer for a quorum,
+// resendInterval is how long the operator waits for an answer. Replicas wait much longer for a quorum,
 // so orders that the operator gave up on are still in flight.
-const resendEvery = 120 * time.Millisecond
+const resendInterval = 120 * time.Millisecond
 
 func newEvacuationOperator(w *world, d units.Domain) *evacuationOperator {
 	return &evacuationOperator{world: w, domain: d, acknowledged: true}
@@ -57,7 +57,7 @@
 			w.t.Fatalf("a valid order was refused: %v", a.Err)
 		}
 	})
-	w.after(resendEvery, func() { o.send(number) })
+	w.after(resendInterval, func() { o.send(number) })
 }
 
 // checkHeld checks that every replica and box shows what was acknowledged last.
--- a/pkg/core/control/events.go
+++ b/pkg/core/control/events.go
@@ -62,7 +62,7 @@
 	Registration *table.Registration
 }
 
-// TargetDeparted reports that a registered target leaves for good.
+// TargetDeparted reports that a registered target leaves permanently.
 type TargetDeparted struct {
 	Request RequestID
 	Target  units.TargetID
--- a/pkg/core/control/leases.go
+++ b/pkg/core/control/leases.go
@@ -13,13 +13,13 @@
 
 // lease is a leader's record of a box's lease on the table.
 type lease struct {
-	box      table.Box
-	renewed  units.Instant
-	revision units.Revision
+	box       table.Box
+	renewedAt units.Instant
+	revision  units.Revision
 }
 
 // leaseTracker holds what a leader knows of the boxes' leases. A new leader starts with an empty
-// one and counts the listed boxes as renewed when its leadership began: the previous leader can't
+// one and treats the listed boxes as renewed when its leadership began: the previous leader can't
 // have granted anything later.
 type leaseTracker struct {
 	byBox map[units.BoxID]*lease
@@ -43,7 +43,7 @@
 		// A new box is listed at once.
 		r.tickAt = r.now
 	}
-	r.leases.byBox[box.ID] = &lease{box: box, renewed: r.now, revision: units.Revision(request.Revision)}
+	r.leases.byBox[box.ID] = &lease{box: box, renewedAt: r.now, revision: units.Revision(request.Revision)}
 	r.recordEvidence(request)
 	r.recordCrashNotes(request)
 	r.recordUsage(request)
@@ -89,11 +89,11 @@
 
 // leaseExpiry returns when a box's lease has certainly expired, including the margin.
 func (r *Replica) leaseExpiry(id units.BoxID) units.Instant {
-	renewed := r.leaderSince
+	renewedAt := r.leaderSince
 	if l := r.leases.byBox[id]; l != nil {
-		renewed = l.renewed
+		renewedAt = l.renewedAt
 	}
-	return renewed.Add(r.settings.Lease + r.settings.LeaseMargin)
+	return renewedAt.Add(r.settings.Lease + r.settings.LeaseMargin)
 }
 
 // proposeBoxes proposes a new list of boxes when the current one is out of date.
@@ -158,8 +158,8 @@
 	s.Box = l.box
 	s.Revision = l.revision
 	s.InForce = l.revision == r.state.Table().Revision
-	s.SilentFor = int64(now.Sub(l.renewed))
-	s.StopsWithin = int64(max(0, l.renewed.Add(r.settings.Lease).Sub(now)))
+	s.SilentFor = int64(now.Sub(l.renewedAt))
+	s.StopsWithin = int64(max(0, l.renewedAt.Add(r.settings.Lease).Sub(now)))
 	return s
 }
 
--- a/pkg/core/control/replica.go
+++ b/pkg/core/control/replica.go
@@ -22,7 +22,7 @@
 	LeaseMargin time.Duration
 	// ReadTimeout is how long a read may wait for the leader's read index.
 	ReadTimeout time.Duration
-	// SilentAfter is how long a registered target may go without a report before it counts as
+	// SilentAfter is how long a registered target may go without a report before it is considered
 	// silent; zero disables the check.
 	SilentAfter time.Duration
 	// EditTimeout is how long an edit may wait for a quorum.
@@ -102,7 +102,7 @@
 	// leader was elected.
 	caughtUp  bool
 	startedAt units.Instant
-	// replaying is set from the start until the replica has first caught up; replayed counts the
+	// replaying is set from the process's start until the replica has first caught up; replayed counts the
 	// log entries that it has applied again meanwhile.
 	replaying bool
 	replayed  int
@@ -236,7 +236,7 @@
 		return
 	}
 	// If the cluster can't be formed yet, the next event tries again.
-	_ = r.node.Form(r.now, string(r.settings.Replication.Incarnation), empty, log)
+	_ = r.node.FormCluster(r.now, string(r.settings.Replication.Incarnation), empty, log)
 }
 
 func (r *Replica) updateLeadership(e *Effects) {
@@ -266,7 +266,7 @@
 
 // snapshotEvery returns the number of entries between two snapshots. It is at least half the number
 // of registered targets, so that the cost of snapshots per entry doesn't grow with the state, and a
-// start reads no more entries than there are targets.
+// restart reads no more entries than there are targets.
 func (r *Replica) snapshotEvery() int {
 	return max(r.settings.SnapshotEvery, r.state.RegistrationCount()/2)
 }
@@ -286,7 +286,7 @@
 func (r *Replica) form(v FormRequested, log *replication.Effects, e *Effects) {
 	empty, err := wire.EncodeState(table.NewState())
 	if err == nil {
-		err = r.node.Form(r.now, v.Cluster, empty, log)
+		err = r.node.FormCluster(r.now, v.Cluster, empty, log)
 	}
 	e.Answers = append(e.Answers, Answer{Request: v.Request, Err: err})
 }
--- a/pkg/core/control/rollout_test.go
+++ b/pkg/core/control/rollout_test.go
@@ -226,7 +226,7 @@
 			w.t.Fatalf("a valid order was refused: %v", a.Err)
 		}
 	})
-	w.after(resendEvery, func() { o.send(number) })
+	w.after(resendInterval, func() { o.send(number) })
 }
 
 // checkRollouts checks that the acknowledged rollout is known to all replicas and boxes, that no
--- a/pkg/core/control/sessions.go
+++ b/pkg/core/control/sessions.go
@@ -20,8 +20,8 @@
 	table        *table.Table
 	// queued is set while the box waits for its part of a whole table.
 	queued bool
-	// waiting is the box's last lease request while it waits for a leader.
-	waiting *wire.RenewRequest
+	// deferred is the box's last lease request while it waits for a leader.
+	deferred *wire.RenewRequest
 }
 
 func (r *Replica) receiveBox(v BoxMessage, log *replication.Effects, e *Effects) {
@@ -42,7 +42,7 @@
 // so that the box neither asks again soon nor tries another replica while the replicas elect a
 // leader.
 func (r *Replica) deferRenewal(s *session, request *wire.RenewRequest, e *Effects) {
-	s.waiting = request
+	s.deferred = request
 	// By the time a leader gets the request, the box may have sent calls that its evidence doesn't
 	// include. Without a revision the leader doesn't count the box as one that has drained the old
 	// version of a rollout.
@@ -56,7 +56,7 @@
 
 // renew answers a lease request on the leader, or forwards it to the leader.
 func (r *Replica) renew(s *session, request *wire.RenewRequest, log *replication.Effects, e *Effects) {
-	s.waiting = nil
+	s.deferred = nil
 	if !r.node.IsLeader() {
 		r.forwardRenewal(request, log)
 		return
@@ -83,8 +83,8 @@
 	r.pushPending = true
 	r.pushAt = r.now
 	for _, c := range r.sessions.Keys() {
-		if s := r.sessions.Get(c); s.waiting != nil {
-			r.renew(s, s.waiting, log, e)
+		if s := r.sessions.Get(c); s.deferred != nil {
+			r.renew(s, s.deferred, log, e)
 		}
 	}
 }
--- a/pkg/core/control/traffic_test.go
+++ b/pkg/core/control/traffic_test.go
@@ -17,9 +17,9 @@
 type traffic struct {
 	world   *world
 	service units.ServiceName
-	// bad returns the share of a version's answers that fail.
-	bad   func(units.SoftwareVersion) float64
-	byBox map[*fakeBox]*boxTraffic
+	// failureRate returns the fraction of a version's answers that fail.
+	failureRate func(units.SoftwareVersion) float64
+	byBox       map[*fakeBox]*boxTraffic
 	// sent counts the calls to each version.
 	sent map[units.SoftwareVersion]int
 	// replaced are the versions that completed rollouts have replaced.
@@ -37,14 +37,14 @@
 }
 
 const (
-	callEvery   = 10 * time.Millisecond
-	longestCall = 300 * time.Millisecond
+	callInterval = 10 * time.Millisecond
+	maxCallTime  = 300 * time.Millisecond
 )
 
-func newTraffic(w *world, service units.ServiceName, bad func(units.SoftwareVersion) float64) *traffic {
-	x := &traffic{world: w, service: service, bad: bad, byBox: map[*fakeBox]*boxTraffic{}, sent: map[units.SoftwareVersion]int{}, replaced: map[units.SoftwareVersion]bool{}}
+func newTraffic(w *world, service units.ServiceName, failureRate func(units.SoftwareVersion) float64) *traffic {
+	x := &traffic{world: w, service: service, failureRate: failureRate, byBox: map[*fakeBox]*boxTraffic{}, sent: map[units.SoftwareVersion]int{}, replaced: map[units.SoftwareVersion]bool{}}
 	w.traffic = x
-	w.after(callEvery, x.tick)
+	w.after(callInterval, x.tick)
 	return x
 }
 
@@ -70,7 +70,7 @@
 			x.call(b, x.trafficOf(b))
 		}
 	}
-	x.world.after(callEvery, x.tick)
+	x.world.after(callInterval, x.tick)
 }
 
 func (x *traffic) call(b *fakeBox, c *boxTraffic) {
@@ -83,13 +83,13 @@
 		w.t.Fatalf("box %s sends a call to %s, whose targets have stopped", b.id, to)
 	}
 	x.sent[to]++
-	c.inFlight[to] = append(c.inFlight[to], w.now.Add(time.Duration(w.random.Int64N(int64(longestCall)))))
+	c.inFlight[to] = append(c.inFlight[to], w.now.Add(time.Duration(w.random.Int64N(int64(maxCallTime)))))
 	e := c.counts[to]
 	if e == nil {
 		e = &rollout.Evidence{Service: x.service, Software: to, Route: "h/"}
 		c.counts[to] = e
 	}
-	if w.random.Float64() < x.bad(to) {
+	if w.random.Float64() < x.failureRate(to) {
 		e.Failures++
 		return
 	}
--- a/pkg/core/control/uses_test.go
+++ b/pkg/core/control/uses_test.go
@@ -11,8 +11,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// reportUses has a box report calls once a second for a number of seconds.
-func reportUses(r *singleReplica, seconds int, uses ...*wire.WorkspaceUse) {
+// reportUsage has a box report calls once a second for a number of seconds.
+func reportUsage(r *singleReplica, seconds int, uses ...*wire.WorkspaceUse) {
 	for range seconds {
 		r.now = r.now.Add(time.Second)
 		r.renew(1, &wire.RenewRequest{Box: &wire.Box{Id: "b", Domain: "d", Address: "10.0.0.1:7000"}, Uses: uses})
@@ -39,7 +39,7 @@
 		}
 		return nil
 	}
-	reportUses(r, 25, uses...)
+	reportUsage(r, 25, uses...)
 	if u := use("shops"); u == nil || math.Abs(float64(u.Admitted)-16) > 2 || math.Abs(float64(u.Refused)-3) > 1 {
 		t.Errorf("the workspace's use is %+v", u)
 	}
@@ -49,7 +49,7 @@
 	if use("free") != nil || len(r.core.usage) != 1 {
 		t.Errorf("%d workspaces are counted, and the use of one without a limit is %+v", len(r.core.usage), use("free"))
 	}
-	reportUses(r, 25)
+	reportUsage(r, 25)
 	if u := use("shops"); u.Admitted != 0 || u.Refused != 0 {
 		t.Errorf("25 s after its last call its use is %+v", u)
 	}
--- a/pkg/core/replication/acknowledged.go
+++ b/pkg/core/replication/acknowledged.go
@@ -10,7 +10,7 @@
 // committed because of its acknowledgement.
 type acknowledgement struct {
 	incarnation units.Incarnation
-	// boot is the replica's start in which it last acknowledged an entry.
+	// boot numbers the replica's process that last acknowledged an entry.
 	boot  uint64
 	index units.Index
 }
--- a/pkg/core/replication/formation.go
+++ b/pkg/core/replication/formation.go
@@ -96,10 +96,10 @@
 	return n.log.snapshot != nil && n.log.snapshot.Index == firstIndex && n.log.commit == firstIndex
 }
 
-// Form creates a cluster of all replicas in the settings. An operator requests it
+// FormCluster creates a cluster of all replicas in the settings. An operator requests it
 // once, with all of them present and empty. The error is of kind Unavailable or Invalid
 // and names the replicas that prevent it.
-func (n *Node) Form(now units.Instant, cluster string, state []byte, e *Effects) error {
+func (n *Node) FormCluster(now units.Instant, cluster string, state []byte, e *Effects) error {
 	if n.formed() {
 		return fault.New(fault.Invalid, "nothing needs to be done", "cluster %s is formed already", n.membership.current.Cluster)
 	}
--- a/pkg/core/replication/log.go
+++ b/pkg/core/replication/log.go
@@ -30,7 +30,7 @@
 		l.baseTerm = units.Term(l.snapshot.Term)
 		l.commit = l.base
 	}
-	// After a start, entries that the snapshot covers aren't needed.
+	// After a restart, entries that the snapshot covers aren't needed.
 	l.entries = slices.DeleteFunc(l.entries, func(e *wire.Entry) bool {
 		return units.Index(e.Index) <= l.base
 	})
@@ -47,7 +47,7 @@
 	return term
 }
 
-// leaderOf returns the start of the replica that led a term, from the term's first entry or from
+// leaderOf returns the process of the replica that led a term, from the term's first entry or from
 // the snapshot; nil when neither is kept.
 func (l *entryLog) leaderOf(term units.Term) *wire.LeaderStart {
 	for _, e := range l.entries {
--- a/pkg/core/replication/node.go
+++ b/pkg/core/replication/node.go
@@ -64,7 +64,7 @@
 	lastLeaderContact units.Instant
 	// acksVersion counts the changes of the voters' known acknowledgements.
 	acksVersion uint64
-	// leaseHolder is the start of the last leader whose lease this replica may have supported; nil
+	// leaseHolder is the process of the last leader whose lease this replica may have supported; nil
 	// when that isn't known.
 	leaseHolder *wire.LeaderStart
 
@@ -206,7 +206,7 @@
 	}
 }
 
-// refuse tells a sender why its messages are rejected, which stops it. The refusal names the boot
+// refuse reports to a sender why its messages are rejected, which stops it. The refusal names the boot
 // and incarnation of the message, so that a later start, or one with another disk, ignores it.
 func (n *Node) refuse(to units.ReplicaID, refused *wire.Envelope, reason string, e *Effects) {
 	m := n.envelope(to)
--- a/pkg/core/subscription/replicas.go
+++ b/pkg/core/subscription/replicas.go
@@ -24,15 +24,15 @@
 	// domains are the failure domains of the listed replicas, as far as they are known.
 	domains map[units.ReplicaID]units.Domain
 	// checksum is the checksum of the leader's last list, with its domains.
-	checksum uint64
-	leftAt   map[units.ReplicaID]units.Instant
+	checksum     uint64
+	avoidedSince map[units.ReplicaID]units.Instant
 	// current is the replica that the box is attached to or moves to; empty after it was given up.
 	current units.ReplicaID
 }
 
 func newReplicaList(settings []units.ReplicaID, random *rand.Rand) replicaList {
 	return replicaList{
-		random: random, known: slices.Clone(settings), leftAt: map[units.ReplicaID]units.Instant{},
+		random: random, known: slices.Clone(settings), avoidedSince: map[units.ReplicaID]units.Instant{},
 	}
 }
 
@@ -70,7 +70,7 @@
 // avoidCurrent gives up the current replica and ranks it last for avoidTime.
 func (l *replicaList) avoidCurrent(now units.Instant) {
 	if l.current != "" {
-		l.leftAt[l.current] = now
+		l.avoidedSince[l.current] = now
 		l.current = ""
 	}
 }
@@ -97,7 +97,7 @@
 )
 
 func (l *replicaList) rank(id units.ReplicaID, now units.Instant) int {
-	if left := l.leftAt[id]; left != 0 && now.Sub(left) <= avoidTime {
+	if since := l.avoidedSince[id]; since != 0 && now.Sub(since) <= avoidTime {
 		return rankAvoided
 	}
 	if slices.Contains(l.listed, id) {
--- a/pkg/core/table/state.go
+++ b/pkg/core/table/state.go
@@ -107,7 +107,7 @@
 // History returns the last accepted edits, oldest first.
 func (s *State) History() []Result { return s.history.All() }
 
-// Results returns the remembered answers, oldest first.
+// Results returns the kept results of edits, oldest first.
 func (s *State) Results() []Result {
 	results := make([]Result, 0, len(s.resultOrder))
 	for _, id := range s.resultOrder {
@@ -116,10 +116,10 @@
 	return results
 }
 
-// ResultCount returns the number of remembered answers.
+// ResultCount returns the number of kept results.
 func (s *State) ResultCount() int { return len(s.resultOrder) }
 
-// Lookup returns the remembered answer to an edit, or nil.
+// Lookup returns the kept result of an edit, or nil.
 func (s *State) Lookup(id units.EditID) *Result { return s.results[id] }
 
 // ApplyEdit validates and applies an edit at a time that all replicas agree on. The
--- a/pkg/replica/edits.go
+++ b/pkg/replica/edits.go
@@ -23,7 +23,7 @@
 	return *a.Result, nil
 }
 
-// FormCluster forms the cluster; see replication.Node.Form for the errors.
+// FormCluster forms the cluster; see replication.Node.FormCluster for the errors.
 func (r *Replica) FormCluster() error {
 	return r.request(func(id control.RequestID) control.Event {
 		return control.FormRequested{Request: id, Cluster: uuid.NewString()}
