--- a/pkg/app/app.go
+++ b/pkg/app/app.go
@@ -263,7 +263,7 @@
 	if !a.formOnStart {
 		return
 	}
-	if err := a.replica.Form(); err != nil {
+	if err := a.replica.FormCluster(); err != nil {
 		a.Log.WithError(err).Info("no new cluster was formed")
 	}
 }
--- a/pkg/core/table/state.go
+++ b/pkg/core/table/state.go
@@ -39,8 +39,8 @@
 	targets map[units.TargetID]*Registration
 	// byAddress maps addresses to registered targets. Each target has one address.
 	byAddress map[string]units.TargetID
-	// departed maps targets that left permanently to the time of the last start that left, or zero
-	// if that isn't known. departedOrder holds their ids, oldest first.
+	// departed maps targets that left permanently to the start time of the last incarnation that
+	// left, or zero if that isn't known. departedOrder holds their ids, oldest first.
 	departed      map[units.TargetID]units.WallTime
 	departedOrder []units.TargetID
 }
@@ -73,7 +73,7 @@
 // Departure is a target that left permanently.
 type Departure struct {
 	Target units.TargetID
-	// Born is the time of the last start that left; zero if it isn't known.
+	// Born is the start time of the last incarnation that left; zero if it isn't known.
 	Born units.WallTime
 }
 
@@ -107,7 +107,7 @@
 // History returns the last accepted edits, oldest first.
 func (s *State) History() []Result { return s.history.All() }
 
-// Results returns the remembered answers, oldest first.
+// Results returns the kept results of edits, oldest first.
 func (s *State) Results() []Result {
 	results := make([]Result, 0, len(s.resultOrder))
 	for _, id := range s.resultOrder {
@@ -116,10 +116,10 @@
 	return results
 }
 
-// ResultCount returns the number of remembered answers.
+// ResultCount returns the number of kept results.
 func (s *State) ResultCount() int { return len(s.resultOrder) }
 
-// Lookup returns the remembered answer to an edit, or nil.
+// Lookup returns the kept result of an edit, or nil.
 func (s *State) Lookup(id units.EditID) *Result { return s.results[id] }
 
 // ApplyEdit validates and applies an edit at a time that all replicas agree on. The
