--- a/pkg/core/routing/canary_fleet_test.go
+++ b/pkg/core/routing/canary_fleet_test.go
@@ -20,7 +20,7 @@
 	routers     []*Router
 	boxes       []table.Box
 	targets     map[units.TargetID]*canaryTarget
-	ledger      *crash.Tracker
+	tracker     *crash.Tracker
 	quarantined []crash.Fingerprint
 	// crashed counts the targets that the request crashed.
 	crashed int
@@ -86,7 +86,7 @@
 	t.Helper()
 	f := &canaryFleet{
 		timeline: newTimeline(units.Instant(time.Minute)), random: rand.New(rand.NewPCG(seed, 7)), targets: map[units.TargetID]*canaryTarget{},
-		ledger: crash.NewTracker(crash.CrashesToBlame), counts: map[string]*canaryCount{crashingRequest: {}, popularRequest: {}, uniqueRequest: {}},
+		tracker: crash.NewTracker(crash.CrashesToBlame), counts: map[string]*canaryCount{crashingRequest: {}, popularRequest: {}, uniqueRequest: {}},
 	}
 	x := f.newTable()
 	for i := range f.boxes {
@@ -151,7 +151,7 @@
 func (f *canaryFleet) receiveNotes(r *Router, notes []crash.Note) {
 	for _, n := range notes {
 		n.Box, n.Start = r.settings.Box, 1
-		f.ledger.Record(n)
+		f.tracker.Record(n)
 	}
 	f.judge()
 	if len(notes) > 0 {
@@ -162,7 +162,7 @@
 
 // judge has the leader look for calls that cause crashes; its decisions go to all boxes.
 func (f *canaryFleet) judge() {
-	verdicts := f.ledger.Evaluate(f.now)
+	verdicts := f.tracker.Evaluate(f.now)
 	for _, v := range verdicts {
 		f.quarantined = append(f.quarantined, v.Fingerprint)
 	}
@@ -181,7 +181,7 @@
 	for _, x := range f.quarantined {
 		v.Calls = append(v.Calls, crash.WatchedCall{Call: x, Quarantined: true})
 	}
-	for _, x := range f.ledger.Suspects(8) {
+	for _, x := range f.tracker.Suspects(8) {
 		v.Calls = append(v.Calls, crash.WatchedCall{Call: x})
 	}
 	return v
--- a/pkg/core/routing/crash.go
+++ b/pkg/core/routing/crash.go
@@ -149,7 +149,7 @@
 		n.Suspects = append(n.Suspects, crash.Suspect{Fingerprint: b.fingerprint, SentBefore: n.At.Sub(b.sent)})
 	}
 	n = r.crashes.notes.add(n)
-	r.crashes.ledger.Record(n)
+	r.crashes.tracker.Record(n)
 	t.service.crashes++
 	e.add(Effect{Kind: TargetCrashed, Endpoint: t.endpoint, Crash: &n})
 	r.judgeLocally(e)
--- a/pkg/core/routing/quarantine.go
+++ b/pkg/core/routing/quarantine.go
@@ -64,8 +64,8 @@
 type crashState struct {
 	notes    crashNotes
 	canaries canaryState
-	// ledger holds the box's own notes.
-	ledger *crash.Tracker
+	// tracker holds the box's own notes.
+	tracker *crash.Tracker
 	// watchedByLeader are the calls of the last grant, localVerdicts the box's own quarantines.
 	watchedByLeader []crash.WatchedCall
 	localVerdicts   []localVerdict
@@ -86,7 +86,7 @@
 
 func newCrashState() crashState {
 	return crashState{
-		ledger: crash.NewTracker(crash.CrashesToBlame), lastTrial: map[crash.Fingerprint]int{}, recordedAnswers: map[crash.Fingerprint]bool{},
+		tracker: crash.NewTracker(crash.CrashesToBlame), lastTrial: map[crash.Fingerprint]int{}, recordedAnswers: map[crash.Fingerprint]bool{},
 	}
 }
 
@@ -193,7 +193,7 @@
 	}
 	for i := range r.table.Quarantines {
 		f := r.table.Quarantines[i].Call
-		b.ledger.Attribute(f)
+		b.tracker.Attribute(f)
 		b.quarantined.add(f)
 		b.watched.add(f.AnyCaller())
 	}
@@ -215,7 +215,7 @@
 // this box.
 func (r *Router) watchLocalSuspects() {
 	b := &r.crashes
-	for _, f := range b.ledger.SuspectsSince(r.now.Add(-localWatchDuration)) {
+	for _, f := range b.tracker.SuspectsSince(r.now.Add(-localWatchDuration)) {
 		b.suspects.add(f)
 		b.watched.add(f.AnyCaller())
 	}
@@ -256,7 +256,7 @@
 	if b.recordedAnswers[f] || len(b.recordedAnswers) >= maxRecordedAnswers {
 		return
 	}
-	b.ledger.Record(b.notes.add(crash.Note{At: r.now, Suspects: []crash.Suspect{{Fingerprint: f}}}))
+	b.tracker.Record(b.notes.add(crash.Note{At: r.now, Suspects: []crash.Suspect{{Fingerprint: f}}}))
 	r.requestNotesSend()
 	b.localVerdicts = slices.DeleteFunc(b.localVerdicts, func(v localVerdict) bool { return v.call.Covers(f) })
 	r.enforceQuarantines(e)
@@ -266,10 +266,10 @@
 // judgeLocally quarantines calls by the box's own notes while no leader can.
 func (r *Router) judgeLocally(e *Effects) {
 	b := &r.crashes
-	if r.now < r.leaseUntil || !b.ledger.HasPendingVerdict() {
+	if r.now < r.leaseUntil || !b.tracker.HasPendingVerdict() {
 		return
 	}
-	for _, v := range b.ledger.Evaluate(r.now) {
+	for _, v := range b.tracker.Evaluate(r.now) {
 		b.localVerdicts = append(b.localVerdicts, localVerdict{call: v.Fingerprint, until: r.now.Add(localQuarantineDuration)})
 		e.add(Effect{Kind: CallQuarantined, Verdict: &v})
 	}
