--- a/pkg/entry/call.go
+++ b/pkg/entry/call.go
@@ -134,10 +134,10 @@
 	c.recordStep(c.endStep(e.Clock.Now(), s, result))
 	e.lock.Unlock()
 	if streaming {
-		e.reduce(&routing.AttemptStarted{Call: id, Attempt: number, Endpoint: a.Endpoint(), Report: a.Reading, Remaining: a.RemainingBytes()})
+		e.reduce(&routing.AttemptStarted{Call: id, Attempt: number, Endpoint: a.Endpoint(), Report: a.Report, Remaining: a.RemainingBytes()})
 	} else {
 		e.reduce(&routing.AttemptEnded{
-			Call: id, Attempt: number, Endpoint: a.Endpoint(), Result: result, Report: a.Reading, Refused: a.Refused,
+			Call: id, Attempt: number, Endpoint: a.Endpoint(), Result: result, Report: a.Report, Refused: a.Refused,
 		})
 	}
 	if e.endSend(c, number, a) {
--- a/pkg/entry/trace.go
+++ b/pkg/entry/trace.go
@@ -29,20 +29,20 @@
 
 // step is one decision on a call, or its result.
 type step struct {
-	at       units.Instant
-	kind     string
-	attempt  routing.AttemptNumber
-	endpoint *routing.Endpoint
-	purpose  routing.Purpose
-	evidence routing.Selection
+	at        units.Instant
+	kind      string
+	attempt   routing.AttemptNumber
+	endpoint  *routing.Endpoint
+	purpose   routing.Purpose
+	selection routing.Selection
 	// workspace is the workspace that the call belongs to, for a send or a refusal; empty for none.
 	workspace units.WorkspaceName
 	result    routing.AttemptResult
 	refusal   routing.Refusal
 	probe     routing.ProbeEnded
-	// reading is the load report in a target's answer. unreadRest and unreadLimit are the values it
+	// report is what the target reported in its answer. unreadRest and unreadLimit are the values it
 	// sent for its rest and its limit if they couldn't be parsed.
-	reading                 routing.TargetReport
+	report                  routing.TargetReport
 	unreadRest, unreadLimit string
 	// fingerprint is set for an attempt that broke off and for a call in quarantine. request and
 	// caller are set for the latter only; operators need them to find out who sends the call.
@@ -76,7 +76,7 @@
 	a := finished.attempt
 	s := step{
 		at: now, kind: stepEnded, attempt: finished.number, result: result,
-		reading: a.Reading, unreadRest: a.UnreadableRest, unreadLimit: a.UnreadableLimit,
+		report: a.Report, unreadRest: a.UnreadableRest, unreadLimit: a.UnreadableLimit,
 	}
 	if result == routing.Broken && !c.answered {
 		s.fingerprint = crash.FingerprintOf(&c.identity).String()
@@ -93,7 +93,7 @@
 	s := step{at: e.Clock.Now(), attempt: x.Attempt, endpoint: x.Endpoint}
 	switch x.Kind {
 	case routing.Send:
-		s.kind, s.purpose, s.evidence, s.workspace = stepSent, x.Purpose, x.Selection, x.Workspace
+		s.kind, s.purpose, s.selection, s.workspace = stepSent, x.Purpose, x.Selection, x.Workspace
 	case routing.Refuse:
 		s.kind, s.refusal, s.workspace = stepRefused, x.Refusal, x.Workspace
 		if x.Refusal.Reason == routing.Quarantined && !c.answered {
@@ -262,16 +262,16 @@
 	switch s.kind {
 	case stepSent:
 		f["purpose"] = s.purpose.String()
-		f["load"], f["pace"], f["slowdown"] = roundToHundredths(s.evidence.Load), roundToHundredths(s.evidence.Pace), roundToHundredths(s.evidence.Slowdown)
-		f["readingAgeMs"], f["revision"] = millis(s.evidence.ReportAge), s.evidence.Revision
+		f["load"], f["pace"], f["slowdown"] = roundToHundredths(s.selection.Load), roundToHundredths(s.selection.Pace), roundToHundredths(s.selection.Slowdown)
+		f["readingAgeMs"], f["revision"] = millis(s.selection.ReportAge), s.selection.Revision
 	case stepProbeAnswered:
 		f["known"], f["healthy"], f["unreachable"] = s.probe.Report.HasLoad, s.probe.Healthy, s.probe.Unreachable
 		f["misdirected"], f["load"], f["pace"] = s.probe.Misdirected, s.probe.Report.InFlight, roundToHundredths(s.probe.Report.Pace)
 		f["coldMs"] = millis(s.probe.Report.Cold)
-		addReadingFields(f, &s.probe.Report)
+		addReportFields(f, &s.probe.Report)
 	case stepEnded:
 		f["result"] = s.result.String()
-		addReadingFields(f, &s.reading)
+		addReportFields(f, &s.report)
 		if s.unreadRest != "" {
 			f["unreadRest"] = s.unreadRest
 		}
@@ -290,17 +290,17 @@
 	return f
 }
 
-// addReadingFields adds the rest, the leaving and the limit that a target reported, if any, to a
+// addReportFields adds the rest, the leaving and the limit that a target reported, if any, to a
 // log line.
-func addReadingFields(f logrus.Fields, reading *routing.TargetReport) {
-	if reading.Rest > 0 {
-		f["restMs"] = millis(reading.Rest)
+func addReportFields(f logrus.Fields, report *routing.TargetReport) {
+	if report.Rest > 0 {
+		f["restMs"] = millis(report.Rest)
 	}
-	if reading.Leaving {
+	if report.Leaving {
 		f["leaving"] = true
 	}
-	if reading.Limit.Present {
-		f["limit"] = roundToHundredths(float64(reading.Limit.Rate))
+	if report.Limit.Present {
+		f["limit"] = roundToHundredths(float64(report.Limit.Rate))
 	}
 }
 
--- a/pkg/pacing/link_test.go
+++ b/pkg/pacing/link_test.go
@@ -38,6 +38,7 @@
 // TestLinkScripts drives a link by the files in testdata: "link mbps=N", then
 // "answer NAME bytes=N [aim=D] [at=D] [leaves=PIECES] [times=N every=D]", then "run", which
 // prints which response wrote how much and when, except for responses that arrive repeatedly.
+// aim is a response's latency objective.
 func TestLinkScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		s := &script{}
--- a/pkg/target/answer.go
+++ b/pkg/target/answer.go
@@ -172,11 +172,11 @@
 // readLoad reads the load that the target reports, and keeps what readNotice has read.
 func (a *Attempt) readLoad() {
 	h := &a.Response.Header
-	notice := a.Reading
-	a.Reading = parseReading(string(h.Peek(a.pools.settings.LoadHeader)))
-	a.Reading.Rest, a.Reading.Leaving, a.Reading.Limit = notice.Rest, notice.Leaving, notice.Limit
+	notice := a.Report
+	a.Report = parseReport(string(h.Peek(a.pools.settings.LoadHeader)))
+	a.Report.Rest, a.Report.Leaving, a.Report.Limit = notice.Rest, notice.Leaving, notice.Limit
 	if header := a.pools.settings.ColdHeader; header != "" {
-		a.Reading.Cold = parseColdRemaining(string(h.Peek(header)))
+		a.Report.Cold = parseColdRemaining(string(h.Peek(header)))
 	}
 }
 
@@ -186,17 +186,17 @@
 func (a *Attempt) readNotice() {
 	h := &a.Response.Header
 	if header := a.pools.settings.LeavingHeader; header != "" && parseLeaving(h.Peek(header)) {
-		a.Reading.Leaving = true
+		a.Report.Leaving = true
 	}
 	if header := a.pools.settings.LimitHeader; header != "" {
 		// Of several responses the last one is in force.
-		a.Reading.Limit, a.UnreadableLimit = readLimit(h, header)
+		a.Report.Limit, a.UnreadableLimit = readLimit(h, header)
 	}
 	if a.Response.StatusCode() != fasthttp.StatusServiceUnavailable && a.classify() != routing.Shed {
 		return
 	}
 	rest, unread := readRest(h, time.Now())
-	a.Reading.Rest = max(a.Reading.Rest, rest)
+	a.Report.Rest = max(a.Report.Rest, rest)
 	if unread != "" {
 		a.UnreadableRest = unread
 	}
--- a/pkg/target/attempt.go
+++ b/pkg/target/attempt.go
@@ -35,8 +35,8 @@
 	// Request is the attempt's own copy of the call's request.
 	Request  *fasthttp.Request
 	Response *fasthttp.Response
-	// Reading is the load and notice that the target reported.
-	Reading routing.TargetReport
+	// Report is the load and notice that the target reported.
+	Report routing.TargetReport
 	// UnreadableRest is the header value of a request for rest that couldn't be parsed.
 	UnreadableRest string
 	// UnreadableLimit is the header value of a limit that couldn't be parsed.
--- a/pkg/target/attempt_test.go
+++ b/pkg/target/attempt_test.go
@@ -210,7 +210,7 @@
 	datadriven.RunTest(t, "testdata/readings", func(t *testing.T, d *datadriven.TestData) string {
 		var b strings.Builder
 		for _, line := range strings.Split(d.Input, "\n") {
-			r := parseReading(line)
+			r := parseReport(line)
 			fmt.Fprintf(&b, "known=%t in-flight=%g slots=%g pace=%g\n", r.HasLoad, r.InFlight, r.Slots, r.Pace)
 		}
 		return b.String()
--- a/pkg/target/probe.go
+++ b/pkg/target/probe.go
@@ -19,7 +19,7 @@
 	a.Request.Header.SetHost(string(x.Endpoint.Service))
 	result, streaming := a.Run()
 	ended := routing.ProbeEnded{
-		Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Report: a.Reading,
+		Target: x.Endpoint, Call: x.Call, Attempt: x.Attempt, Report: a.Report,
 		Unreachable: result == routing.NotSent, Refused: a.Refused, Misdirected: a.isFromOtherTarget(),
 		Answered: result == routing.Answered || result == routing.Failed || result == routing.Shed || result == routing.Misdirected,
 	}
--- a/pkg/target/reading.go
+++ b/pkg/target/report.go
@@ -11,14 +11,14 @@
 // usualPacePercent is the reported pace of a target whose work takes as long as usual.
 const usualPacePercent = 100
 
-// parseReading parses the load that a target reports, as numbers separated by commas: its calls
+// parseReport parses the load that a target reports, as numbers separated by commas: its calls
 // in flight alone, or the calls running, the calls waiting, the slots, and how long work takes
 // now in percent of the usual. A value that can't be parsed is ignored as a whole.
-func parseReading(text string) routing.TargetReport {
+func parseReport(text string) routing.TargetReport {
 	if text == "" {
 		return routing.TargetReport{}
 	}
-	reading := routing.TargetReport{HasLoad: true, Pace: 1}
+	report := routing.TargetReport{HasLoad: true, Pace: 1}
 	for i, field := range strings.Split(text, ",") {
 		x, err := strconv.ParseFloat(strings.TrimSpace(field), 64)
 		if err != nil || x < 0 {
@@ -26,14 +26,14 @@
 		}
 		switch i {
 		case 0, 1:
-			reading.InFlight += x
+			report.InFlight += x
 		case 2:
-			reading.Slots = x
+			report.Slots = x
 		case 3:
-			reading.Pace = x / usualPacePercent
+			report.Pace = x / usualPacePercent
 		}
 	}
-	return reading
+	return report
 }
 
 // parseColdRemaining parses for how many milliseconds a target stays cold. A value that can't be
--- a/pkg/target/rest_test.go
+++ b/pkg/target/rest_test.go
@@ -37,7 +37,7 @@
 			defer a.finish()
 		}
 		return fmt.Sprintf(
-			"%s: rest %s, leaving %t%s, unread %q\n", result, a.Reading.Rest, a.Reading.Leaving, describeLimit(a.Reading.Limit, a.UnreadableLimit), a.UnreadableRest,
+			"%s: rest %s, leaving %t%s, unread %q\n", result, a.Report.Rest, a.Report.Leaving, describeLimit(a.Report.Limit, a.UnreadableLimit), a.UnreadableRest,
 		)
 	})
 }
