--- a/pkg/ctl/explain.go
+++ b/pkg/ctl/explain.go
@@ -30,13 +30,13 @@
 	if len(logs) == 0 {
 		logs = append(logs, os.Stdin)
 	}
-	story, err := explain.Read(c.Args.Call, logs...)
+	timeline, err := explain.Read(c.Args.Call, logs...)
 	if err != nil {
 		return err
 	}
 	if c.tool.options.JSON {
-		return c.tool.printJSON(story)
+		return c.tool.printJSON(timeline)
 	}
-	story.Write(c.tool.out)
+	timeline.Write(c.tool.out)
 	return nil
 }
