--- a/pkg/target/answer.go
+++ b/pkg/target/answer.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// readNotice reads whether the target asks for rest, is leaving or names a limit. A response to
+// readNotice reads whether the target asks for rest, is leaving or announces a limit. A response to
 // another call counts as well, since all responses on a connection come from the same target
 // process.
 func (a *Attempt) readNotice() {
--- a/pkg/target/attempt.go
+++ b/pkg/target/attempt.go
@@ -23,7 +23,7 @@
 	deadline units.Instant
 	// notAfter is when the selection of the target expires: from then on nothing may be sent.
 	notAfter units.Instant
-	// permitUntil is until when the attempt may be sent if the target names a limit.
+	// permitUntil is until when the attempt may be sent if the target announces a limit.
 	permitUntil    units.Instant
 	maxConnections int
 	// idleTimeout is how long a reused connection may have been idle.
--- a/pkg/target/rest_test.go
+++ b/pkg/target/rest_test.go
@@ -54,7 +54,7 @@
 	return text
 }
 
-// A target asks for rest, is leaving or names a limit after a call or a probe was assigned to it.
+// A target asks for rest, is leaving or announces a limit after a call or a probe was assigned to it.
 // Nothing of them may be sent, and the connection is kept. Both are sent once the rest is over, and
 // probes, but no calls, to a target that is leaving.
 func TestNothingIsSentToATargetThatWantsNothing(t *testing.T) {
--- a/pkg/target/withhold.go
+++ b/pkg/target/withhold.go
@@ -7,14 +7,14 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// A target may ask for rest or name a limit while a call that was assigned to it waits for a
+// A target may ask for rest or announce a limit while a call that was assigned to it waits for a
 // connection. So each send checks once more, right before its first byte.
 
 // Withholding is until when, or under which condition, calls and probes must not be sent to a target.
 type Withholding struct {
 	// CallsUntil and ProbesUntil are until when calls and probes are withheld.
 	CallsUntil, ProbesUntil units.Instant
-	// Limited is set while the target names a limit: sends without a valid permit are withheld.
+	// Limited is set while the target announces a limit: sends without a valid permit are withheld.
 	Limited bool
 }
 
