--- a/pkg/target/pool.go
+++ b/pkg/target/pool.go
@@ -36,7 +36,7 @@
 	ColdHeader string
 	// LeavingHeader is where a target reports that it is about to stop; empty reads none.
 	LeavingHeader string
-	// LimitHeader is where a target names how many calls per second it accepts from all boxes
+	// LimitHeader is where a target announces how many calls per second it accepts from all boxes
 	// together; empty reads none.
 	LimitHeader string
 	// StatusMayMeanNotExecuted is set where callers take some statuses to mean that the target
--- a/pkg/target/rest_test.go
+++ b/pkg/target/rest_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestNotices sends calls to a stub target that follows the file, and prints the notice in its
-// responses: for how long it asks for rest, whether it is leaving, the limit that it names, and
+// responses: for how long it asks for rest, whether it is leaving, the limit that it announces, and
 // what couldn't be parsed.
 func TestNotices(t *testing.T) {
 	datadriven.RunTest(t, "testdata/notices", func(t *testing.T, d *datadriven.TestData) string {
