--- a/test/control_test.go
+++ b/test/control_test.go
@@ -19,41 +19,41 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// bound is what the users ask for: an accepted edit is in force everywhere
+// maxEditDelay is what the users ask for: an accepted edit is in force everywhere
 // within this time.
-const bound = 4 * time.Second
+const maxEditDelay = 4 * time.Second
 
 func TestEditsGoOnWhenTheLeaderIsKilled(t *testing.T) {
-	x := begin(t, setting{replicas: 3, boxes: 3})
-	before := x.accept("alpha", 1)
-	x.awaitEverywhere(before)
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 3})
+	before := x.mustSetWeight("alpha", 1)
+	x.awaitInForce(before)
 	for round := range 3 {
 		killed := x.leader()
 		killed.Process.Kill()
-		after := x.accept("alpha", 10+round)
-		x.awaitEverywhere(after)
+		after := x.mustSetWeight("alpha", 10+round)
+		x.awaitInForce(after)
 		x.must(x.cluster.StartAgain(killed))
 		x.awaitVoter(killed)
 	}
 }
 
 func TestACutOffLeaderDisturbsNobody(t *testing.T) {
-	x := begin(t, setting{replicas: 3, boxes: 3, proxied: true})
-	x.awaitEverywhere(x.accept("alpha", 1))
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 3, proxied: true})
+	x.awaitInForce(x.mustSetWeight("alpha", 1))
 	cutOff := x.leader()
-	proxy := x.proxyOf(cutOff)
+	proxy := x.proxyFor(cutOff)
 	proxy.Silence(true)
-	rest := x.others(cutOff)
+	rest := x.otherReplicas(cutOff)
 	started := time.Now()
-	result, err := x.api(rest...).Apply(x.editFrom(rest, "during-cut", 2))
+	result, err := x.api(rest...).Apply(x.prepareWeightEdit(rest, "during-cut", 2))
 	x.must(err)
-	if took := time.Since(started); took > bound {
+	if took := time.Since(started); took > maxEditDelay {
 		t.Fatalf("edits went on only after %s", took)
 	}
-	x.awaitEverywhere(result)
+	x.awaitInForce(result)
 	term := x.termOf(rest[0])
 	proxy.Silence(false)
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		d, err := cutOff.Dump()
 		if err == nil && d.Control.Revision < result.Revision {
 			err = fmt.Errorf("it is at revision %d", d.Control.Revision)
@@ -65,7 +65,7 @@
 	}
 }
 
-func (x *story) proxyOf(n *lab.Node) *lab.FaultProxy {
+func (x *testCluster) proxyFor(n *lab.Node) *lab.FaultProxy {
 	for i, o := range x.cluster.Replicas {
 		if o == n {
 			return x.cluster.Proxies[i]
@@ -75,14 +75,14 @@
 	return nil
 }
 
-func (x *story) editFrom(nodes []*lab.Node, id string, weight int) *table.Edit {
+func (x *testCluster) prepareWeightEdit(nodes []*lab.Node, id string, weight int) *table.Edit {
 	x.Helper()
 	present, err := x.api(nodes...).Table()
 	x.must(err)
-	return weightEdit(present, id, "alpha", weight)
+	return newWeightEdit(present, id, "alpha", weight)
 }
 
-func (x *story) termOf(n *lab.Node) units.Term {
+func (x *testCluster) termOf(n *lab.Node) units.Term {
 	x.Helper()
 	d, err := n.Dump()
 	x.must(err)
@@ -90,23 +90,23 @@
 }
 
 func TestAFrozenLeaderThatWakesUndoesNothing(t *testing.T) {
-	x := begin(t, setting{replicas: 3, boxes: 3})
-	x.awaitEverywhere(x.accept("alpha", 1))
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 3})
+	x.awaitInForce(x.mustSetWeight("alpha", 1))
 	frozen := x.leader()
 	frozen.Process.Freeze()
-	rest := x.others(frozen)
-	result, err := x.api(rest...).Apply(x.editFrom(rest, "during-freeze", 7))
+	rest := x.otherReplicas(frozen)
+	result, err := x.api(rest...).Apply(x.prepareWeightEdit(rest, "during-freeze", 7))
 	x.must(err)
 	frozen.Process.Thaw()
-	x.awaitEverywhere(result)
+	x.awaitInForce(result)
 	x.mustHold("alpha", 7)
 }
 
 // mustHold makes sure that all replicas come to show a service's weight.
-func (x *story) mustHold(service string, weight int) {
+func (x *testCluster) mustHold(service string, weight int) {
 	x.Helper()
 	for _, n := range x.cluster.Replicas {
-		x.must(lab.Eventually(patience, func() error {
+		x.must(lab.Eventually(waitTimeout, func() error {
 			present, err := x.api(n).Table()
 			if err != nil {
 				return err
@@ -121,13 +121,13 @@
 }
 
 func TestEveryProcessRestartsAfterHundredsOfEdits(t *testing.T) {
-	x := begin(t, setting{replicas: 3, boxes: 2, adjust: func(s *config.Settings) {
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 2, adjust: func(s *config.Settings) {
 		s.Control.SnapshotEvery = 60
 		s.Control.KeepEntries = 20
 	}})
 	var last *table.Result
 	for i := range 520 {
-		last = x.accept(fmt.Sprintf("s%d", i%7), i)
+		last = x.mustSetWeight(fmt.Sprintf("s%d", i%7), i)
 	}
 	want, err := x.api().Table()
 	x.must(err)
@@ -141,9 +141,9 @@
 		b.Process.Kill()
 		x.must(x.cluster.StartAgain(b))
 	}
-	x.awaitEverywhere(last)
+	x.awaitInForce(last)
 	for _, n := range x.cluster.Replicas {
-		x.must(lab.Eventually(patience, func() error {
+		x.must(lab.Eventually(waitTimeout, func() error {
 			got, err := x.api(n).Table()
 			if err != nil {
 				return err
@@ -162,8 +162,8 @@
 
 func TestOfRacingEditsExactlyOneWins(t *testing.T) {
 	const operators = 4
-	x := begin(t, setting{replicas: 3, boxes: 1})
-	x.accept("alpha", 0)
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 1})
+	x.mustSetWeight("alpha", 0)
 	var accepted, conflicts atomic.Int64
 	for race := range *races {
 		if race == *races/2 {
@@ -177,7 +177,7 @@
 			wait.Add(1)
 			go func() {
 				defer wait.Done()
-				result, err := x.api().Apply(weightEdit(present, fmt.Sprintf("race-%d-%d", race, k), "alpha", 1000*k+race))
+				result, err := x.api().Apply(newWeightEdit(present, fmt.Sprintf("race-%d-%d", race, k), "alpha", 1000*k+race))
 				switch {
 				case err != nil:
 					t.Errorf("race %d: %v", race, err)
@@ -200,14 +200,14 @@
 }
 
 func TestAResentEditGetsItsFirstAnswer(t *testing.T) {
-	x := begin(t, setting{replicas: 3, boxes: 1, adjust: func(s *config.Settings) {
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 1, adjust: func(s *config.Settings) {
 		s.Control.SnapshotEvery = 20
 		s.Control.KeepEntries = 5
 	}})
-	x.accept("alpha", 1)
+	x.mustSetWeight("alpha", 1)
 	present, err := x.api().Table()
 	x.must(err)
-	edit := weightEdit(present, "the-edit", "alpha", 42)
+	edit := newWeightEdit(present, "the-edit", "alpha", 42)
 	first, err := x.api().Apply(edit)
 	x.must(err)
 	resend := func(when string) {
@@ -229,7 +229,7 @@
 	resend("after the leader was killed")
 	x.must(x.cluster.StartAgain(leader))
 	for i := range 60 {
-		x.accept("beta", i)
+		x.mustSetWeight("beta", i)
 	}
 	resend("after snapshots")
 	for _, n := range x.cluster.Replicas {
@@ -241,10 +241,10 @@
 }
 
 func TestALostDiskAndRightAfterItASecondMachine(t *testing.T) {
-	x := begin(t, setting{replicas: 3, boxes: 2})
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 2})
 	var last *table.Result
 	for i := range 50 {
-		last = x.accept("alpha", i)
+		last = x.mustSetWeight("alpha", i)
 	}
 	for round := range 2 {
 		a := x.cluster.Replicas[round]
@@ -256,18 +256,18 @@
 	b := x.cluster.Replicas[2]
 	b.Process.Kill()
 	x.mustStillHave(last)
-	after := x.accept("alpha", 99)
-	x.awaitEverywhere(after)
+	after := x.mustSetWeight("alpha", 99)
+	x.awaitInForce(after)
 }
 
 // mustStillHave makes sure that the running replicas know an accepted edit.
-func (x *story) mustStillHave(r *table.Result) {
+func (x *testCluster) mustStillHave(r *table.Result) {
 	x.Helper()
 	for _, n := range x.cluster.Replicas {
 		if n.Process.Ended() {
 			continue
 		}
-		x.must(lab.Eventually(patience, func() error {
+		x.must(lab.Eventually(waitTimeout, func() error {
 			history, err := x.api(n).History()
 			if err != nil {
 				return err
@@ -283,8 +283,8 @@
 }
 
 func TestAnEmptyReplicaAloneUndoesNothing(t *testing.T) {
-	x := begin(t, setting{replicas: 3, boxes: 1})
-	last := x.accept("alpha", 5)
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 1})
+	last := x.mustSetWeight("alpha", 5)
 	a, b, c := x.cluster.Replicas[0], x.cluster.Replicas[1], x.cluster.Replicas[2]
 	for _, n := range x.cluster.Replicas {
 		n.Process.Kill()
@@ -309,9 +309,9 @@
 }
 
 func TestAnUnfitDataFolderIsRefused(t *testing.T) {
-	x := begin(t, setting{replicas: 3, boxes: 1})
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 1})
 	for i := range 20 {
-		x.accept("alpha", i)
+		x.mustSetWeight("alpha", i)
 	}
 	a, b := x.cluster.Replicas[0], x.cluster.Replicas[1]
 	scenarios := []struct {
@@ -326,7 +326,7 @@
 	}
 	a.Process.Kill()
 	b.Process.Terminate()
-	if _, err := b.Process.AwaitEnd(patience); err != nil {
+	if _, err := b.Process.AwaitEnd(waitTimeout); err != nil {
 		t.Fatal(err)
 	}
 	whole, err := os.ReadFile(x.storeOf(a))
@@ -336,7 +336,7 @@
 			x.must(os.WriteFile(x.storeOf(a), whole, 0o600))
 			s.spoil(x.storeOf(a))
 			err := x.cluster.StartAgain(a)
-			code, endErr := a.Process.AwaitEnd(patience)
+			code, endErr := a.Process.AwaitEnd(waitTimeout)
 			if err == nil || endErr != nil || code != 3 {
 				t.Fatalf("the replica started or ended with %d: %v %v", code, err, endErr)
 			}
@@ -347,7 +347,7 @@
 	}
 }
 
-func (x *story) storeOf(n *lab.Node) string {
+func (x *testCluster) storeOf(n *lab.Node) string {
 	return filepath.Join(n.Settings.Control.DataFolder, "control.db")
 }
 
@@ -391,18 +391,18 @@
 // startWithAnOlderCopy starts a follower with an older copy of its data folder, after
 // something has been done to the leader, and expects it to be refused.
 func startWithAnOlderCopy(t *testing.T, disturb func(leader *lab.Node)) {
-	x := begin(t, setting{replicas: 3, boxes: 1})
-	x.accept("alpha", 1)
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 1})
+	x.mustSetWeight("alpha", 1)
 	leader := x.leader()
-	a := x.others(leader)[0]
+	a := x.otherReplicas(leader)[0]
 	a.Process.Terminate()
-	_, err := a.Process.AwaitEnd(patience)
+	_, err := a.Process.AwaitEnd(waitTimeout)
 	x.must(err)
 	older, err := os.ReadFile(x.storeOf(a))
 	x.must(err)
 	x.must(x.cluster.StartAgain(a))
 	for i := range 20 {
-		x.accept("alpha", i)
+		x.mustSetWeight("alpha", i)
 	}
 	x.awaitVoter(a)
 	x.awaitAcknowledged(a)
@@ -410,7 +410,7 @@
 	x.must(os.WriteFile(x.storeOf(a), older, 0o600))
 	disturb(x.leader())
 	x.cluster.StartAgain(a)
-	code, err := a.Process.AwaitEnd(patience)
+	code, err := a.Process.AwaitEnd(waitTimeout)
 	if err != nil {
 		for _, n := range x.cluster.Replicas {
 			t.Logf("%s:\n%s", n.Settings.Box, n.Process.Log())
@@ -423,8 +423,8 @@
 }
 
 func TestAPlannedStopOfTheLeaderFailsNoEdit(t *testing.T) {
-	x := begin(t, setting{replicas: 3, boxes: 2})
-	x.accept("alpha", 0)
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 2})
+	x.mustSetWeight("alpha", 0)
 	stop := make(chan struct{})
 	var wait sync.WaitGroup
 	var edits, slowest atomic.Int64
@@ -438,7 +438,7 @@
 			default:
 			}
 			started := time.Now()
-			x.accept("alpha", i)
+			x.mustSetWeight("alpha", i)
 			edits.Add(1)
 			slowest.Store(max(slowest.Load(), int64(time.Since(started))))
 		}
@@ -446,7 +446,7 @@
 	for range 3 {
 		leader := x.leader()
 		leader.Process.Terminate()
-		code, err := leader.Process.AwaitEnd(patience)
+		code, err := leader.Process.AwaitEnd(waitTimeout)
 		x.must(err)
 		if code != 0 {
 			t.Errorf("the planned stop ended with %d:\n%s", code, leader.Process.Log())
@@ -457,7 +457,7 @@
 	close(stop)
 	wait.Wait()
 	t.Logf("%d edits accepted through 3 planned stops of the leader, the slowest in %s", edits.Load(), time.Duration(slowest.Load()))
-	if d := time.Duration(slowest.Load()); d > bound {
+	if d := time.Duration(slowest.Load()); d > maxEditDelay {
 		t.Fatalf("an edit took %s", d)
 	}
 }
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -35,7 +35,7 @@
 
 // crashStory is a story whose targets end under one request and are started again.
 type crashStory struct {
-	*story
+	*testCluster
 	workers
 	// quiet is set once no more calls are to be made; targets are kept running.
 	quiet atomic.Bool
@@ -56,7 +56,7 @@
 
 func beginCrashes(t *testing.T, boxes, targets int) *crashStory {
 	x := &crashStory{workers: newWorkers()}
-	x.story = begin(t, setting{
+	x.testCluster = startCluster(t, clusterOptions{
 		replicas: 3, boxes: boxes, targets: targets, adjust: func(s *config.Settings) {
 			quickLeases(s)
 			s.Entry.ServeStale = true
@@ -64,12 +64,12 @@
 		targetArguments: crashArguments,
 	})
 	t.Cleanup(x.stop)
-	x.fillTable(func(s *table.Service, rows []table.Row) {
+	x.applySheets(func(s *table.Service, rows []table.Row) {
 		s.Deadline, s.HoldLimit, s.HoldCount, s.RetryBudget, s.HedgeBudget = 2*time.Second, 500*time.Millisecond, 100, 20, 10
 		s.MeasureBudget, s.ProbeTargets, s.ProbePath = 5, 2, "/healthz"
 	})
 	for _, target := range x.targets {
-		x.once(func() { x.keepRunning(target) })
+		x.spawn(func() { x.keepRunning(target) })
 	}
 	return x
 }
@@ -153,7 +153,7 @@
 
 func (x *crashStory) awaitCrashes(n int) {
 	x.Helper()
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		if x.crashedAt(n).IsZero() {
 			return fmt.Errorf("fewer than %d targets have ended", n)
 		}
@@ -215,9 +215,9 @@
 
 func TestACallThatCrashesTargetsIsKeptFromThem(t *testing.T) {
 	x := beginCrashes(t, 3, 6)
-	x.once(func() { x.keepSending(crashBody) })
+	x.spawn(func() { x.keepSending(crashBody) })
 	for range 4 {
-		x.once(x.keepServing)
+		x.spawn(x.keepServing)
 	}
 	x.mustBecomeKnown(5 * time.Second)
 	time.Sleep(2 * restartPause)
@@ -228,14 +228,14 @@
 func (x *crashStory) awaitQuarantine() string {
 	x.Helper()
 	var name string
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		list, err := x.api().Quarantines()
 		if err != nil || len(list) == 0 {
 			return fmt.Errorf("no call is in quarantine: %v", err)
 		}
 		name = list[0].Name
 		for _, b := range x.cluster.Boxes {
-			if err := x.cluster.AwaitInForce(b, list[0].Since, patience); err != nil {
+			if err := x.cluster.AwaitInForce(b, list[0].Since, waitTimeout); err != nil {
 				return err
 			}
 		}
@@ -253,13 +253,13 @@
 // Replicas and boxes all start anew, the replicas from their logs; the call comes again at once.
 func TestAQuarantineOutlivesAllProcesses(t *testing.T) {
 	x := beginCrashes(t, 3, 6)
-	x.once(func() { x.keepSending(crashBody) })
+	x.spawn(func() { x.keepSending(crashBody) })
 	x.awaitQuarantine()
 	x.quiet.Store(true)
 	time.Sleep(2 * restartPause)
 	crashes := x.countCrashes()
-	x.killAndStart(x.allNodes())
-	x.caller.SetAddresses(x.servingEntries()...)
+	x.restartTogether(x.allNodes())
+	x.caller.SetAddresses(x.awaitServingEntries()...)
 	for range 9 {
 		if c := x.callBad(); c.Verdict != lab.NotRun || c.Reason != "quarantined" {
 			t.Errorf("the call was answered %+v", c)
@@ -278,7 +278,7 @@
 	x.awaitCrashes(1)
 	old := x.leader()
 	old.Process.Kill()
-	x.once(func() { x.keepSending(crashBody) })
+	x.spawn(func() { x.keepSending(crashBody) })
 	x.mustBecomeKnown(3 * time.Second)
 }
 
@@ -289,7 +289,7 @@
 		r.Process.Kill()
 	}
 	time.Sleep(2 * time.Second)
-	x.once(func() { x.keepSending(crashBody) })
+	x.spawn(func() { x.keepSending(crashBody) })
 	x.mustBecomeKnown(3 * time.Second)
 	x.mustServe(20)
 }
@@ -297,7 +297,7 @@
 // An operator releases the call once the targets' software is mended.
 func TestAReleasedCallIsServed(t *testing.T) {
 	x := beginCrashes(t, 3, 6)
-	x.once(func() { x.keepSending(crashBody) })
+	x.spawn(func() { x.keepSending(crashBody) })
 	name := x.awaitQuarantine()
 	x.quiet.Store(true)
 	x.mended.Store(true)
@@ -306,7 +306,7 @@
 	}
 	time.Sleep(2 * restartPause)
 	x.must(x.api().ReleaseCall(name, "test"))
-	x.awaitWhole(badCall)
+	x.awaitServed(badCall)
 	list, err := x.api().Quarantines()
 	if err != nil || len(list) != 0 {
 		t.Errorf("in quarantine are %v: %v", list, err)
--- a/test/kept_answer_test.go
+++ b/test/kept_answer_test.go
@@ -29,7 +29,7 @@
 	failingCall = "/balance"
 )
 
-func startFailingTargets(x *story, n int) *failingTargets {
+func startFailingTargets(x *testCluster, n int) *failingTargets {
 	x.Helper()
 	f := &failingTargets{}
 	for range n {
@@ -68,13 +68,13 @@
 
 // An answer that is there isn't dropped for a retry that comes to nothing.
 func TestAFailedAnswerIsDeliveredWhenNothingBetterComes(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 1})
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1})
 	f := startFailingTargets(x, 3)
 	box := x.cluster.Boxes[0]
 	result, err := x.cluster.Apply(f.sheetOf())
 	x.must(err)
-	x.must(x.cluster.AwaitInForce(box, result.Revision, patience))
-	x.must(x.cluster.AwaitServing(box, patience))
+	x.must(x.cluster.AwaitInForce(box, result.Revision, waitTimeout))
+	x.must(x.cluster.AwaitServing(box, waitTimeout))
 	for i := range 5 {
 		f.sends.Store(0)
 		status, body := x.get(box, "balance.test"+failingCall)
@@ -85,13 +85,13 @@
 }
 
 // get makes one call to a host and path, and returns what came back.
-func (x *story) get(box *lab.Node, url string) (status int, body []byte) {
+func (x *testCluster) get(box *lab.Node, url string) (status int, body []byte) {
 	x.Helper()
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI("http://" + url)
 	client := fasthttp.HostClient{Addr: box.Entry, MaxIdemponentCallAttempts: 1}
-	x.must(client.DoTimeout(request, response, patience))
+	x.must(client.DoTimeout(request, response, waitTimeout))
 	return response.StatusCode(), bytes.Clone(response.Body())
 }
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -12,7 +12,7 @@
 )
 
 // statsOf asks a target what it knows of its own load.
-func (x *story) statsOf(target *lab.TargetProcess) lab.TargetStats {
+func (x *testCluster) statsOf(target *lab.TargetProcess) lab.TargetStats {
 	x.Helper()
 	var s lab.TargetStats
 	status, body, err := fasthttp.Get(nil, "http://"+target.Address+"/stats")
@@ -26,11 +26,11 @@
 
 func TestALimitHoldsOverAllBoxes(t *testing.T) {
 	const limit = 4
-	x := begin(t, setting{
+	x := startCluster(t, clusterOptions{
 		replicas: 1, boxes: 4, targets: 2, adjust: quickLeases,
 		targetArguments: []string{"--slots", "64", "--queue", "64", "--work", "4ms"},
 	})
-	x.fillTable(func(s *table.Service, rows []table.Row) {
+	x.applySheets(func(s *table.Service, rows []table.Row) {
 		s.HoldLimit, s.HoldCount = 5*time.Second, 1000
 		for i := range rows {
 			// Each service has a limit of its own at each target.
@@ -64,8 +64,8 @@
 
 func TestProbesKeepToTheirBudget(t *testing.T) {
 	const boxes, watched = 3, 6 * time.Second
-	x := begin(t, setting{replicas: 1, boxes: boxes, targets: 3, adjust: quickLeases})
-	x.fillTable(func(s *table.Service, rows []table.Row) {
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: boxes, targets: 3, adjust: quickLeases})
+	x.applySheets(func(s *table.Service, rows []table.Row) {
 		s.MeasureBudget = 0.5
 		s.Deadline, s.HoldLimit = time.Second, 100*time.Millisecond
 	})
@@ -74,7 +74,7 @@
 	before := x.statsOf(sick).Probes
 	started := time.Now()
 	for time.Since(started) < watched {
-		x.callAll(60, 12, mixed)
+		x.callAll(60, 12, mixedPlan)
 	}
 	seconds := time.Since(started).Seconds()
 	probes := float64(x.statsOf(sick).Probes - before)
--- a/test/named_limit_test.go
+++ b/test/named_limit_test.go
@@ -29,14 +29,14 @@
 )
 
 // limitTargets has targets name limits, in calls a second.
-func (x *story) limitTargets(limits ...float64) {
+func (x *testCluster) limitTargets(limits ...float64) {
 	for i, rate := range limits {
 		x.behave(x.targets[i], fmt.Sprintf("limit=%g", rate))
 	}
 }
 
 // callTogether makes some calls at a time for a while, each a moment after the one before.
-func (x *story) callTogether(while time.Duration) []lab.Call {
+func (x *testCluster) callTogether(while time.Duration) []lab.Call {
 	var work sync.WaitGroup
 	var lock sync.Mutex
 	var calls []lab.Call
@@ -59,7 +59,7 @@
 
 // checkLimits checks that no target got more than its limit allows, and returns how many calls the limited
 // ones got.
-func (x *story) checkLimits(before []lab.TargetStats) int64 {
+func (x *testCluster) checkLimits(before []lab.TargetStats) int64 {
 	x.Helper()
 	sum := int64(0)
 	for i := range before {
@@ -73,7 +73,7 @@
 	return sum
 }
 
-func (x *story) limitedStats(n int) []lab.TargetStats {
+func (x *testCluster) limitedStats(n int) []lab.TargetStats {
 	var all []lab.TargetStats
 	for _, t := range x.targets[:n] {
 		all = append(all, x.statsOf(t))
@@ -115,7 +115,7 @@
 	limits := []float64{2, 2, 2, 2, 2, 2, 2, 2}
 	x.limitTargets(limits...)
 	x.callTogether(limitLearnt)
-	x.caller.SetAddresses(x.servingEntries()[:called]...)
+	x.caller.SetAddresses(x.awaitServingEntries()[:called]...)
 	before := x.limitedStats(limitedTargets)
 	calls := x.callTogether(limitWatched)
 	got := x.checkLimits(before)
--- a/test/pipeline_test.go
+++ b/test/pipeline_test.go
@@ -16,7 +16,7 @@
 // pipeline is a caller's connection on which several requests are sent before the first
 // answer.
 type pipeline struct {
-	*story
+	*testCluster
 	conn   net.Conn
 	reader *bufio.Reader
 }
@@ -28,13 +28,13 @@
 	closes bool
 }
 
-func (x *story) newPipeline() *pipeline {
+func (x *testCluster) newPipeline() *pipeline {
 	x.Helper()
 	c, err := net.Dial("tcp", x.cluster.Boxes[0].Entry)
 	x.must(err)
 	x.Cleanup(func() { c.Close() })
-	x.must(c.SetDeadline(time.Now().Add(patience)))
-	return &pipeline{story: x, conn: c, reader: bufio.NewReader(c)}
+	x.must(c.SetDeadline(time.Now().Add(waitTimeout)))
+	return &pipeline{testCluster: x, conn: c, reader: bufio.NewReader(c)}
 }
 
 // send writes all requests in one go.
@@ -84,8 +84,8 @@
 }
 
 func TestPipelinedRequestsAreAnsweredInTheirOrder(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 1, targets: 3})
-	x.fillTable(nil)
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1, targets: 3})
+	x.applySheets(nil)
 	p := x.newPipeline()
 	list := requestsOf("ordered", 8, time.Millisecond)
 	list[0].work = 300 * time.Millisecond
@@ -96,8 +96,8 @@
 }
 
 func TestNothingBehindARequestThatClosesIsRun(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 1, targets: 3})
-	x.fillTable(nil)
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1, targets: 3})
+	x.applySheets(nil)
 	p := x.newPipeline()
 	list := requestsOf("closing", 6, time.Millisecond)
 	list[2].closes = true
@@ -110,7 +110,7 @@
 }
 
 // mustHaveRun checks which requests the targets have run.
-func (x *story) mustHaveRun(some, others []pipelined) {
+func (x *testCluster) mustHaveRun(some, others []pipelined) {
 	x.Helper()
 	runs := x.runs()
 	for _, r := range some {
@@ -126,15 +126,15 @@
 }
 
 func TestACallerThatLeavesItsPipelineFreesItsSlot(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 1, targets: 1})
-	x.fillTable(nil)
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1, targets: 1})
+	x.applySheets(nil)
 	p := x.newPipeline()
 	list := requestsOf("leaving", 4, 0)
 	list[1].work = 8 * time.Second
 	p.send(list...)
 	p.mustAnswer(list[0].id)
 	p.conn.Close()
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		d, err := x.cluster.Boxes[0].Dump()
 		if err == nil && d.Entry.Routing.Calls != 0 {
 			err = fmt.Errorf("%d calls are under way", d.Entry.Routing.Calls)
@@ -147,8 +147,8 @@
 }
 
 func TestAPlannedStopEndsPipelinesBetweenRequests(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 2, targets: 3})
-	x.fillTable(nil)
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 2, targets: 3})
+	x.applySheets(nil)
 	p := x.newPipeline()
 	list := requestsOf("stopping", 8, 200*time.Millisecond)
 	p.send(list...)
--- a/test/power_test.go
+++ b/test/power_test.go
@@ -17,8 +17,8 @@
 // lose what wasn't synced; random schedules do that (loseTwoDisks).
 func TestAcknowledgedOrdersOutliveTwoDisksAndAllProcesses(t *testing.T) {
 	const replicas = 5
-	x := &story{T: t, folder: t.TempDir()}
-	t.Cleanup(x.end)
+	x := &testCluster{T: t, folder: t.TempDir()}
+	t.Cleanup(x.stopProcesses)
 	for i := range 2 {
 		target, err := lab.StartTargetProcess(programs.lab, fmt.Sprintf("target-%d", i+1), x.folder)
 		x.must(err)
@@ -38,11 +38,11 @@
 	}
 	put := func(version units.DocumentVersion) {
 		t.Helper()
-		x.must(lab.Eventually(patience, func() error { return x.api().PutDocument(documentOf(version)) }))
+		x.must(lab.Eventually(waitTimeout, func() error { return x.api().PutDocument(documentOf(version)) }))
 	}
 	put(1)
 	for i, target := range x.targets {
-		x.must(lab.Eventually(patience, func() error {
+		x.must(lab.Eventually(waitTimeout, func() error {
 			r := registration(target, 1)
 			r.Service, r.Domain = "shop", []units.Domain{soakDomain, soakOtherDomain}[i]
 			return x.api().Report(r)
@@ -56,14 +56,14 @@
 		version := units.DocumentVersion(round + 2)
 		put(version)
 		evacuate := round%2 == 0
-		x.must(lab.Eventually(patience, func() error {
+		x.must(lab.Eventually(waitTimeout, func() error {
 			return x.api().OrderEvacuation(table.EvacuationOrder{Domain: soakDomain, Evacuate: evacuate, Operator: "test"})
 		}))
 		time.Sleep(pause)
-		x.killAndStart(x.allNodes(), x.cluster.Replicas[round], x.cluster.Replicas[(round+2)%replicas])
-		x.must(lab.Eventually(patience, func() error { return x.holds(version, evacuate) }))
+		x.restartTogether(x.allNodes(), x.cluster.Replicas[round], x.cluster.Replicas[(round+2)%replicas])
+		x.must(lab.Eventually(waitTimeout, func() error { return x.holds(version, evacuate) }))
 	}
-	x.caller = lab.NewCaller(x.servingEntries()...)
+	x.caller = lab.NewCaller(x.awaitServingEntries()...)
 	before := x.countOf(x.targets[0])
 	for range 20 {
 		if c := x.caller.Do(lab.Plan{Host: "shop.test"}); c.Verdict != lab.Whole {
@@ -76,7 +76,7 @@
 }
 
 // holds tells whether the last orders that were acknowledged hold. Nothing older may ever be read.
-func (x *story) holds(version units.DocumentVersion, evacuated bool) error {
+func (x *testCluster) holds(version units.DocumentVersion, evacuated bool) error {
 	raw, err := x.api().Document()
 	if err != nil {
 		return err
--- a/test/product_test.go
+++ b/test/product_test.go
@@ -18,7 +18,7 @@
 )
 
 // ctl runs the operators' tool and returns what it printed and its exit code.
-func (x *story) ctl(arguments ...string) (out string, code int) {
+func (x *testCluster) ctl(arguments ...string) (out string, code int) {
 	x.Helper()
 	var servers []string
 	for _, n := range x.cluster.Replicas {
@@ -33,7 +33,7 @@
 }
 
 // mustCtl runs the tool, which must end with a code and print all the parts.
-func (x *story) mustCtl(code int, parts []string, arguments ...string) string {
+func (x *testCluster) mustCtl(code int, parts []string, arguments ...string) string {
 	x.Helper()
 	out, got := x.ctl(arguments...)
 	if got != code || !containsAll(out, parts...) {
@@ -42,7 +42,7 @@
 	return out
 }
 
-func (x *story) write(name, text string) string {
+func (x *testCluster) write(name, text string) string {
 	x.Helper()
 	path := filepath.Join(x.folder, name)
 	x.must(os.WriteFile(path, []byte(text), 0o600))
@@ -50,7 +50,7 @@
 }
 
 func TestAnOperatorMovesWeightByTheTable(t *testing.T) {
-	x := begin(t, setting{replicas: 3, boxes: 1, targets: 2})
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 1, targets: 2})
 	services := x.write("services.csv", "service,work,hosts\nshop,once,shop.test\n")
 	rows := x.write("rows.csv", fmt.Sprintf("service,target,address,weight\nshop,old,%s,100\nshop,new,%s,0\n", x.targets[0].Address, x.targets[1].Address))
 
@@ -66,7 +66,7 @@
 	x.mustCtl(0, []string{"leaving", "50"}, "table", "get")
 	x.mustCtl(0, []string{`"maxInFlight": 6`}, "table", "get", "--json")
 	x.mustCtl(0, []string{"revision", "edit"}, "table", "history")
-	x.must(x.cluster.AwaitServing(x.cluster.Boxes[0], patience))
+	x.must(x.cluster.AwaitServing(x.cluster.Boxes[0], waitTimeout))
 	x.mustCtl(0, []string{"leader", "box-1", "in force"}, "status")
 	x.mustCtl(0, []string{`"control"`, `"table"`}, "dump")
 	x.mustCtl(0, []string{"accepted"}, "table", "edit", "--set", "shop/new.domain=south", "--set", "shop.cold_rate=2.5")
@@ -86,7 +86,7 @@
 }
 
 func TestMistakesOfAnOperatorAreNamed(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 1})
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1})
 	bad := x.write("bad.csv", "service,target,address,weight\nshop,old,nowhere,heavy\n")
 	x.mustCtl(2, []string{"line 2, column weight"}, "table", "apply", "--rows", bad)
 	x.mustCtl(2, []string{"there is no service"}, "table", "edit", "--set", "shop.deadline=3s")
@@ -108,8 +108,8 @@
 	if err := os.WriteFile(file, []byte(token+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x := &story{T: t, folder: folder}
-	t.Cleanup(x.end)
+	x := &testCluster{T: t, folder: folder}
+	t.Cleanup(x.stopProcesses)
 	address, err := lab.FreeAddress()
 	x.must(err)
 	s := config.Defaults()
@@ -123,7 +123,7 @@
 	p, err := lab.StartProcess("c1", programs.daemon, "--settings", x.write("c1.json", string(data)), "--form")
 	x.must(err)
 	t.Cleanup(p.Kill)
-	started, err := p.AwaitStarted(patience)
+	started, err := p.AwaitStarted(waitTimeout)
 	x.must(err)
 
 	scenarios := []struct {
@@ -153,7 +153,7 @@
 			if s.token != "" {
 				request.Header.Set("Authorization", "Bearer "+s.token)
 			}
-			if err := fasthttp.DoTimeout(request, response, patience); err != nil {
+			if err := fasthttp.DoTimeout(request, response, waitTimeout); err != nil {
 				if s.testName == "an oversized body" {
 					// The server may close before it has read all of it.
 					return
@@ -168,7 +168,7 @@
 }
 
 func TestBrokenSettingsAreListed(t *testing.T) {
-	x := &story{T: t, folder: t.TempDir()}
+	x := &testCluster{T: t, folder: t.TempDir()}
 	path := x.write("bad.jsonc", `{"box": "X", "roles": ["entry"], "nonsense": 1, "entry": {"maxCalls": "many"}}`)
 	for _, arguments := range [][]string{{"--settings", path, "--check"}, {"--settings", path}} {
 		command := exec.Command(programs.daemon, arguments...)
@@ -180,8 +180,8 @@
 }
 
 func TestJunkOnThePortBetweenProcessesHarmsNobody(t *testing.T) {
-	x := begin(t, setting{replicas: 3, boxes: 1})
-	before := x.accept("alpha", 1)
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 1})
+	before := x.mustSetWeight("alpha", 1)
 	for _, n := range append(x.cluster.Replicas, x.cluster.Boxes...) {
 		for _, junk := range []string{"GET / HTTP/1.1\r\n\r\n", strings.Repeat("\xff", 1<<16), ""} {
 			c, err := net.DialTimeout("tcp", n.Peer, time.Second)
@@ -190,8 +190,8 @@
 			c.Close()
 		}
 	}
-	after := x.accept("alpha", 2)
-	x.awaitEverywhere(after)
+	after := x.mustSetWeight("alpha", 2)
+	x.awaitInForce(after)
 	x.mustStillHave(before)
 }
 
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -11,10 +11,10 @@
 
 // beginGrowing starts a cluster whose processes know the first three of its replicas as
 // seeds.
-func beginGrowing(t *testing.T, replicas, boxes int) *story {
+func beginGrowing(t *testing.T, replicas, boxes int) *testCluster {
 	t.Helper()
-	x := &story{T: t, folder: t.TempDir()}
-	t.Cleanup(x.end)
+	x := &testCluster{T: t, folder: t.TempDir()}
+	t.Cleanup(x.stopProcesses)
 	var err error
 	x.cluster, err = lab.StartCluster(lab.ClusterSettings{
 		Folder: x.folder, Program: programs.daemon, Replicas: replicas, Boxes: boxes, Seeds: 3,
@@ -24,13 +24,13 @@
 }
 
 // awaitAttached waits until a box has a replica's lease.
-func (x *story) awaitAttached(n *lab.Node) {
+func (x *testCluster) awaitAttached(n *lab.Node) {
 	x.Helper()
-	x.must(x.cluster.AwaitInForce(n, 1, patience))
+	x.must(x.cluster.AwaitInForce(n, 1, waitTimeout))
 }
 
 // freeAddresses are addresses at which nothing runs.
-func (x *story) freeAddresses(n int) []string {
+func (x *testCluster) freeAddresses(n int) []string {
 	x.Helper()
 	var list []string
 	for range n {
@@ -82,12 +82,12 @@
 	limit := box.Settings.Stop.Limit
 	box.Settings.Stop.Limit = config.Duration(time.Millisecond)
 	x.must(box.WriteSettings())
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		return x.wantSettings(box, true, "")
 	}))
 	box.Settings.Stop.Limit = limit + config.Duration(time.Second)
 	x.must(box.WriteSettings())
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		return x.wantSettings(box, false, "stop.limit")
 	}))
 	x.awaitAttached(box)
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -19,10 +19,10 @@
 )
 
 func TestEveryCallerGetsItsOwnWholeAnswer(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 2, targets: 4, targetArguments: []string{"--slots", "16", "--queue", "64"}})
-	x.fillTable(nil)
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 2, targets: 4, targetArguments: []string{"--slots", "16", "--queue", "64"}})
+	x.applySheets(nil)
 	x.callAll(max(3000, 2**callers), *callers, func(i int) lab.Plan {
-		p := mixed(i)
+		p := mixedPlan(i)
 		p.Work = time.Duration(i%7) * time.Millisecond
 		if i%50 == 0 {
 			p.Deadline = 3 * time.Millisecond
@@ -36,8 +36,8 @@
 }
 
 func TestAnAnswerCutShortIsNeverPassedOffAsWhole(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 1, targets: 2, targetArguments: []string{"--slots", "16", "--queue", "64"}})
-	x.fillTable(nil)
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1, targets: 2, targetArguments: []string{"--slots", "16", "--queue", "64"}})
+	x.applySheets(nil)
 	for _, cut := range lab.Cuts() {
 		for _, work := range []string{"repeatable", "once", "patient"} {
 			for _, size := range []int{100, 400_000} {
@@ -54,8 +54,8 @@
 }
 
 func TestLongReportsArriveComplete(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 1, targets: 2, targetArguments: []string{"--slots", "32", "--queue", "64"}})
-	x.fillTable(nil)
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1, targets: 2, targetArguments: []string{"--slots", "32", "--queue", "64"}})
+	x.applySheets(nil)
 	x.callAll(48, 16, func(int) lab.Plan {
 		return lab.Plan{Host: "patient.test", Size: 10 << 20, Deadline: 30 * time.Second}
 	})
@@ -70,8 +70,8 @@
 }
 
 func TestWhatIsCalledNotRunWasNotRun(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 2, targets: 4, targetArguments: []string{"--slots", "2", "--queue", "1", "--work", "5ms"}})
-	x.fillTable(func(s *table.Service, _ []table.Row) {
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 2, targets: 4, targetArguments: []string{"--slots", "2", "--queue", "1", "--work", "5ms"}})
+	x.applySheets(func(s *table.Service, _ []table.Row) {
 		s.HoldCount = 5
 		s.HoldLimit = 50 * time.Millisecond
 	})
@@ -84,7 +84,7 @@
 			target.Process.Kill()
 		}
 	}()
-	x.callAll(4000, 48, mixed)
+	x.callAll(4000, 48, mixedPlan)
 	step.Wait()
 	s := x.mustBeClean()
 	if s.Refused == 0 || s.Whole == 0 {
@@ -97,7 +97,7 @@
 var callers = flag.Int("callers", 64, "how many callers call at once in a story")
 
 func TestBrokenConnectionsToTargetsLoseAndDoubleNothing(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 2, targets: 3, targetArguments: []string{"--slots", "8", "--queue", "64", "--work", "3ms"}})
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 2, targets: 3, targetArguments: []string{"--slots", "8", "--queue", "64", "--work", "3ms"}})
 	var proxies []*lab.FaultProxy
 	for _, target := range x.targets {
 		p, err := lab.StartFaultProxy(target.Address)
@@ -105,7 +105,7 @@
 		t.Cleanup(p.Close)
 		proxies = append(proxies, p)
 	}
-	x.fillTable(func(s *table.Service, rows []table.Row) {
+	x.applySheets(func(s *table.Service, rows []table.Row) {
 		s.Deadline = time.Second
 		for i := range rows {
 			rows[i].Address = proxies[i].Address()
@@ -114,7 +114,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		x.callAll(3000, 24, mixed)
+		x.callAll(3000, 24, mixedPlan)
 	}()
 	// Connections are reset, cut in silence and slowed down in turn, while calls are
 	// on them and while they lie idle.
@@ -143,8 +143,8 @@
 }
 
 func TestAKilledBoxDoublesNothing(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 3, targets: 3, targetArguments: []string{"--slots", "8", "--queue", "32"}})
-	x.fillTable(nil)
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 3, targets: 3, targetArguments: []string{"--slots", "8", "--queue", "32"}})
+	x.applySheets(nil)
 	var killer sync.WaitGroup
 	killer.Add(1)
 	go func() {
@@ -152,16 +152,16 @@
 		time.Sleep(200 * time.Millisecond)
 		x.cluster.Boxes[0].Process.Kill()
 	}()
-	x.callAll(3000, 24, mixed)
+	x.callAll(3000, 24, mixedPlan)
 	killer.Wait()
 	x.mustBeClean()
 }
 
 func TestAFrozenTargetIsLeftAlone(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 2, targets: 4, targetArguments: []string{"--slots", "8", "--queue", "32"}})
-	x.fillTable(func(s *table.Service, _ []table.Row) { s.Deadline = 500 * time.Millisecond })
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 2, targets: 4, targetArguments: []string{"--slots", "8", "--queue", "32"}})
+	x.applySheets(func(s *table.Service, _ []table.Row) { s.Deadline = 500 * time.Millisecond })
 	x.targets[0].Process.Freeze()
-	x.callAll(1500, 16, mixed)
+	x.callAll(1500, 16, mixedPlan)
 	x.targets[0].Process.Thaw()
 	s := x.mustBeClean()
 	if share := float64(s.Whole) / float64(s.Sent); share < 0.9 {
@@ -180,11 +180,11 @@
 }
 
 func TestAPlannedStopCutsNothing(t *testing.T) {
-	x := begin(t, setting{
+	x := startCluster(t, clusterOptions{
 		replicas: 1, boxes: 2, targets: 3, adjust: quickLeases,
 		targetArguments: []string{"--slots", "8", "--queue", "64", "--work", "3ms"},
 	})
-	x.fillTable(nil)
+	x.applySheets(nil)
 	staying, stopping := x.cluster.Boxes[0], x.cluster.Boxes[1]
 	for range *stops {
 		var callers sync.WaitGroup
@@ -194,7 +194,7 @@
 			go func() {
 				defer callers.Done()
 				for i := k; !finished.Load(); i++ {
-					p := mixed(i)
+					p := mixedPlan(i)
 					if i%40 == 0 {
 						p.Size = 2 << 20
 					}
@@ -211,7 +211,7 @@
 		// The platform's balancer learns of it late.
 		time.Sleep(150 * time.Millisecond)
 		x.caller.SetAddresses(staying.Entry)
-		code, err := stopping.Process.AwaitEnd(patience)
+		code, err := stopping.Process.AwaitEnd(waitTimeout)
 		x.must(err)
 		finished.Store(true)
 		callers.Wait()
@@ -219,7 +219,7 @@
 			t.Fatalf("the planned stop ended with %d:\n%s", code, stopping.Process.Log())
 		}
 		x.must(x.cluster.StartAgain(stopping))
-		x.must(x.cluster.AwaitServing(stopping, patience))
+		x.must(x.cluster.AwaitServing(stopping, waitTimeout))
 		x.caller.SetAddresses(staying.Entry, stopping.Entry)
 	}
 	s := x.mustBeClean()
@@ -234,8 +234,8 @@
 }
 
 func TestALeavingTargetGetsNoNewWork(t *testing.T) {
-	x := begin(t, setting{replicas: 3, boxes: 3, targets: 3, proxied: true, targetArguments: []string{"--slots", "16", "--queue", "64"}})
-	x.fillTable(nil)
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 3, targets: 3, proxied: true, targetArguments: []string{"--slots", "16", "--queue", "64"}})
+	x.applySheets(nil)
 	leaving := x.targets[0]
 	var callers sync.WaitGroup
 	var finished atomic.Bool
@@ -244,7 +244,7 @@
 		go func() {
 			defer callers.Done()
 			for i := k; !finished.Load(); i++ {
-				x.caller.Do(mixed(i))
+				x.caller.Do(mixedPlan(i))
 			}
 		}()
 	}
@@ -258,7 +258,7 @@
 	for _, p := range x.cluster.Proxies {
 		p.Silence(true)
 	}
-	time.Sleep(bound)
+	time.Sleep(maxEditDelay)
 	frozen.Process.Thaw()
 	before := x.countOf(leaving)
 	x.caller.SetAddresses(x.cluster.Boxes[0].Entry, x.cluster.Boxes[1].Entry, x.cluster.Boxes[2].Entry)
@@ -269,20 +269,20 @@
 	}
 	callers.Wait()
 	if after := x.countOf(leaving); after != before {
-		t.Fatalf("%d calls reached the leaving target after %s", after-before, bound)
+		t.Fatalf("%d calls reached the leaving target after %s", after-before, maxEditDelay)
 	}
 	x.mustBeClean()
 }
 
-func (x *story) awaitInForceOn(r *table.Result, boxes ...*lab.Node) {
+func (x *testCluster) awaitInForceOn(r *table.Result, boxes ...*lab.Node) {
 	x.Helper()
 	for _, b := range boxes {
-		x.must(x.cluster.AwaitInForce(b, r.Revision, patience))
+		x.must(x.cluster.AwaitInForce(b, r.Revision, waitTimeout))
 	}
 }
 
 // countOf is how many calls a target's own journal holds.
-func (x *story) countOf(target *lab.TargetProcess) int {
+func (x *testCluster) countOf(target *lab.TargetProcess) int {
 	x.Helper()
 	runs, err := lab.ReadJournals(target.Journal)
 	x.must(err)
@@ -294,17 +294,17 @@
 }
 
 func TestABoxWithoutALeaseRefusesAsNotRun(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 1, targets: 1})
-	x.fillTable(nil)
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1, targets: 1})
+	x.applySheets(nil)
 	x.cluster.Replicas[0].Process.Freeze()
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		if c := x.caller.Do(lab.Plan{Host: "once.test", Once: true}); c.Reason != "no-lease" {
 			return fmt.Errorf("told %+v", c)
 		}
 		return nil
 	}))
 	x.cluster.Replicas[0].Process.Thaw()
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		if c := x.caller.Do(lab.Plan{Host: "once.test", Once: true}); c.Verdict != lab.Whole {
 			return fmt.Errorf("told %+v", c)
 		}
@@ -319,8 +319,8 @@
 
 func TestPatientWorkWaitsOutARefusingTarget(t *testing.T) {
 	const patientCalls = 20
-	x := begin(t, setting{replicas: 1, boxes: 1, targets: 1, targetArguments: []string{"--slots", "3", "--queue", "1"}})
-	x.fillTable(func(s *table.Service, _ []table.Row) {
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1, targets: 1, targetArguments: []string{"--slots", "3", "--queue", "1"}})
+	x.applySheets(func(s *table.Service, _ []table.Row) {
 		s.HoldLimit = *refusing + 20*time.Second
 		s.Deadline = *refusing + 25*time.Second
 	})
@@ -330,7 +330,7 @@
 		defer close(done)
 		x.callAll(patientCalls, patientCalls, func(int) lab.Plan { return lab.Plan{Host: "patient.test"} })
 	}()
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		d, err := x.cluster.Boxes[0].Dump()
 		if err == nil && d.Entry.Routing.Calls < patientCalls {
 			err = fmt.Errorf("%d calls are held", d.Entry.Routing.Calls)
@@ -346,7 +346,7 @@
 }
 
 // behave changes what a target does.
-func (x *story) behave(target *lab.TargetProcess, query string) {
+func (x *testCluster) behave(target *lab.TargetProcess, query string) {
 	x.Helper()
 	x.must(askToBehave(target, query))
 }
@@ -363,14 +363,14 @@
 }
 
 func TestACallerThatHangsUpFreesItsSlot(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 1, targets: 1})
-	x.fillTable(nil)
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1, targets: 1})
+	x.applySheets(nil)
 	c, err := net.Dial("tcp", x.cluster.Boxes[0].Entry)
 	x.must(err)
 	fmt.Fprintf(c, "GET / HTTP/1.1\r\nHost: repeatable.test\r\nX-Request-Id: gone\r\nX-Work-Us: 8000000\r\n\r\n")
 	inFlight := func(want int) {
 		t.Helper()
-		x.must(lab.Eventually(patience, func() error {
+		x.must(lab.Eventually(waitTimeout, func() error {
 			d, err := x.cluster.Boxes[0].Dump()
 			if err == nil && d.Entry.Routing.Calls != want {
 				err = fmt.Errorf("%d calls are under way", d.Entry.Routing.Calls)
@@ -382,17 +382,17 @@
 	c.Close()
 	started := time.Now()
 	inFlight(0)
-	if took := time.Since(started); took > bound {
+	if took := time.Since(started); took > maxEditDelay {
 		t.Fatalf("the slot was freed only after %s", took)
 	}
 }
 
 func TestHostileRequestsReachNoTarget(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 1, targets: 1, adjust: func(s *config.Settings) {
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1, targets: 1, adjust: func(s *config.Settings) {
 		// Some of these requests never end; the box gives up on them after this.
 		s.Entry.ReadTimeout = config.Duration(time.Second)
 	}})
-	x.fillTable(nil)
+	x.applySheets(nil)
 	scenarios := []struct{ testName, request string }{
 		{"both length and chunked", "POST / HTTP/1.1\r\nHost: once.test\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"},
 		{"two lengths", "POST / HTTP/1.1\r\nHost: once.test\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!"},
@@ -410,7 +410,7 @@
 			c, err := net.Dial("tcp", x.cluster.Boxes[0].Entry)
 			x.must(err)
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(waitTimeout))
 			go fmt.Fprint(c, s.request)
 			status, err := bufio.NewReader(c).ReadString('\n')
 			if err == nil && !strings.HasPrefix(status, "HTTP/1.1 4") {
@@ -427,11 +427,11 @@
 }
 
 func TestACallMayTakeLongerThanARequestMayTakeToCome(t *testing.T) {
-	x := begin(t, setting{replicas: 1, boxes: 1, targets: 1, adjust: func(s *config.Settings) {
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1, targets: 1, adjust: func(s *config.Settings) {
 		s.Entry.ReadTimeout = config.Duration(200 * time.Millisecond)
 		s.Entry.IdleTimeout = config.Duration(200 * time.Millisecond)
 	}})
-	x.fillTable(nil)
+	x.applySheets(nil)
 	for _, work := range []string{"repeatable", "once", "patient"} {
 		c := x.caller.Do(lab.Plan{Host: work + ".test", Once: work == "once", Work: time.Second})
 		if c.Verdict != lab.Whole {
--- a/test/residency_test.go
+++ b/test/residency_test.go
@@ -23,13 +23,13 @@
 // residencyStory has one service on all targets, a route that allows some regions only under
 // eu.test and one that allows all under any.test.
 type residencyStory struct {
-	*story
+	*testCluster
 	version  units.DocumentVersion
 	sequence uint64
 }
 
 func beginResidency(t *testing.T) *residencyStory {
-	x := &residencyStory{story: begin(t, setting{
+	x := &residencyStory{testCluster: startCluster(t, clusterOptions{
 		replicas: 1, boxes: 2, targets: storyTargets, targetArguments: []string{"--slots", "8", "--queue", "32", "--work", "2ms"},
 		adjust: func(s *config.Settings) {
 			s.Regions = storyRegions
@@ -67,8 +67,8 @@
 	x.must(x.api().PutDocument(raw))
 	x.reportAll()
 	for _, b := range x.cluster.Boxes {
-		x.must(lab.Eventually(patience, func() error { return showsRestriction(b, regions, targets) }))
-		x.must(x.cluster.AwaitServing(b, patience))
+		x.must(lab.Eventually(waitTimeout, func() error { return showsRestriction(b, regions, targets) }))
+		x.must(x.cluster.AwaitServing(b, waitTimeout))
 	}
 }
 
--- a/test/rest_test.go
+++ b/test/rest_test.go
@@ -30,20 +30,20 @@
 
 // beginTalking begins a story of registered targets that say things of themselves, with one box, so
 // that a target's counts are of that box alone.
-func beginTalking(t *testing.T, targets int) *story { return beginTalkingTo(t, 1, targets) }
+func beginTalking(t *testing.T, targets int) *testCluster { return beginTalkingTo(t, 1, targets) }
 
 // beginTalkingTo is the same with several boxes.
-func beginTalkingTo(t *testing.T, boxes, targets int) *story {
-	x := begin(t, setting{
+func beginTalkingTo(t *testing.T, boxes, targets int) *testCluster {
+	x := startCluster(t, clusterOptions{
 		replicas: 1, boxes: boxes, targets: targets, adjust: readNotices,
 		targetArguments: []string{"--slots", "4", "--queue", "8", "--work", "5ms"},
 	})
-	x.must(lab.Eventually(patience, func() error { return x.api().PutDocument(rolloutDocument()) }))
+	x.must(lab.Eventually(waitTimeout, func() error { return x.api().PutDocument(rolloutDocument()) }))
 	for _, target := range x.targets {
-		x.must(lab.Eventually(patience, func() error { return x.api().Report(registration(target, 1)) }))
+		x.must(lab.Eventually(waitTimeout, func() error { return x.api().Report(registration(target, 1)) }))
 	}
-	x.caller = lab.NewCaller(x.servingEntries()...)
-	x.awaitWhole(shopCall)
+	x.caller = lab.NewCaller(x.awaitServingEntries()...)
+	x.awaitServed(shopCall)
 	return x
 }
 
@@ -71,7 +71,7 @@
 )
 
 // callFor makes calls for a time, and returns how many and how many of them were served.
-func (x *story) callFor(d time.Duration) (calls, whole int) {
+func (x *testCluster) callFor(d time.Duration) (calls, whole int) {
 	made := x.callTogether(d)
 	return len(made), countWhole(made)
 }
@@ -122,7 +122,7 @@
 	x := beginTalking(t, 2)
 	resting, box := x.targets[1], x.cluster.Boxes[0]
 	x.behave(resting, fmt.Sprintf("shed=1&rest_ms=%d", restAsked.Milliseconds()))
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		if x.callFor(100 * time.Millisecond); x.statsOf(resting).Rests == 0 {
 			return fmt.Errorf("%s hasn't asked for rest", resting.Name)
 		}
@@ -133,7 +133,7 @@
 	box.Process.Freeze()
 	time.Sleep(restAsked / 2)
 	box.Process.Thaw()
-	x.must(x.cluster.AwaitServing(box, patience))
+	x.must(x.cluster.AwaitServing(box, waitTimeout))
 	x.callFor(restAsked/4 + time.Until(asked.Add(restAsked/2)))
 	before := x.statsOf(resting)
 	if before.Unrested > leftInRest || before.UnrestedProbes > leftInRest {
--- a/test/rollout_test.go
+++ b/test/rollout_test.go
@@ -27,7 +27,7 @@
 
 // rolloutStory is a story of a service with targets of two versions, and callers.
 type rolloutStory struct {
-	*story
+	*testCluster
 	old, fresh []*lab.TargetProcess
 	workers
 	// ordered is how many calls had been made at the order.
@@ -36,7 +36,7 @@
 
 func beginRollout(t *testing.T) *rolloutStory {
 	x := &rolloutStory{workers: newWorkers()}
-	x.story = begin(t, setting{
+	x.testCluster = startCluster(t, clusterOptions{
 		replicas: 3, boxes: 3, targets: 8, targetArguments: []string{"--slots", "8", "--queue", "32", "--work", "5ms"},
 		adjust: func(s *config.Settings) {
 			s.Control.Rollout.Enabled = true
@@ -45,15 +45,15 @@
 	})
 	t.Cleanup(x.stop)
 	x.old, x.fresh = x.targets[:4], x.targets[4:]
-	x.must(lab.Eventually(patience, func() error { return x.api().PutDocument(rolloutDocument()) }))
+	x.must(lab.Eventually(waitTimeout, func() error { return x.api().PutDocument(rolloutDocument()) }))
 	x.keepReporting(x.old, oldSoftware)
-	x.must(lab.Eventually(patience, func() error { return x.wantInForce(oldSoftware) }))
+	x.must(lab.Eventually(waitTimeout, func() error { return x.wantInForce(oldSoftware) }))
 	known, err := x.api().Table()
 	x.must(err)
 	for _, b := range x.cluster.Boxes {
-		x.must(x.cluster.AwaitInForce(b, known.Revision, patience))
+		x.must(x.cluster.AwaitInForce(b, known.Revision, waitTimeout))
 	}
-	x.caller = lab.NewCaller(x.servingEntries()...)
+	x.caller = lab.NewCaller(x.awaitServingEntries()...)
 	for k := range 8 {
 		x.repeat(func() { x.call(k) })
 	}
@@ -130,13 +130,13 @@
 // send sends an order until it is acknowledged.
 func (x *rolloutStory) send(o table.RolloutOrder) {
 	x.Helper()
-	x.must(lab.Eventually(patience, func() error { return x.api().OrderRollout(o) }))
+	x.must(lab.Eventually(waitTimeout, func() error { return x.api().OrderRollout(o) }))
 }
 
 func (x *rolloutStory) awaitStage(stages ...table.RolloutStage) table.RolloutStage {
 	x.Helper()
 	var found table.RolloutStage
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		t, err := x.api().Table()
 		if err != nil {
 			return err
--- a/test/security_test.go
+++ b/test/security_test.go
@@ -33,11 +33,11 @@
 
 func TestProcessesProveThemselvesToEachOther(t *testing.T) {
 	ours, theirs := newAuthority(t, "ours"), newAuthority(t, "theirs")
-	x := begin(t, setting{replicas: 3, boxes: 2, targets: 1, adjust: certify(t, ours)})
-	x.fillTable(nil)
-	x.callAll(60, 4, mixed)
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 2, targets: 1, adjust: certify(t, ours)})
+	x.applySheets(nil)
+	x.callAll(60, 4, mixedPlan)
 	x.mustBeClean()
-	before := x.accept("alpha", 1)
+	before := x.mustSetWeight("alpha", 1)
 	leader := x.leader()
 
 	load := func(a *lab.Authority, box string) *transport.Security {
@@ -78,7 +78,7 @@
 	if term := x.termOf(leader); term >= 1<<40 {
 		t.Fatalf("a stranger raised the term to %d", term)
 	}
-	x.awaitEverywhere(x.accept("alpha", 2))
+	x.awaitInForce(x.mustSetWeight("alpha", 2))
 	x.mustStillHave(before)
 }
 
--- a/test/settings_steps_test.go
+++ b/test/settings_steps_test.go
@@ -9,7 +9,7 @@
 )
 
 // settingsOf asks a process what became of its settings file.
-func (x *story) settingsOf(n *lab.Node) *reload.Status {
+func (x *testCluster) settingsOf(n *lab.Node) *reload.Status {
 	x.Helper()
 	status, err := x.api(n).Settings()
 	x.must(err)
@@ -18,7 +18,7 @@
 
 // wantSettings tells whether a process has refused its settings file, and whether a field
 // waits for a restart; an empty one stands for none.
-func (x *story) wantSettings(n *lab.Node, refused bool, waiting string) error {
+func (x *testCluster) wantSettings(n *lab.Node, refused bool, waiting string) error {
 	status, err := x.api(n).Settings()
 	if err != nil {
 		return err
--- a/test/soak_crash_test.go
+++ b/test/soak_crash_test.go
@@ -69,7 +69,7 @@
 // checkCrashes makes sure that the request is kept from targets once all faults have ended, and
 // other calls aren't.
 func (x *soak) checkCrashes() {
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		x.reportAll(x.cluster.Replicas[1])
 		for _, target := range x.targets {
 			if target.Process.Ended() {
@@ -92,7 +92,7 @@
 	if reached > soakCrashBound {
 		x.Errorf("of %d calls with the request that ends targets %d weren't kept from them", soakCrashCalls, reached)
 	}
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		x.keepTargets()
 		x.reportAll(x.cluster.Replicas[1])
 		if c := x.caller.Do(lab.Plan{Host: "shop.test"}); c.Verdict != lab.Whole {
--- a/test/soak_evacuation_test.go
+++ b/test/soak_evacuation_test.go
@@ -67,12 +67,12 @@
 	}
 	x.mustOrder(false)
 	for _, n := range x.cluster.Replicas {
-		x.must(lab.Eventually(patience, func() error { return x.showsRestored(n) }))
+		x.must(lab.Eventually(waitTimeout, func() error { return x.showsRestored(n) }))
 	}
 }
 
 func (x *soak) mustOrder(evacuate bool) {
-	x.must(lab.Eventually(patience, func() error { return x.orderEvacuation(x.anyReplica(), evacuate) }))
+	x.must(lab.Eventually(waitTimeout, func() error { return x.orderEvacuation(x.anyReplica(), evacuate) }))
 }
 
 func (x *soak) showsRestored(n *lab.Node) error {
--- a/test/soak_faults_test.go
+++ b/test/soak_faults_test.go
@@ -156,7 +156,7 @@
 }
 
 func (x *soak) killAll() bool {
-	return x.with(func() { x.killAndStart(x.cluster.Replicas) }, x.allReplicas()...)
+	return x.with(func() { x.restartTogether(x.cluster.Replicas) }, x.allReplicas()...)
 }
 
 func (x *soak) allReplicas() []any {
@@ -234,7 +234,7 @@
 	return x.with(func() {
 		defer x.disturb(n)()
 		n.Process.Terminate()
-		if _, err := n.Process.AwaitEnd(patience); err != nil {
+		if _, err := n.Process.AwaitEnd(waitTimeout); err != nil {
 			x.Errorf("a planned stop didn't end: %v", err)
 		}
 		x.must(x.cluster.StartAgain(n))
@@ -277,7 +277,7 @@
 	first := x.draw(soakReplicas)
 	second := (first + 1 + x.draw(soakReplicas-1)) % soakReplicas
 	lost := []*lab.Node{x.cluster.Replicas[first], x.cluster.Replicas[second]}
-	x.killAndStart(lost, lost...)
+	x.restartTogether(lost, lost...)
 	x.diskLost = time.Now()
 }
 
--- a/test/soak_rollout_test.go
+++ b/test/soak_rollout_test.go
@@ -51,7 +51,7 @@
 // that it goes on to an end, after which the version that isn't in force gets no calls.
 func (x *soak) checkRollout() {
 	var to units.SoftwareVersion
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		x.keepBusy()
 		t, err := x.oneReplica(x.anyReplica()).Table()
 		if err != nil {
@@ -65,7 +65,7 @@
 	}))
 	x.killAll()
 	var end *table.Table
-	x.must(lab.Eventually(patience, func() (err error) {
+	x.must(lab.Eventually(waitTimeout, func() (err error) {
 		x.keepBusy()
 		end, err = x.endOfRollout(to)
 		return err
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -88,7 +88,7 @@
 
 // soak is one seed's world.
 type soak struct {
-	*story
+	*testCluster
 	seed   uint64
 	size   soakSize
 	random *rand.Rand
@@ -124,8 +124,8 @@
 
 func playSoak(t *testing.T, seed uint64) {
 	size := soakSizeOf(seed)
-	x := &soak{seed: seed, size: size, story: &story{T: t, folder: t.TempDir()}, random: rand.New(rand.NewPCG(seed, 3)), workers: newWorkers()}
-	t.Cleanup(x.end)
+	x := &soak{seed: seed, size: size, testCluster: &testCluster{T: t, folder: t.TempDir()}, random: rand.New(rand.NewPCG(seed, 3)), workers: newWorkers()}
+	t.Cleanup(x.stopProcesses)
 	defer func() {
 		if t.Failed() {
 			t.Logf("seed %d, faults: %s", seed, strings.Join(x.faults, "; "))
@@ -203,11 +203,11 @@
 		},
 	})
 	x.must(err)
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		x.reportAll(x.cluster.Replicas[0])
 		return x.putOnce(x.cluster.Replicas[0])
 	}))
-	x.caller = lab.NewCaller(x.servingEntries()...)
+	x.caller = lab.NewCaller(x.awaitServingEntries()...)
 	x.caller.SetKey(soakOwnKey)
 	for _, b := range x.cluster.Boxes {
 		// Callers find a box that is started again where it was.
@@ -358,16 +358,16 @@
 		}
 	}
 	for _, b := range x.cluster.Boxes {
-		x.must(x.cluster.AwaitServing(b, patience))
+		x.must(x.cluster.AwaitServing(b, waitTimeout))
 	}
 }
 
 // checkDocument reads what is in force after all faults have ended.
 func (x *soak) checkDocument() {
-	x.must(lab.Eventually(patience, func() error { return x.putOnce(x.cluster.Replicas[0]) }))
+	x.must(lab.Eventually(waitTimeout, func() error { return x.putOnce(x.cluster.Replicas[0]) }))
 	for _, n := range x.cluster.Replicas {
 		var raw json.RawMessage
-		x.must(lab.Eventually(patience, func() (err error) {
+		x.must(lab.Eventually(waitTimeout, func() (err error) {
 			raw, err = x.oneReplica(n).Document()
 			return err
 		}))
@@ -381,7 +381,7 @@
 	target := x.targets[0]
 	x.reportAll(x.cluster.Replicas[1])
 	n := x.cluster.Replicas[x.draw(soakReplicas)]
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		return x.oneReplica(n).Report(x.registration(soakServices[0], 0, table.Leaving))
 	}))
 	n.Process.Kill()
--- a/test/starts_test.go
+++ b/test/starts_test.go
@@ -11,22 +11,22 @@
 // A target that registers by itself is killed and starts again under the id that it had, at
 // another address, while a report of the start before comes late.
 func TestATargetStartsAgainUnderItsID(t *testing.T) {
-	x := begin(t, setting{replicas: 3, boxes: 1, targets: 2, adjust: quickLeases})
-	x.must(lab.Eventually(patience, func() error { return x.api().PutDocument(rolloutDocument()) }))
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 1, targets: 2, adjust: quickLeases})
+	x.must(lab.Eventually(waitTimeout, func() error { return x.api().PutDocument(rolloutDocument()) }))
 	report := func(target *lab.TargetProcess, born units.WallTime, sequence uint64, state table.RowState) {
 		t.Helper()
-		x.must(lab.Eventually(patience, func() error {
+		x.must(lab.Eventually(waitTimeout, func() error {
 			return x.api().Report(&table.Registration{
 				Target: "pool-1", Service: rolloutService, Address: target.Address, Slots: 4, State: state, Sequence: sequence, Born: born,
 			})
 		}))
 	}
-	x.caller = lab.NewCaller(x.servingEntries()...)
+	x.caller = lab.NewCaller(x.awaitServingEntries()...)
 	report(x.targets[0], 1000, 57, table.Active)
-	x.awaitWhole(shopCall)
+	x.awaitServed(shopCall)
 	x.targets[0].Process.Kill()
 	report(x.targets[1], 2000, 1, table.Active)
-	x.awaitWhole(shopCall)
+	x.awaitServed(shopCall)
 	report(x.targets[0], 1000, 58, table.Leaving)
 	for range 20 {
 		if c := x.caller.Do(lab.Plan{Host: "shop.test"}); c.Verdict != lab.Whole {
--- a/test/steps_test.go
+++ b/test/steps_test.go
@@ -19,12 +19,12 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// patience is how long a test waits for what must come about; it is far above
+// waitTimeout is how long a test waits for what must come about; it is far above
 // what the users ask for, since machines are noisy.
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
-// story is one test's cluster with its targets and callers.
-type story struct {
+// testCluster is one test's cluster with its targets and callers.
+type testCluster struct {
 	*testing.T
 	folder  string
 	cluster *lab.Cluster
@@ -32,18 +32,18 @@
 	caller  *lab.Caller
 }
 
-// setting says what a story begins with.
-type setting struct {
+// clusterOptions says what a story begins with.
+type clusterOptions struct {
 	replicas, boxes, targets int
 	proxied                  bool
 	targetArguments          []string
 	adjust                   func(*config.Settings)
 }
 
-func begin(t *testing.T, s setting) *story {
+func startCluster(t *testing.T, s clusterOptions) *testCluster {
 	t.Helper()
-	x := &story{T: t, folder: t.TempDir()}
-	t.Cleanup(x.end)
+	x := &testCluster{T: t, folder: t.TempDir()}
+	t.Cleanup(x.stopProcesses)
 	for i := range s.targets {
 		target, err := lab.StartTargetProcess(programs.lab, fmt.Sprintf("target-%d", i+1), x.folder, s.targetArguments...)
 		x.must(err)
@@ -58,10 +58,10 @@
 	return x
 }
 
-func (x *story) end() {
+func (x *testCluster) stopProcesses() {
 	if x.cluster != nil {
 		x.cluster.Stop()
-		x.lookForRaces()
+		x.checkForRaces()
 	}
 	for _, t := range x.targets {
 		t.Process.Thaw()
@@ -69,9 +69,9 @@
 	}
 }
 
-// lookForRaces fails the story if a program built with the race detector found
+// checkForRaces fails the story if a program built with the race detector found
 // one.
-func (x *story) lookForRaces() {
+func (x *testCluster) checkForRaces() {
 	for _, n := range x.allNodes() {
 		if n.Process != nil && strings.Contains(n.Process.Log(), "WARNING: DATA RACE") {
 			x.Errorf("%s found a race:\n%s", n.Settings.Box, n.Process.Log())
@@ -79,14 +79,14 @@
 	}
 }
 
-func (x *story) must(err error) {
+func (x *testCluster) must(err error) {
 	x.Helper()
 	if err != nil {
 		x.Fatal(err)
 	}
 }
 
-func (x *story) api(nodes ...*lab.Node) *client.Client {
+func (x *testCluster) api(nodes ...*lab.Node) *client.Client {
 	x.Helper()
 	if len(nodes) == 0 {
 		nodes = x.cluster.Replicas
@@ -95,13 +95,13 @@
 	for _, n := range nodes {
 		addresses = append(addresses, n.Admin)
 	}
-	c, err := client.NewClient(addresses, "", patience)
+	c, err := client.NewClient(addresses, "", waitTimeout)
 	x.must(err)
 	return c
 }
 
 // services are one of each kind of work, on all targets.
-func (x *story) sheets(adjust func(*table.Service, []table.Row)) sheet.Sheets {
+func (x *testCluster) sheets(adjust func(*table.Service, []table.Row)) sheet.Sheets {
 	var s sheet.Sheets
 	for _, work := range []table.WorkKind{table.Repeatable, table.AtMostOnce, table.Patient} {
 		v := sheet.NewService()
@@ -125,30 +125,30 @@
 	return s
 }
 
-// fillTable puts the sheets in force on every box.
-func (x *story) fillTable(adjust func(*table.Service, []table.Row)) {
+// applySheets puts the sheets in force on every box.
+func (x *testCluster) applySheets(adjust func(*table.Service, []table.Row)) {
 	x.Helper()
 	result, err := x.cluster.Apply(x.sheets(adjust))
 	x.must(err)
-	x.awaitEverywhere(result)
-	x.caller = lab.NewCaller(x.servingEntries()...)
+	x.awaitInForce(result)
+	x.caller = lab.NewCaller(x.awaitServingEntries()...)
 }
 
-// servingEntries waits until every box serves, and returns where callers reach them.
-func (x *story) servingEntries() []string {
+// awaitServingEntries waits until every box serves, and returns where callers reach them.
+func (x *testCluster) awaitServingEntries() []string {
 	x.Helper()
 	var entries []string
 	for _, b := range x.cluster.Boxes {
-		x.must(x.cluster.AwaitServing(b, patience))
+		x.must(x.cluster.AwaitServing(b, waitTimeout))
 		entries = append(entries, b.Entry)
 	}
 	return entries
 }
 
-// awaitWhole waits until a call is served.
-func (x *story) awaitWhole(plan lab.Plan) {
+// awaitServed waits until a call is served.
+func (x *testCluster) awaitServed(plan lab.Plan) {
 	x.Helper()
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		if c := x.caller.Do(plan); c.Verdict != lab.Whole {
 			return fmt.Errorf("the call was answered %+v", c)
 		}
@@ -156,9 +156,9 @@
 	}))
 }
 
-// killAndStart ends processes at the same moment and starts them again, some of them without their
+// restartTogether ends processes at the same moment and starts them again, some of them without their
 // disks.
-func (x *story) killAndStart(nodes []*lab.Node, lost ...*lab.Node) {
+func (x *testCluster) restartTogether(nodes []*lab.Node, lost ...*lab.Node) {
 	x.Helper()
 	for _, n := range nodes {
 		n.Process.Kill()
@@ -173,24 +173,24 @@
 }
 
 // allNodes are the replicas and the boxes.
-func (x *story) allNodes() []*lab.Node {
+func (x *testCluster) allNodes() []*lab.Node {
 	return slices.Concat(x.cluster.Replicas, x.cluster.Boxes)
 }
 
-// edit sends an edit of one service's weight through nodes, all replicas when
+// setWeight sends an setWeight of one service's weight through nodes, all replicas when
 // none is named, and returns its result.
-func (x *story) edit(id, service string, weight int, nodes ...*lab.Node) *table.Result {
+func (x *testCluster) setWeight(id, service string, weight int, nodes ...*lab.Node) *table.Result {
 	x.Helper()
 	api := x.api(nodes...)
 	t, err := api.Table()
 	x.must(err)
-	result, err := api.Apply(weightEdit(t, id, service, weight))
+	result, err := api.Apply(newWeightEdit(t, id, service, weight))
 	x.must(err)
 	return result
 }
 
-// weightEdit is an edit from a table; it makes the service if there is none.
-func weightEdit(t *table.Table, id, service string, weight int) *table.Edit {
+// newWeightEdit is an edit from a table; it makes the service if there is none.
+func newWeightEdit(t *table.Table, id, service string, weight int) *table.Edit {
 	name := units.ServiceName(service)
 	v := sheet.NewService()
 	v.Name, v.Hosts = name, []string{service + ".test"}
@@ -200,11 +200,11 @@
 	return &table.Edit{ID: units.EditID(id), Operator: "test", Operations: operations, Bases: sheet.Bases(t, operations)}
 }
 
-// accept makes one accepted edit, again after a conflict.
-func (x *story) accept(service string, weight int) *table.Result {
+// mustSetWeight makes one accepted edit, again after a conflict.
+func (x *testCluster) mustSetWeight(service string, weight int) *table.Result {
 	x.Helper()
 	for range 50 {
-		if r := x.edit(uuid.NewString(), service, weight); r.Outcome == table.Accepted {
+		if r := x.setWeight(uuid.NewString(), service, weight); r.Outcome == table.Accepted {
 			return r
 		}
 	}
@@ -214,10 +214,10 @@
 
 // leader returns the node that leads, once there is one that all but the given
 // nodes agree on.
-func (x *story) leader(without ...*lab.Node) *lab.Node {
+func (x *testCluster) leader(without ...*lab.Node) *lab.Node {
 	x.Helper()
 	var found *lab.Node
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		for _, n := range x.cluster.Replicas {
 			if contains(without, n) || n.Process.Ended() {
 				continue
@@ -242,8 +242,8 @@
 	return false
 }
 
-// others are the replicas but one.
-func (x *story) others(but *lab.Node) []*lab.Node {
+// otherReplicas are the replicas but one.
+func (x *testCluster) otherReplicas(but *lab.Node) []*lab.Node {
 	var rest []*lab.Node
 	for _, n := range x.cluster.Replicas {
 		if n != but {
@@ -253,18 +253,18 @@
 	return rest
 }
 
-// awaitEverywhere waits until every box has a revision in force.
-func (x *story) awaitEverywhere(r *table.Result) {
+// awaitInForce waits until every box has a revision in force.
+func (x *testCluster) awaitInForce(r *table.Result) {
 	x.Helper()
 	for _, b := range x.cluster.Boxes {
-		x.must(x.cluster.AwaitInForce(b, r.Revision, patience))
+		x.must(x.cluster.AwaitInForce(b, r.Revision, waitTimeout))
 	}
 }
 
 // awaitVoter waits until a replica counts in the quorum again.
-func (x *story) awaitVoter(n *lab.Node) {
+func (x *testCluster) awaitVoter(n *lab.Node) {
 	x.Helper()
-	x.must(lab.Eventually(patience, func() error {
+	x.must(lab.Eventually(waitTimeout, func() error {
 		d, err := n.Dump()
 		if err != nil {
 			return err
@@ -278,12 +278,12 @@
 
 // awaitAcknowledged waits until all other replicas know that one has acknowledged what is
 // committed now.
-func (x *story) awaitAcknowledged(n *lab.Node) {
+func (x *testCluster) awaitAcknowledged(n *lab.Node) {
 	x.Helper()
 	leader, err := x.leader().Dump()
 	x.must(err)
-	for _, o := range x.others(n) {
-		x.must(lab.Eventually(patience, func() error {
+	for _, o := range x.otherReplicas(n) {
+		x.must(lab.Eventually(waitTimeout, func() error {
 			d, err := o.Dump()
 			if err != nil {
 				return err
@@ -299,7 +299,7 @@
 }
 
 // journals are the targets' own records.
-func (x *story) runs() lab.Executions {
+func (x *testCluster) runs() lab.Executions {
 	x.Helper()
 	var paths []string
 	for _, t := range x.targets {
@@ -311,13 +311,13 @@
 }
 
 // summary compares what callers were told with what targets ran.
-func (x *story) summary() lab.Summary {
+func (x *testCluster) summary() lab.Summary {
 	x.Helper()
 	return lab.Summarize(x.caller.Calls(), x.runs())
 }
 
 // mustBeClean fails if anything was lost, doubled or wrong.
-func (x *story) mustBeClean() lab.Summary {
+func (x *testCluster) mustBeClean() lab.Summary {
 	x.Helper()
 	s := x.summary()
 	x.Log(s.String(), s.Reasons)
@@ -329,18 +329,18 @@
 
 // callAll makes n calls from a number of callers at once; plan says what the
 // i-th one is like.
-func (x *story) callAll(n, callers int, plan func(i int) lab.Plan) {
+func (x *testCluster) callAll(n, callers int, plan func(i int) lab.Plan) {
 	var wait sync.WaitGroup
-	tickets := make(chan int, n)
+	indexes := make(chan int, n)
 	for i := range n {
-		tickets <- i
+		indexes <- i
 	}
-	close(tickets)
+	close(indexes)
 	for range callers {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			for i := range tickets {
+			for i := range indexes {
 				x.caller.Do(plan(i))
 			}
 		}()
@@ -348,8 +348,8 @@
 	wait.Wait()
 }
 
-// mixed is a plan over the three kinds of work in turn.
-func mixed(i int) lab.Plan {
+// mixedPlan is a plan over the three kinds of work in turn.
+func mixedPlan(i int) lab.Plan {
 	work := []table.WorkKind{table.Repeatable, table.AtMostOnce, table.Patient}[i%3]
 	return lab.Plan{Host: work.String() + ".test", Once: work == table.AtMostOnce, Size: i % 2000}
 }
--- a/test/workers_test.go
+++ b/test/workers_test.go
@@ -10,8 +10,8 @@
 
 func newWorkers() workers { return workers{done: make(chan struct{})} }
 
-// once does something beside the others.
-func (w *workers) once(f func()) {
+// spawn does something beside the others.
+func (w *workers) spawn(f func()) {
 	w.work.Add(1)
 	go func() {
 		defer w.work.Done()
@@ -21,7 +21,7 @@
 
 // repeat does something again and again until the workers are stopped.
 func (w *workers) repeat(f func()) {
-	w.once(func() {
+	w.spawn(func() {
 		for !w.stopped() {
 			f()
 		}
