--- a/test/control_test.go
+++ b/test/control_test.go
@@ -99,11 +99,11 @@
 	x.must(err)
 	frozen.Process.Thaw()
 	x.awaitInForce(result)
-	x.mustHold("alpha", 7)
+	x.mustShowWeight("alpha", 7)
 }
 
-// mustHold makes sure that all replicas come to show a service's weight.
-func (x *testCluster) mustHold(service string, weight int) {
+// mustShowWeight makes sure that all replicas come to show a service's weight.
+func (x *testCluster) mustShowWeight(service string, weight int) {
 	x.Helper()
 	for _, n := range x.cluster.Replicas {
 		x.must(lab.Eventually(waitTimeout, func() error {
@@ -156,17 +156,17 @@
 	}
 }
 
-// races is how many races one story makes; by hand: go test ./test -run Racing
-// -races 1000.
-var races = flag.Int("races", 120, "how many races a story makes")
+// raceCount is how many raceCount one story makes; by hand: go test ./test -run Racing
+// -raceCount 1000.
+var raceCount = flag.Int("races", 120, "how many races a story makes")
 
 func TestOfRacingEditsExactlyOneWins(t *testing.T) {
 	const operators = 4
 	x := startCluster(t, clusterOptions{replicas: 3, boxes: 1})
 	x.mustSetWeight("alpha", 0)
 	var accepted, conflicts atomic.Int64
-	for race := range *races {
-		if race == *races/2 {
+	for race := range *raceCount {
+		if race == *raceCount/2 {
 			x.leader().Process.Terminate()
 		}
 		present, err := x.api().Table()
@@ -196,7 +196,7 @@
 		}
 		accepted.Add(1)
 	}
-	t.Logf("%d races: %d accepted, %d conflicts", *races, accepted.Load(), conflicts.Load())
+	t.Logf("%d races: %d accepted, %d conflicts", *raceCount, accepted.Load(), conflicts.Load())
 }
 
 func TestAResentEditGetsItsFirstAnswer(t *testing.T) {
@@ -210,7 +210,7 @@
 	edit := newWeightEdit(present, "the-edit", "alpha", 42)
 	first, err := x.api().Apply(edit)
 	x.must(err)
-	resend := func(when string) {
+	mustGetSameAnswer := func(when string) {
 		t.Helper()
 		for _, n := range x.cluster.Replicas {
 			if n.Process.Ended() {
@@ -223,21 +223,21 @@
 			}
 		}
 	}
-	resend("at once")
+	mustGetSameAnswer("at once")
 	leader := x.leader()
 	leader.Process.Kill()
-	resend("after the leader was killed")
+	mustGetSameAnswer("after the leader was killed")
 	x.must(x.cluster.StartAgain(leader))
 	for i := range 60 {
 		x.mustSetWeight("beta", i)
 	}
-	resend("after snapshots")
+	mustGetSameAnswer("after snapshots")
 	for _, n := range x.cluster.Replicas {
 		n.Process.Kill()
 		x.must(x.cluster.StartAgain(n))
 	}
-	resend("after a restart of all")
-	x.mustHold("alpha", 42)
+	mustGetSameAnswer("after a restart of all")
+	x.mustShowWeight("alpha", 42)
 }
 
 func TestALostDiskAndRightAfterItASecondMachine(t *testing.T) {
@@ -255,13 +255,13 @@
 	}
 	b := x.cluster.Replicas[2]
 	b.Process.Kill()
-	x.mustStillHave(last)
+	x.mustKeepEdit(last)
 	after := x.mustSetWeight("alpha", 99)
 	x.awaitInForce(after)
 }
 
-// mustStillHave makes sure that the running replicas know an accepted edit.
-func (x *testCluster) mustStillHave(r *table.Result) {
+// mustKeepEdit makes sure that the running replicas know an accepted edit.
+func (x *testCluster) mustKeepEdit(r *table.Result) {
 	x.Helper()
 	for _, n := range x.cluster.Replicas {
 		if n.Process.Ended() {
@@ -316,25 +316,25 @@
 	a, b := x.cluster.Replicas[0], x.cluster.Replicas[1]
 	scenarios := []struct {
 		testName string
-		spoil    func(file string)
+		corrupt  func(file string)
 		kind     string
 	}{
-		{"another replica's folder", func(file string) { x.must(copyFile(x.storeOf(b), file)) }, "foreign-data"},
+		{"another replica's folder", func(file string) { x.must(copyFile(x.databasePath(b), file)) }, "foreign-data"},
 		{"a truncated file", func(file string) { x.must(os.Truncate(file, 8192)) }, "damaged"},
 		{"an empty file with junk", func(file string) { x.must(os.WriteFile(file, []byte("junk junk junk"), 0o600)) }, "damaged"},
-		{"a flipped byte in each page", flipBytes, "damaged"},
+		{"a flipped byte in each page", corruptPages, "damaged"},
 	}
 	a.Process.Kill()
 	b.Process.Terminate()
 	if _, err := b.Process.AwaitEnd(waitTimeout); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(x.storeOf(a))
+	intactData, err := os.ReadFile(x.databasePath(a))
 	x.must(err)
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			x.must(os.WriteFile(x.storeOf(a), whole, 0o600))
-			s.spoil(x.storeOf(a))
+			x.must(os.WriteFile(x.databasePath(a), intactData, 0o600))
+			s.corrupt(x.databasePath(a))
 			err := x.cluster.StartAgain(a)
 			code, endErr := a.Process.AwaitEnd(waitTimeout)
 			if err == nil || endErr != nil || code != 3 {
@@ -347,7 +347,7 @@
 	}
 }
 
-func (x *testCluster) storeOf(n *lab.Node) string {
+func (x *testCluster) databasePath(n *lab.Node) string {
 	return filepath.Join(n.Settings.Control.DataFolder, "control.db")
 }
 
@@ -359,8 +359,8 @@
 	return os.WriteFile(to, data, 0o600)
 }
 
-// flipBytes spoils the middle of every page that holds something.
-func flipBytes(file string) {
+// corruptPages spoils the middle of every page that holds something.
+func corruptPages(file string) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		panic(err)
@@ -377,20 +377,20 @@
 }
 
 func TestAnOlderCopyOfTheFolderIsRefused(t *testing.T) {
-	startWithAnOlderCopy(t, func(*lab.Node) {})
+	restartFromOlderCopy(t, func(*lab.Node) {})
 }
 
 // The new leader has to know what the replica acknowledged to the frozen one.
 func TestAnOlderCopyOfTheFolderIsRefusedByANewLeader(t *testing.T) {
-	startWithAnOlderCopy(t, func(leader *lab.Node) {
+	restartFromOlderCopy(t, func(leader *lab.Node) {
 		leader.Process.Freeze()
 		time.AfterFunc(1500*time.Millisecond, leader.Process.Thaw)
 	})
 }
 
-// startWithAnOlderCopy starts a follower with an older copy of its data folder, after
+// restartFromOlderCopy starts a follower with an older copy of its data folder, after
 // something has been done to the leader, and expects it to be refused.
-func startWithAnOlderCopy(t *testing.T, disturb func(leader *lab.Node)) {
+func restartFromOlderCopy(t *testing.T, disruptLeader func(leader *lab.Node)) {
 	x := startCluster(t, clusterOptions{replicas: 3, boxes: 1})
 	x.mustSetWeight("alpha", 1)
 	leader := x.leader()
@@ -398,7 +398,7 @@
 	a.Process.Terminate()
 	_, err := a.Process.AwaitEnd(waitTimeout)
 	x.must(err)
-	older, err := os.ReadFile(x.storeOf(a))
+	older, err := os.ReadFile(x.databasePath(a))
 	x.must(err)
 	x.must(x.cluster.StartAgain(a))
 	for i := range 20 {
@@ -407,8 +407,8 @@
 	x.awaitVoter(a)
 	x.awaitAcknowledged(a)
 	a.Process.Kill()
-	x.must(os.WriteFile(x.storeOf(a), older, 0o600))
-	disturb(x.leader())
+	x.must(os.WriteFile(x.databasePath(a), older, 0o600))
+	disruptLeader(x.leader())
 	x.cluster.StartAgain(a)
 	code, err := a.Process.AwaitEnd(waitTimeout)
 	if err != nil {
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -22,43 +22,43 @@
 // box's log the same, with nothing in common but the moment.
 
 const (
-	crashBody    = "the request that ends its target"
-	crashEvery   = 50 * time.Millisecond
-	restartPause = time.Second
-	// crashesKnown is the number of crashes after which a call is known to be to blame;
+	crashRequestBody   = "the request that ends its target"
+	crashCallInterval  = 50 * time.Millisecond
+	targetRestartDelay = time.Second
+	// crashesToQuarantine is the number of crashes after which a call is known to be to blame;
 	// knownAfter is how much later all boxes are to know, and retriesLeft how many more
 	// times the call may reach a target then.
-	crashesKnown = 3
-	knownAfter   = 3 * time.Second
-	retriesLeft  = 3
+	crashesToQuarantine = 3
+	maxQuarantineDelay  = 3 * time.Second
+	maxQuarantinedRuns  = 3
 )
 
-// crashStory is a story whose targets end under one request and are started again.
-type crashStory struct {
+// crashCluster is a story whose targets end under one request and are started again.
+type crashCluster struct {
 	*testCluster
 	workers
-	// quiet is set once no more calls are to be made; targets are kept running.
-	quiet atomic.Bool
-	// mended is set once targets are started with software that bears the request.
-	mended atomic.Bool
-	lock   sync.Mutex
-	// crashes are the ends of targets, in order.
-	crashes []time.Time
-	sent    []crashCall
+	// callsStopped is set once no more calls are to be made; targets are kept running.
+	callsStopped atomic.Bool
+	// targetsFixed is set once targets are started with software that bears the request.
+	targetsFixed atomic.Bool
+	lock         sync.Mutex
+	// crashTimes are the ends of targets, in order.
+	crashTimes    []time.Time
+	crashingCalls []timedCall
 }
 
-// crashCall is one call with the request that ends its target.
-type crashCall struct {
+// timedCall is one call with the request that ends its target.
+type timedCall struct {
 	lab.Call
-	at   time.Time
-	body string
+	startedAt time.Time
+	body      string
 }
 
-func beginCrashes(t *testing.T, boxes, targets int) *crashStory {
-	x := &crashStory{workers: newWorkers()}
+func startCrashCluster(t *testing.T, boxes, targets int) *crashCluster {
+	x := &crashCluster{workers: newWorkers()}
 	x.testCluster = startCluster(t, clusterOptions{
 		replicas: 3, boxes: boxes, targets: targets, adjust: func(s *config.Settings) {
-			quickLeases(s)
+			useShortLeases(s)
 			s.Entry.ServeStale = true
 		},
 		targetArguments: crashArguments,
@@ -69,31 +69,31 @@
 		s.MeasureBudget, s.ProbeTargets, s.ProbePath = 5, 2, "/healthz"
 	})
 	for _, target := range x.targets {
-		x.spawn(func() { x.keepRunning(target) })
+		x.spawn(func() { x.keepRestarting(target) })
 	}
 	return x
 }
 
 var (
-	sturdyArguments = []string{"--slots", "4", "--queue", "8", "--work", "20ms"}
-	crashArguments  = append(sturdyArguments[:len(sturdyArguments):len(sturdyArguments)], "--crash-body", crashBody)
+	stableArguments = []string{"--slots", "4", "--queue", "8", "--work", "20ms"}
+	crashArguments  = append(stableArguments[:len(stableArguments):len(stableArguments)], "--crash-body", crashRequestBody)
 )
 
-// keepRunning starts a target again a while after it has ended.
-func (x *crashStory) keepRunning(target *lab.TargetProcess) {
-	for x.pause(10 * time.Millisecond) {
+// keepRestarting starts a target again a while after it has ended.
+func (x *crashCluster) keepRestarting(target *lab.TargetProcess) {
+	for x.sleep(10 * time.Millisecond) {
 		if !target.Process.Ended() {
 			continue
 		}
 		x.lock.Lock()
-		x.crashes = append(x.crashes, time.Now())
+		x.crashTimes = append(x.crashTimes, time.Now())
 		x.lock.Unlock()
-		if !x.pause(restartPause) {
+		if !x.sleep(targetRestartDelay) {
 			return
 		}
 		arguments := crashArguments
-		if x.mended.Load() {
-			arguments = sturdyArguments
+		if x.targetsFixed.Load() {
+			arguments = stableArguments
 		}
 		if err := target.Start(programs.lab, arguments...); err != nil {
 			x.Error(err)
@@ -102,8 +102,8 @@
 	}
 }
 
-// pause waits, and tells whether the story goes on.
-func (x *crashStory) pause(d time.Duration) bool {
+// sleep waits, and tells whether the story goes on.
+func (x *crashCluster) sleep(d time.Duration) bool {
 	select {
 	case <-x.done:
 		return false
@@ -112,21 +112,21 @@
 	}
 }
 
-// keepSending sends a request that ends targets again and again.
-func (x *crashStory) keepSending(body string) {
-	for x.pause(crashEvery) && !x.quiet.Load() {
+// keepCallingCrashing sends a request that ends targets again and again.
+func (x *crashCluster) keepCallingCrashing(body string) {
+	for x.sleep(crashCallInterval) && !x.callsStopped.Load() {
 		at := time.Now()
 		c := x.caller.Do(lab.Plan{Host: "repeatable.test", Body: []byte(body)})
 		x.lock.Lock()
-		x.sent = append(x.sent, crashCall{Call: c, at: at, body: body})
+		x.crashingCalls = append(x.crashingCalls, timedCall{Call: c, startedAt: at, body: body})
 		x.lock.Unlock()
 	}
 }
 
-// keepServing makes calls that are well: each has a body of its own, but for every second one,
+// keepCallingHealthy makes calls that are well: each has a body of its own, but for every second one,
 // which is the same popular request over and over.
-func (x *crashStory) keepServing() {
-	for n := 0; x.pause(10*time.Millisecond) && !x.quiet.Load(); n++ {
+func (x *crashCluster) keepCallingHealthy() {
+	for n := 0; x.sleep(10*time.Millisecond) && !x.callsStopped.Load(); n++ {
 		body := "popular"
 		if n%2 == 0 {
 			body = fmt.Sprintf("call %d", n)
@@ -135,39 +135,39 @@
 	}
 }
 
-func (x *crashStory) countCrashes() int {
+func (x *crashCluster) countCrashes() int {
 	x.lock.Lock()
 	defer x.lock.Unlock()
-	return len(x.crashes)
+	return len(x.crashTimes)
 }
 
-// crashedAt returns when the n-th target ended; zero while fewer have.
-func (x *crashStory) crashedAt(n int) time.Time {
+// crashTime returns when the n-th target ended; zero while fewer have.
+func (x *crashCluster) crashTime(n int) time.Time {
 	x.lock.Lock()
 	defer x.lock.Unlock()
-	if len(x.crashes) < n {
+	if len(x.crashTimes) < n {
 		return time.Time{}
 	}
-	return x.crashes[n-1]
+	return x.crashTimes[n-1]
 }
 
-func (x *crashStory) awaitCrashes(n int) {
+func (x *crashCluster) awaitCrashes(n int) {
 	x.Helper()
 	x.must(lab.Eventually(waitTimeout, func() error {
-		if x.crashedAt(n).IsZero() {
+		if x.crashTime(n).IsZero() {
 			return fmt.Errorf("fewer than %d targets have ended", n)
 		}
 		return nil
 	}))
 }
 
-// reachedAfter counts how often the request reached a target by calls made after a time.
-func (x *crashStory) reachedAfter(at time.Time) (calls, reached int) {
+// countRunsAfter counts how often the request reached a target by calls made after a time.
+func (x *crashCluster) countRunsAfter(at time.Time) (calls, reached int) {
 	runs := x.runs()
 	x.lock.Lock()
 	defer x.lock.Unlock()
-	for _, c := range x.sent {
-		if c.at.After(at) {
+	for _, c := range x.crashingCalls {
+		if c.startedAt.After(at) {
 			calls++
 			reached += runs[c.Request]
 		}
@@ -175,57 +175,57 @@
 	return calls, reached
 }
 
-// mustBeKnown fails if the request still reaches targets after all boxes ought to know it.
-func (x *crashStory) mustBeKnown(since time.Time) {
+// mustBeQuarantined fails if the request still reaches targets after all boxes ought to know it.
+func (x *crashCluster) mustBeQuarantined(since time.Time) {
 	x.Helper()
-	calls, reached := x.reachedAfter(since)
+	calls, reached := x.countRunsAfter(since)
 	if calls < 5 {
 		x.Fatalf("only %d calls were made", calls)
 	}
-	if reached > retriesLeft {
+	if reached > maxQuarantinedRuns {
 		x.Errorf("the request reached targets %d times in %d calls after it was known to end them; %d ended in all", reached, calls, x.countCrashes())
 	}
 }
 
-// mustBecomeKnown waits until all boxes ought to know the request, and a while longer, then ends
+// mustBecomeQuarantined waits until all boxes ought to know the request, and a while longer, then ends
 // the calls and fails if the request still reached targets meanwhile.
-func (x *crashStory) mustBecomeKnown(watched time.Duration) {
+func (x *crashCluster) mustBecomeQuarantined(observation time.Duration) {
 	x.Helper()
-	x.awaitCrashes(crashesKnown)
-	known := x.crashedAt(crashesKnown).Add(knownAfter)
-	time.Sleep(time.Until(known) + watched)
-	x.quiet.Store(true)
-	x.mustBeKnown(known)
+	x.awaitCrashes(crashesToQuarantine)
+	known := x.crashTime(crashesToQuarantine).Add(maxQuarantineDelay)
+	time.Sleep(time.Until(known) + observation)
+	x.callsStopped.Store(true)
+	x.mustBeQuarantined(known)
 }
 
-// mustServe fails if calls that are well aren't served.
-func (x *crashStory) mustServe(calls int) {
+// mustServeHealthy fails if calls that are well aren't served.
+func (x *crashCluster) mustServeHealthy(calls int) {
 	x.Helper()
-	whole := 0
+	served := 0
 	for n := range calls {
 		c := x.caller.Do(lab.Plan{Host: "repeatable.test", Body: []byte([]string{"popular", fmt.Sprintf("afterwards %d", n)}[n%2])})
 		if c.Verdict == lab.Whole {
-			whole++
+			served++
 		}
 	}
-	if whole < calls*9/10 {
-		x.Errorf("of %d calls that are well %d were served", calls, whole)
+	if served < calls*9/10 {
+		x.Errorf("of %d calls that are well %d were served", calls, served)
 	}
 }
 
 func TestACallThatCrashesTargetsIsKeptFromThem(t *testing.T) {
-	x := beginCrashes(t, 3, 6)
-	x.spawn(func() { x.keepSending(crashBody) })
+	x := startCrashCluster(t, 3, 6)
+	x.spawn(func() { x.keepCallingCrashing(crashRequestBody) })
 	for range 4 {
-		x.spawn(x.keepServing)
+		x.spawn(x.keepCallingHealthy)
 	}
-	x.mustBecomeKnown(5 * time.Second)
-	time.Sleep(2 * restartPause)
-	x.mustServe(200)
+	x.mustBecomeQuarantined(5 * time.Second)
+	time.Sleep(2 * targetRestartDelay)
+	x.mustServeHealthy(200)
 }
 
 // awaitQuarantine waits until every box has the request in quarantine.
-func (x *crashStory) awaitQuarantine() string {
+func (x *crashCluster) awaitQuarantine() string {
 	x.Helper()
 	var name string
 	x.must(lab.Eventually(waitTimeout, func() error {
@@ -244,28 +244,28 @@
 	return name
 }
 
-// badCall is a call with the request that ends targets.
-var badCall = lab.Plan{Host: "repeatable.test", Body: []byte(crashBody)}
+// crashingPlan is a call with the request that ends targets.
+var crashingPlan = lab.Plan{Host: "repeatable.test", Body: []byte(crashRequestBody)}
 
-// callBad makes one such call, at any box.
-func (x *crashStory) callBad() lab.Call { return x.caller.Do(badCall) }
+// callCrashing makes one such call, at any box.
+func (x *crashCluster) callCrashing() lab.Call { return x.caller.Do(crashingPlan) }
 
 // Replicas and boxes all start anew, the replicas from their logs; the call comes again at once.
 func TestAQuarantineOutlivesAllProcesses(t *testing.T) {
-	x := beginCrashes(t, 3, 6)
-	x.spawn(func() { x.keepSending(crashBody) })
+	x := startCrashCluster(t, 3, 6)
+	x.spawn(func() { x.keepCallingCrashing(crashRequestBody) })
 	x.awaitQuarantine()
-	x.quiet.Store(true)
-	time.Sleep(2 * restartPause)
+	x.callsStopped.Store(true)
+	time.Sleep(2 * targetRestartDelay)
 	crashes := x.countCrashes()
 	x.restartTogether(x.allNodes())
 	x.caller.SetAddresses(x.awaitServingEntries()...)
 	for range 9 {
-		if c := x.callBad(); c.Verdict != lab.NotRun || c.Reason != "quarantined" {
+		if c := x.callCrashing(); c.Verdict != lab.NotRun || c.Reason != "quarantined" {
 			t.Errorf("the call was answered %+v", c)
 		}
 	}
-	x.mustServe(20)
+	x.mustServeHealthy(20)
 	if n := x.countCrashes(); n != crashes {
 		t.Errorf("%d targets ended after the restart", n-crashes)
 	}
@@ -273,40 +273,40 @@
 
 // The leader that has heard of the first crashes is killed; the boxes tell the next one.
 func TestACrashingCallIsFoundByTheNextLeader(t *testing.T) {
-	x := beginCrashes(t, 3, 6)
-	x.callBad()
+	x := startCrashCluster(t, 3, 6)
+	x.callCrashing()
 	x.awaitCrashes(1)
 	old := x.leader()
 	old.Process.Kill()
-	x.spawn(func() { x.keepSending(crashBody) })
-	x.mustBecomeKnown(3 * time.Second)
+	x.spawn(func() { x.keepCallingCrashing(crashRequestBody) })
+	x.mustBecomeQuarantined(3 * time.Second)
 }
 
 // A box that reaches no replica stops the call by itself.
 func TestABoxAloneStopsACrashingCall(t *testing.T) {
-	x := beginCrashes(t, 1, 6)
+	x := startCrashCluster(t, 1, 6)
 	for _, r := range x.cluster.Replicas {
 		r.Process.Kill()
 	}
 	time.Sleep(2 * time.Second)
-	x.spawn(func() { x.keepSending(crashBody) })
-	x.mustBecomeKnown(3 * time.Second)
-	x.mustServe(20)
+	x.spawn(func() { x.keepCallingCrashing(crashRequestBody) })
+	x.mustBecomeQuarantined(3 * time.Second)
+	x.mustServeHealthy(20)
 }
 
 // An operator releases the call once the targets' software is mended.
 func TestAReleasedCallIsServed(t *testing.T) {
-	x := beginCrashes(t, 3, 6)
-	x.spawn(func() { x.keepSending(crashBody) })
+	x := startCrashCluster(t, 3, 6)
+	x.spawn(func() { x.keepCallingCrashing(crashRequestBody) })
 	name := x.awaitQuarantine()
-	x.quiet.Store(true)
-	x.mended.Store(true)
+	x.callsStopped.Store(true)
+	x.targetsFixed.Store(true)
 	for _, target := range x.targets {
 		target.Process.Terminate()
 	}
-	time.Sleep(2 * restartPause)
+	time.Sleep(2 * targetRestartDelay)
 	x.must(x.api().ReleaseCall(name, "test"))
-	x.awaitServed(badCall)
+	x.awaitServed(crashingPlan)
 	list, err := x.api().Quarantines()
 	if err != nil || len(list) != 0 {
 		t.Errorf("in quarantine are %v: %v", list, err)
--- a/test/kept_answer_test.go
+++ b/test/kept_answer_test.go
@@ -35,7 +35,7 @@
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		x.must(err)
-		server := &fasthttp.Server{Handler: f.answer, CloseOnShutdown: true}
+		server := &fasthttp.Server{Handler: f.handle, CloseOnShutdown: true}
 		go server.Serve(l)
 		x.Cleanup(func() { l.Close() })
 		f.addresses = append(f.addresses, l.Addr().String())
@@ -43,7 +43,7 @@
 	return f
 }
 
-func (f *failingTargets) answer(ctx *fasthttp.RequestCtx) {
+func (f *failingTargets) handle(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) == failingCall && f.sends.Add(1) == 1 {
 		ctx.Error(failedBody, fasthttp.StatusInternalServerError)
 		return
@@ -52,8 +52,8 @@
 	ctx.Hijack(func(c net.Conn) { c.Close() })
 }
 
-// sheetOf is one repeatable service on those targets.
-func (f *failingTargets) sheetOf() sheet.Sheets {
+// sheets is one repeatable service on those targets.
+func (f *failingTargets) sheets() sheet.Sheets {
 	v := sheet.NewService()
 	v.Name, v.Work, v.Hosts = "balance", table.Repeatable, []string{"balance.test"}
 	v.Deadline = 10 * time.Second
@@ -71,7 +71,7 @@
 	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1})
 	f := startFailingTargets(x, 3)
 	box := x.cluster.Boxes[0]
-	result, err := x.cluster.Apply(f.sheetOf())
+	result, err := x.cluster.Apply(f.sheets())
 	x.must(err)
 	x.must(x.cluster.AwaitInForce(box, result.Revision, waitTimeout))
 	x.must(x.cluster.AwaitServing(box, waitTimeout))
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -11,8 +11,8 @@
 	"github.com/madderpond/madderpond/pkg/lab"
 )
 
-// statsOf asks a target what it knows of its own load.
-func (x *testCluster) statsOf(target *lab.TargetProcess) lab.TargetStats {
+// fetchStats asks a target what it knows of its own load.
+func (x *testCluster) fetchStats(target *lab.TargetProcess) lab.TargetStats {
 	x.Helper()
 	var s lab.TargetStats
 	status, body, err := fasthttp.Get(nil, "http://"+target.Address+"/stats")
@@ -27,7 +27,7 @@
 func TestALimitHoldsOverAllBoxes(t *testing.T) {
 	const limit = 4
 	x := startCluster(t, clusterOptions{
-		replicas: 1, boxes: 4, targets: 2, adjust: quickLeases,
+		replicas: 1, boxes: 4, targets: 2, adjust: useShortLeases,
 		targetArguments: []string{"--slots", "64", "--queue", "64", "--work", "4ms"},
 	})
 	x.applySheets(func(s *table.Service, rows []table.Row) {
@@ -56,33 +56,33 @@
 		t.Fatalf("only %d calls were answered", s.Whole)
 	}
 	for _, target := range x.targets {
-		if peak := x.statsOf(target).Peak; peak > limit {
+		if peak := x.fetchStats(target).Peak; peak > limit {
 			t.Errorf("%s had %d calls at once, the limit is %d", target.Name, peak, limit)
 		}
 	}
 }
 
 func TestProbesKeepToTheirBudget(t *testing.T) {
-	const boxes, watched = 3, 6 * time.Second
-	x := startCluster(t, clusterOptions{replicas: 1, boxes: boxes, targets: 3, adjust: quickLeases})
+	const boxes, callDuration = 3, 6 * time.Second
+	x := startCluster(t, clusterOptions{replicas: 1, boxes: boxes, targets: 3, adjust: useShortLeases})
 	x.applySheets(func(s *table.Service, rows []table.Row) {
 		s.MeasureBudget = 0.5
 		s.Deadline, s.HoldLimit = time.Second, 100*time.Millisecond
 	})
-	sick := x.targets[0]
-	x.behave(sick, "fail=1")
-	before := x.statsOf(sick).Probes
+	failing := x.targets[0]
+	x.setBehavior(failing, "fail=1")
+	before := x.fetchStats(failing).Probes
 	started := time.Now()
-	for time.Since(started) < watched {
+	for time.Since(started) < callDuration {
 		x.callAll(60, 12, mixedPlan)
 	}
 	seconds := time.Since(started).Seconds()
-	probes := float64(x.statsOf(sick).Probes - before)
+	probes := float64(x.fetchStats(failing).Probes - before)
 	// Three services have a budget each: 0.5% of 3 slots, 5 ms a probe, and one
 	// probe that each box may have saved up for each.
-	bound := 3 * (0.005*3/0.005*seconds + boxes)
-	t.Logf("%.0f probes in %.1f s, at most %.0f may be", probes, seconds, bound)
-	if probes == 0 || probes > bound {
+	maxProbes := 3 * (0.005*3/0.005*seconds + boxes)
+	t.Logf("%.0f probes in %.1f s, at most %.0f may be", probes, seconds, maxProbes)
+	if probes == 0 || probes > maxProbes {
 		t.Fatalf("%.0f probes reached the failing target", probes)
 	}
 }
--- a/test/named_limit_test.go
+++ b/test/named_limit_test.go
@@ -19,29 +19,29 @@
 const (
 	// limitedBoxes and limitedTargets are how many there are in the stories of limits.
 	limitedBoxes, limitedTargets = 6, 8
-	// limitLearnt is how long targets name their limits before their calls are counted: boxes that meet a target
+	// limitWarmUp is how long targets name their limits before their calls are counted: boxes that meet a target
 	// seldom learn of it late.
-	limitLearnt = 3 * time.Second
-	// limitWatched is for how long calls are counted.
-	limitWatched = 6 * time.Second
-	// refusedAtOnce is how long the refusal of a call may take that limits leave no room for.
-	refusedAtOnce = 200 * time.Millisecond
+	limitWarmUp = 3 * time.Second
+	// limitMeasureTime is for how long calls are counted.
+	limitMeasureTime = 6 * time.Second
+	// maxRefusalTime is how long the refusal of a call may take that limits leave no room for.
+	maxRefusalTime = 200 * time.Millisecond
 )
 
-// limitTargets has targets name limits, in calls a second.
-func (x *testCluster) limitTargets(limits ...float64) {
+// setTargetLimits has targets name limits, in calls a second.
+func (x *testCluster) setTargetLimits(limits ...float64) {
 	for i, rate := range limits {
-		x.behave(x.targets[i], fmt.Sprintf("limit=%g", rate))
+		x.setBehavior(x.targets[i], fmt.Sprintf("limit=%g", rate))
 	}
 }
 
-// callTogether makes some calls at a time for a while, each a moment after the one before.
-func (x *testCluster) callTogether(while time.Duration) []lab.Call {
+// callConcurrently makes some calls at a time for a while, each a moment after the one before.
+func (x *testCluster) callConcurrently(duration time.Duration) []lab.Call {
 	var work sync.WaitGroup
 	var lock sync.Mutex
 	var calls []lab.Call
-	end := time.Now().Add(while)
-	for range calling {
+	end := time.Now().Add(duration)
+	for range parallelCallers {
 		work.Add(1)
 		go func() {
 			defer work.Done()
@@ -57,13 +57,13 @@
 	return calls
 }
 
-// checkLimits checks that no target got more than its limit allows, and returns how many calls the limited
+// checkTargetLimits checks that no target got more than its limit allows, and returns how many calls the limited
 // ones got.
-func (x *testCluster) checkLimits(before []lab.TargetStats) int64 {
+func (x *testCluster) checkTargetLimits(before []lab.TargetStats) int64 {
 	x.Helper()
 	sum := int64(0)
 	for i := range before {
-		s := x.statsOf(x.targets[i])
+		s := x.fetchStats(x.targets[i])
 		sum += s.Limited - before[i].Limited
 		x.Logf("%s got %d calls and %d probes while it named a limit", x.targets[i].Name, s.Limited-before[i].Limited, s.LimitedProbes-before[i].LimitedProbes)
 		if b := s.WorstBreach; b != nil {
@@ -73,15 +73,15 @@
 	return sum
 }
 
-func (x *testCluster) limitedStats(n int) []lab.TargetStats {
+func (x *testCluster) fetchFirstStats(n int) []lab.TargetStats {
 	var all []lab.TargetStats
 	for _, t := range x.targets[:n] {
-		all = append(all, x.statsOf(t))
+		all = append(all, x.fetchStats(t))
 	}
 	return all
 }
 
-func countWhole(calls []lab.Call) int {
+func countServed(calls []lab.Call) int {
 	n := 0
 	for _, c := range calls {
 		if c.Verdict == lab.Whole {
@@ -92,13 +92,13 @@
 }
 
 func TestALimitThatTargetsNameHoldsOverAllBoxes(t *testing.T) {
-	x := beginTalkingTo(t, limitedBoxes, limitedTargets)
-	x.limitTargets(2.2, 3.9)
-	x.callTogether(limitLearnt)
-	before := x.limitedStats(2)
-	calls := x.callTogether(limitWatched)
-	x.checkLimits(before)
-	if whole := countWhole(calls); whole < len(calls)*99/100 {
+	x := startRegisteredBoxes(t, limitedBoxes, limitedTargets)
+	x.setTargetLimits(2.2, 3.9)
+	x.callConcurrently(limitWarmUp)
+	before := x.fetchFirstStats(2)
+	calls := x.callConcurrently(limitMeasureTime)
+	x.checkTargetLimits(before)
+	if whole := countServed(calls); whole < len(calls)*99/100 {
 		t.Errorf("%d of %d calls were served, though six targets have room for all", whole, len(calls))
 	}
 }
@@ -106,22 +106,22 @@
 // All targets of a service name limits, which come to a fifth of the calls. As much as they allow is used,
 // whichever box callers come to; the others are refused at once, unrun, and told when to come back.
 func TestAServiceWhoseTargetsAllNameLimits(t *testing.T) {
-	t.Run("callers come to all boxes", func(t *testing.T) { useLimits(t, limitedBoxes) })
-	t.Run("callers come to one box", func(t *testing.T) { useLimits(t, 1) })
+	t.Run("callers come to all boxes", func(t *testing.T) { testAllTargetsLimited(t, limitedBoxes) })
+	t.Run("callers come to one box", func(t *testing.T) { testAllTargetsLimited(t, 1) })
 }
 
-func useLimits(t *testing.T, called int) {
-	x := beginTalkingTo(t, limitedBoxes, limitedTargets)
+func testAllTargetsLimited(t *testing.T, calledBoxes int) {
+	x := startRegisteredBoxes(t, limitedBoxes, limitedTargets)
 	limits := []float64{2, 2, 2, 2, 2, 2, 2, 2}
-	x.limitTargets(limits...)
-	x.callTogether(limitLearnt)
-	x.caller.SetAddresses(x.awaitServingEntries()[:called]...)
-	before := x.limitedStats(limitedTargets)
-	calls := x.callTogether(limitWatched)
-	got := x.checkLimits(before)
+	x.setTargetLimits(limits...)
+	x.callConcurrently(limitWarmUp)
+	x.caller.SetAddresses(x.awaitServingEntries()[:calledBoxes]...)
+	before := x.fetchFirstStats(limitedTargets)
+	calls := x.callConcurrently(limitMeasureTime)
+	got := x.checkTargetLimits(before)
 	sum := 0.0
 	for _, l := range limits {
-		sum += l * limitWatched.Seconds()
+		sum += l * limitMeasureTime.Seconds()
 	}
 	if float64(got) < 0.6*sum {
 		t.Errorf("the targets got %d calls of the %.0f that their limits allow", got, sum)
@@ -131,16 +131,16 @@
 		if c.Verdict == lab.Whole {
 			continue
 		}
-		if c.Took > refusedAtOnce {
+		if c.Took > maxRefusalTime {
 			slow++
 		}
 		if c.Verdict != lab.NotRun || c.RetryAfter <= 0 {
 			unclear++
 		}
 	}
-	t.Logf("%d of %d calls were served", countWhole(calls), len(calls))
+	t.Logf("%d of %d calls were served", countServed(calls), len(calls))
 	if slow > len(calls)/100 {
-		t.Errorf("%d of %d calls were refused later than after %s", slow, len(calls), refusedAtOnce)
+		t.Errorf("%d of %d calls were refused later than after %s", slow, len(calls), maxRefusalTime)
 	}
 	if unclear > 0 {
 		t.Errorf("%d calls that weren't served weren't told that they haven't run, or when to come back", unclear)
--- a/test/pipeline_test.go
+++ b/test/pipeline_test.go
@@ -21,8 +21,8 @@
 	reader *bufio.Reader
 }
 
-// pipelined is one of its requests.
-type pipelined struct {
+// pipelinedRequest is one of its requests.
+type pipelinedRequest struct {
 	id     string
 	work   time.Duration
 	closes bool
@@ -38,7 +38,7 @@
 }
 
 // send writes all requests in one go.
-func (p *pipeline) send(requests ...pipelined) {
+func (p *pipeline) send(requests ...pipelinedRequest) {
 	p.Helper()
 	text := strings.Builder{}
 	for _, r := range requests {
@@ -52,9 +52,9 @@
 	p.must(err)
 }
 
-// mustAnswer reads the next answer, which must be the whole one of a request. It returns
+// mustReceiveAnswer reads the next answer, which must be the whole one of a request. It returns
 // whether the connection goes on.
-func (p *pipeline) mustAnswer(id string) bool {
+func (p *pipeline) mustReceiveAnswer(id string) bool {
 	p.Helper()
 	r := &fasthttp.Response{}
 	p.must(r.Read(p.reader))
@@ -67,18 +67,18 @@
 	return !r.ConnectionClose()
 }
 
-// mustEnd expects that nothing more comes.
-func (p *pipeline) mustEnd() {
+// mustBeClosed expects that nothing more comes.
+func (p *pipeline) mustBeClosed() {
 	p.Helper()
 	if b, err := p.reader.ReadByte(); err == nil {
 		p.Fatalf("the connection goes on with %q", b)
 	}
 }
 
-func requestsOf(prefix string, n int, work time.Duration) []pipelined {
-	list := make([]pipelined, n)
+func newRequests(prefix string, n int, work time.Duration) []pipelinedRequest {
+	list := make([]pipelinedRequest, n)
 	for i := range list {
-		list[i] = pipelined{id: fmt.Sprintf("%s-%d", prefix, i), work: work}
+		list[i] = pipelinedRequest{id: fmt.Sprintf("%s-%d", prefix, i), work: work}
 	}
 	return list
 }
@@ -87,11 +87,11 @@
 	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1, targets: 3})
 	x.applySheets(nil)
 	p := x.newPipeline()
-	list := requestsOf("ordered", 8, time.Millisecond)
+	list := newRequests("ordered", 8, time.Millisecond)
 	list[0].work = 300 * time.Millisecond
 	p.send(list...)
 	for _, r := range list {
-		p.mustAnswer(r.id)
+		p.mustReceiveAnswer(r.id)
 	}
 }
 
@@ -99,18 +99,18 @@
 	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1, targets: 3})
 	x.applySheets(nil)
 	p := x.newPipeline()
-	list := requestsOf("closing", 6, time.Millisecond)
+	list := newRequests("closing", 6, time.Millisecond)
 	list[2].closes = true
 	p.send(list...)
 	for _, r := range list[:3] {
-		p.mustAnswer(r.id)
+		p.mustReceiveAnswer(r.id)
 	}
-	p.mustEnd()
+	p.mustBeClosed()
 	x.mustHaveRun(list[:3], list[3:])
 }
 
 // mustHaveRun checks which requests the targets have run.
-func (x *testCluster) mustHaveRun(some, others []pipelined) {
+func (x *testCluster) mustHaveRun(some, others []pipelinedRequest) {
 	x.Helper()
 	runs := x.runs()
 	for _, r := range some {
@@ -129,10 +129,10 @@
 	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1, targets: 1})
 	x.applySheets(nil)
 	p := x.newPipeline()
-	list := requestsOf("leaving", 4, 0)
+	list := newRequests("leaving", 4, 0)
 	list[1].work = 8 * time.Second
 	p.send(list...)
-	p.mustAnswer(list[0].id)
+	p.mustReceiveAnswer(list[0].id)
 	p.conn.Close()
 	x.must(lab.Eventually(waitTimeout, func() error {
 		d, err := x.cluster.Boxes[0].Dump()
@@ -142,22 +142,22 @@
 		return err
 	}))
 	next := x.newPipeline()
-	next.send(pipelined{id: "after", work: time.Millisecond})
-	next.mustAnswer("after")
+	next.send(pipelinedRequest{id: "after", work: time.Millisecond})
+	next.mustReceiveAnswer("after")
 }
 
 func TestAPlannedStopEndsPipelinesBetweenRequests(t *testing.T) {
 	x := startCluster(t, clusterOptions{replicas: 1, boxes: 2, targets: 3})
 	x.applySheets(nil)
 	p := x.newPipeline()
-	list := requestsOf("stopping", 8, 200*time.Millisecond)
+	list := newRequests("stopping", 8, 200*time.Millisecond)
 	p.send(list...)
-	p.mustAnswer(list[0].id)
+	p.mustReceiveAnswer(list[0].id)
 	x.cluster.Boxes[0].Process.Terminate()
 	answered := 1
-	for goesOn := true; goesOn && answered < len(list); answered++ {
-		goesOn = p.mustAnswer(list[answered].id)
+	for keepAlive := true; keepAlive && answered < len(list); answered++ {
+		keepAlive = p.mustReceiveAnswer(list[answered].id)
 	}
-	p.mustEnd()
+	p.mustBeClosed()
 	x.mustHaveRun(list[:answered], list[answered:])
 }
--- a/test/power_test.go
+++ b/test/power_test.go
@@ -61,22 +61,22 @@
 		}))
 		time.Sleep(pause)
 		x.restartTogether(x.allNodes(), x.cluster.Replicas[round], x.cluster.Replicas[(round+2)%replicas])
-		x.must(lab.Eventually(waitTimeout, func() error { return x.holds(version, evacuate) }))
+		x.must(lab.Eventually(waitTimeout, func() error { return x.checkOrders(version, evacuate) }))
 	}
 	x.caller = lab.NewCaller(x.awaitServingEntries()...)
-	before := x.countOf(x.targets[0])
+	before := x.countJournalRuns(x.targets[0])
 	for range 20 {
 		if c := x.caller.Do(lab.Plan{Host: "shop.test"}); c.Verdict != lab.Whole {
 			t.Errorf("a call was answered %+v", c)
 		}
 	}
-	if n := x.countOf(x.targets[0]) - before; n > 0 {
+	if n := x.countJournalRuns(x.targets[0]) - before; n > 0 {
 		t.Errorf("%d calls went to the domain whose evacuation was acknowledged", n)
 	}
 }
 
 // holds tells whether the last orders that were acknowledged hold. Nothing older may ever be read.
-func (x *testCluster) holds(version units.DocumentVersion, evacuated bool) error {
+func (x *testCluster) checkOrders(version units.DocumentVersion, evacuated bool) error {
 	raw, err := x.api().Document()
 	if err != nil {
 		return err
--- a/test/product_test.go
+++ b/test/product_test.go
@@ -18,7 +18,7 @@
 )
 
 // ctl runs the operators' tool and returns what it printed and its exit code.
-func (x *testCluster) ctl(arguments ...string) (out string, code int) {
+func (x *testCluster) runTool(arguments ...string) (out string, code int) {
 	x.Helper()
 	var servers []string
 	for _, n := range x.cluster.Replicas {
@@ -33,16 +33,16 @@
 }
 
 // mustCtl runs the tool, which must end with a code and print all the parts.
-func (x *testCluster) mustCtl(code int, parts []string, arguments ...string) string {
+func (x *testCluster) mustRunTool(code int, parts []string, arguments ...string) string {
 	x.Helper()
-	out, got := x.ctl(arguments...)
+	out, got := x.runTool(arguments...)
 	if got != code || !containsAll(out, parts...) {
 		x.Fatalf("madderctl %v ended with %d, wanted %d and %q; it printed:\n%s", arguments, got, code, parts, out)
 	}
 	return out
 }
 
-func (x *testCluster) write(name, text string) string {
+func (x *testCluster) writeFile(name, text string) string {
 	x.Helper()
 	path := filepath.Join(x.folder, name)
 	x.must(os.WriteFile(path, []byte(text), 0o600))
@@ -51,52 +51,52 @@
 
 func TestAnOperatorMovesWeightByTheTable(t *testing.T) {
 	x := startCluster(t, clusterOptions{replicas: 3, boxes: 1, targets: 2})
-	services := x.write("services.csv", "service,work,hosts\nshop,once,shop.test\n")
-	rows := x.write("rows.csv", fmt.Sprintf("service,target,address,weight\nshop,old,%s,100\nshop,new,%s,0\n", x.targets[0].Address, x.targets[1].Address))
-
-	x.mustCtl(6, []string{"put-service shop (new)", "put-row shop old"}, "table", "diff", "--services", services, "--rows", rows)
-	x.mustCtl(0, []string{"accepted"}, "table", "apply", "--services", services, "--rows", rows)
-	x.mustCtl(0, []string{"nothing to change"}, "table", "apply", "--services", services, "--rows", rows)
-	x.mustCtl(0, nil, "table", "diff", "--services", services, "--rows", rows)
-	x.mustCtl(0, []string{"accepted"}, "weight", "shop", "new", "50")
-	x.mustCtl(0, []string{"accepted"}, "limit", "shop", "new", "--in-flight", "6", "--rate", "2.5")
-	x.mustCtl(0, []string{"accepted"}, "leave", "shop", "old")
-	x.mustCtl(0, []string{"accepted"}, "table", "edit", "--set", "shop.deadline=3s", "--set", "shop/new.max_rate=0")
-	x.mustCtl(0, []string{"shop", "once", "3s"}, "services")
-	x.mustCtl(0, []string{"leaving", "50"}, "table", "get")
-	x.mustCtl(0, []string{`"maxInFlight": 6`}, "table", "get", "--json")
-	x.mustCtl(0, []string{"revision", "edit"}, "table", "history")
+	services := x.writeFile("services.csv", "service,work,hosts\nshop,once,shop.test\n")
+	rows := x.writeFile("rows.csv", fmt.Sprintf("service,target,address,weight\nshop,old,%s,100\nshop,new,%s,0\n", x.targets[0].Address, x.targets[1].Address))
+
+	x.mustRunTool(6, []string{"put-service shop (new)", "put-row shop old"}, "table", "diff", "--services", services, "--rows", rows)
+	x.mustRunTool(0, []string{"accepted"}, "table", "apply", "--services", services, "--rows", rows)
+	x.mustRunTool(0, []string{"nothing to change"}, "table", "apply", "--services", services, "--rows", rows)
+	x.mustRunTool(0, nil, "table", "diff", "--services", services, "--rows", rows)
+	x.mustRunTool(0, []string{"accepted"}, "weight", "shop", "new", "50")
+	x.mustRunTool(0, []string{"accepted"}, "limit", "shop", "new", "--in-flight", "6", "--rate", "2.5")
+	x.mustRunTool(0, []string{"accepted"}, "leave", "shop", "old")
+	x.mustRunTool(0, []string{"accepted"}, "table", "edit", "--set", "shop.deadline=3s", "--set", "shop/new.max_rate=0")
+	x.mustRunTool(0, []string{"shop", "once", "3s"}, "services")
+	x.mustRunTool(0, []string{"leaving", "50"}, "table", "get")
+	x.mustRunTool(0, []string{`"maxInFlight": 6`}, "table", "get", "--json")
+	x.mustRunTool(0, []string{"revision", "edit"}, "table", "history")
 	x.must(x.cluster.AwaitServing(x.cluster.Boxes[0], waitTimeout))
-	x.mustCtl(0, []string{"leader", "box-1", "in force"}, "status")
-	x.mustCtl(0, []string{`"control"`, `"table"`}, "dump")
-	x.mustCtl(0, []string{"accepted"}, "table", "edit", "--set", "shop/new.domain=south", "--set", "shop.cold_rate=2.5")
-	x.mustCtl(0, []string{"south is evacuated"}, "evacuate", "south")
-	x.mustCtl(0, []string{"south", "evacuated"}, "evacuations")
-	x.mustCtl(0, []string{"the failure domain south is evacuated"}, "status")
-	x.mustCtl(0, []string{"south takes calls"}, "restore", "south")
-	x.mustCtl(0, []string{"south", "restored"}, "evacuations")
-	x.mustCtl(2, []string{"there is no failure domain north"}, "evacuate", "north")
-	x.mustCtl(2, []string{"is no failure domain"}, "evacuate", "No-Domain")
-	x.mustCtl(0, []string{"revision"}, "watch", "--count", "1")
-	x.mustCtl(0, []string{"complete -F"}, "completion")
-	x.mustCtl(0, []string{"madderctl weight SERVICE TARGET WEIGHT"}, "weight", "--help")
-
-	x.mustCtl(0, nil, "table", "get", "--services", services, "--rows", rows)
-	x.mustCtl(0, nil, "table", "diff", "--prune", "--services", services, "--rows", rows)
+	x.mustRunTool(0, []string{"leader", "box-1", "in force"}, "status")
+	x.mustRunTool(0, []string{`"control"`, `"table"`}, "dump")
+	x.mustRunTool(0, []string{"accepted"}, "table", "edit", "--set", "shop/new.domain=south", "--set", "shop.cold_rate=2.5")
+	x.mustRunTool(0, []string{"south is evacuated"}, "evacuate", "south")
+	x.mustRunTool(0, []string{"south", "evacuated"}, "evacuations")
+	x.mustRunTool(0, []string{"the failure domain south is evacuated"}, "status")
+	x.mustRunTool(0, []string{"south takes calls"}, "restore", "south")
+	x.mustRunTool(0, []string{"south", "restored"}, "evacuations")
+	x.mustRunTool(2, []string{"there is no failure domain north"}, "evacuate", "north")
+	x.mustRunTool(2, []string{"is no failure domain"}, "evacuate", "No-Domain")
+	x.mustRunTool(0, []string{"revision"}, "watch", "--count", "1")
+	x.mustRunTool(0, []string{"complete -F"}, "completion")
+	x.mustRunTool(0, []string{"madderctl weight SERVICE TARGET WEIGHT"}, "weight", "--help")
+
+	x.mustRunTool(0, nil, "table", "get", "--services", services, "--rows", rows)
+	x.mustRunTool(0, nil, "table", "diff", "--prune", "--services", services, "--rows", rows)
 }
 
 func TestMistakesOfAnOperatorAreNamed(t *testing.T) {
 	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1})
-	bad := x.write("bad.csv", "service,target,address,weight\nshop,old,nowhere,heavy\n")
-	x.mustCtl(2, []string{"line 2, column weight"}, "table", "apply", "--rows", bad)
-	x.mustCtl(2, []string{"there is no service"}, "table", "edit", "--set", "shop.deadline=3s")
-	x.mustCtl(2, []string{"has no target"}, "weight", "shop", "old", "1")
-	x.mustCtl(2, []string{"Unknown command"}, "dance")
-	x.mustCtl(2, []string{"no sheet is named"}, "table", "apply")
-	x.mustCtl(2, []string{"formed already"}, "form")
-	lonely := exec.Command(programs.tool, "--server", "127.0.0.1:1", "--patience", "1ms", "table", "get")
-	out, _ := lonely.CombinedOutput()
-	if code := lonely.ProcessState.ExitCode(); code != 4 || !strings.Contains(string(out), "doesn't answer") {
+	bad := x.writeFile("bad.csv", "service,target,address,weight\nshop,old,nowhere,heavy\n")
+	x.mustRunTool(2, []string{"line 2, column weight"}, "table", "apply", "--rows", bad)
+	x.mustRunTool(2, []string{"there is no service"}, "table", "edit", "--set", "shop.deadline=3s")
+	x.mustRunTool(2, []string{"has no target"}, "weight", "shop", "old", "1")
+	x.mustRunTool(2, []string{"Unknown command"}, "dance")
+	x.mustRunTool(2, []string{"no sheet is named"}, "table", "apply")
+	x.mustRunTool(2, []string{"formed already"}, "form")
+	unreachable := exec.Command(programs.tool, "--server", "127.0.0.1:1", "--patience", "1ms", "table", "get")
+	out, _ := unreachable.CombinedOutput()
+	if code := unreachable.ProcessState.ExitCode(); code != 4 || !strings.Contains(string(out), "doesn't answer") {
 		t.Fatalf("without a server madderctl ended with %d:\n%s", code, out)
 	}
 }
@@ -120,7 +120,7 @@
 	s.Admin.TokenFile = file
 	data, err := json.Marshal(s)
 	x.must(err)
-	p, err := lab.StartProcess("c1", programs.daemon, "--settings", x.write("c1.json", string(data)), "--form")
+	p, err := lab.StartProcess("c1", programs.daemon, "--settings", x.writeFile("c1.json", string(data)), "--form")
 	x.must(err)
 	t.Cleanup(p.Kill)
 	started, err := p.AwaitStarted(waitTimeout)
@@ -169,7 +169,7 @@
 
 func TestBrokenSettingsAreListed(t *testing.T) {
 	x := &testCluster{T: t, folder: t.TempDir()}
-	path := x.write("bad.jsonc", `{"box": "X", "roles": ["entry"], "nonsense": 1, "entry": {"maxCalls": "many"}}`)
+	path := x.writeFile("bad.jsonc", `{"box": "X", "roles": ["entry"], "nonsense": 1, "entry": {"maxCalls": "many"}}`)
 	for _, arguments := range [][]string{{"--settings", path, "--check"}, {"--settings", path}} {
 		command := exec.Command(programs.daemon, arguments...)
 		out, _ := command.CombinedOutput()
@@ -192,7 +192,7 @@
 	}
 	after := x.mustSetWeight("alpha", 2)
 	x.awaitInForce(after)
-	x.mustStillHave(before)
+	x.mustKeepEdit(before)
 }
 
 func TestTheDemoLosesDoublesAndConfusesNothing(t *testing.T) {
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -11,7 +11,7 @@
 
 // beginGrowing starts a cluster whose processes know the first three of its replicas as
 // seeds.
-func beginGrowing(t *testing.T, replicas, boxes int) *testCluster {
+func startSeededCluster(t *testing.T, replicas, boxes int) *testCluster {
 	t.Helper()
 	x := &testCluster{T: t, folder: t.TempDir()}
 	t.Cleanup(x.stopProcesses)
@@ -30,7 +30,7 @@
 }
 
 // freeAddresses are addresses at which nothing runs.
-func (x *testCluster) freeAddresses(n int) []string {
+func (x *testCluster) unusedAddresses(n int) []string {
 	x.Helper()
 	var list []string
 	for range n {
@@ -53,13 +53,13 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			x := beginGrowing(t, 3, 1)
+			x := startSeededCluster(t, 3, 1)
 			box := x.cluster.Boxes[0]
 			x.awaitAttached(box)
 			seeds := box.Settings.Seeds
 			box.Process.Kill()
 			// The machines that were seeds once are gone.
-			box.Settings.Seeds = x.freeAddresses(3)
+			box.Settings.Seeds = x.unusedAddresses(3)
 			x.must(x.cluster.StartAgain(box))
 			box.Settings.Seeds = seeds
 			x.must(box.WriteSettings())
@@ -76,19 +76,19 @@
 
 // Settings with a fault change nothing, and those that take a restart are named.
 func TestSettingsThatARunningProcessDoesNotTake(t *testing.T) {
-	x := beginGrowing(t, 3, 1)
+	x := startSeededCluster(t, 3, 1)
 	box := x.cluster.Boxes[0]
 	x.awaitAttached(box)
 	limit := box.Settings.Stop.Limit
 	box.Settings.Stop.Limit = config.Duration(time.Millisecond)
 	x.must(box.WriteSettings())
 	x.must(lab.Eventually(waitTimeout, func() error {
-		return x.wantSettings(box, true, "")
+		return x.checkSettings(box, true, "")
 	}))
 	box.Settings.Stop.Limit = limit + config.Duration(time.Second)
 	x.must(box.WriteSettings())
 	x.must(lab.Eventually(waitTimeout, func() error {
-		return x.wantSettings(box, false, "stop.limit")
+		return x.checkSettings(box, false, "stop.limit")
 	}))
 	x.awaitAttached(box)
 }
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -21,7 +21,7 @@
 func TestEveryCallerGetsItsOwnWholeAnswer(t *testing.T) {
 	x := startCluster(t, clusterOptions{replicas: 1, boxes: 2, targets: 4, targetArguments: []string{"--slots", "16", "--queue", "64"}})
 	x.applySheets(nil)
-	x.callAll(max(3000, 2**callers), *callers, func(i int) lab.Plan {
+	x.callAll(max(3000, 2**callerCount), *callerCount, func(i int) lab.Plan {
 		p := mixedPlan(i)
 		p.Work = time.Duration(i%7) * time.Millisecond
 		if i%50 == 0 {
@@ -94,7 +94,7 @@
 
 // callers is how many callers call at once in one story; by hand: go test ./test
 // -run EveryCaller -callers 2000.
-var callers = flag.Int("callers", 64, "how many callers call at once in a story")
+var callerCount = flag.Int("callers", 64, "how many callers call at once in a story")
 
 func TestBrokenConnectionsToTargetsLoseAndDoubleNothing(t *testing.T) {
 	x := startCluster(t, clusterOptions{replicas: 1, boxes: 2, targets: 3, targetArguments: []string{"--slots", "8", "--queue", "64", "--work", "3ms"}})
@@ -171,22 +171,22 @@
 
 // stops is how many planned stops one story makes; by hand: go test ./test -run
 // PlannedStopCuts -stops 50.
-var stops = flag.Int("stops", 10, "how many planned stops a story makes")
+var stopCount = flag.Int("stops", 10, "how many planned stops a story makes")
 
 // quickLeases keep a restarted box from waiting long for its shares.
-func quickLeases(s *config.Settings) {
+func useShortLeases(s *config.Settings) {
 	s.Control.Lease = config.Duration(800 * time.Millisecond)
 	s.Entry.ShareDelay = config.Duration(1400 * time.Millisecond)
 }
 
 func TestAPlannedStopCutsNothing(t *testing.T) {
 	x := startCluster(t, clusterOptions{
-		replicas: 1, boxes: 2, targets: 3, adjust: quickLeases,
+		replicas: 1, boxes: 2, targets: 3, adjust: useShortLeases,
 		targetArguments: []string{"--slots", "8", "--queue", "64", "--work", "3ms"},
 	})
 	x.applySheets(nil)
 	staying, stopping := x.cluster.Boxes[0], x.cluster.Boxes[1]
-	for range *stops {
+	for range *stopCount {
 		var callers sync.WaitGroup
 		var finished atomic.Bool
 		for k := range 12 {
@@ -229,7 +229,7 @@
 				t.Logf("%+v", c)
 			}
 		}
-		t.Fatalf("%d planned stops cut %d calls of %d", *stops, s.Unknown, s.Sent)
+		t.Fatalf("%d planned stops cut %d calls of %d", *stopCount, s.Unknown, s.Sent)
 	}
 }
 
@@ -260,7 +260,7 @@
 	}
 	time.Sleep(maxEditDelay)
 	frozen.Process.Thaw()
-	before := x.countOf(leaving)
+	before := x.countJournalRuns(leaving)
 	x.caller.SetAddresses(x.cluster.Boxes[0].Entry, x.cluster.Boxes[1].Entry, x.cluster.Boxes[2].Entry)
 	time.Sleep(500 * time.Millisecond)
 	finished.Store(true)
@@ -268,7 +268,7 @@
 		p.Silence(false)
 	}
 	callers.Wait()
-	if after := x.countOf(leaving); after != before {
+	if after := x.countJournalRuns(leaving); after != before {
 		t.Fatalf("%d calls reached the leaving target after %s", after-before, maxEditDelay)
 	}
 	x.mustBeClean()
@@ -282,7 +282,7 @@
 }
 
 // countOf is how many calls a target's own journal holds.
-func (x *testCluster) countOf(target *lab.TargetProcess) int {
+func (x *testCluster) countJournalRuns(target *lab.TargetProcess) int {
 	x.Helper()
 	runs, err := lab.ReadJournals(target.Journal)
 	x.must(err)
@@ -315,16 +315,16 @@
 
 // refusing is how long a target refuses in one story; by hand: go test ./test -run
 // Patient -refusing 60s.
-var refusing = flag.Duration("refusing", time.Second, "how long a target refuses calls in a story")
+var refusalDuration = flag.Duration("refusing", time.Second, "how long a target refuses calls in a story")
 
 func TestPatientWorkWaitsOutARefusingTarget(t *testing.T) {
 	const patientCalls = 20
 	x := startCluster(t, clusterOptions{replicas: 1, boxes: 1, targets: 1, targetArguments: []string{"--slots", "3", "--queue", "1"}})
 	x.applySheets(func(s *table.Service, _ []table.Row) {
-		s.HoldLimit = *refusing + 20*time.Second
-		s.Deadline = *refusing + 25*time.Second
+		s.HoldLimit = *refusalDuration + 20*time.Second
+		s.Deadline = *refusalDuration + 25*time.Second
 	})
-	x.behave(x.targets[0], "shed=1")
+	x.setBehavior(x.targets[0], "shed=1")
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -337,8 +337,8 @@
 		}
 		return err
 	}))
-	time.Sleep(*refusing)
-	x.behave(x.targets[0], "shed=0")
+	time.Sleep(*refusalDuration)
+	x.setBehavior(x.targets[0], "shed=0")
 	<-done
 	if s := x.mustBeClean(); s.Whole != patientCalls {
 		t.Fatalf("patient calls were lost: %s %+v", s, x.caller.Calls())
@@ -346,12 +346,12 @@
 }
 
 // behave changes what a target does.
-func (x *testCluster) behave(target *lab.TargetProcess, query string) {
+func (x *testCluster) setBehavior(target *lab.TargetProcess, query string) {
 	x.Helper()
-	x.must(askToBehave(target, query))
+	x.must(requestBehavior(target, query))
 }
 
-func askToBehave(target *lab.TargetProcess, query string) error {
+func requestBehavior(target *lab.TargetProcess, query string) error {
 	status, _, err := fasthttp.Get(nil, "http://"+target.Address+"/behave?"+query)
 	if err == nil && status != fasthttp.StatusOK {
 		err = fmt.Errorf("status %d", status)
@@ -368,7 +368,7 @@
 	c, err := net.Dial("tcp", x.cluster.Boxes[0].Entry)
 	x.must(err)
 	fmt.Fprintf(c, "GET / HTTP/1.1\r\nHost: repeatable.test\r\nX-Request-Id: gone\r\nX-Work-Us: 8000000\r\n\r\n")
-	inFlight := func(want int) {
+	awaitInFlight := func(want int) {
 		t.Helper()
 		x.must(lab.Eventually(waitTimeout, func() error {
 			d, err := x.cluster.Boxes[0].Dump()
@@ -378,10 +378,10 @@
 			return err
 		}))
 	}
-	inFlight(1)
+	awaitInFlight(1)
 	c.Close()
 	started := time.Now()
-	inFlight(0)
+	awaitInFlight(0)
 	if took := time.Since(started); took > maxEditDelay {
 		t.Fatalf("the slot was freed only after %s", took)
 	}
--- a/test/residency_test.go
+++ b/test/residency_test.go
@@ -16,23 +16,23 @@
 
 // storyRegions places the targets of a story: the first three in a region each, the fourth in
 // a failure domain whose region isn't known.
-var storyRegions = map[units.Domain]units.Region{"d1": "north", "d2": "south", "d3": "east"}
+var residencyRegions = map[units.Domain]units.Region{"d1": "north", "d2": "south", "d3": "east"}
 
-const storyTargets = 4
+const residencyTargets = 4
 
 // residencyStory has one service on all targets, a route that allows some regions only under
 // eu.test and one that allows all under any.test.
-type residencyStory struct {
+type residencyCluster struct {
 	*testCluster
 	version  units.DocumentVersion
 	sequence uint64
 }
 
-func beginResidency(t *testing.T) *residencyStory {
-	x := &residencyStory{testCluster: startCluster(t, clusterOptions{
-		replicas: 1, boxes: 2, targets: storyTargets, targetArguments: []string{"--slots", "8", "--queue", "32", "--work", "2ms"},
+func startResidencyCluster(t *testing.T) *residencyCluster {
+	x := &residencyCluster{testCluster: startCluster(t, clusterOptions{
+		replicas: 1, boxes: 2, targets: residencyTargets, targetArguments: []string{"--slots", "8", "--queue", "32", "--work", "2ms"},
 		adjust: func(s *config.Settings) {
-			s.Regions = storyRegions
+			s.Regions = residencyRegions
 			// One box stands in a region that no restricted call may be served in.
 			s.Domain = map[string]string{"box-1": "d1", "box-2": "d3"}[s.Box]
 			s.Control.SilentAfter = 0
@@ -48,7 +48,7 @@
 
 // put puts a document whose restricted route allows some regions, and waits until every box
 // has so many targets for it.
-func (x *residencyStory) put(targets int, regions ...units.Region) {
+func (x *residencyCluster) putDocument(targets int, regions ...units.Region) {
 	x.Helper()
 	x.version++
 	d := table.Document{
@@ -58,8 +58,8 @@
 			RetryBudget: 100, HedgeBudget: 100, MeasureBudget: 5, ProbeTargets: 2, ProbePath: "/healthz",
 		}},
 		Routes: []*table.Route{
-			storyRoute("eu.test", &table.AllowedRegions{Names: regions}),
-			storyRoute("any.test", nil),
+			residencyRoute("eu.test", &table.AllowedRegions{Names: regions}),
+			residencyRoute("any.test", nil),
 		},
 	}
 	raw, err := json.Marshal(&d)
@@ -67,19 +67,19 @@
 	x.must(x.api().PutDocument(raw))
 	x.reportAll()
 	for _, b := range x.cluster.Boxes {
-		x.must(lab.Eventually(waitTimeout, func() error { return showsRestriction(b, regions, targets) }))
+		x.must(lab.Eventually(waitTimeout, func() error { return checkRestriction(b, regions, targets) }))
 		x.must(x.cluster.AwaitServing(b, waitTimeout))
 	}
 }
 
-func storyRoute(host string, regions *table.AllowedRegions) *table.Route {
+func residencyRoute(host string, regions *table.AllowedRegions) *table.Route {
 	return &table.Route{
 		Name: host, Host: host, PathPrefix: "/", Work: table.Repeatable, Deadline: 5 * time.Second, LatencyObjective: 20 * time.Millisecond,
 		Services: []table.WeightedService{{Service: "shop", Weight: 1}}, Regions: regions,
 	}
 }
 
-func showsRestriction(b *lab.Node, regions []units.Region, targets int) error {
+func checkRestriction(b *lab.Node, regions []units.Region, targets int) error {
 	d, err := b.Dump()
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func (x *residencyStory) reportAll() {
+func (x *residencyCluster) reportAll() {
 	for i, t := range x.targets {
 		x.sequence++
 		x.must(x.api().Report(&table.Registration{
@@ -102,7 +102,7 @@
 }
 
 // callBoth makes restricted calls and others, and returns the restricted ones.
-func (x *residencyStory) callBoth(n int) []lab.Call {
+func (x *residencyCluster) callBothRoutes(n int) []lab.Call {
 	before := len(x.caller.Calls())
 	x.callAll(n, 12, func(i int) lab.Plan {
 		host := []string{"eu.test", "any.test"}[i%2]
@@ -112,7 +112,7 @@
 }
 
 // runsAt counts the calls of a list that each target ran.
-func (x *residencyStory) runsAt(calls []lab.Call) (at [storyTargets]int) {
+func (x *residencyCluster) countRunsByTarget(calls []lab.Call) (at [residencyTargets]int) {
 	x.Helper()
 	for i, t := range x.targets {
 		runs, err := lab.ReadJournals(t.Journal)
@@ -125,9 +125,9 @@
 }
 
 // mustStay fails if a target ran calls of the list that isn't among those allowed.
-func (x *residencyStory) mustStay(calls []lab.Call, allowed ...int) {
+func (x *residencyCluster) mustRunOnlyAt(calls []lab.Call, allowed ...int) {
 	x.Helper()
-	at := x.runsAt(calls)
+	at := x.countRunsByTarget(calls)
 	for i, n := range at {
 		if n > 0 && !slices.Contains(allowed, i) {
 			x.Errorf("target %d ran %d calls that may not go there; all: %v", i+1, n, at)
@@ -140,41 +140,41 @@
 // targets fail and are killed and tables take regions away; without any they are refused as
 // not run.
 func TestRestrictedCallsStayInTheirRegions(t *testing.T) {
-	x := beginResidency(t)
-	x.put(1, "north")
-	x.mustStay(x.callBoth(400), 0)
+	x := startResidencyCluster(t)
+	x.putDocument(1, "north")
+	x.mustRunOnlyAt(x.callBothRoutes(400), 0)
 
-	x.put(2, "south", "north")
+	x.putDocument(2, "south", "north")
 	killed := make(chan struct{})
 	go func() {
 		defer close(killed)
 		time.Sleep(100 * time.Millisecond)
 		x.targets[0].Process.Kill()
 	}()
-	x.mustStay(x.callBoth(400), 0, 1)
+	x.mustRunOnlyAt(x.callBothRoutes(400), 0, 1)
 	<-killed
 
 	// The only region left has no target that answers.
-	x.put(1, "north")
-	calls := x.callBoth(40)
-	x.mustStay(calls, 0)
+	x.putDocument(1, "north")
+	calls := x.callBothRoutes(40)
+	x.mustRunOnlyAt(calls, 0)
 	for _, c := range calls {
 		if c.Verdict == lab.Whole {
 			t.Errorf("a call was answered though its region is down: %+v", c)
 		}
 	}
 
-	x.put(0, "atlantis")
-	calls = x.callBoth(40)
-	x.mustStay(calls)
+	x.putDocument(0, "atlantis")
+	calls = x.callBothRoutes(40)
+	x.mustRunOnlyAt(calls)
 	for _, c := range calls {
 		if c.Verdict != lab.NotRun || c.Reason != routing.RegionNotAllowed.String() {
 			t.Errorf("a call that no region may serve got %+v", c)
 		}
 	}
 
-	x.put(1, "east")
-	if at := x.runsAt(x.callBoth(100)); at[2] == 0 {
+	x.putDocument(1, "east")
+	if at := x.countRunsByTarget(x.callBothRoutes(100)); at[2] == 0 {
 		t.Errorf("the region that is allowed now ran nothing: %v", at)
 	}
 	x.mustBeClean()
--- a/test/rest_test.go
+++ b/test/rest_test.go
@@ -20,22 +20,24 @@
 // have room.
 
 const (
-	restAsked = 3 * time.Second
+	requestedRest = 3 * time.Second
 	// leftInRest is how many calls may still reach a target that rests: those that were under way
 	// to it count as well where they take long.
-	leftInRest = 2
+	maxCallsInRest = 2
 	// drainTime is how long after its answer said so a leaving target may still get new calls.
-	drainTime = 2 * time.Second
+	leavingGracePeriod = 2 * time.Second
 )
 
 // beginTalking begins a story of registered targets that say things of themselves, with one box, so
 // that a target's counts are of that box alone.
-func beginTalking(t *testing.T, targets int) *testCluster { return beginTalkingTo(t, 1, targets) }
+func startRegistered(t *testing.T, targets int) *testCluster {
+	return startRegisteredBoxes(t, 1, targets)
+}
 
 // beginTalkingTo is the same with several boxes.
-func beginTalkingTo(t *testing.T, boxes, targets int) *testCluster {
+func startRegisteredBoxes(t *testing.T, boxes, targets int) *testCluster {
 	x := startCluster(t, clusterOptions{
-		replicas: 1, boxes: boxes, targets: targets, adjust: readNotices,
+		replicas: 1, boxes: boxes, targets: targets, adjust: enableNoticeHeaders,
 		targetArguments: []string{"--slots", "4", "--queue", "8", "--work", "5ms"},
 	})
 	x.must(lab.Eventually(waitTimeout, func() error { return x.api().PutDocument(rolloutDocument()) }))
@@ -50,8 +52,8 @@
 // shopCall is a call of the story's service.
 var shopCall = lab.Plan{Host: "shop.test"}
 
-func readNotices(s *config.Settings) {
-	quickLeases(s)
+func enableNoticeHeaders(s *config.Settings) {
+	useShortLeases(s)
 	s.Entry.LeavingHeader = lab.LeavingHeader
 	s.Entry.LimitHeader = lab.LimitHeader
 }
@@ -66,30 +68,30 @@
 const (
 	// calling is how many call at a time, with a pause after each call: long enough for a box to ask targets
 	// for their load again before the next one.
-	calling     = 4
-	callerPause = 40 * time.Millisecond
+	parallelCallers = 4
+	callerPause     = 40 * time.Millisecond
 )
 
 // callFor makes calls for a time, and returns how many and how many of them were served.
 func (x *testCluster) callFor(d time.Duration) (calls, whole int) {
-	made := x.callTogether(d)
-	return len(made), countWhole(made)
+	made := x.callConcurrently(d)
+	return len(made), countServed(made)
 }
 
 func TestATargetThatAskedForRestGetsNoCalls(t *testing.T) {
-	x := beginTalking(t, 4)
+	x := startRegistered(t, 4)
 	resting := x.targets[1:]
 	for _, target := range resting {
-		x.behave(target, fmt.Sprintf("shed=1&rest_ms=%d", restAsked.Milliseconds()))
+		x.setBehavior(target, fmt.Sprintf("shed=1&rest_ms=%d", requestedRest.Milliseconds()))
 	}
-	calls, whole := x.callFor(2 * restAsked)
+	calls, whole := x.callFor(2 * requestedRest)
 	for _, target := range resting {
-		s := x.statsOf(target)
+		s := x.fetchStats(target)
 		t.Logf("%s got %d calls and %d probes in %d rests", target.Name, s.Unrested, s.UnrestedProbes, s.Rests)
 		if s.Rests == 0 {
 			t.Errorf("%s got no call that it could have turned away", target.Name)
 		}
-		if s.Unrested > leftInRest || s.UnrestedProbes > leftInRest {
+		if s.Unrested > maxCallsInRest || s.UnrestedProbes > maxCallsInRest {
 			t.Errorf("%s got %d calls and %d probes while it rested", target.Name, s.Unrested, s.UnrestedProbes)
 		}
 	}
@@ -99,17 +101,17 @@
 }
 
 func TestATargetThatSaysItLeavesGetsNoCalls(t *testing.T) {
-	x := beginTalking(t, 4)
-	x.behave(x.targets[0], "leaving=1")
-	x.callFor(drainTime)
-	before := x.statsOf(x.targets[0])
+	x := startRegistered(t, 4)
+	x.setBehavior(x.targets[0], "leaving=1")
+	x.callFor(leavingGracePeriod)
+	before := x.fetchStats(x.targets[0])
 	calls, whole := x.callFor(2 * time.Second)
-	after := x.statsOf(x.targets[0])
+	after := x.fetchStats(x.targets[0])
 	if before.Runs+before.Probes == 0 {
 		t.Error("the target answered nothing that could have said so")
 	}
 	if n := after.Runs - before.Runs; n > 0 {
-		t.Errorf("the target ran %d of %d calls that came after it had said for %s that it leaves", n, calls, drainTime)
+		t.Errorf("the target ran %d of %d calls that came after it had said for %s that it leaves", n, calls, leavingGracePeriod)
 	}
 	if whole < calls*95/100 {
 		t.Errorf("%d of %d calls were served by the others", whole, calls)
@@ -119,29 +121,29 @@
 // A box stands still in the middle of a rest: the rest runs on meanwhile, and neither is forgotten nor
 // begins anew.
 func TestARestRunsOnWhileTheBoxStandsStill(t *testing.T) {
-	x := beginTalking(t, 2)
+	x := startRegistered(t, 2)
 	resting, box := x.targets[1], x.cluster.Boxes[0]
-	x.behave(resting, fmt.Sprintf("shed=1&rest_ms=%d", restAsked.Milliseconds()))
+	x.setBehavior(resting, fmt.Sprintf("shed=1&rest_ms=%d", requestedRest.Milliseconds()))
 	x.must(lab.Eventually(waitTimeout, func() error {
-		if x.callFor(100 * time.Millisecond); x.statsOf(resting).Rests == 0 {
+		if x.callFor(100 * time.Millisecond); x.fetchStats(resting).Rests == 0 {
 			return fmt.Errorf("%s hasn't asked for rest", resting.Name)
 		}
 		return nil
 	}))
 	asked := time.Now()
-	x.behave(resting, "shed=0")
+	x.setBehavior(resting, "shed=0")
 	box.Process.Freeze()
-	time.Sleep(restAsked / 2)
+	time.Sleep(requestedRest / 2)
 	box.Process.Thaw()
 	x.must(x.cluster.AwaitServing(box, waitTimeout))
-	x.callFor(restAsked/4 + time.Until(asked.Add(restAsked/2)))
-	before := x.statsOf(resting)
-	if before.Unrested > leftInRest || before.UnrestedProbes > leftInRest {
+	x.callFor(requestedRest/4 + time.Until(asked.Add(requestedRest/2)))
+	before := x.fetchStats(resting)
+	if before.Unrested > maxCallsInRest || before.UnrestedProbes > maxCallsInRest {
 		t.Errorf("%s got %d calls and %d probes while it rested", resting.Name, before.Unrested, before.UnrestedProbes)
 	}
-	time.Sleep(time.Until(asked.Add(restAsked)))
-	x.must(lab.Eventually(restAsked/2, func() error {
-		if x.callFor(200 * time.Millisecond); x.statsOf(resting).Runs == before.Runs {
+	time.Sleep(time.Until(asked.Add(requestedRest)))
+	x.must(lab.Eventually(requestedRest/2, func() error {
+		if x.callFor(200 * time.Millisecond); x.fetchStats(resting).Runs == before.Runs {
 			return fmt.Errorf("%s gets no calls though its rest is over", resting.Name)
 		}
 		return nil
--- a/test/rollout_test.go
+++ b/test/rollout_test.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	rolloutService = units.ServiceName("shop")
-	oldSoftware    = units.SoftwareVersion("v1")
-	newSoftware    = units.SoftwareVersion("v2")
-	rolloutTime    = 10 * time.Second
+	rolloutService  = units.ServiceName("shop")
+	oldSoftware     = units.SoftwareVersion("v1")
+	newSoftware     = units.SoftwareVersion("v2")
+	rolloutDuration = 10 * time.Second
 	// exposureEnd is how long after the last grant a box may still send the new version a
 	// call: the exposure's second, and room for a busy machine.
-	exposureEnd = 2 * time.Second
+	maxExposure = 2 * time.Second
 	// mostOfCalls and callsBeside bound what a bad version may get.
-	mostOfCalls = 0.1
-	callsBeside = 50
+	maxBadVersionFraction = 0.1
+	badVersionAllowance   = 50
 )
 
 // rolloutStory is a story of a service with targets of two versions, and callers.
-type rolloutStory struct {
+type rolloutCluster struct {
 	*testCluster
-	old, fresh []*lab.TargetProcess
+	oldTargets, newTargets []*lab.TargetProcess
 	workers
 	// ordered is how many calls had been made at the order.
-	ordered int
+	callsBeforeOrder int
 }
 
-func beginRollout(t *testing.T) *rolloutStory {
-	x := &rolloutStory{workers: newWorkers()}
+func startRolloutCluster(t *testing.T) *rolloutCluster {
+	x := &rolloutCluster{workers: newWorkers()}
 	x.testCluster = startCluster(t, clusterOptions{
 		replicas: 3, boxes: 3, targets: 8, targetArguments: []string{"--slots", "8", "--queue", "32", "--work", "5ms"},
 		adjust: func(s *config.Settings) {
@@ -44,10 +44,10 @@
 		},
 	})
 	t.Cleanup(x.stop)
-	x.old, x.fresh = x.targets[:4], x.targets[4:]
+	x.oldTargets, x.newTargets = x.targets[:4], x.targets[4:]
 	x.must(lab.Eventually(waitTimeout, func() error { return x.api().PutDocument(rolloutDocument()) }))
-	x.keepReporting(x.old, oldSoftware)
-	x.must(lab.Eventually(waitTimeout, func() error { return x.wantInForce(oldSoftware) }))
+	x.keepReporting(x.oldTargets, oldSoftware)
+	x.must(lab.Eventually(waitTimeout, func() error { return x.checkInForce(oldSoftware) }))
 	known, err := x.api().Table()
 	x.must(err)
 	for _, b := range x.cluster.Boxes {
@@ -57,7 +57,7 @@
 	for k := range 8 {
 		x.repeat(func() { x.call(k) })
 	}
-	x.keepReporting(x.fresh, newSoftware)
+	x.keepReporting(x.newTargets, newSoftware)
 	return x
 }
 
@@ -77,7 +77,7 @@
 	return data
 }
 
-func (x *rolloutStory) call(k int) {
+func (x *rolloutCluster) call(k int) {
 	host := "shop.test"
 	if k%4 == 0 {
 		host = "menu.test"
@@ -87,7 +87,7 @@
 }
 
 // keepReporting has targets of a version report themselves.
-func (x *rolloutStory) keepReporting(targets []*lab.TargetProcess, v units.SoftwareVersion) {
+func (x *rolloutCluster) keepReporting(targets []*lab.TargetProcess, v units.SoftwareVersion) {
 	sequence := uint64(0)
 	api := x.api()
 	x.repeat(func() {
@@ -106,7 +106,7 @@
 	})
 }
 
-func (x *rolloutStory) wantInForce(v units.SoftwareVersion) error {
+func (x *rolloutCluster) checkInForce(v units.SoftwareVersion) error {
 	t, err := x.api().Table()
 	if err == nil && t.SoftwareInForce(rolloutService) != v {
 		err = fmt.Errorf("version %q is in force", t.SoftwareInForce(rolloutService))
@@ -115,12 +115,12 @@
 }
 
 // order orders the new version and waits until it gets calls.
-func (x *rolloutStory) order() {
+func (x *rolloutCluster) orderNewVersion() {
 	x.Helper()
-	x.ordered = len(x.caller.Calls())
-	x.send(table.RolloutOrder{Service: rolloutService, To: newSoftware, Duration: rolloutTime, Operator: "story"})
-	x.must(lab.Eventually(rolloutTime, func() error {
-		if x.runsOf(x.fresh) == 0 {
+	x.callsBeforeOrder = len(x.caller.Calls())
+	x.sendOrder(table.RolloutOrder{Service: rolloutService, To: newSoftware, Duration: rolloutDuration, Operator: "story"})
+	x.must(lab.Eventually(rolloutDuration, func() error {
+		if x.countRuns(x.newTargets) == 0 {
 			return fmt.Errorf("the new version gets no calls")
 		}
 		return nil
@@ -128,12 +128,12 @@
 }
 
 // send sends an order until it is acknowledged.
-func (x *rolloutStory) send(o table.RolloutOrder) {
+func (x *rolloutCluster) sendOrder(o table.RolloutOrder) {
 	x.Helper()
 	x.must(lab.Eventually(waitTimeout, func() error { return x.api().OrderRollout(o) }))
 }
 
-func (x *rolloutStory) awaitStage(stages ...table.RolloutStage) table.RolloutStage {
+func (x *rolloutCluster) awaitStage(stages ...table.RolloutStage) table.RolloutStage {
 	x.Helper()
 	var found table.RolloutStage
 	x.must(lab.Eventually(waitTimeout, func() error {
@@ -154,40 +154,40 @@
 	return found
 }
 
-func (x *rolloutStory) runsOf(targets []*lab.TargetProcess) int {
+func (x *rolloutCluster) countRuns(targets []*lab.TargetProcess) int {
 	n := 0
 	for _, t := range targets {
-		n += int(x.statsOf(t).Runs)
+		n += int(x.fetchStats(t).Runs)
 	}
 	return n
 }
 
 // mustGetNothing fails if the new version gets a call within a second.
-func (x *rolloutStory) mustGetNothing(when string) {
+func (x *rolloutCluster) mustNotCallNewVersion(when string) {
 	x.Helper()
-	before := x.runsOf(x.fresh)
+	before := x.countRuns(x.newTargets)
 	time.Sleep(time.Second)
-	if n := x.runsOf(x.fresh) - before; n > 0 {
+	if n := x.countRuns(x.newTargets) - before; n > 0 {
 		x.Fatalf("%d calls went to the new version %s", n, when)
 	}
 }
 
 // mustBeBounded fails if the new version got more than a tenth of the calls since the order.
-func (x *rolloutStory) mustBeBounded() {
+func (x *rolloutCluster) mustBoundNewVersion() {
 	x.Helper()
-	calls, got := len(x.caller.Calls())-x.ordered, x.runsOf(x.fresh)
+	calls, got := len(x.caller.Calls())-x.callsBeforeOrder, x.countRuns(x.newTargets)
 	x.Logf("the new version got %d of %d calls", got, calls)
-	if float64(got) > mostOfCalls*float64(calls)+callsBeside {
+	if float64(got) > maxBadVersionFraction*float64(calls)+badVersionAllowance {
 		x.Fatalf("the new version got %d of %d calls", got, calls)
 	}
 }
 
 func TestAGoodVersionTakesOver(t *testing.T) {
-	x := beginRollout(t)
-	x.order()
+	x := startRolloutCluster(t)
+	x.orderNewVersion()
 	x.awaitStage(table.RolloutCompleted)
 	// The old targets stop at once, without draining.
-	for _, o := range x.old {
+	for _, o := range x.oldTargets {
 		o.Process.Kill()
 	}
 	time.Sleep(2 * time.Second)
@@ -207,15 +207,15 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			x := beginRollout(t)
-			for _, n := range x.fresh {
-				x.behave(n, s.fault)
+			x := startRolloutCluster(t)
+			for _, n := range x.newTargets {
+				x.setBehavior(n, s.fault)
 			}
-			x.order()
+			x.orderNewVersion()
 			x.awaitStage(table.RolloutRolledBack)
-			x.mustBeBounded()
-			time.Sleep(exposureEnd)
-			x.mustGetNothing("after the rollback")
+			x.mustBoundNewVersion()
+			time.Sleep(maxExposure)
+			x.mustNotCallNewVersion("after the rollback")
 			x.stop()
 			x.mustBeClean()
 		})
@@ -223,8 +223,8 @@
 }
 
 func TestTheLeaderIsKilledDuringATrial(t *testing.T) {
-	x := beginRollout(t)
-	x.order()
+	x := startRolloutCluster(t)
+	x.orderNewVersion()
 	leader := x.leader()
 	leader.Process.Kill()
 	x.awaitStage(table.RolloutCompleted, table.RolloutRolledBack)
@@ -233,13 +233,13 @@
 }
 
 func TestAllReplicasAreKilledDuringATrial(t *testing.T) {
-	x := beginRollout(t)
-	x.order()
+	x := startRolloutCluster(t)
+	x.orderNewVersion()
 	for _, n := range x.cluster.Replicas {
 		n.Process.Kill()
 	}
-	time.Sleep(exposureEnd)
-	x.mustGetNothing("while no leader could grant it")
+	time.Sleep(maxExposure)
+	x.mustNotCallNewVersion("while no leader could grant it")
 	for _, n := range x.cluster.Replicas {
 		x.must(x.cluster.StartAgain(n))
 	}
@@ -249,17 +249,17 @@
 }
 
 func TestABoxThatWakesDuringATrialSendsTheNewVersionNothing(t *testing.T) {
-	x := beginRollout(t)
-	x.order()
+	x := startRolloutCluster(t)
+	x.orderNewVersion()
 	frozen := x.cluster.Boxes[0]
 	frozen.Process.Freeze()
-	x.send(table.RolloutOrder{Service: rolloutService, Abort: true, Operator: "story"})
+	x.sendOrder(table.RolloutOrder{Service: rolloutService, Abort: true, Operator: "story"})
 	x.awaitStage(table.RolloutRolledBack)
-	time.Sleep(exposureEnd)
-	before := x.runsOf(x.fresh)
+	time.Sleep(maxExposure)
+	before := x.countRuns(x.newTargets)
 	frozen.Process.Thaw()
 	time.Sleep(time.Second)
-	if n := x.runsOf(x.fresh) - before; n > 0 {
+	if n := x.countRuns(x.newTargets) - before; n > 0 {
 		t.Fatalf("%d calls went to the new version after the box had woken", n)
 	}
 	x.stop()
@@ -267,8 +267,8 @@
 }
 
 func TestTheLeaderIsKilledDuringTheShift(t *testing.T) {
-	x := beginRollout(t)
-	x.order()
+	x := startRolloutCluster(t)
+	x.orderNewVersion()
 	leader := x.leader()
 	x.awaitStage(table.RolloutShifted, table.RolloutCompleted)
 	leader.Process.Kill()
@@ -282,8 +282,8 @@
 
 // A version may turn bad just when it gets all calls.
 func TestAVersionThatTurnsBadDuringTheShiftIsRolledBack(t *testing.T) {
-	x := beginRollout(t)
-	x.order()
+	x := startRolloutCluster(t)
+	x.orderNewVersion()
 	// Calls that the old version works on for long hold the shift up.
 	for k := range 3 {
 		x.repeat(func() {
@@ -292,13 +292,13 @@
 		})
 	}
 	x.awaitStage(table.RolloutShifted)
-	for _, n := range x.fresh {
-		x.behave(n, "version_fail_percent=100")
+	for _, n := range x.newTargets {
+		x.setBehavior(n, "version_fail_percent=100")
 	}
 	x.awaitStage(table.RolloutRolledBack)
-	time.Sleep(exposureEnd)
-	x.mustGetNothing("after the rollback")
-	x.mustBeBounded()
+	time.Sleep(maxExposure)
+	x.mustNotCallNewVersion("after the rollback")
+	x.mustBoundNewVersion()
 	x.stop()
 	x.mustBeClean()
 }
--- a/test/security_test.go
+++ b/test/security_test.go
@@ -12,7 +12,7 @@
 )
 
 // certify gives each process a certificate that names its box.
-func certify(t *testing.T, a *lab.Authority) func(*config.Settings) {
+func withCertificates(t *testing.T, a *lab.Authority) func(*config.Settings) {
 	return func(s *config.Settings) {
 		certificate, key, err := a.Sign(s.Box)
 		if err != nil {
@@ -33,7 +33,7 @@
 
 func TestProcessesProveThemselvesToEachOther(t *testing.T) {
 	ours, theirs := newAuthority(t, "ours"), newAuthority(t, "theirs")
-	x := startCluster(t, clusterOptions{replicas: 3, boxes: 2, targets: 1, adjust: certify(t, ours)})
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 2, targets: 1, adjust: withCertificates(t, ours)})
 	x.applySheets(nil)
 	x.callAll(60, 4, mixedPlan)
 	x.mustBeClean()
@@ -79,7 +79,7 @@
 		t.Fatalf("a stranger raised the term to %d", term)
 	}
 	x.awaitInForce(x.mustSetWeight("alpha", 2))
-	x.mustStillHave(before)
+	x.mustKeepEdit(before)
 }
 
 func TestACertificateThatCanNotBeUsedIsNamed(t *testing.T) {
--- a/test/settings_steps_test.go
+++ b/test/settings_steps_test.go
@@ -18,7 +18,7 @@
 
 // wantSettings tells whether a process has refused its settings file, and whether a field
 // waits for a restart; an empty one stands for none.
-func (x *testCluster) wantSettings(n *lab.Node, refused bool, waiting string) error {
+func (x *testCluster) checkSettings(n *lab.Node, refused bool, waiting string) error {
 	status, err := x.api(n).Settings()
 	if err != nil {
 		return err
--- a/test/soak_crash_test.go
+++ b/test/soak_crash_test.go
@@ -27,7 +27,7 @@
 // targetArguments are those of the stand-in targets.
 func (x *soak) targetArguments() []string {
 	if x.crashes() {
-		return []string{"--crash-body", crashBody}
+		return []string{"--crash-body", crashRequestBody}
 	}
 	return nil
 }
@@ -63,7 +63,7 @@
 }
 
 func (x *soak) callCrashing() lab.Call {
-	return x.caller.Do(lab.Plan{Host: "shop.test", Body: []byte(crashBody)})
+	return x.caller.Do(lab.Plan{Host: "shop.test", Body: []byte(crashRequestBody)})
 }
 
 // checkCrashes makes sure that the request is kept from targets once all faults have ended, and
--- a/test/soak_evacuation_test.go
+++ b/test/soak_evacuation_test.go
@@ -88,7 +88,7 @@
 	n := 0
 	for i, t := range x.targets {
 		if x.domainOf(i) == soakDomain {
-			n += int(x.statsOf(t).Runs)
+			n += int(x.fetchStats(t).Runs)
 		}
 	}
 	return n
--- a/test/soak_faults_test.go
+++ b/test/soak_faults_test.go
@@ -199,7 +199,7 @@
 // tell has a target behave otherwise. One that a request has ended is down for a while, and begins
 // anew without any fault.
 func (x *soak) tell(t *lab.TargetProcess, query string) {
-	if err := askToBehave(t, query); err != nil && !x.crashes() {
+	if err := requestBehavior(t, query); err != nil && !x.crashes() {
 		x.Error(err)
 	}
 }
--- a/test/soak_rollout_test.go
+++ b/test/soak_rollout_test.go
@@ -111,7 +111,7 @@
 	for i, t := range x.targets {
 		service := soakServices[i%len(soakServices)]
 		if units.ServiceName(service) == soakRolled && x.softwareOf(service, i) != inForce {
-			n += int(x.statsOf(t).Runs)
+			n += int(x.fetchStats(t).Runs)
 		}
 	}
 	return n
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -386,14 +386,14 @@
 	}))
 	n.Process.Kill()
 	time.Sleep(soakLeaveBound)
-	before := x.statsOf(target)
+	before := x.fetchStats(target)
 	whole := 0
 	for range soakLastCalls {
 		if x.caller.Do(lab.Plan{Host: "shop.test"}).Verdict == lab.Whole {
 			whole++
 		}
 	}
-	after := x.statsOf(target)
+	after := x.fetchStats(target)
 	if after.Runs != before.Runs {
 		x.Errorf("%d calls went to a target whose leaving was acknowledged %s before", after.Runs-before.Runs, soakLeaveBound)
 	}
--- a/test/starts_test.go
+++ b/test/starts_test.go
@@ -11,7 +11,7 @@
 // A target that registers by itself is killed and starts again under the id that it had, at
 // another address, while a report of the start before comes late.
 func TestATargetStartsAgainUnderItsID(t *testing.T) {
-	x := startCluster(t, clusterOptions{replicas: 3, boxes: 1, targets: 2, adjust: quickLeases})
+	x := startCluster(t, clusterOptions{replicas: 3, boxes: 1, targets: 2, adjust: useShortLeases})
 	x.must(lab.Eventually(waitTimeout, func() error { return x.api().PutDocument(rolloutDocument()) }))
 	report := func(target *lab.TargetProcess, born units.WallTime, sequence uint64, state table.RowState) {
 		t.Helper()
