--- a/test/control_test.go
+++ b/test/control_test.go
@@ -40,27 +40,27 @@
 func TestACutOffLeaderDisturbsNobody(t *testing.T) {
 	x := startCluster(t, clusterOptions{replicas: 3, boxes: 3, proxied: true})
 	x.awaitInForce(x.mustSetWeight("alpha", 1))
-	cutOff := x.leader()
-	proxy := x.proxyFor(cutOff)
+	isolated := x.leader()
+	proxy := x.proxyFor(isolated)
 	proxy.Silence(true)
-	rest := x.otherReplicas(cutOff)
+	connected := x.otherReplicas(isolated)
 	started := time.Now()
-	result, err := x.api(rest...).Apply(x.prepareWeightEdit(rest, "during-cut", 2))
+	result, err := x.api(connected...).Apply(x.prepareWeightEdit(connected, "during-cut", 2))
 	x.must(err)
-	if took := time.Since(started); took > maxEditDelay {
-		t.Fatalf("edits went on only after %s", took)
+	if elapsed := time.Since(started); elapsed > maxEditDelay {
+		t.Fatalf("edits went on only after %s", elapsed)
 	}
 	x.awaitInForce(result)
-	term := x.termOf(rest[0])
+	term := x.termOf(connected[0])
 	proxy.Silence(false)
 	x.must(lab.Eventually(waitTimeout, func() error {
-		d, err := cutOff.Dump()
+		d, err := isolated.Dump()
 		if err == nil && d.Control.Revision < result.Revision {
 			err = fmt.Errorf("it is at revision %d", d.Control.Revision)
 		}
 		return err
 	}))
-	if now := x.termOf(rest[0]); now != term {
+	if now := x.termOf(connected[0]); now != term {
 		t.Fatalf("the return of the cut-off replica raised the term from %d to %d", term, now)
 	}
 }
@@ -94,8 +94,8 @@
 	x.awaitInForce(x.mustSetWeight("alpha", 1))
 	frozen := x.leader()
 	frozen.Process.Freeze()
-	rest := x.otherReplicas(frozen)
-	result, err := x.api(rest...).Apply(x.prepareWeightEdit(rest, "during-freeze", 7))
+	others := x.otherReplicas(frozen)
+	result, err := x.api(others...).Apply(x.prepareWeightEdit(others, "during-freeze", 7))
 	x.must(err)
 	frozen.Process.Thaw()
 	x.awaitInForce(result)
@@ -216,9 +216,9 @@
 			if n.Process.Ended() {
 				continue
 			}
-			again, err := x.api(n).Apply(edit)
+			repeated, err := x.api(n).Apply(edit)
 			x.must(err)
-			if d := cmp.Diff(first, again); d != "" {
+			if d := cmp.Diff(first, repeated); d != "" {
 				t.Fatalf("%s, %s answers differently:\n%s", when, n.Settings.Box, d)
 			}
 		}
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -192,10 +192,10 @@
 func (x *crashCluster) mustBecomeQuarantined(observation time.Duration) {
 	x.Helper()
 	x.awaitCrashes(crashesToQuarantine)
-	known := x.crashTime(crashesToQuarantine).Add(maxQuarantineDelay)
-	time.Sleep(time.Until(known) + observation)
+	due := x.crashTime(crashesToQuarantine).Add(maxQuarantineDelay)
+	time.Sleep(time.Until(due) + observation)
 	x.callsStopped.Store(true)
-	x.mustBeQuarantined(known)
+	x.mustBeQuarantined(due)
 }
 
 // mustServeHealthy fails if calls that are well aren't served.
@@ -276,8 +276,8 @@
 	x := startCrashCluster(t, 3, 6)
 	x.callCrashing()
 	x.awaitCrashes(1)
-	old := x.leader()
-	old.Process.Kill()
+	oldLeader := x.leader()
+	oldLeader.Process.Kill()
 	x.spawn(func() { x.keepCallingCrashing(crashRequestBody) })
 	x.mustBecomeQuarantined(3 * time.Second)
 }
--- a/test/kept_answer_test.go
+++ b/test/kept_answer_test.go
@@ -25,8 +25,8 @@
 }
 
 const (
-	failedBody  = "the ledger is closed"
-	failingCall = "/balance"
+	errorBody   = "the ledger is closed"
+	failingPath = "/balance"
 )
 
 func startFailingTargets(x *testCluster, n int) *failingTargets {
@@ -44,8 +44,8 @@
 }
 
 func (f *failingTargets) handle(ctx *fasthttp.RequestCtx) {
-	if string(ctx.Path()) == failingCall && f.sends.Add(1) == 1 {
-		ctx.Error(failedBody, fasthttp.StatusInternalServerError)
+	if string(ctx.Path()) == failingPath && f.sends.Add(1) == 1 {
+		ctx.Error(errorBody, fasthttp.StatusInternalServerError)
 		return
 	}
 	ctx.HijackSetNoResponse(true)
@@ -77,8 +77,8 @@
 	x.must(x.cluster.AwaitServing(box, waitTimeout))
 	for i := range 5 {
 		f.sends.Store(0)
-		status, body := x.get(box, "balance.test"+failingCall)
-		if status != fasthttp.StatusInternalServerError || !bytes.Equal(body, []byte(failedBody)) {
+		status, body := x.get(box, "balance.test"+failingPath)
+		if status != fasthttp.StatusInternalServerError || !bytes.Equal(body, []byte(errorBody)) {
 			t.Errorf("call %d got %d %q after %d sends", i, status, body, f.sends.Load())
 		}
 	}
--- a/test/named_limit_test.go
+++ b/test/named_limit_test.go
@@ -98,8 +98,8 @@
 	before := x.fetchFirstStats(2)
 	calls := x.callConcurrently(limitMeasureTime)
 	x.checkTargetLimits(before)
-	if whole := countServed(calls); whole < len(calls)*99/100 {
-		t.Errorf("%d of %d calls were served, though six targets have room for all", whole, len(calls))
+	if served := countServed(calls); served < len(calls)*99/100 {
+		t.Errorf("%d of %d calls were served, though six targets have room for all", served, len(calls))
 	}
 }
 
@@ -118,15 +118,15 @@
 	x.caller.SetAddresses(x.awaitServingEntries()[:calledBoxes]...)
 	before := x.fetchFirstStats(limitedTargets)
 	calls := x.callConcurrently(limitMeasureTime)
-	got := x.checkTargetLimits(before)
-	sum := 0.0
+	targetCalls := x.checkTargetLimits(before)
+	allowed := 0.0
 	for _, l := range limits {
-		sum += l * limitMeasureTime.Seconds()
+		allowed += l * limitMeasureTime.Seconds()
 	}
-	if float64(got) < 0.6*sum {
-		t.Errorf("the targets got %d calls of the %.0f that their limits allow", got, sum)
+	if float64(targetCalls) < 0.6*allowed {
+		t.Errorf("the targets got %d calls of the %.0f that their limits allow", targetCalls, allowed)
 	}
-	slow, unclear := 0, 0
+	slow, unconfirmed := 0, 0
 	for _, c := range calls {
 		if c.Verdict == lab.Whole {
 			continue
@@ -135,14 +135,14 @@
 			slow++
 		}
 		if c.Verdict != lab.NotRun || c.RetryAfter <= 0 {
-			unclear++
+			unconfirmed++
 		}
 	}
 	t.Logf("%d of %d calls were served", countServed(calls), len(calls))
 	if slow > len(calls)/100 {
 		t.Errorf("%d of %d calls were refused later than after %s", slow, len(calls), maxRefusalTime)
 	}
-	if unclear > 0 {
-		t.Errorf("%d calls that weren't served weren't told that they haven't run, or when to come back", unclear)
+	if unconfirmed > 0 {
+		t.Errorf("%d calls that weren't served weren't told that they haven't run, or when to come back", unconfirmed)
 	}
 }
--- a/test/pipeline_test.go
+++ b/test/pipeline_test.go
@@ -110,10 +110,10 @@
 }
 
 // mustHaveRun checks which requests the targets have run.
-func (x *testCluster) mustHaveRun(some, others []pipelinedRequest) {
+func (x *testCluster) mustHaveRun(executed, others []pipelinedRequest) {
 	x.Helper()
 	runs := x.runs()
-	for _, r := range some {
+	for _, r := range executed {
 		if runs[r.id] == 0 {
 			x.Errorf("%s was answered and not run", r.id)
 		}
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -185,7 +185,7 @@
 		targetArguments: []string{"--slots", "8", "--queue", "64", "--work", "3ms"},
 	})
 	x.applySheets(nil)
-	staying, stopping := x.cluster.Boxes[0], x.cluster.Boxes[1]
+	running, stopping := x.cluster.Boxes[0], x.cluster.Boxes[1]
 	for range *stopCount {
 		var callers sync.WaitGroup
 		var finished atomic.Bool
@@ -210,7 +210,7 @@
 		stopping.Process.Terminate()
 		// The platform's balancer learns of it late.
 		time.Sleep(150 * time.Millisecond)
-		x.caller.SetAddresses(staying.Entry)
+		x.caller.SetAddresses(running.Entry)
 		code, err := stopping.Process.AwaitEnd(waitTimeout)
 		x.must(err)
 		finished.Store(true)
@@ -220,7 +220,7 @@
 		}
 		x.must(x.cluster.StartAgain(stopping))
 		x.must(x.cluster.AwaitServing(stopping, waitTimeout))
-		x.caller.SetAddresses(staying.Entry, stopping.Entry)
+		x.caller.SetAddresses(running.Entry, stopping.Entry)
 	}
 	s := x.mustBeClean()
 	if s.Unknown > 0 || s.Errors > 0 {
@@ -382,8 +382,8 @@
 	c.Close()
 	started := time.Now()
 	awaitInFlight(0)
-	if took := time.Since(started); took > maxEditDelay {
-		t.Fatalf("the slot was freed only after %s", took)
+	if elapsed := time.Since(started); elapsed > maxEditDelay {
+		t.Fatalf("the slot was freed only after %s", elapsed)
 	}
 }
 
--- a/test/rest_test.go
+++ b/test/rest_test.go
@@ -73,9 +73,9 @@
 )
 
 // callFor makes calls for a time, and returns how many and how many of them were served.
-func (x *testCluster) callFor(d time.Duration) (calls, whole int) {
-	made := x.callConcurrently(d)
-	return len(made), countServed(made)
+func (x *testCluster) callFor(d time.Duration) (calls, served int) {
+	all := x.callConcurrently(d)
+	return len(all), countServed(all)
 }
 
 func TestATargetThatAskedForRestGetsNoCalls(t *testing.T) {
@@ -84,7 +84,7 @@
 	for _, target := range resting {
 		x.setBehavior(target, fmt.Sprintf("shed=1&rest_ms=%d", requestedRest.Milliseconds()))
 	}
-	calls, whole := x.callFor(2 * requestedRest)
+	calls, served := x.callFor(2 * requestedRest)
 	for _, target := range resting {
 		s := x.fetchStats(target)
 		t.Logf("%s got %d calls and %d probes in %d rests", target.Name, s.Unrested, s.UnrestedProbes, s.Rests)
@@ -95,8 +95,8 @@
 			t.Errorf("%s got %d calls and %d probes while it rested", target.Name, s.Unrested, s.UnrestedProbes)
 		}
 	}
-	if whole < calls*95/100 {
-		t.Errorf("%d of %d calls were served by the others", whole, calls)
+	if served < calls*95/100 {
+		t.Errorf("%d of %d calls were served by the others", served, calls)
 	}
 }
 
@@ -105,7 +105,7 @@
 	x.setBehavior(x.targets[0], "leaving=1")
 	x.callFor(leavingGracePeriod)
 	before := x.fetchStats(x.targets[0])
-	calls, whole := x.callFor(2 * time.Second)
+	calls, served := x.callFor(2 * time.Second)
 	after := x.fetchStats(x.targets[0])
 	if before.Runs+before.Probes == 0 {
 		t.Error("the target answered nothing that could have said so")
@@ -113,8 +113,8 @@
 	if n := after.Runs - before.Runs; n > 0 {
 		t.Errorf("the target ran %d of %d calls that came after it had said for %s that it leaves", n, calls, leavingGracePeriod)
 	}
-	if whole < calls*95/100 {
-		t.Errorf("%d of %d calls were served by the others", whole, calls)
+	if served < calls*95/100 {
+		t.Errorf("%d of %d calls were served by the others", served, calls)
 	}
 }
 
--- a/test/rollout_test.go
+++ b/test/rollout_test.go
@@ -48,10 +48,10 @@
 	x.must(lab.Eventually(waitTimeout, func() error { return x.api().PutDocument(rolloutDocument()) }))
 	x.keepReporting(x.oldTargets, oldSoftware)
 	x.must(lab.Eventually(waitTimeout, func() error { return x.checkInForce(oldSoftware) }))
-	known, err := x.api().Table()
+	current, err := x.api().Table()
 	x.must(err)
 	for _, b := range x.cluster.Boxes {
-		x.must(x.cluster.AwaitInForce(b, known.Revision, waitTimeout))
+		x.must(x.cluster.AwaitInForce(b, current.Revision, waitTimeout))
 	}
 	x.caller = lab.NewCaller(x.awaitServingEntries()...)
 	for k := range 8 {
--- a/test/soak_crash_test.go
+++ b/test/soak_crash_test.go
@@ -11,22 +11,22 @@
 const (
 	// crashesFrom is the first seed with a request that ends each target which runs it. Targets
 	// that have ended start again under the ids that they had.
-	crashesFrom = 40_000
+	firstCrashSeed = 40_000
 	// soakCrashPause is how long a target is down then.
-	soakCrashPause = 300 * time.Millisecond
+	soakRestartDelay = 300 * time.Millisecond
 	// soakCrashCalls are made with that request in the end, and soakCrashBound is how many of them
 	// may reach a target: three crashes in a row, and those that come before all boxes know. Without
 	// quarantines all do, while targets are up.
-	soakCrashCalls = 60
-	soakCrashBound = 12
+	soakCrashCalls   = 60
+	soakMaxCrashRuns = 12
 )
 
 // crashes tells whether the seed has a request that ends targets.
-func (x *soak) crashes() bool { return x.seed >= crashesFrom }
+func (x *soak) hasCrashes() bool { return x.seed >= firstCrashSeed }
 
 // targetArguments are those of the stand-in targets.
 func (x *soak) targetArguments() []string {
-	if x.crashes() {
+	if x.hasCrashes() {
 		return []string{"--crash-body", crashRequestBody}
 	}
 	return nil
@@ -34,23 +34,23 @@
 
 // addressOf is where boxes reach a target. A proxy before it would take connections while the
 // target is down, so that a crash looks like an answer that broke off.
-func (x *soak) addressOf(t int) string {
-	if x.crashes() {
+func (x *soak) registeredAddress(t int) string {
+	if x.hasCrashes() {
 		return x.targets[t].Address
 	}
-	return x.paths[t].Address()
+	return x.targetProxies[t].Address()
 }
 
 // keepTargets starts targets again that have ended.
-func (x *soak) keepTargets() {
+func (x *soak) restartTargets() {
 	for t, target := range x.targets {
 		if !target.Process.Ended() {
 			continue
 		}
-		time.Sleep(soakCrashPause)
+		time.Sleep(soakRestartDelay)
 		x.must(target.Start(programs.lab, x.targetArguments()...))
 		x.lock.Lock()
-		x.born[t] = units.WallTime(time.Now().UnixMilli())
+		x.startedAt[t] = units.WallTime(time.Now().UnixMilli())
 		x.lock.Unlock()
 	}
 	time.Sleep(soakCallPause)
@@ -73,7 +73,7 @@
 		x.reportAll(x.cluster.Replicas[1])
 		for _, target := range x.targets {
 			if target.Process.Ended() {
-				x.keepTargets()
+				x.restartTargets()
 				return fmt.Errorf("%s is down", target.Name)
 			}
 		}
@@ -87,13 +87,13 @@
 		if c := x.callCrashing(); c.Reason != "quarantined" {
 			reached++
 		}
-		x.keepTargets()
+		x.restartTargets()
 	}
-	if reached > soakCrashBound {
+	if reached > soakMaxCrashRuns {
 		x.Errorf("of %d calls with the request that ends targets %d weren't kept from them", soakCrashCalls, reached)
 	}
 	x.must(lab.Eventually(waitTimeout, func() error {
-		x.keepTargets()
+		x.restartTargets()
 		x.reportAll(x.cluster.Replicas[1])
 		if c := x.caller.Do(lab.Plan{Host: "shop.test"}); c.Verdict != lab.Whole {
 			return fmt.Errorf("a call that is well was answered %+v", c)
--- a/test/soak_evacuation_test.go
+++ b/test/soak_evacuation_test.go
@@ -26,7 +26,7 @@
 
 // evacuate has an operator evacuate the domain and restore it in turns. An order is sent
 // again, to any replica, until one of them acknowledges it.
-func (x *soak) evacuate() {
+func (x *soak) toggleEvacuation() {
 	wanted := !x.evacuated
 	x.evacuated = wanted
 	for x.orderEvacuation(x.anyReplica(), wanted) != nil {
@@ -48,34 +48,34 @@
 // sure that no box sends its targets anything. Then it restores the domain.
 func (x *soak) checkEvacuation() {
 	x.reportAll(x.cluster.Replicas[1])
-	x.mustOrder(true)
+	x.mustOrderEvacuation(true)
 	x.killAll()
-	time.Sleep(soakLeaveBound)
-	before := x.runsInDomain()
-	whole := 0
+	time.Sleep(soakMaxLeaveDelay)
+	before := x.countRunsInDomain()
+	served := 0
 	for i := range soakLastCalls {
 		service := soakServices[i%len(soakServices)]
 		if x.caller.Do(lab.Plan{Host: service + ".test", Once: service == "pay"}).Verdict == lab.Whole {
-			whole++
+			served++
 		}
 	}
-	if n := x.runsInDomain() - before; n > 0 {
-		x.Errorf("%d calls went to targets of a domain whose evacuation was acknowledged %s before", n, soakLeaveBound)
+	if n := x.countRunsInDomain() - before; n > 0 {
+		x.Errorf("%d calls went to targets of a domain whose evacuation was acknowledged %s before", n, soakMaxLeaveDelay)
 	}
-	if whole < soakLastCalls/2 {
-		x.Errorf("%d of %d calls were answered though half of the targets weren't evacuated", whole, soakLastCalls)
+	if served < soakLastCalls/2 {
+		x.Errorf("%d of %d calls were answered though half of the targets weren't evacuated", served, soakLastCalls)
 	}
-	x.mustOrder(false)
+	x.mustOrderEvacuation(false)
 	for _, n := range x.cluster.Replicas {
-		x.must(lab.Eventually(waitTimeout, func() error { return x.showsRestored(n) }))
+		x.must(lab.Eventually(waitTimeout, func() error { return x.checkRestored(n) }))
 	}
 }
 
-func (x *soak) mustOrder(evacuate bool) {
+func (x *soak) mustOrderEvacuation(evacuate bool) {
 	x.must(lab.Eventually(waitTimeout, func() error { return x.orderEvacuation(x.anyReplica(), evacuate) }))
 }
 
-func (x *soak) showsRestored(n *lab.Node) error {
+func (x *soak) checkRestored(n *lab.Node) error {
 	t, err := x.oneReplica(n).Table()
 	if err == nil && t.Evacuated(soakDomain) {
 		err = fmt.Errorf("%s shows the domain evacuated, its restoring was acknowledged", n.Settings.Box)
@@ -84,7 +84,7 @@
 }
 
 // runsInDomain counts the calls that the domain's targets have run.
-func (x *soak) runsInDomain() int {
+func (x *soak) countRunsInDomain() int {
 	n := 0
 	for i, t := range x.targets {
 		if x.domainOf(i) == soakDomain {
--- a/test/soak_faults_test.go
+++ b/test/soak_faults_test.go
@@ -9,24 +9,24 @@
 
 // claims keeps faults that overlap off the same process or proxy.
 type claims struct {
-	lock  sync.Mutex
-	taken map[any]bool
+	lock    sync.Mutex
+	claimed map[any]bool
 }
 
 // take claims all of some things, or none when one of them is taken.
-func (c *claims) take(things []any) bool {
+func (c *claims) claim(things []any) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	for _, t := range things {
-		if c.taken[t] {
+		if c.claimed[t] {
 			return false
 		}
 	}
-	if c.taken == nil {
-		c.taken = map[any]bool{}
+	if c.claimed == nil {
+		c.claimed = map[any]bool{}
 	}
 	for _, t := range things {
-		c.taken[t] = true
+		c.claimed[t] = true
 	}
 	return true
 }
@@ -35,14 +35,14 @@
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	for _, t := range things {
-		delete(c.taken, t)
+		delete(c.claimed, t)
 	}
 }
 
 // with does something to processes and proxies that no other fault is at; false means
 // that one is.
-func (x *soak) with(do func(), things ...any) bool {
-	if !x.claims.take(things) {
+func (x *soak) withClaim(do func(), things ...any) bool {
+	if !x.claims.claim(things) {
 		return false
 	}
 	defer x.claims.release(things)
@@ -52,8 +52,8 @@
 
 // soakFaults are all that can happen. Each tells whether it could be done now.
 var soakFaults = []struct {
-	name string
-	do   func(x *soak) bool
+	name   string
+	inject func(x *soak) bool
 }{
 	{"kill a replica", func(x *soak) bool { return x.restart(x.anyReplica()) }},
 	{"kill the leader", func(x *soak) bool { return x.restart(x.leaderNode()) }},
@@ -69,60 +69,60 @@
 	{"lose two disks", (*soak).loseDisks},
 	{"hang up", func(x *soak) bool { return x.hangUp(x.anyBox()) }},
 	{"freeze a target", (*soak).freezeTarget},
-	{"silence a target", func(x *soak) bool { return x.silence(x.anyPath()) }},
-	{"cut a target one way", func(x *soak) bool { return x.cutOneWay(x.anyPath()) }},
-	{"reset a target", func(x *soak) bool { x.anyPath().Reset(); return true }},
-	{"exchange a box's seeds", func(x *soak) bool { return x.exchangeSeeds(x.anyBox()) }},
+	{"silence a target", func(x *soak) bool { return x.silence(x.anyTargetProxy()) }},
+	{"cut a target one way", func(x *soak) bool { return x.cutOneWay(x.anyTargetProxy()) }},
+	{"reset a target", func(x *soak) bool { x.anyTargetProxy().Reset(); return true }},
+	{"exchange a box's seeds", func(x *soak) bool { return x.replaceSeeds(x.anyBox()) }},
 	{"silence a replica's open connections", func(x *soak) bool { x.anyProxy().SilenceOpen(); return true }},
-	{"silence a target's open connections", func(x *soak) bool { x.anyPath().SilenceOpen(); return true }},
+	{"silence a target's open connections", func(x *soak) bool { x.anyTargetProxy().SilenceOpen(); return true }},
 	{"have a target hang when full", (*soak).hangWhenFull},
-	{"have a target ask for rest", (*soak).askForRest},
-	{"have targets ask for rest together", (*soak).askForRestTogether},
-	{"have a target leave by its answers", (*soak).leaveByAnswers},
-	{"have a target name limits", (*soak).nameLimits},
-	{"have targets name limits together", (*soak).nameLimitsTogether},
+	{"have a target ask for rest", (*soak).restOneTarget},
+	{"have targets ask for rest together", (*soak).restMostTargets},
+	{"have a target leave by its answers", (*soak).announceLeaving},
+	{"have a target name limits", (*soak).limitOneTarget},
+	{"have targets name limits together", (*soak).limitMostTargets},
 }
 
 const (
 	// firstFaults is how many of the faults the first seeds draw from, so that a seed that
 	// failed once plays the same faults again.
-	firstFaults = 17
+	firstFaultCount = 17
 	// secondFaults is how many the seeds from secondFaultsFrom on draw from.
-	secondFaults     = 18
-	secondFaultsFrom = 9000
+	secondFaultCount = 18
+	secondFaultsSeed = 9000
 	// thirdFaults is how many the seeds from evacuationsFrom on draw from, which evacuate a
 	// failure domain meanwhile.
-	thirdFaults     = 20
-	evacuationsFrom = 10_000
+	thirdFaultCount     = 20
+	firstEvacuationSeed = 10_000
 	// fourthFaults is how many the seeds from fourthFaultsFrom on draw from.
-	fourthFaults     = 21
-	fourthFaultsFrom = 20_000
+	fourthFaultCount = 21
+	fourthFaultsSeed = 20_000
 	// fifthFaults is how many the seeds from wordsFrom on draw from.
-	fifthFaults = 24
+	fifthFaultCount = 24
 )
 
 // drawFault draws one of the faults that the soak's seed knows.
 func (x *soak) drawFault() int {
 	switch {
-	case x.seed < secondFaultsFrom:
-		return x.draw(firstFaults)
-	case x.seed < evacuationsFrom:
-		return x.draw(secondFaults)
-	case x.seed < fourthFaultsFrom:
-		return x.draw(thirdFaults)
-	case x.seed < wordsFrom:
-		return x.draw(fourthFaults)
-	case x.seed < limitsFrom:
-		return x.draw(fifthFaults)
+	case x.seed < secondFaultsSeed:
+		return x.draw(firstFaultCount)
+	case x.seed < firstEvacuationSeed:
+		return x.draw(secondFaultCount)
+	case x.seed < fourthFaultsSeed:
+		return x.draw(thirdFaultCount)
+	case x.seed < firstNoticeSeed:
+		return x.draw(fourthFaultCount)
+	case x.seed < firstLimitSeed:
+		return x.draw(fifthFaultCount)
 	}
 	return x.draw(len(soakFaults))
 }
 
 // oneFault brings about one fault, and pauses. Several of them may go on side by side.
-func (x *soak) oneFault() {
+func (x *soak) injectFault() {
 	f := soakFaults[x.drawFault()]
 	name := f.name
-	if !f.do(x) {
+	if !f.inject(x) {
 		name += " (not now)"
 	}
 	x.lock.Lock()
@@ -133,7 +133,7 @@
 
 func (x *soak) anyProxy() *lab.FaultProxy { return x.cluster.Proxies[x.draw(len(x.cluster.Proxies))] }
 
-func (x *soak) anyPath() *lab.FaultProxy { return x.paths[x.draw(len(x.paths))] }
+func (x *soak) anyTargetProxy() *lab.FaultProxy { return x.targetProxies[x.draw(len(x.targetProxies))] }
 
 func (x *soak) anyBox() *lab.Node { return x.cluster.Boxes[x.draw(len(x.cluster.Boxes))] }
 
@@ -147,8 +147,8 @@
 }
 
 func (x *soak) restart(n *lab.Node) bool {
-	return x.with(func() {
-		defer x.disturb(n)()
+	return x.withClaim(func() {
+		defer x.beginOutage(n)()
 		n.Process.Kill()
 		x.pause(1, 300)
 		x.must(x.cluster.StartAgain(n))
@@ -156,7 +156,7 @@
 }
 
 func (x *soak) killAll() bool {
-	return x.with(func() { x.restartTogether(x.cluster.Replicas) }, x.allReplicas()...)
+	return x.withClaim(func() { x.restartTogether(x.cluster.Replicas) }, x.allReplicas()...)
 }
 
 func (x *soak) allReplicas() []any {
@@ -168,8 +168,8 @@
 }
 
 func (x *soak) freeze(n *lab.Node) bool {
-	return x.with(func() {
-		defer x.disturb(n)()
+	return x.withClaim(func() {
+		defer x.beginOutage(n)()
 		n.Process.Freeze()
 		x.pause(100, 1500)
 		n.Process.Thaw()
@@ -178,8 +178,8 @@
 
 func (x *soak) freezeTarget() bool {
 	t := x.targets[x.draw(len(x.targets))]
-	return x.with(func() {
-		defer x.disturb(t)()
+	return x.withClaim(func() {
+		defer x.beginOutage(t)()
 		t.Process.Freeze()
 		x.pause(100, 800)
 		t.Process.Thaw()
@@ -189,23 +189,23 @@
 // hangWhenFull has a target never answer what it can't queue.
 func (x *soak) hangWhenFull() bool {
 	t := x.targets[x.draw(len(x.targets))]
-	return x.with(func() {
-		x.tell(t, "hang=1")
+	return x.withClaim(func() {
+		x.setBehaviorUnlessDown(t, "hang=1")
 		x.pause(500, 2000)
-		x.tell(t, "hang=0")
+		x.setBehaviorUnlessDown(t, "hang=0")
 	}, t)
 }
 
 // tell has a target behave otherwise. One that a request has ended is down for a while, and begins
 // anew without any fault.
-func (x *soak) tell(t *lab.TargetProcess, query string) {
-	if err := requestBehavior(t, query); err != nil && !x.crashes() {
+func (x *soak) setBehaviorUnlessDown(t *lab.TargetProcess, query string) {
+	if err := requestBehavior(t, query); err != nil && !x.hasCrashes() {
 		x.Error(err)
 	}
 }
 
 func (x *soak) silence(p *lab.FaultProxy) bool {
-	return x.with(func() {
+	return x.withClaim(func() {
 		p.Silence(true)
 		x.pause(200, 1500)
 		p.Silence(false)
@@ -213,16 +213,16 @@
 }
 
 func (x *soak) cutOneWay(p *lab.FaultProxy) bool {
-	way := []lab.Direction{lab.ToTarget, lab.FromTarget}[x.draw(2)]
-	return x.with(func() {
-		p.SilenceOneWay(way, true)
+	direction := []lab.Direction{lab.ToTarget, lab.FromTarget}[x.draw(2)]
+	return x.withClaim(func() {
+		p.SilenceOneWay(direction, true)
 		x.pause(200, 1500)
-		p.SilenceOneWay(way, false)
+		p.SilenceOneWay(direction, false)
 	}, p)
 }
 
 func (x *soak) delay(p *lab.FaultProxy) bool {
-	return x.with(func() {
+	return x.withClaim(func() {
 		p.Delay(30 * time.Millisecond)
 		x.pause(200, 1000)
 		p.Delay(0)
@@ -231,8 +231,8 @@
 
 // stopBox is a planned stop, during which no call may be cut.
 func (x *soak) stopBox(n *lab.Node) bool {
-	return x.with(func() {
-		defer x.disturb(n)()
+	return x.withClaim(func() {
+		defer x.beginOutage(n)()
 		n.Process.Terminate()
 		if _, err := n.Process.AwaitEnd(waitTimeout); err != nil {
 			x.Errorf("a planned stop didn't end: %v", err)
@@ -242,9 +242,9 @@
 }
 
 // exchangeSeeds names other replicas as a box's seeds, with a signal or without.
-func (x *soak) exchangeSeeds(n *lab.Node) bool {
+func (x *soak) replaceSeeds(n *lab.Node) bool {
 	first, signal := x.draw(soakReplicas), x.draw(2) == 0
-	return x.with(func() {
+	return x.withClaim(func() {
 		seeds := make([]string, 0, len(n.Settings.Seeds))
 		for i := range n.Settings.Seeds {
 			seeds = append(seeds, x.cluster.Replicas[(first+i)%soakReplicas].Settings.Peer.Advertise)
@@ -257,23 +257,23 @@
 	}, n)
 }
 
-func (x *soak) hangUp(n *lab.Node) bool { return x.with(func() { n.Process.HangUp() }, n) }
+func (x *soak) hangUp(n *lab.Node) bool { return x.withClaim(func() { n.Process.HangUp() }, n) }
 
 // loseDisks takes two disks at once, if all replicas vote and the last ones that were
 // lost have had the time to come back.
 func (x *soak) loseDisks() bool {
 	done := false
-	claimed := x.with(func() {
-		if time.Since(x.diskLost) < 3*time.Second || x.votersNow() < soakReplicas {
+	claimed := x.withClaim(func() {
+		if time.Since(x.diskLost) < 3*time.Second || x.countVoters() < soakReplicas {
 			return
 		}
-		x.loseTwo()
+		x.loseTwoDisks()
 		done = true
 	}, x.allReplicas()...)
 	return claimed && done
 }
 
-func (x *soak) loseTwo() {
+func (x *soak) loseTwoDisks() {
 	first := x.draw(soakReplicas)
 	second := (first + 1 + x.draw(soakReplicas-1)) % soakReplicas
 	lost := []*lab.Node{x.cluster.Replicas[first], x.cluster.Replicas[second]}
@@ -282,7 +282,7 @@
 }
 
 // votersNow counts the replicas that the leader has as voters and hears of.
-func (x *soak) votersNow() int {
+func (x *soak) countVoters() int {
 	d, err := x.leaderNode().Dump()
 	if err != nil || d.Control.Log.Role != "leader" {
 		return 0
--- a/test/soak_keys_test.go
+++ b/test/soak_keys_test.go
@@ -15,11 +15,11 @@
 
 const (
 	// keysFrom is the first seed whose calls need keys.
-	keysFrom = 70_000
+	firstKeySeed = 70_000
 	// soakOwnKey is the key of all ordinary callers, which always holds.
 	soakOwnKey = "the-soak's-own-key"
 	// soakGuestVersions is for how many versions a key of the guests holds.
-	soakGuestVersions = 16
+	soakGuestKeyVersions = 16
 	// soakGuestRate and soakGuestBurst are what guests may run; they ask for more.
 	soakGuestRate  = 15
 	soakGuestBurst = 5
@@ -29,19 +29,19 @@
 	soakQuotaOvershoot = 0.1
 	// soakRevokeBound is how long a key that was taken away may let calls in: a lease and an
 	// election.
-	soakRevokeBound = soakLeaveBound
+	soakMaxRevokeDelay = soakMaxLeaveDelay
 )
 
-func (x *soak) keys() bool { return x.seed >= keysFrom }
+func (x *soak) hasKeys() bool { return x.seed >= firstKeySeed }
 
 // guestGeneration is the generation of the guests' key that a version has.
-func guestGeneration(v units.DocumentVersion) int { return int(v / soakGuestVersions) }
+func guestGeneration(v units.DocumentVersion) int { return int(v / soakGuestKeyVersions) }
 
 func guestKey(generation int) string { return fmt.Sprintf("guest-key-%d", generation) }
 
 // document is the document of a version as this seed has it.
 func (x *soak) document(v units.DocumentVersion) json.RawMessage {
-	if !x.keys() {
+	if !x.hasKeys() {
 		return documentOf(v)
 	}
 	return withWorkspaces(soakDocument(v))
@@ -66,7 +66,7 @@
 
 // noteAcknowledged notes when a generation of keys began to hold at the latest. It is called under
 // the lock.
-func (x *soak) noteAcknowledged(v units.DocumentVersion) {
+func (x *soak) recordKeyGeneration(v units.DocumentVersion) {
 	if x.guestSince == nil {
 		x.guestSince = map[int]time.Time{}
 	}
@@ -81,7 +81,7 @@
 	x.lock.Lock()
 	defer x.lock.Unlock()
 	for g, since := range x.guestSince {
-		if g > generation && at.Sub(since) > soakRevokeBound {
+		if g > generation && at.Sub(since) > soakMaxRevokeDelay {
 			return true
 		}
 	}
@@ -96,22 +96,22 @@
 	generation := max(0, newest-2+x.draw(4))
 	at := time.Now()
 	revoked := x.revoked(generation, at)
-	c := x.callWith(guestKey(generation))
+	c := x.callWithKey(guestKey(generation))
 	if revoked && c.Verdict == lab.Whole {
-		x.Errorf("a call was let in by a key that had been taken away %s before", soakRevokeBound)
+		x.Errorf("a call was let in by a key that had been taken away %s before", soakMaxRevokeDelay)
 	}
-	if x.callWith("in-no-document").Verdict == lab.Whole {
+	if x.callWithKey("in-no-document").Verdict == lab.Whole {
 		x.Error("a call was let in by a key that no document has had")
 	}
 	time.Sleep(soakCallPause)
 }
 
 // callWith calls with a key that may not hold.
-func (x *soak) callWith(key string) lab.Call {
+func (x *soak) callWithKey(key string) lab.Call {
 	c := x.caller.Do(lab.Plan{Host: "shop.test", Key: key})
 	switch {
 	case c.Reason == routing.UnknownKey.String(), c.Reason == routing.QuotaExceeded.String():
-		x.strangers.Add(1)
+		x.refusedGuestCalls.Add(1)
 	case c.Verdict != lab.NotRun:
 		x.lock.Lock()
 		x.guestCalls = append(x.guestCalls, guestCall{request: c.Request, at: time.Now()})
@@ -131,7 +131,7 @@
 func (x *soak) checkQuota() {
 	runs := x.runs()
 	ran := slices.DeleteFunc(slices.Clone(x.guestCalls), func(c guestCall) bool { return runs[c.request] == 0 })
-	most := int((soakGuestRate*soakQuotaWindow.Seconds()+soakGuestBurst)*(1+soakQuotaOvershoot)) + routing.DefaultQuotaSlack
+	allowed := int((soakGuestRate*soakQuotaWindow.Seconds()+soakGuestBurst)*(1+soakQuotaOvershoot)) + routing.DefaultQuotaSlack
 	first, worst := 0, 0
 	for last, c := range ran {
 		for c.at.Sub(ran[first].at) > soakQuotaWindow {
@@ -139,8 +139,8 @@
 		}
 		worst = max(worst, last-first+1)
 	}
-	if worst > most {
-		x.Errorf("%d calls of guests ran within %s, %d are allowed", worst, soakQuotaWindow, most)
+	if worst > allowed {
+		x.Errorf("%d calls of guests ran within %s, %d are allowed", worst, soakQuotaWindow, allowed)
 	}
 	x.Logf("%d of %d calls of guests without a refusal ran, %d at most within %s", len(ran), len(x.guestCalls), worst, soakQuotaWindow)
 }
@@ -152,15 +152,15 @@
 	newest := guestGeneration(x.version)
 	x.lock.Unlock()
 	for g := range newest + 1 {
-		x.must(lab.Eventually(soakRevokeBound, func() error { return x.judgeGuests(g, g == newest) }))
+		x.must(lab.Eventually(soakMaxRevokeDelay, func() error { return x.checkGuestKey(g, g == newest) }))
 	}
 }
 
 // judgeGuests checks that every box takes a key of the guests for one that holds, or doesn't.
-func (x *soak) judgeGuests(generation int, holds bool) error {
+func (x *soak) checkGuestKey(generation int, valid bool) error {
 	for range x.cluster.Boxes {
-		c := x.callWith(guestKey(generation))
-		if refused := c.Reason == routing.UnknownKey.String(); refused == holds {
+		c := x.callWithKey(guestKey(generation))
+		if refused := c.Reason == routing.UnknownKey.String(); refused == valid {
 			return fmt.Errorf("a call with key %d is answered %d, %s", generation, c.Status, c.Reason)
 		}
 	}
--- a/test/soak_residency_test.go
+++ b/test/soak_residency_test.go
@@ -13,21 +13,21 @@
 var soakRegions = map[units.Domain]units.Region{soakDomain: "north", soakOtherDomain: "south"}
 
 const (
-	soakResident = "eu.test"
+	soakRestrictedHost = "eu.test"
 	// soakResidentEvery is one in how many calls is restricted: the others must show what the
 	// evacuation of the first domain leaves.
-	soakResidentEvery = 10
+	soakRestrictedInterval = 10
 )
 
-func residentRoute() *table.Route {
+func restrictedRoute() *table.Route {
 	return &table.Route{
-		Name: "eu", Host: soakResident, PathPrefix: "/", Work: table.Repeatable, Deadline: 5 * time.Second, LatencyObjective: time.Second,
+		Name: "eu", Host: soakRestrictedHost, PathPrefix: "/", Work: table.Repeatable, Deadline: 5 * time.Second, LatencyObjective: time.Second,
 		Services: []table.WeightedService{{Service: "shop", Weight: 1}}, Regions: &table.AllowedRegions{Names: []units.Region{"north"}},
 	}
 }
 
-func (x *soak) callResident() {
-	x.caller.Do(lab.Plan{Host: soakResident, Work: time.Duration(x.draw(20)) * time.Millisecond})
+func (x *soak) callRestricted() {
+	x.caller.Do(lab.Plan{Host: soakRestrictedHost, Work: time.Duration(x.draw(20)) * time.Millisecond})
 	time.Sleep(soakCallPause)
 }
 
@@ -35,7 +35,7 @@
 func (x *soak) checkResidency() {
 	restricted := map[string]bool{}
 	for _, c := range x.caller.Calls() {
-		restricted[c.Request] = restricted[c.Request] || c.Host == soakResident
+		restricted[c.Request] = restricted[c.Request] || c.Host == soakRestrictedHost
 	}
 	ran := 0
 	for i, t := range x.targets {
--- a/test/soak_rollout_test.go
+++ b/test/soak_rollout_test.go
@@ -12,30 +12,30 @@
 const (
 	// rolloutsFrom is the first seed whose targets have versions, between which an operator
 	// moves the calls of a service.
-	rolloutsFrom = 11_000
+	firstRolloutSeed = 11_000
 	// soakRollout is how long such a rollout may take.
-	soakRollout = 4 * time.Second
+	soakRolloutDuration = 4 * time.Second
 	// soakRolled is the service whose targets have two versions.
-	soakRolled = units.ServiceName("shop")
+	soakRolloutService = units.ServiceName("shop")
 )
 
-func (x *soak) rollsOut() bool { return x.seed >= rolloutsFrom }
+func (x *soak) hasRollouts() bool { return x.seed >= firstRolloutSeed }
 
 // softwareOf is the version of a target: every other one of the service is of the second, in
 // both failure domains.
 func (x *soak) softwareOf(service string, t int) units.SoftwareVersion {
 	switch {
-	case !x.rollsOut():
+	case !x.hasRollouts():
 		return ""
-	case units.ServiceName(service) == soakRolled && t/len(soakServices)%2 == 1:
+	case units.ServiceName(service) == soakRolloutService && t/len(soakServices)%2 == 1:
 		return newSoftware
 	}
 	return oldSoftware
 }
 
 // rollOut has an operator order rollouts, or end the one under way, at any replica.
-func (x *soak) rollOut() {
-	o := table.RolloutOrder{Service: soakRolled, To: oldSoftware, Duration: soakRollout, Operator: "soak"}
+func (x *soak) orderRollouts() {
+	o := table.RolloutOrder{Service: soakRolloutService, To: oldSoftware, Duration: soakRolloutDuration, Operator: "soak"}
 	switch x.draw(5) {
 	case 0:
 		o.Abort = true
@@ -52,49 +52,49 @@
 func (x *soak) checkRollout() {
 	var to units.SoftwareVersion
 	x.must(lab.Eventually(waitTimeout, func() error {
-		x.keepBusy()
+		x.makeCalls()
 		t, err := x.oneReplica(x.anyReplica()).Table()
 		if err != nil {
 			return err
 		}
 		to = newSoftware
-		if t.SoftwareInForce(soakRolled) == newSoftware {
+		if t.SoftwareInForce(soakRolloutService) == newSoftware {
 			to = oldSoftware
 		}
-		return x.oneReplica(x.anyReplica()).OrderRollout(table.RolloutOrder{Service: soakRolled, To: to, Duration: soakRollout, Operator: "soak"})
+		return x.oneReplica(x.anyReplica()).OrderRollout(table.RolloutOrder{Service: soakRolloutService, To: to, Duration: soakRolloutDuration, Operator: "soak"})
 	}))
 	x.killAll()
 	var end *table.Table
 	x.must(lab.Eventually(waitTimeout, func() (err error) {
-		x.keepBusy()
-		end, err = x.endOfRollout(to)
+		x.makeCalls()
+		end, err = x.endedRollout(to)
 		return err
 	}))
-	inForce := end.SoftwareInForce(soakRolled)
-	x.Logf("the rollout to %s ended in stage %d (%s)", to, end.Rollout(soakRolled).Stage, end.Rollout(soakRolled).Reason)
-	time.Sleep(soakLeaveBound)
-	before := x.runsOfOthers(inForce)
-	x.keepBusy()
-	if n := x.runsOfOthers(inForce) - before; n > 0 {
+	inForce := end.SoftwareInForce(soakRolloutService)
+	x.Logf("the rollout to %s ended in stage %d (%s)", to, end.Rollout(soakRolloutService).Stage, end.Rollout(soakRolloutService).Reason)
+	time.Sleep(soakMaxLeaveDelay)
+	before := x.countRunsOfOtherVersions(inForce)
+	x.makeCalls()
+	if n := x.countRunsOfOtherVersions(inForce) - before; n > 0 {
 		x.Errorf("%d calls went to targets of another version than %s, which was in force", n, inForce)
 	}
 }
 
 // keepBusy makes some calls and has all targets report.
-func (x *soak) keepBusy() {
+func (x *soak) makeCalls() {
 	x.reportAll(x.cluster.Replicas[1])
 	for range 10 {
-		x.caller.Do(lab.Plan{Host: string(soakRolled) + ".test"})
+		x.caller.Do(lab.Plan{Host: string(soakRolloutService) + ".test"})
 	}
 }
 
 // endOfRollout returns the table once every replica shows the rollout ended.
-func (x *soak) endOfRollout(to units.SoftwareVersion) (t *table.Table, err error) {
+func (x *soak) endedRollout(to units.SoftwareVersion) (t *table.Table, err error) {
 	for _, n := range x.cluster.Replicas {
 		if t, err = x.oneReplica(n).Table(); err != nil {
 			return nil, err
 		}
-		v := t.Rollout(soakRolled)
+		v := t.Rollout(soakRolloutService)
 		if v == nil || v.To != to {
 			return nil, fmt.Errorf("%s has lost the rollout to %s that was acknowledged: %+v", n.Settings.Box, to, v)
 		}
@@ -106,11 +106,11 @@
 }
 
 // runsOfOthers counts the calls that the service's targets of other versions have run.
-func (x *soak) runsOfOthers(inForce units.SoftwareVersion) int {
+func (x *soak) countRunsOfOtherVersions(inForce units.SoftwareVersion) int {
 	n := 0
 	for i, t := range x.targets {
 		service := soakServices[i%len(soakServices)]
-		if units.ServiceName(service) == soakRolled && x.softwareOf(service, i) != inForce {
+		if units.ServiceName(service) == soakRolloutService && x.softwareOf(service, i) != inForce {
 			n += int(x.fetchStats(t).Runs)
 		}
 	}
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -45,12 +45,12 @@
 const (
 	soakReplicas = 5
 	// soakMostLanes is how many series of faults go on side by side at the most.
-	soakMostLanes = 3
+	soakMaxFaultLanes = 3
 	// soakCallPause lies between two calls of a caller.
 	soakCallPause = 10 * time.Millisecond
 	// soakLeaveBound is how long a box may send work to a target after its leaving was
 	// acknowledged: a lease, an election, and a call's time.
-	soakLeaveBound = 4 * time.Second
+	soakMaxLeaveDelay = 4 * time.Second
 	// soakLastCalls are made one after the other when all faults have ended.
 	soakLastCalls = 100
 )
@@ -59,8 +59,8 @@
 type soakSize struct{ boxes, targets, callers int }
 
 // soakSizeOf makes one seed in eight a large one.
-func soakSizeOf(seed uint64) soakSize {
-	if seed >= rolloutsFrom {
+func sizeForSeed(seed uint64) soakSize {
+	if seed >= firstRolloutSeed {
 		// Each version needs targets in both failure domains.
 		return soakSize{boxes: 3, targets: 8, callers: 6}
 	}
@@ -107,78 +107,78 @@
 	// evacuated is what the operator's last order for soakDomain asked for.
 	evacuated bool
 	// called counts the calls.
-	called atomic.Int64
+	callCount atomic.Int64
 	// paths are the proxies before the targets, in their order.
-	paths []*lab.FaultProxy
+	targetProxies []*lab.FaultProxy
 	// born is when each target last started, where that is told.
-	born []units.WallTime
+	startedAt []units.WallTime
 	// strangers counts the calls that were refused for a key that didn't hold, or for a quota; guestCalls
 	// are the guests' other calls.
-	guestCalls []guestCall
-	strangers  atomic.Int64
+	guestCalls        []guestCall
+	refusedGuestCalls atomic.Int64
 	// guestSince is when the guests' keys of each generation were first acknowledged.
 	guestSince map[int]time.Time
 	// disturbed are the times at which processes stood still or were down.
-	disturbed []disturbance
+	outages []outage
 }
 
 func playSoak(t *testing.T, seed uint64) {
-	size := soakSizeOf(seed)
+	size := sizeForSeed(seed)
 	x := &soak{seed: seed, size: size, testCluster: &testCluster{T: t, folder: t.TempDir()}, random: rand.New(rand.NewPCG(seed, 3)), workers: newWorkers()}
 	t.Cleanup(x.stopProcesses)
 	defer func() {
 		if t.Failed() {
 			t.Logf("seed %d, faults: %s", seed, strings.Join(x.faults, "; "))
-			x.keepLogs(seed)
+			x.saveLogs(seed)
 		}
 	}()
-	x.begin()
+	x.startProcesses()
 	x.repeat(x.putDocuments)
 	x.repeat(x.readDocuments)
 	x.repeat(x.report)
 	for range x.size.callers {
 		x.repeat(x.call)
 	}
-	if seed >= evacuationsFrom {
-		x.repeat(x.evacuate)
+	if seed >= firstEvacuationSeed {
+		x.repeat(x.toggleEvacuation)
 	}
-	if x.rollsOut() {
-		x.repeat(x.rollOut)
+	if x.hasRollouts() {
+		x.repeat(x.orderRollouts)
 	}
-	if x.keys() {
+	if x.hasKeys() {
 		x.repeat(x.callAsGuest)
 	}
-	if x.crashes() {
-		x.repeat(x.keepTargets)
+	if x.hasCrashes() {
+		x.repeat(x.restartTargets)
 		x.repeat(x.sendCrashing)
 	}
-	for range 1 + seed%soakMostLanes {
-		x.repeat(x.oneFault)
+	for range 1 + seed%soakMaxFaultLanes {
+		x.repeat(x.injectFault)
 	}
 	time.Sleep(*soakTime)
 	x.stop()
-	x.heal()
+	x.endFaults()
 	x.checkDocument()
-	if x.keys() {
+	if x.hasKeys() {
 		x.checkKeys()
 		x.checkQuota()
 	}
-	if x.crashes() {
+	if x.hasCrashes() {
 		x.checkCrashes()
 	}
-	if x.rollsOut() {
+	if x.hasRollouts() {
 		x.checkRollout()
 	}
-	if x.words() {
-		x.checkWords()
+	if x.hasNotices() {
+		x.checkNotices()
 	}
 	x.checkLeaving()
 	x.checkEvacuation()
 	x.checkCalls()
 }
 
-func (x *soak) begin() {
-	x.born = make([]units.WallTime, x.size.targets)
+func (x *soak) startProcesses() {
+	x.startedAt = make([]units.WallTime, x.size.targets)
 	for i := range x.size.targets {
 		target, err := lab.StartTargetProcess(programs.lab, fmt.Sprintf("target-%d", i+1), x.folder, x.targetArguments()...)
 		x.must(err)
@@ -186,7 +186,7 @@
 		path, err := lab.StartFaultProxy(target.Address)
 		x.must(err)
 		x.Cleanup(path.Close)
-		x.paths = append(x.paths, path)
+		x.targetProxies = append(x.targetProxies, path)
 	}
 	var err error
 	x.cluster, err = lab.StartCluster(lab.ClusterSettings{
@@ -196,7 +196,7 @@
 			s.Control.Growth.Voters = soakReplicas
 			s.Control.ReadTimeout = config.Duration(time.Second)
 			s.Control.EditTimeout = config.Duration(2 * time.Second)
-			s.Control.Rollout.Enabled = x.rollsOut()
+			s.Control.Rollout.Enabled = x.hasRollouts()
 			s.Regions = soakRegions
 			s.Entry.LeavingHeader = lab.LeavingHeader
 			s.Entry.LimitHeader = lab.LimitHeader
@@ -216,9 +216,9 @@
 }
 
 // pause waits for a random time; it is how the schedule's steps are spread.
-func (x *soak) pause(least, most int) {
+func (x *soak) pause(minMillis, maxMillis int) {
 	x.lock.Lock()
-	d := time.Duration(least+x.random.IntN(most-least)) * time.Millisecond
+	d := time.Duration(minMillis+x.random.IntN(maxMillis-minMillis)) * time.Millisecond
 	x.lock.Unlock()
 	time.Sleep(d)
 }
@@ -256,7 +256,7 @@
 			LatencyObjective: time.Second, Services: []table.WeightedService{{Service: name, Weight: int(version%5) + 1}},
 		})
 	}
-	d.Routes = append(d.Routes, residentRoute())
+	d.Routes = append(d.Routes, restrictedRoute())
 	return d
 }
 
@@ -270,7 +270,7 @@
 	if err == nil {
 		x.lock.Lock()
 		x.acknowledged = max(x.acknowledged, version)
-		x.noteAcknowledged(version)
+		x.recordKeyGeneration(version)
 		x.lock.Unlock()
 	}
 	return err
@@ -284,24 +284,24 @@
 // readDocuments makes sure that no read is older than what was acknowledged before it.
 func (x *soak) readDocuments() {
 	x.lock.Lock()
-	least := x.acknowledged
+	minVersion := x.acknowledged
 	x.lock.Unlock()
 	n := x.anyReplica()
 	raw, err := x.oneReplica(n).Document()
 	if err == nil {
-		x.checkVersion(n.Settings.Box, raw, least)
+		x.checkVersion(n.Settings.Box, raw, minVersion)
 	}
 	x.pause(5, 50)
 }
 
-func (x *soak) checkVersion(who string, raw json.RawMessage, least units.DocumentVersion) {
+func (x *soak) checkVersion(box string, raw json.RawMessage, minVersion units.DocumentVersion) {
 	d := &table.Document{}
 	if err := json.Unmarshal(raw, d); err != nil {
-		x.Errorf("%s gave a document that can't be read: %v", who, err)
+		x.Errorf("%s gave a document that can't be read: %v", box, err)
 		return
 	}
-	if d.Version < least {
-		x.Errorf("%s gave document %d, %d was acknowledged before", who, d.Version, least)
+	if d.Version < minVersion {
+		x.Errorf("%s gave document %d, %d was acknowledged before", box, d.Version, minVersion)
 	}
 }
 
@@ -313,10 +313,10 @@
 func (x *soak) registration(service string, t int, state table.RowState) *table.Registration {
 	x.lock.Lock()
 	x.sequence++
-	sequence, born := x.sequence, x.born[t]
+	sequence, born := x.sequence, x.startedAt[t]
 	x.lock.Unlock()
 	return &table.Registration{
-		Target: targetID(service, x.targets[t]), Service: units.ServiceName(service), Address: x.addressOf(t), Slots: 3, State: state, Sequence: sequence,
+		Target: targetID(service, x.targets[t]), Service: units.ServiceName(service), Address: x.registeredAddress(t), Slots: 3, State: state, Sequence: sequence,
 		Domain: x.domainOf(t), Software: x.softwareOf(service, t), Born: born,
 	}
 }
@@ -337,8 +337,8 @@
 }
 
 func (x *soak) call() {
-	if x.called.Add(1)%soakResidentEvery == 0 {
-		x.callResident()
+	if x.callCount.Add(1)%soakRestrictedInterval == 0 {
+		x.callRestricted()
 		return
 	}
 	service := soakServices[x.draw(len(soakServices))]
@@ -346,8 +346,8 @@
 	time.Sleep(soakCallPause)
 }
 
-func (x *soak) heal() {
-	for _, p := range append(x.paths, x.cluster.Proxies...) {
+func (x *soak) endFaults() {
+	for _, p := range append(x.targetProxies, x.cluster.Proxies...) {
 		p.Silence(false)
 		p.Delay(0)
 	}
@@ -385,20 +385,20 @@
 		return x.oneReplica(n).Report(x.registration(soakServices[0], 0, table.Leaving))
 	}))
 	n.Process.Kill()
-	time.Sleep(soakLeaveBound)
+	time.Sleep(soakMaxLeaveDelay)
 	before := x.fetchStats(target)
-	whole := 0
+	served := 0
 	for range soakLastCalls {
 		if x.caller.Do(lab.Plan{Host: "shop.test"}).Verdict == lab.Whole {
-			whole++
+			served++
 		}
 	}
 	after := x.fetchStats(target)
 	if after.Runs != before.Runs {
-		x.Errorf("%d calls went to a target whose leaving was acknowledged %s before", after.Runs-before.Runs, soakLeaveBound)
+		x.Errorf("%d calls went to a target whose leaving was acknowledged %s before", after.Runs-before.Runs, soakMaxLeaveDelay)
 	}
-	if whole < soakLastCalls/2 {
-		x.Errorf("%d of %d calls were answered though all faults had ended and targets were idle", whole, soakLastCalls)
+	if served < soakLastCalls/2 {
+		x.Errorf("%d of %d calls were answered though all faults had ended and targets were idle", served, soakLastCalls)
 	}
 	x.must(x.cluster.StartAgain(n))
 }
@@ -411,13 +411,13 @@
 		x.Errorf("calls were lost, doubled or wrong: %s", summary)
 	}
 	x.checkResidency()
-	if wanted := summary.Sent - x.unwanted(summary.Reasons) - int(x.strangers.Load()); summary.Whole*2 < wanted {
-		x.Errorf("fewer than half of the %d calls that targets wanted were answered: %s", wanted, summary)
+	if expected := summary.Sent - x.countTargetRefusals(summary.Reasons) - int(x.refusedGuestCalls.Load()); summary.Whole*2 < expected {
+		x.Errorf("fewer than half of the %d calls that targets wanted were answered: %s", expected, summary)
 	}
 }
 
 // keepLogs keeps what the processes of a failed seed wrote.
-func (x *soak) keepLogs(seed uint64) {
+func (x *soak) saveLogs(seed uint64) {
 	folder, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
 	if err != nil || x.cluster == nil {
 		return
--- a/test/soak_words_test.go
+++ b/test/soak_words_test.go
@@ -10,43 +10,43 @@
 
 const (
 	// wordsFrom is the first seed whose targets ask for rest and leave by their answers.
-	wordsFrom = 50_000
+	firstNoticeSeed = 50_000
 	// soakLeastRest and soakMostRest bound the rests that targets ask for, in milliseconds.
-	soakLeastRest = 500
-	soakMostRest  = 3000
+	soakMinRestMs = 500
+	soakMaxRestMs = 3000
 	// limitsFrom is the first seed whose targets name limits.
-	limitsFrom = 60_000
+	firstLimitSeed = 60_000
 	// soakMostLimit bounds the limits that targets name, in tenths of a call a second.
-	soakMostLimit = 60
+	soakMaxLimitTenths = 60
 	// limitDisturbed is for how long before a window a disturbance of a box excuses its calls.
-	limitDisturbed = 7 * time.Second
+	limitOutageMargin = 7 * time.Second
 )
 
 // words tells whether the seed's targets ask for rest and leave by their answers.
-func (x *soak) words() bool { return x.seed >= wordsFrom }
+func (x *soak) hasNotices() bool { return x.seed >= firstNoticeSeed }
 
 // disturbance is a time at which a process stood still or was down. It may have been told
 // something meanwhile that it never read.
-type disturbance struct {
-	thing       any
-	since, till time.Time
+type outage struct {
+	affected     any
+	since, until time.Time
 }
 
 // disturb notes that a process is disturbed until the function that it returns is called.
-func (x *soak) disturb(thing any) func() {
+func (x *soak) beginOutage(thing any) func() {
 	since := time.Now()
 	return func() {
 		x.lock.Lock()
 		defer x.lock.Unlock()
-		x.disturbed = append(x.disturbed, disturbance{thing: thing, since: since, till: time.Now()})
+		x.outages = append(x.outages, outage{affected: thing, since: since, until: time.Now()})
 	}
 }
 
-func (x *soak) wasDisturbed(thing any, since, till time.Time) bool {
+func (x *soak) hadOutage(thing any, since, till time.Time) bool {
 	x.lock.Lock()
 	defer x.lock.Unlock()
-	for _, d := range x.disturbed {
-		if d.thing == thing && !d.since.After(till) && !d.till.Before(since) {
+	for _, d := range x.outages {
+		if d.affected == thing && !d.since.After(till) && !d.until.Before(since) {
 			return true
 		}
 	}
@@ -54,72 +54,72 @@
 }
 
 // withMost does something with most targets of both services.
-func (x *soak) withMost(do func(...*lab.TargetProcess)) bool {
-	some := x.targets[1:]
-	things := make([]any, 0, len(some))
-	for _, t := range some {
+func (x *soak) withMostTargets(do func(...*lab.TargetProcess)) bool {
+	targets := x.targets[1:]
+	things := make([]any, 0, len(targets))
+	for _, t := range targets {
 		things = append(things, t)
 	}
-	return x.with(func() { do(some...) }, things...)
+	return x.withClaim(func() { do(targets...) }, things...)
 }
 
 // askForRest has a target turn calls away and ask for rest.
-func (x *soak) askForRest() bool {
+func (x *soak) restOneTarget() bool {
 	t := x.targets[x.draw(len(x.targets))]
-	return x.with(func() { x.rest(t) }, t)
+	return x.withClaim(func() { x.requestRest(t) }, t)
 }
 
 // askForRestTogether has most targets of both services ask for rest at the same time.
-func (x *soak) askForRestTogether() bool {
-	return x.withMost(x.rest)
+func (x *soak) restMostTargets() bool {
+	return x.withMostTargets(x.requestRest)
 }
 
-func (x *soak) rest(some ...*lab.TargetProcess) {
+func (x *soak) requestRest(some ...*lab.TargetProcess) {
 	for _, t := range some {
-		x.tell(t, fmt.Sprintf("shed=1&rest_ms=%d", soakLeastRest+x.draw(soakMostRest-soakLeastRest)))
+		x.setBehaviorUnlessDown(t, fmt.Sprintf("shed=1&rest_ms=%d", soakMinRestMs+x.draw(soakMaxRestMs-soakMinRestMs)))
 	}
 	x.pause(200, 1500)
 	for _, t := range some {
-		x.tell(t, "shed=0")
+		x.setBehaviorUnlessDown(t, "shed=0")
 	}
 }
 
 // leaveByAnswers has a target say that it leaves, which its reports don't, and end some seconds
 // later. It starts again under its id.
-func (x *soak) leaveByAnswers() bool {
+func (x *soak) announceLeaving() bool {
 	t := x.targets[x.draw(len(x.targets))]
-	return x.with(func() {
-		x.tell(t, "leaving=1")
+	return x.withClaim(func() {
+		x.setBehaviorUnlessDown(t, "leaving=1")
 		x.pause(2500, 4000)
 		t.Process.Kill()
 	}, t)
 }
 
 // nameLimits has a target name a limit that may change, and end.
-func (x *soak) nameLimits() bool {
+func (x *soak) limitOneTarget() bool {
 	t := x.targets[x.draw(len(x.targets))]
-	return x.with(func() { x.limit(t) }, t)
+	return x.withClaim(func() { x.announceLimits(t) }, t)
 }
 
 // nameLimitsTogether has most targets of both services do so at the same time.
-func (x *soak) nameLimitsTogether() bool {
-	return x.withMost(x.limit)
+func (x *soak) limitMostTargets() bool {
+	return x.withMostTargets(x.announceLimits)
 }
 
-func (x *soak) limit(some ...*lab.TargetProcess) {
+func (x *soak) announceLimits(some ...*lab.TargetProcess) {
 	for range 1 + x.draw(2) {
 		for _, t := range some {
-			x.tell(t, fmt.Sprintf("limit=%g", float64(x.draw(soakMostLimit))/10))
+			x.setBehaviorUnlessDown(t, fmt.Sprintf("limit=%g", float64(x.draw(soakMaxLimitTenths))/10))
 		}
 		x.pause(2000, 4500)
 	}
 	for _, t := range some {
-		x.tell(t, "shed=0")
+		x.setBehaviorUnlessDown(t, "shed=0")
 	}
 }
 
 // boxAt is the box whose entry is at an address.
-func (x *soak) boxAt(entry string) *lab.Node {
+func (x *soak) boxByEntry(entry string) *lab.Node {
 	for _, b := range x.cluster.Boxes {
 		if b.Entry == entry {
 			return b
@@ -130,7 +130,7 @@
 
 // checkWords makes sure that boxes sent no more to targets that had asked for rest, had said that
 // they leave or named limits, but for boxes that were disturbed since and targets that stood still.
-func (x *soak) checkWords() {
+func (x *soak) checkNotices() {
 	for _, t := range x.targets {
 		all, err := lab.ReadBreaches(t.Journal)
 		x.must(err)
@@ -139,7 +139,7 @@
 				x.checkLimit(t, b.Limit)
 				continue
 			}
-			if x.wasDisturbed(x.boxAt(b.Box), b.Said, b.At) || x.wasDisturbed(t, b.Said, b.At) {
+			if x.hadOutage(x.boxByEntry(b.Box), b.Said, b.At) || x.hadOutage(t, b.Said, b.At) {
 				continue
 			}
 			x.Errorf("%s got a call from %s %s after it had said to it that it wants none: %+v", t.Name, b.Box, b.At.Sub(b.Said), b)
@@ -150,8 +150,8 @@
 // unwanted counts the calls that were refused because all targets of a service had asked for rest, or named limits.
 // Their callers come again at once, so that they are many however well the others are served. Seeds
 // whose targets say nothing have none.
-func (x *soak) unwanted(reasons map[string]int) int {
-	if !x.words() {
+func (x *soak) countTargetRefusals(reasons map[string]int) int {
+	if !x.hasNotices() {
 		return 0
 	}
 	return reasons[routing.TargetsResting.String()] + reasons[routing.TargetsLimited.String()]
@@ -159,13 +159,13 @@
 
 // checkLimit makes sure that boxes which weren't disturbed sent no more than a target's limit allows.
 func (x *soak) checkLimit(t *lab.TargetProcess, b *lab.LimitBreach) {
-	since := b.At.Add(-limitDisturbed)
-	if x.wasDisturbed(t, since, b.At) {
+	since := b.At.Add(-limitOutageMargin)
+	if x.hadOutage(t, since, b.At) {
 		return
 	}
 	n := 0
 	for entry, calls := range b.Calls {
-		if !x.wasDisturbed(x.boxAt(entry), since, b.At) {
+		if !x.hadOutage(x.boxByEntry(entry), since, b.At) {
 			n += calls
 		}
 	}
--- a/test/starts_test.go
+++ b/test/starts_test.go
@@ -35,9 +35,9 @@
 	}
 	x.must(x.api().Depart("pool-1"))
 	report(x.targets[1], 2000, 2, table.Active)
-	known, err := x.api().Targets()
+	registered, err := x.api().Targets()
 	x.must(err)
-	if len(known) != 0 {
-		t.Errorf("the target that has left is registered again: %+v", known)
+	if len(registered) != 0 {
+		t.Errorf("the target that has left is registered again: %+v", registered)
 	}
 }
