--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -114,10 +114,10 @@
 // keepCallingCrashing repeats the request that crashes targets.
 func (x *crashCluster) keepCallingCrashing(body string) {
 	for x.sleep(crashCallInterval) && !x.callsStopped.Load() {
-		at := time.Now()
+		startedAt := time.Now()
 		c := x.caller.Do(lab.Plan{Host: "repeatable.test", Body: []byte(body)})
 		x.lock.Lock()
-		x.crashingCalls = append(x.crashingCalls, timedCall{Call: c, startedAt: at, body: body})
+		x.crashingCalls = append(x.crashingCalls, timedCall{Call: c, startedAt: startedAt, body: body})
 		x.lock.Unlock()
 	}
 }
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -313,11 +313,11 @@
 func (x *soak) registration(service string, t int, state table.RowState) *table.Registration {
 	x.lock.Lock()
 	x.sequence++
-	sequence, born := x.sequence, x.startedAt[t]
+	sequence, startedAt := x.sequence, x.startedAt[t]
 	x.lock.Unlock()
 	return &table.Registration{
 		Target: targetID(service, x.targets[t]), Service: units.ServiceName(service), Address: x.registeredAddress(t), Slots: 3, State: state, Sequence: sequence,
-		Domain: x.domainOf(t), Software: x.softwareOf(service, t), Born: born,
+		Domain: x.domainOf(t), Software: x.softwareOf(service, t), Born: startedAt,
 	}
 }
 
--- a/test/soak_words_test.go
+++ b/test/soak_words_test.go
@@ -55,12 +55,12 @@
 
 // withMostTargets claims all targets but the first and calls a function with them.
 func (x *soak) withMostTargets(do func(...*lab.TargetProcess)) bool {
-	targets := x.targets[1:]
-	things := make([]any, 0, len(targets))
-	for _, t := range targets {
+	most := x.targets[1:]
+	things := make([]any, 0, len(most))
+	for _, t := range most {
 		things = append(things, t)
 	}
-	return x.withClaim(func() { do(targets...) }, things...)
+	return x.withClaim(func() { do(most...) }, things...)
 }
 
 // restOneTarget makes a target refuse calls and ask for rest.
