--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -17,8 +17,8 @@
 // targets of the service were down within a second, three times in a minute and a half. After the
 // request had crashed three targets it was sent 7 more times, and 24 targets crashed in all. Boxes
 // kept sending it because none recorded what a request had done to a target or told the other boxes.
-// In the log of each box "attempt-ended ... broken" was followed by "probe-answered ...
-// "unreachable":true" for the target; only the time linked the logs of two boxes.
+// In the log of each box "attempt-ended ... broken" was followed by "probe-answered" with
+// "unreachable":true for the target; only the time linked the logs of two boxes.
 
 const (
 	crashRequestBody   = "the request that ends its target"
