--- a/test/soak_rollout_test.go
+++ b/test/soak_rollout_test.go
@@ -42,7 +42,7 @@
 	case 1, 2:
 		o.To = newSoftware
 	}
-	// Most orders are refused: another rollout is in progress, or there is no leader.
+	// Errors are ignored: most orders are sent during another rollout or while there is no leader.
 	x.oneReplica(x.anyReplica()).OrderRollout(o)
 	x.pause(300, 2000)
 }
