--- a/pkg/admin/evacuations.go
+++ b/pkg/admin/evacuations.go
@@ -10,8 +10,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// getEvacuations lists the failure domains that are or were evacuated, by the table of this
-// replica.
+// getEvacuations lists the failure domains that are or were evacuated, according to the table of
+// this replica.
 func (s *Server) getEvacuations(ctx *fasthttp.RequestCtx) error {
 	if err := s.requireReplica(); err != nil {
 		return err
--- a/pkg/admin/quarantines.go
+++ b/pkg/admin/quarantines.go
@@ -10,8 +10,8 @@
 	"github.com/madderpond/madderpond/pkg/fault"
 )
 
-// getQuarantines lists the quarantined calls, which no target receives, by the state of this
-// replica.
+// getQuarantines lists the quarantined calls, which targets receive only in trials, according to
+// the state of this replica.
 func (s *Server) getQuarantines(ctx *fasthttp.RequestCtx) error {
 	if err := s.requireReplica(); err != nil {
 		return err
--- a/pkg/app/app.go
+++ b/pkg/app/app.go
@@ -40,13 +40,14 @@
 	logger       *logging.Logger
 	boxList      *boxlist.Watcher
 	reloader     *reload.Reloader
-	// extensions are started after the daemon's own components and stopped before the replica.
+	// extensions are started after the replica, the entry and the admin and metrics servers, and
+	// before the box list watcher. A planned stop stops them after the entry and before the replica.
 	extensions []Extension
 	// formOnStart forms a cluster of this single replica at startup.
 	formOnStart bool
 }
 
-// Extension is a component that a program adds to the daemon's own, such as another
+// Extension is a component that a program adds to those of the process, such as another
 // interface to the same operations.
 type Extension interface {
 	// Start starts serving; the error is an Unavailable fault.
@@ -140,7 +141,9 @@
 	return a.Settings.Peer.Listen
 }
 
-// gate returns the replica's gate, or nil in a process without a replica.
+// gate returns the replica as the gate of the peer port, or nil in a process without a replica.
+// While the replica starts, the gate delays connections of boxes until it has the newest table,
+// for a bounded time; connections of other replicas are served at once.
 func (a *App) gate() transport.Gate {
 	if a.replica == nil {
 		return nil
@@ -148,9 +151,9 @@
 	return a.replica
 }
 
-// servePeer passes a connection to the role that it is addressed to: replicas name
-// themselves in the hello, a box's session with a replica begins with a lease renewal, and
-// everything else is for the entry.
+// servePeer passes a connection to the role that it is addressed to: replicas name themselves
+// in the hello, and a box's session with a replica begins with a lease renewal. Everything else
+// is for the entry, and so is a lease renewal in a process without a replica.
 func (a *App) servePeer(hello *wire.Hello, c *transport.Conn) {
 	if hello.Replica != "" {
 		if a.replica != nil {
@@ -268,8 +271,9 @@
 	}
 }
 
-// setListedLeaving handles a change of this box's state in the platform's box list: leaving is
-// true if the list has it among the boxes that leave.
+// setListedLeaving handles a change of this box's state in the list of live and leaving boxes that
+// the environment publishes (setting platform.list): leaving is true if the list has this box
+// among the leaving ones.
 func (a *App) setListedLeaving(leaving bool) {
 	a.Log.WithField("leaving", leaving).Info("this box's state in the platform's box list has changed")
 	if a.entry != nil {
@@ -287,12 +291,12 @@
 }
 
 // adminStopTimeout bounds how long a planned stop waits for open requests to the
-// administration API.
+// administration API and to the metrics server, for both together.
 const adminStopTimeout = 200 * time.Millisecond
 
 // Stop performs a planned stop: the box announces that it is leaving, keeps serving for
-// stop.leave so that the platform's balancer can react, and stops once every call is
-// answered or ctx is done. The error is an Unavailable fault if calls were cut off.
+// stop.leave so that the load balancer in front of the boxes can react, and stops once every
+// call is answered or ctx is done. The error is an Unavailable fault if calls were cut off.
 func (a *App) Stop(ctx context.Context) error {
 	a.Log.WithField("kind", "leaving").Info("planned stop started")
 	a.trafficTimer.Stop()
--- a/pkg/container/sortedmap_test.go
+++ b/pkg/container/sortedmap_test.go
@@ -88,8 +88,9 @@
 	return m
 }
 
-// The cost of a change and of its difference must not grow with the size of the map, except for an
-// additional tree level.
+// The allocations of a change and of its difference must not grow in proportion to the size of the
+// map. They may grow with the additional tree levels of a larger map: up to threefold for a map of
+// a hundred times as many keys.
 func TestChangesOfSortedMapsDontGrowWithThem(t *testing.T) {
 	const maxGrowthFactor = 3
 	cost := func(size int) float64 {
--- a/pkg/core/control/edits.go
+++ b/pkg/core/control/edits.go
@@ -17,8 +17,9 @@
 	retryAt  units.Instant
 }
 
-// editQueue holds the edits that wait for a result at this replica, and the ids of those that it
-// has proposed as the leader.
+// editQueue holds the edits that were submitted to this replica and have no result yet, and the ids
+// of the edits that it has proposed as the leader and not applied yet, including those that other
+// replicas forwarded.
 type editQueue struct {
 	waiting *container.OrderedMap[units.EditID, *waitingEdit]
 	// proposed keeps a leader from adding a resent edit to the log twice.
@@ -33,8 +34,8 @@
 	q.proposed = map[units.EditID]bool{}
 }
 
-// submitEdit accepts an operator's edit. A result that this replica has applied is committed, so a
-// resent edit is answered with it.
+// submitEdit accepts an operator's edit. If the state of this replica already holds the edit's
+// result, the edit is committed, so a resent one is answered with that result.
 func (r *Replica) submitEdit(v EditSubmitted, log *replication.Effects, e *Effects) {
 	if result := r.state.Lookup(v.Edit.ID); result != nil {
 		e.Answers = append(e.Answers, Answer{Request: v.Request, Result: result})
@@ -58,7 +59,8 @@
 	return fault.New(fault.Unavailable, "form the cluster with madderctl form, or wait until this replica has joined it", "this replica belongs to no cluster yet")
 }
 
-// forwardEdit proposes a waiting edit on the leader, or sends it to the leader.
+// forwardEdit proposes a waiting edit if this replica is the leader, and sends it to the leader
+// otherwise.
 func (r *Replica) forwardEdit(w *waitingEdit, log *replication.Effects) {
 	w.retryAt = r.now.Add(retryPeriod)
 	if r.node.IsLeader() {
--- a/pkg/core/control/events.go
+++ b/pkg/core/control/events.go
@@ -50,7 +50,8 @@
 	Cluster string
 }
 
-// DocumentSubmitted submits a whole table, as an operator's document.
+// DocumentSubmitted submits an operator's document: the services, routes and workspaces of the
+// table, which are replaced as a unit.
 type DocumentSubmitted struct {
 	Request  RequestID
 	Document *table.Document
@@ -101,7 +102,8 @@
 // BoxDetached reports that a box's connection has ended.
 type BoxDetached struct{ Connection ConnectionID }
 
-// SeedsChanged reports that the settings name other seed replicas.
+// SeedsChanged reports the seeds of changed settings, which are the replicas to contact first. Those
+// that aren't known yet become peers.
 type SeedsChanged struct{ Seeds []units.ReplicaID }
 
 // StopRequested reports that this replica is about to shut down as planned; a leader hands over its
@@ -126,13 +128,15 @@
 func (SeedsChanged) controlEvent()      {}
 func (StopRequested) controlEvent()     {}
 
-// Answer is the answer to a request. Without an error, the requested change is on enough disks, or
-// was in force already. An error is of kind Invalid, NotFound, Conflict, Unavailable or, when the
-// outcome isn't known in time, Unknown.
+// Answer is the answer to a request. Without an error, the requested change is on the disks of a
+// majority of the voters, or of control.minCopies voters if that is more, or it was in force
+// already. An error is of kind Invalid, NotFound, Conflict, Unavailable or, when the outcome isn't
+// known in time, Unknown.
 type Answer struct {
 	Request RequestID
 	Err     error
-	// Result is the result of an edit.
+	// Result is the result of an edit: accepted, conflicted or rejected. The last two have no error,
+	// but changed nothing.
 	Result *table.Result
 	// Document is the document in force, for a ReadRequested.
 	Document *table.Document
@@ -153,10 +157,10 @@
 	PeerSends []*wire.Envelope
 	BoxSends  []BoxSend
 	Answers   []Answer
-	// TableChanged is set when Table returns a new table.
+	// TableChanged is set when Replica.Table returns a new table.
 	TableChanged bool
 	Halt         error
-	// Changes describes what this event changed in the state, for the log.
+	// Changes describes what this event changed in the state, for the log output of the process.
 	Changes []Change
 }
 
@@ -183,14 +187,15 @@
 	CallReleased    ChangeKind = "call-released"
 )
 
-// Change describes one change of a replica's state for the log. Only the fields that apply to its
-// kind are set.
+// Change describes one change of a replica's state for the log output of the process. Only the
+// fields that apply to its kind are set.
 type Change struct {
 	Kind     ChangeKind
 	Revision units.Revision
 	Target   units.TargetID
 	Document units.DocumentVersion
-	// Sequence is the target's own number of its report.
+	// Sequence is the sequence number that the target gave its report; it increases with each report
+	// of an incarnation.
 	Sequence uint64
 	Domain   units.Domain
 	Operator string
@@ -202,7 +207,7 @@
 	// Software is the version of a service's software that is in force.
 	Software table.SoftwareInForce
 	// Call is the quarantined call, Targets are the targets that crashed while handling it, Trial
-	// is the number of a trial.
+	// is the ordinal number of a trial within its quarantine, from 1.
 	Call    crash.Fingerprint
 	Targets []units.TargetID
 	Trial   int
--- a/pkg/sheet/diff.go
+++ b/pkg/sheet/diff.go
@@ -8,7 +8,8 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// Sheets hold the content of the table in the form that operators edit.
+// Sheets hold the services and rows of the table in the form that operators edit. Routes aren't
+// included.
 type Sheets struct {
 	Services []table.Service
 	Rows     []table.Row
--- a/pkg/wire/convert_limit.go
+++ b/pkg/wire/convert_limit.go
@@ -9,7 +9,7 @@
 	"github.com/madderpond/madderpond/pkg/units"
 )
 
-// FromLimit converts a message between boxes about a target's limit.
+// FromLimit returns the wire form of a LimitMessage, a message between boxes about a target's limit.
 func FromLimit(m *routing.LimitMessage) *Limit {
 	return &Limit{
 		Kind: int32(m.Kind), Service: string(m.Service), Target: string(m.Target), Born: int64(m.Born), Nonce: m.Nonce,
