--- a/pkg/boxlist/boxlist.go
+++ b/pkg/boxlist/boxlist.go
@@ -1,6 +1,7 @@
-// Package boxlist reads the platform's list of live and leaving boxes. The list lags behind, so it
-// is used only as a precaution: a box that is listed as leaving reports itself as not ready, but
-// continues to serve.
+// Package boxlist reads the list of live and leaving boxes that is published by the platform, whose
+// load balancer sends calls to the boxes. The list lags behind the boxes' actual state, and a box that
+// stopped serving because of an outdated entry would refuse calls that it could serve. So a box that
+// is listed as leaving only reports itself as not ready, and continues to serve.
 package boxlist
 
 import (
@@ -65,8 +66,8 @@
 	return parseList(data)
 }
 
-// parseList parses a list. Entries that aren't names are ignored, since other programs may have
-// written them; the remaining entries are valid.
+// parseList parses a list. Entries that aren't non-empty strings are ignored, since other programs
+// may have written them; the remaining entries are valid.
 func parseList(data []byte) (*List, error) {
 	var l struct {
 		Live    []json.RawMessage `json:"live"`
@@ -99,7 +100,7 @@
 	stopped chan struct{}
 }
 
-// Status is what a watcher has last read, as the state dump shows it.
+// Status is what a watcher has last read, as the administration API's GET /v1/dump returns it.
 type Status struct {
 	List List `json:"list"`
 	// ReadAt is when the list was last read successfully; zero means never.
--- a/pkg/config/difference.go
+++ b/pkg/config/difference.go
@@ -14,16 +14,19 @@
 	Reloadable bool `json:"running"`
 }
 
-// reloadableFields are the fields whose changes a running process applies. The others determine
-// its ports or its data folder, or are values that other processes rely on.
+// reloadableFields are the fields whose changes a running process applies. The others are read only
+// when it starts: they determine its ports and its data folder, or are values that other processes
+// rely on, such as the box's name. Replicas and regions are reloadable, although they should be the
+// same on every box.
 var reloadableFields = []string{"logLevel", "memoryLimitMB", "seeds", "replicas", "regions"}
 
-// Differences returns the fields in which two settings differ, in the order of the
-// settings. Lists are compared as a whole.
+// Differences returns the fields in which the settings in force, a, and the next settings, b, differ,
+// in the order of the fields of Settings. Lists are compared as a whole.
 func Differences(a, b *Settings) []Difference {
 	all := compareFields("", reflect.ValueOf(a).Elem(), reflect.ValueOf(b).Elem())
 	for i := range all {
-		// A replica's own list determines its fellow voters, so it can't change while it runs.
+		// On a control replica the list of replicas determines the voters, so a change requires a
+		// restart.
 		if all[i].Path == "replicas" && a.Has(RoleControl) {
 			all[i].Reloadable = false
 		}
@@ -32,7 +35,7 @@
 }
 
 // MergeReloadable returns the settings inForce of a running process with the reloadable fields
-// of next.
+// of next. On a control replica the list of replicas stays as it is.
 func MergeReloadable(inForce, next *Settings) *Settings {
 	merged := *inForce
 	merged.LogLevel = next.LogLevel
--- a/pkg/core/apikey/credential.go
+++ b/pkg/core/apikey/credential.go
@@ -1,16 +1,18 @@
 package apikey
 
-// Credential is the key that a call presents, if any. The digest is computed only when it is needed.
+// Credential is the key that a call presents, if any. Digest hashes the key on each call; only a
+// detached copy stores its digest.
 type Credential struct {
-	// key refers to the request's buffer and is valid only during the request. Once digested is set,
-	// digest is used instead.
+	// key refers to the request's buffer and is valid only during the request. A detached copy has
+	// no key; if a key was presented, it has digested set and the key's digest instead.
 	key      []byte
 	digest   Digest
 	digested bool
 }
 
-// CredentialFromHeader returns the credential of a call, given the values of the key's header. A call with
-// several values presents none, since other programs might read a different one of them.
+// CredentialFromHeader returns the credential of a call, given the values of the key's header. A call
+// with an invalid value presents no key. Neither does one with several values, since a proxy or a
+// target that handles the call might read a different one of them.
 func CredentialFromHeader(values [][]byte) Credential {
 	if len(values) != 1 || !validKey(values[0]) {
 		return Credential{}
--- a/pkg/core/control/apply.go
+++ b/pkg/core/control/apply.go
@@ -36,9 +36,9 @@
 	r.answerRestoredEdits(e)
 }
 
-// applyCommitted applies a committed entry. Entries that are replayed after a restart were already
-// logged by an earlier process of this replica, so their changes are not logged again: hundreds of
-// lines at once would delay its boxes.
+// applyCommitted applies a committed entry. The changes of entries that are replayed after a restart
+// aren't written to the program's log output, since an earlier process of this replica usually has
+// written them, and hundreds of lines at once would delay the boxes that are attached to this replica.
 func (r *Replica) applyCommitted(entry *wire.Entry, e *Effects) {
 	changes := len(e.Changes)
 	r.apply(entry, e)
@@ -48,7 +48,8 @@
 	}
 }
 
-// finishReplay ends the replay of the log after a restart and reports how many entries it read.
+// finishReplay ends the replay of the log after a restart and reports how many entries were
+// replayed.
 func (r *Replica) finishReplay(e *Effects) {
 	if !r.replaying {
 		return
@@ -129,8 +130,9 @@
 	return delta
 }
 
-// applyEvacuation applies an order for a failure domain. The error is the answer to an order that
-// changed nothing although the requested state isn't in force.
+// applyEvacuation applies an order to evacuate or restore a failure domain. It returns an
+// Unavailable fault if another order changed the domain first, and a NotFound fault if the domain is
+// unknown.
 func (r *Replica) applyEvacuation(o *table.EvacuationOrder, at units.WallTime, e *Effects) (*table.Delta, error) {
 	outcome, delta := r.state.ApplyEvacuation(o, at)
 	if delta != nil {
--- a/pkg/core/control/faults_test.go
+++ b/pkg/core/control/faults_test.go
@@ -20,7 +20,8 @@
 	do   func(w *world, n int)
 }
 
-// faults are all actions of a schedule; each gets a random number.
+// faults are the actions of a schedule: faults, edits, and recoveries from faults. Each gets a random
+// number.
 var faults = []faultAction{
 	{"edit", func(w *world, n int) { w.raceEdits(n, 1) }},
 	{"race", func(w *world, n int) { w.raceEdits(n, 3) }},
@@ -53,7 +54,7 @@
 	}
 }
 
-// resend sends an edit that was already answered again, to any replica.
+// resend sends a new edit with the id of an answered one to any replica.
 func (w *world) resend(n int) {
 	ids := slices.Sorted(maps.Keys(w.answers))
 	if len(ids) == 0 {
@@ -103,7 +104,8 @@
 }
 
 // loseDiskSafely replaces a replica's disk by an empty one while all other replicas are intact
-// voters; no cluster survives the loss of more disks at a time.
+// voters; a cluster of fixed replicas isn't meant to survive the loss of more disks at a time. For
+// clusters that grow, loseTwoDisks replaces two of five.
 func (w *world) loseDiskSafely(n int) {
 	r := w.replicas[n%len(w.replicas)]
 	intact := 0
--- a/pkg/core/control/growth_test.go
+++ b/pkg/core/control/growth_test.go
@@ -29,7 +29,7 @@
 }, faults...)
 
 // loseTwoDisks replaces two disks by empty ones at once; depending on n, all other replicas crash
-// at the same time.
+// at the same time. It does nothing while voters are missing, or if n selects one replica twice.
 func (w *world) loseTwoDisks(n int) {
 	if w.voters() < w.growth.Voters {
 		return
@@ -73,7 +73,7 @@
 	w := emptyWorld(t, 1, 5, 1)
 	w.seeds = 3
 	w.growth = &replication.Growth{Bootstrap: true, Voters: 5, ReplaceAfter: time.Second}
-	// Two of the three seeds run: the cluster can't form, and must not.
+	// Only two of the three seeds run, so no cluster may form.
 	w.startReplica(w.replicas[0])
 	w.startReplica(w.replicas[1])
 	w.run(2 * time.Second)
@@ -93,6 +93,7 @@
 		t.Fatal("a document was acknowledged that only two disks hold")
 	}
 	w.growth.Bootstrap = false
+	// endFaults restarts the crashed voter and starts the last two replicas for the first time.
 	w.endFaults()
 	w.run(3 * time.Second)
 	w.putDocument(w.replicas[4], false)
--- a/pkg/core/control/leases.go
+++ b/pkg/core/control/leases.go
@@ -11,7 +11,8 @@
 	"github.com/madderpond/madderpond/pkg/wire"
 )
 
-// lease is a leader's record of a box's lease on the table.
+// lease is a leader's record of a box's lease on the table, which permits the box to serve calls by
+// its copy of the table until the lease expires.
 type lease struct {
 	box       table.Box
 	renewedAt units.Instant
@@ -31,9 +32,9 @@
 	return leaseTracker{byBox: map[units.BoxID]*lease{}}
 }
 
-// grantLease answers a box's lease request, if this replica holds the leader's lease. The box's
-// lease starts when it sent the request, so network delay doesn't extend it. The box uses the lease
-// only once it has the revision that the grant names in force.
+// grantLease answers a box's lease request, if this replica is the leader and certain that there is
+// no other one. The box's lease starts when it sent the request, so network delay doesn't extend it.
+// The box uses the lease only once it has the revision that the grant names in force.
 func (r *Replica) grantLease(request *wire.RenewRequest, e *Effects, send func(*wire.Envelope)) {
 	if request.Box == nil || !r.node.HasLease(r.now) {
 		return
@@ -61,8 +62,8 @@
 	send(m)
 }
 
-// liveReplicas returns the names of the replicas that boxes may attach to. In a cluster that
-// doesn't grow it returns nil: boxes have the names from their settings.
+// liveReplicas returns the names of the replicas that boxes may attach to. In a cluster whose
+// replicas are fixed in the settings it returns nil: boxes have the names from there.
 func (r *Replica) liveReplicas() []string {
 	if r.settings.Replication.Growth == nil {
 		return nil
@@ -164,8 +165,9 @@
 }
 
 // LeaseBound returns the longest time from the acceptance of an edit until every box either has it
-// in force or has stopped serving calls: the duration of a lease, and the time in which a leader
-// that was cut off may still have granted one.
+// in force or has stopped serving calls; boxes with the setting serveStale continue to serve. It is
+// the duration of a lease plus the election timeout: a leader that was cut off is certain for less
+// than the election timeout that there is no other leader, and may grant leases until then.
 func (s Settings) LeaseBound() time.Duration {
 	return s.Lease + s.Replication.ElectionTimeout
 }
--- a/pkg/core/routing/distance.go
+++ b/pkg/core/routing/distance.go
@@ -12,32 +12,35 @@
 // to other regions only if it is still answered sooner there.
 
 const (
-	// minTimeWindow is how long a minimum probe time is used at least, and twice that at most:
-	// network paths rarely change, and within some seconds at least one probe meets no queue and
-	// measures the round trip alone.
+	// minTimeWindow is the minimum time for which a minimum probe time is used. A window ends with
+	// the first probe after this time, so with regular probes a minimum is used for about twice as
+	// long at most, and without probes it stays in use. Network paths rarely change, and within some
+	// seconds at least one probe meets no queue, so that its time has no wait in it.
 	minTimeWindow = 10 * time.Second
 	// defaultSameRegionRoundTrip and defaultOtherRegionRoundTrip are assumed as the extra round
-	// trip to a domain of the same region, and of another or an unknown region, until it has been
-	// measured. Nearer domains are tried first, and distant ones still are if the near ones are
-	// full.
+	// trip to a domain of the same region and of another region, until it has been measured. All
+	// domains without a listed region count as one region. Nearer domains are tried first, and
+	// distant ones still are if the near ones are full.
 	defaultSameRegionRoundTrip  = 2 * time.Millisecond
 	defaultOtherRegionRoundTrip = 15 * time.Millisecond
 	// crossDomainPenalty is the extra cost of leaving the box's domain besides the round trip, as a
 	// fraction of the work. A box has connections to the targets of its own domain and more data
 	// about them, so calls to other domains meet full targets more often. The cost is proportional
-	// to the work, since a full target delays long calls by more. With a fixed 30 ms the two worst
-	// windows of an overloaded day kept 0.47 instead of 0.64 of the calls' value, and 2.5 times as
-	// many bytes were sent between domains.
+	// to the work, since a full target delays long calls by more. A fixed cost of
+	// 30 ms lost more during overload: in the two worst periods 0.47 instead of 0.64 of the calls'
+	// value was kept, and 2.5 times as many bytes were sent between domains.
 	crossDomainPenalty = 0.6
 	// defaultWorkTime is used before a route's typical time is known.
 	defaultWorkTime = 50 * time.Millisecond
 )
 
-// domainDistance estimates the round trip to the targets of a failure domain.
+// domainDistance holds the minimum probe times of the targets of a failure domain. These include the
+// time in which a target answers; only the difference from the box's own domain is a round trip.
 type domainDistance struct {
-	// ownDomain is the estimate for the box's own domain; nil if this is that domain.
+	// ownDomain is that of the box's own domain; nil if this is that domain.
 	ownDomain *domainDistance
-	// sameRegion is set if the domain is in the box's own region, or no regions are known.
+	// sameRegion is set if the domain has the same region as the box's own domain. Two domains
+	// without a listed region count as having the same.
 	sameRegion bool
 	// currentMin is the minimum probe time in the current window, which began at windowStart, and
 	// previousMin that of the previous window; zero if there was no probe.
@@ -45,7 +48,7 @@
 	windowStart             units.Instant
 }
 
-// distanceTo returns the estimate for a domain and creates it if necessary.
+// distanceTo returns the distance of a domain and creates it if necessary.
 func (r *Router) distanceTo(d units.Domain) *domainDistance {
 	x := r.domainDistances[d]
 	if x != nil {
@@ -60,7 +63,8 @@
 	return x
 }
 
-// updateSameRegion sets whether a domain is in the box's own region.
+// updateSameRegion sets whether a domain has the same region as the box's own domain. A domain that
+// isn't listed has the empty region.
 func (r *Router) updateSameRegion(d units.Domain, x *domainDistance) {
 	region := r.settings.Regions[d]
 	x.sameRegion = region == r.settings.Regions[r.settings.Domain]
@@ -101,7 +105,8 @@
 	return defaultOtherRegionRoundTrip
 }
 
-// recordProbeSent records that a probe for a call was sent to the target.
+// recordProbeSent records that a probe was sent to the target in order to choose one for a call, as
+// opposed to a health probe.
 func (t *target) recordProbeSent(now units.Instant) {
 	t.probesSent++
 	t.lastProbedAt = now
@@ -111,8 +116,8 @@
 	t.probesInFlight++
 }
 
-// recordProbeEnd records the end of a probe for a call. With several probes in flight it uses the
-// time since the first was sent, which is an upper bound.
+// recordProbeEnd records the end of a probe that recordProbeSent has recorded. With several probes in
+// flight it uses the time since the first was sent, which is an upper bound.
 func (t *target) recordProbeEnd(now units.Instant, healthy bool) {
 	t.probesInFlight = max(0, t.probesInFlight-1)
 	if healthy && t.distance != nil {
@@ -120,8 +125,8 @@
 	}
 }
 
-// distanceCost returns the extra cost of the target's distance for a call of the route, in units of
-// its work.
+// distanceCost returns the extra cost of the target's distance for a call of the route, as a multiple
+// of the route's typical time, or of defaultWorkTime until that is known.
 func (t *target) distanceCost(x *route) float64 {
 	if !t.remote || t.distance == nil {
 		return 0
